--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -24,9 +24,11 @@
 	"cairnlane/internal/engine"
 	"cairnlane/internal/front"
 	link "cairnlane/internal/handover"
+	"cairnlane/internal/index"
 	"cairnlane/internal/operator"
 	"cairnlane/internal/replica"
 	"cairnlane/internal/settings"
+	"cairnlane/policy"
 )
 
 const (
@@ -116,7 +118,8 @@
 	set                  *counters.Set
 	clk                  *clock.System
 	engine               *engine.Link
-	process              *process // with the replica and the link to the other process
+	index                *index.Client // nil at sites whose runs make no calls
+	process              *process      // with the replica and the link to the other process
 	server               *front.Server
 	door                 *operator.Door // nil without an address for it
 	past                 link.Past
@@ -156,10 +159,15 @@
 	s.engine = engine.NewLink(cfg.Engine, s.clk.Now, s.set)
 	s.engine.BoundOutput(memory / engineShare)
 	p := s.process
-	var err error
-	p.Replica, err = replica.New(replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, OnCores: cfg.OnCores,
+	rc := replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, OnCores: cfg.OnCores,
 		ResultBytes: memory / resultShare, Replaceable: cfg.Inherited > 0,
-		CloseIdle: func(after time.Duration) { s.server.CloseIdle(after) }}, s.clk, s.engine, s.set)
+		CloseIdle: func(after time.Duration) { s.server.CloseIdle(after) }}
+	if cfg.Index != "" {
+		s.index = index.New(cfg.Index, indexReplies{p}, s.set) // replies come only after the replica's calls
+		rc.Index = s.index
+	}
+	var err error
+	p.Replica, err = replica.New(rc, s.clk, s.engine, s.set)
 	if err != nil {
 		return nil, err
 	}
@@ -310,6 +318,9 @@
 	closed := make(chan struct{})
 	go func() {
 		s.endEngine()
+		if s.index != nil {
+			s.index.Close()
+		}
 		s.endClaims()
 		if s.door != nil {
 			s.door.Close()
@@ -322,6 +333,14 @@
 	}
 }
 
+// indexReplies hands the ends of calls to the index to the replica.
+type indexReplies struct{ p *process }
+
+// Reply implements index.Replies.
+func (x indexReplies) Reply(txn string, outcome policy.Outcome, took time.Duration, reply []byte) {
+	x.p.Replica.Called(txn, outcome, took, reply)
+}
+
 // reading is a configuration that was read anew, or why it was turned down.
 type reading struct {
 	next *settings.Replica
@@ -349,7 +368,10 @@
 	s.cfg = next
 	s.engine.Move(next.Engine)
 	s.reporter.Move(next.Directory)
-	log.Printf("configuration read anew: engine %s, directory %s", next.Engine, next.Directory)
+	if s.index != nil {
+		s.index.Move(next.Index)
+	}
+	log.Printf("configuration read anew: engine %s, directory %s, index %s", next.Engine, next.Directory, next.Index)
 }
 
 // Platform runs the platform's replica as its environment tells, to the end. It only returns an error.
--- a/internal/daemon/split_test.go
+++ b/internal/daemon/split_test.go
@@ -19,6 +19,8 @@
 
 func (idle) Run(string, string, []byte) bool { return false }
 func (idle) AskGauges() bool                 { return false }
+func (idle) Feed(string, []byte) bool        { return false }
+func (idle) Skip(string, int64) bool         { return false }
 
 // TestAFullTableMakesRoomForASuccessor has a process whose table clients hold for nothing halve it for its successor, tell
 // it what is left, and take all back when it is alone again. Without the split the successor had 0 of 160 descriptors.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -24,7 +24,10 @@
 func (r *recorder) Done(id string, end policy.Outcome, took time.Duration, result []byte) {
 	r.told = append(r.told, fmt.Sprintf("%s %d %v %q", id, end, took, result))
 }
-func (r *recorder) Rejected(id string)        { r.told = append(r.told, "no "+id) }
+func (r *recorder) Rejected(id string) { r.told = append(r.told, "no "+id) }
+func (r *recorder) Need(id string, number int64, body []byte) {
+	r.told = append(r.told, fmt.Sprintf("need %s %d %q", id, number, body))
+}
 func (r *recorder) Gauges(v []float64)        { r.told = append(r.told, fmt.Sprint("gauges ", v)) }
 func (r *recorder) Started(ago time.Duration) { r.up = ago }
 func (r *recorder) Attached(_ time.Duration, open func()) {
@@ -66,14 +69,36 @@
 	}
 }
 
+// A refused FEED or SKIP used to be taken for a refused RUN: a run that had begun ended as one that never ran.
 func TestRefusedCommands(t *testing.T) {
 	s, rec, _ := link(&memory{})
-	if err := s.feed([]byte("HELLO starting 0\r\nNO STAT g1\r\nNO RUN 7f\r\n")); err != nil {
+	if err := s.feed([]byte("HELLO starting 0\r\nNO STAT g1\r\nNO RUN 7f\r\nNO FEED 7e\r\nNO SKIP 7d\r\n")); err != nil {
 		t.Fatal(err)
 	}
 	rec.want(t, "attached; no 7f")
 }
 
+func TestCallsAreAskedForAndAnsweredUnchanged(t *testing.T) {
+	equal(t, string(appendFeed(nil, "0a", []byte("a\r\n\x00b"))), "FEED 0a 5\r\na\r\n\x00b\r\n")
+	equal(t, string(appendSkip(nil, "0a", 12)), "SKIP 0a 12\r\n")
+	mem := &memory{}
+	s, rec, _ := link(mem)
+	in := "HELLO running 1\r\nNEED 1 0a 4\r\n\r\nx\x00\r\nNEED 1 0a 4\r\n\r\nx\x00\r\nDONE 2 0a fine 1 0\r\n\r\nNEED 3 0b 0\r\n\r\n"
+	if err := s.feed([]byte(in)); err != nil {
+		t.Fatal(err)
+	}
+	rec.want(t, `need 0a 1 "\r\nx\x00"; 0a 0 1ms ""; need 0b 3 ""`) // the NEED told twice is told once
+	if mem.last != 3 {
+		t.Errorf("last %d", mem.last)
+	}
+	for _, in := range []string{"HELLO running 1\r\nNEED 1 0a\r\n", "HELLO running 1\r\nNEED 1 0a 99999999\r\n"} {
+		s, _, _ := link(&memory{})
+		if err := s.feed([]byte(in)); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%.40q: error %v", in, err)
+		}
+	}
+}
+
 // An unknown end used to count as a success, as the zero value of the module's outcome.
 func TestGarbageEndsTheLink(t *testing.T) {
 	for _, in := range []string{"DONE 1 a fine 1 0\r\n\r\n", "HELLO x\r\n", "HELLO running 1\r\nDONE 1 a odd 1 0\r\n\r\n",
--- a/internal/engine/lines.go
+++ b/internal/engine/lines.go
@@ -114,6 +114,16 @@
 			return -1, fmt.Errorf("result of %d bytes", length)
 		}
 		return int(length), err
+	case "NEED":
+		if len(words) != 3 {
+			return -1, errWords
+		}
+		n.number, n.id = number(0), string(words[1])
+		length := number(2)
+		if length > maxResult {
+			return -1, fmt.Errorf("call of %d bytes", length)
+		}
+		return int(length), err
 	case "STATS":
 		if len(words) < 1 {
 			return -1, errWords
@@ -158,3 +168,16 @@
 	dst = append(strconv.AppendInt(dst, int64(len(body)), 10), "\r\n"...)
 	return append(append(dst, body...), "\r\n"...)
 }
+
+// appendFeed writes the reply to the call that a run waits for, unchanged.
+func appendFeed(dst []byte, id string, reply []byte) []byte {
+	dst = append(append(append(dst, "FEED "...), id...), ' ')
+	dst = append(strconv.AppendInt(dst, int64(len(reply)), 10), "\r\n"...)
+	return append(append(dst, reply...), "\r\n"...)
+}
+
+// appendSkip writes that a run goes on without the call that notice number asked for.
+func appendSkip(dst []byte, id string, number int64) []byte {
+	dst = append(append(append(dst, "SKIP "...), id...), ' ')
+	return append(strconv.AppendInt(dst, number, 10), "\r\n"...)
+}
--- a/internal/engine/link.go
+++ b/internal/engine/link.go
@@ -254,14 +254,34 @@
 // Run sends the request to the engine. It tells whether there is a link that could take it; if not,
 // the caller sends it after Attached.
 func (l *Link) Run(id, class string, body []byte) bool {
+	sent := l.write(func(dst []byte) []byte { return appendRun(dst, id, class, body) })
+	if sent {
+		l.runs.Inc()
+	}
+	return sent
+}
+
+// Feed hands a run the reply to the call that it waits for. It tells whether there is a link that could take it; if
+// not, the caller sends it after Attached.
+func (l *Link) Feed(id string, reply []byte) bool {
+	return l.write(func(dst []byte) []byte { return appendFeed(dst, id, reply) })
+}
+
+// Skip has a run go on without the call that notice number asked for. It tells whether there is a link that could take
+// it; if not, the caller sends it after Attached.
+func (l *Link) Skip(id string, number int64) bool {
+	return l.write(func(dst []byte) []byte { return appendSkip(dst, id, number) })
+}
+
+// write puts a command on a link that is ready, and tells whether there was one.
+func (l *Link) write(encode func([]byte) []byte) bool {
 	l.mu.Lock() // also while it is put: nothing may be put behind the flush of a link that retires
 	defer l.mu.Unlock()
 	s := l.sess
 	if s == nil || s.state.Load() != ready {
 		return false
 	}
-	l.runs.Inc()
-	s.send(func(dst []byte) []byte { return appendRun(dst, id, class, body) })
+	s.send(encode)
 	return true
 }
 
--- a/internal/engine/link_test.go
+++ b/internal/engine/link_test.go
@@ -24,9 +24,10 @@
 func (e *toldEvents) Done(id string, _ policy.Outcome, _ time.Duration, result []byte) {
 	e.done <- id + " " + string(result)
 }
-func (e *toldEvents) Started(time.Duration) {}
-func (e *toldEvents) Rejected(string)       {}
-func (e *toldEvents) Gauges([]float64)      {}
+func (e *toldEvents) Started(time.Duration)      {}
+func (e *toldEvents) Rejected(string)            {}
+func (e *toldEvents) Need(string, int64, []byte) {}
+func (e *toldEvents) Gauges([]float64)           {}
 func (e *toldEvents) Attached(since time.Duration, open func()) {
 	open()
 	e.attached <- since
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -16,8 +16,11 @@
 	Started(ago time.Duration)
 	// Done ends a run. The result is only lent for the call.
 	Done(id string, end policy.Outcome, took time.Duration, result []byte)
-	// Rejected says that the engine did not carry out a command for this request.
+	// Rejected says that the engine did not carry out the RUN of this request.
 	Rejected(id string)
+	// Need says that a run waits for a call, which has this body; the body is only lent for the call. number names
+	// the notice, which a SKIP of that call gives back.
+	Need(id string, number int64, body []byte)
 	// Gauges brings the gauges, in the order of the settings.
 	Gauges(values []float64)
 	// Attached says that the link is up and all that was missed has been told: whatever runs by our
@@ -129,7 +132,7 @@
 		s.most.Store(int64(quietMost))
 		s.events.Started(n.took)
 		s.sync = s.stat() // what was missed stands between HELLO and the answer to this
-	case "DONE", "NOTE":
+	case "DONE", "NEED", "NOTE":
 		if n.number <= s.memory.last { // told on an earlier link
 			return nil
 		}
@@ -138,17 +141,22 @@
 			return fmt.Errorf("%w: notice %d where %d is due", ErrMalformed, n.number, next)
 		}
 		s.memory.last = n.number
-		if n.kind == "DONE" {
+		switch n.kind {
+		case "DONE":
 			s.events.Done(n.id, n.end, n.took, n.result)
+		case "NEED":
+			s.events.Need(n.id, n.number, n.result)
 		}
 	case "STATS":
 		s.answered(n.tag)
 		s.events.Gauges(n.gauges)
 	case "NO":
-		if n.command == "STAT" {
+		switch n.command {
+		case "STAT":
 			s.answered(n.id)
-		} else {
+		case "RUN":
 			s.events.Rejected(n.id)
+		default: // a FEED or SKIP for a run that no longer waits: its end is told by DONE
 		}
 	}
 	return nil
--- a/internal/front/session_test.go
+++ b/internal/front/session_test.go
@@ -83,6 +83,23 @@
 	}
 }
 
+// A request without "limit" used to be malformed; routers at some sites do not say how long they wait.
+func TestARequestNeedNotSayHowLongItsCallerWaits(t *testing.T) {
+	r := newRouter()
+	var without [][2]string
+	for _, f := range fields() {
+		if f[0] != "limit" {
+			without = append(without, f)
+		}
+	}
+	if err := r.feed(message("serve", 1, without, "")); err != nil {
+		t.Fatal(err)
+	}
+	if q := r.core.requests; len(q) != 1 || q[0].Limit != 0 || !q[0].LimitUnknown {
+		t.Errorf("taken %+v, turned %d", q, r.core.turned)
+	}
+}
+
 // Names of over 64 bytes and callers that wait for over a minute used to be malformed, whatever the settings name.
 func TestNamesAndWaitsAreBoundedByTheSettings(t *testing.T) {
 	r := newRouter()
--- a/internal/front/thrift.go
+++ b/internal/front/thrift.go
@@ -60,10 +60,14 @@
 		Txn: fields["txn"], Class: fields["verb"], Tenant: fields["team"], Unique: fields["unique"], Item: fields["item"],
 		Retry: fields["second"] == "1",
 		Door:  time.UnixMilli(int64(p.number("door", 1, 1e14))),
-		Limit: time.Duration(p.number("limit", 0, maxLimit) * float64(time.Millisecond)),
 		KB:    p.number("ram", math.SmallestNonzeroFloat64, below(2000)),
 		Rank:  p.number("standing", 0, below(1)),
 	}
+	if _, told := fields["limit"]; told { // routers at some sites do not say how long they wait
+		q.Limit = time.Duration(p.number("limit", 0, maxLimit) * float64(time.Millisecond))
+	} else {
+		q.LimitUnknown = true
+	}
 	q.Caller = int(p.number("lb", 0, 1<<31))
 	for _, name := range []string{"unique", "item"} {
 		if len(fields[name]) > maxName {
--- /dev/null
+++ b/internal/index/link.go
@@ -0,0 +1,279 @@
+package index
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"log"
+	"net"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"cairnlane/policy"
+)
+
+const (
+	readSize   = 64 << 10 // buffer of the reader
+	lineMost   = 64       // longest reply line, CR LF included; a longer one is garbage
+	resultMost = 4 << 20  // longest result of a HIT, in bytes; a longer one is garbage
+)
+
+// errGarbage marks what the index sent that the protocol does not allow.
+var errGarbage = errors.New("garbage from the index")
+
+// outcomes maps the words of replies to outcomes.
+var outcomes = map[string]policy.Outcome{
+	"HIT": policy.Succeeded, "SHED": policy.TurnedAway, "NOBODY": policy.TurnedAway,
+	"BROKEN": policy.Failed, "SLOW": policy.TimedOut,
+}
+
+// link is one connection to the index. It has one goroutine that dials and writes and one that reads. Its fields
+// are guarded by Client.mu.
+type link struct {
+	socket  net.Conn      // nil while dialing
+	out     []byte        // lines waiting to be written
+	queued  []*call       // calls whose GET is in out
+	writing int           // bytes taken by the writer and not written yet
+	wake    chan struct{} // has a value while out may have bytes
+	quit    chan struct{} // closed when the link ends
+	ended   bool
+}
+
+// signal wakes the writer.
+func (l *link) signal() {
+	select {
+	case l.wake <- struct{}{}:
+	default:
+	}
+}
+
+// connect returns the link in use, and starts one if there is none. c.mu is held.
+func (c *Client) connect() *link {
+	if c.link == nil {
+		c.link = &link{wake: make(chan struct{}, 1), quit: make(chan struct{})}
+		c.dials.Inc()
+		go c.run(c.link, c.addr)
+	}
+	return c.link
+}
+
+// run dials addr for l, then writes what l is given until it ends.
+func (c *Client) run(l *link, addr string) {
+	socket, err := net.DialTimeout("tcp", addr, dialTimeout)
+	c.mu.Lock()
+	if err != nil {
+		c.refused.Inc()
+		c.end(l, policy.Unreachable, policy.Unreachable) // nothing was written: proven never ran
+		c.mu.Unlock()
+		c.told()
+		return
+	}
+	if l.ended { // closed while dialing
+		c.mu.Unlock()
+		socket.Close()
+		return
+	}
+	l.socket = socket
+	c.mu.Unlock()
+	go c.read(l, socket)
+	c.write(l, socket)
+}
+
+// write writes what l is given until l ends. A link with no call out is closed after idleClose without writes.
+func (c *Client) write(l *link, socket net.Conn) {
+	idle := time.NewTimer(idleClose)
+	defer idle.Stop()
+	for {
+		batch, up := c.take(l)
+		if !up {
+			return
+		}
+		if len(batch) == 0 {
+			select {
+			case <-l.wake:
+			case <-l.quit:
+				return
+			case <-idle.C:
+				if c.idle(l) {
+					socket.Close()
+					return
+				}
+				idle.Reset(idleClose)
+			}
+			continue
+		}
+		socket.SetWriteDeadline(time.Now().Add(writeTimeout))
+		_, err := socket.Write(batch)
+		c.mu.Lock()
+		l.writing = 0
+		c.mu.Unlock()
+		if err != nil {
+			c.lose(l, socket, err)
+			return
+		}
+		idle.Reset(idleClose)
+	}
+}
+
+// take hands the writer what waits in l and marks its calls sent; up is false once l has ended.
+func (c *Client) take(l *link) (batch []byte, up bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if l.ended {
+		return nil, false
+	}
+	batch, l.out, l.writing = l.out, nil, len(l.out)
+	for _, k := range l.queued {
+		k.sent = true
+	}
+	l.queued = nil
+	return batch, true
+}
+
+// idle ends l if no call is out on it and nothing waits, and tells whether it did.
+func (c *Client) idle(l *link) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(l.out) > 0 {
+		return false
+	}
+	for _, k := range c.open {
+		if k.link == l && !k.done {
+			return false
+		}
+	}
+	c.end(l, policy.Interrupted, policy.Unreachable)
+	return true
+}
+
+// read reads replies on l and hands them on until l ends. The result of a HIT is lent from one buffer.
+func (c *Client) read(l *link, socket net.Conn) {
+	r := bufio.NewReaderSize(socket, readSize)
+	var buffer []byte
+	for {
+		id, outcome, size, err := readHead(r)
+		var result []byte
+		if err == nil && outcome == policy.Succeeded {
+			buffer, err = readBody(r, buffer, size)
+			result = buffer
+		}
+		if errors.Is(err, errGarbage) { // logged before the calls on l are told
+			c.garbage.Inc()
+			log.Printf("index: %v; the connection ends", err)
+		}
+		if err != nil {
+			c.lose(l, socket, err)
+			return
+		}
+		c.answer(l, id, outcome, result)
+	}
+}
+
+// readHead reads one reply line: the id, its outcome and, for HIT, the length of the result.
+func readHead(r *bufio.Reader) (id string, outcome policy.Outcome, size int, err error) {
+	line, err := r.ReadSlice('\n')
+	if len(line) > lineMost || errors.Is(err, bufio.ErrBufferFull) {
+		return "", 0, 0, fmt.Errorf("%w: a line of over %d bytes", errGarbage, lineMost)
+	}
+	if err != nil {
+		return "", 0, 0, err
+	}
+	text, crlf := strings.CutSuffix(string(line), "\r\n")
+	words := strings.Split(text, " ")
+	outcome, known := policy.Outcome(0), len(words) >= 2
+	if known {
+		outcome, known = outcomes[words[1]]
+	}
+	hit := known && outcome == policy.Succeeded
+	if !crlf || !known || hit != (len(words) == 3) || !hit && len(words) != 2 {
+		return "", 0, 0, fmt.Errorf("%w: line %q", errGarbage, line)
+	}
+	if hit {
+		n, err := strconv.ParseUint(words[2], 10, 32)
+		if err != nil || n > resultMost {
+			return "", 0, 0, fmt.Errorf("%w: length in %q; %d bytes at most", errGarbage, line, resultMost)
+		}
+		size = int(n)
+	}
+	return words[0], outcome, size, nil
+}
+
+// readBody reads size bytes and CR LF into buffer, which it returns cut to the size bytes.
+func readBody(r *bufio.Reader, buffer []byte, size int) ([]byte, error) {
+	buffer = slices.Grow(buffer[:0], size+2)[:size+2]
+	if _, err := io.ReadFull(r, buffer); err != nil {
+		return buffer, err
+	}
+	if !bytes.HasSuffix(buffer, []byte("\r\n")) {
+		return buffer, fmt.Errorf("%w: a result of %d bytes not followed by CR LF", errGarbage, size)
+	}
+	return buffer[:size], nil
+}
+
+// answer hands on a reply read on l. A reply for no call that is out on l is ignored and counted.
+func (c *Client) answer(l *link, id string, outcome policy.Outcome, result []byte) {
+	c.mu.Lock()
+	k := c.open[id]
+	fits := k != nil && k.link == l && k.sent && !k.done
+	if fits {
+		k.done, k.outcome, k.took = true, outcome, time.Since(k.start)
+		k.timer.Stop()
+	}
+	c.mu.Unlock()
+	if !fits {
+		c.unknown.Inc()
+		return
+	}
+	c.hand(k, result)
+}
+
+// lose ends l after err and closes its socket. A link that was still up and did not end by garbage is counted lost.
+func (c *Client) lose(l *link, socket net.Conn, err error) {
+	c.mu.Lock()
+	_, first := c.end(l, policy.Interrupted, policy.Unreachable)
+	c.mu.Unlock()
+	socket.Close()
+	if !first {
+		return
+	}
+	if !errors.Is(err, errGarbage) {
+		c.lost.Inc()
+	}
+	c.told()
+}
+
+// end ends l: each call on it that has no outcome gets sent if its GET was handed to the socket, else unsent. It
+// returns the socket to close, and whether l was up. c.mu is held.
+func (c *Client) end(l *link, sent, unsent policy.Outcome) (net.Conn, bool) {
+	if l.ended {
+		return nil, false
+	}
+	l.ended = true
+	close(l.quit)
+	if c.link == l {
+		c.link = nil
+	}
+	for _, k := range c.open {
+		if k.link != l || k.done {
+			continue
+		}
+		if k.sent {
+			c.finish(k, sent)
+		} else {
+			c.finish(k, unsent)
+		}
+	}
+	l.out, l.queued = nil, nil
+	return l.socket, true
+}
+
+// told tells the test hook that a link ended by itself.
+func (c *Client) told() {
+	if c.linkEnded != nil {
+		c.linkEnded()
+	}
+}
--- a/internal/lab/model/play.go
+++ b/internal/lab/model/play.go
@@ -385,6 +385,12 @@
 	return true
 }
 
+// Feed implements replica.Engine. The model's requests make no calls.
+func (e engineOf) Feed(string, []byte) bool { return true }
+
+// Skip implements replica.Engine.
+func (e engineOf) Skip(string, int64) bool { return true }
+
 // AskGauges implements replica.Engine.
 func (e engineOf) AskGauges() bool {
 	b := e.b
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -175,14 +175,6 @@
 // Wake implements policy.Host.
 func (r *Replica) Wake(after time.Duration) { r.clock.AfterFunc(after, r.tick) }
 
-// Call implements policy.Host. The engine's protocol has no calls; the settings are checked for it.
-func (r *Replica) Call(policy.RequestID, time.Duration) {
-	assert.That(false, "no calls at this engine")
-}
-
-// Skip implements policy.Host.
-func (r *Replica) Skip(policy.RequestID) { assert.That(false, "no calls at this engine") }
-
 // Halt implements policy.Host. The engine's protocol has no preemption; the settings are checked for it.
 func (r *Replica) Halt(policy.RequestID) { assert.That(false, "no preemption at this engine") }
 
@@ -287,6 +279,7 @@
 			case req.doubt && req.answered:
 				r.queue(func(now time.Duration) { r.giveUp(now, req) })
 			}
+			r.resendWait(req, since)
 		}
 	})
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -29,10 +29,23 @@
 type Engine interface {
 	// Run sends a request to the engine; false means that there is no link to send it on.
 	Run(txn, class string, body []byte) bool
+	// Feed hands a run the reply to its call; false means that there is no link to send it on.
+	Feed(txn string, reply []byte) bool
+	// Skip has a run go on without the call that notice number asked for; false means that there is no link.
+	Skip(txn string, number int64) bool
 	// AskGauges asks for the gauges; false means that no answer is to be expected soon.
 	AskGauges() bool
 }
 
+// Index makes the calls that running requests wait for, to the index that all replicas share. Its methods never
+// block; the end of each call comes back by Replica.Called, once, unless the call was stopped.
+type Index interface {
+	// Get makes the call of a request, which waits at most wait for it. A second Get for a request gives up the first.
+	Get(txn string, wait time.Duration, body []byte)
+	// Stop gives up the call of a request.
+	Stop(txn string)
+}
+
 // Request is one try, as read from a router.
 type Request struct {
 	Txn    string // id of the try, unique
@@ -45,9 +58,11 @@
 	Rank   float64
 	Door   time.Time     // when it came to the machine
 	Limit  time.Duration // how long its caller waits, from Door
-	Unique string        // the same for all tries of one keyed request
-	Item   string        // what a read is about
-	Reply  Reply
+	// LimitUnknown says that the router did not tell Limit: the caller is taken to wait as long as its class's deadline.
+	LimitUnknown bool
+	Unique       string // the same for all tries of one keyed request
+	Item         string // what a read is about
+	Reply        Reply
 }
 
 // Kind is the kind of an answer.
@@ -86,7 +101,8 @@
 	OnCores     int      // place of the gauge among those that the engine tells
 	ResultBytes int      // bound on stored results
 	CloseIdle   func(after time.Duration)
-	Replaceable bool // another process may take over from this one, or this one does
+	Replaceable bool  // another process may take over from this one, or this one does
+	Index       Index // nil at sites whose requests make no calls
 }
 
 const (
@@ -119,10 +135,11 @@
 	running  bool // decided to run; its end is awaited
 	sent     bool // RUN was written at least once
 	sentAt   time.Duration
-	pending  bool // RUN is to be written, or once more, as soon as there is a link
-	doubt    bool // RUN may be lost with its link, or its end be told at this moment: it is not written again
-	key      *key // its entry, once kept
-	waitsOn  *key // the try whose outcome it waits for
+	pending  bool      // RUN is to be written, or once more, as soon as there is a link
+	doubt    bool      // RUN may be lost with its link, or its end be told at this moment: it is not written again
+	key      *key      // its entry, once kept
+	waitsOn  *key      // the try whose outcome it waits for
+	call     indexCall // the call its run waits for, if any
 }
 
 // Replica drives one policy.Controller. All of its methods may be called from any goroutine.
@@ -158,6 +175,7 @@
 type counts struct {
 	beyond, overShare, lowClass                                                                                                     *counters.Counter // refusals by the fleet's word
 	read, retries, served, refused, failed, reused, advised, giveups, runs, resent, doubted, done, moot, stray, rejected, malformed *counters.Counter
+	calls, callsStray                                                                                                               *counters.Counter
 }
 
 // New builds a replica. The module may act at once, so the engine must be able to take calls.
@@ -170,6 +188,7 @@
 		reused: set.Get("answers_reused"), advised: set.Get("answers_with_later"), giveups: set.Get("answers_with_giveup"),
 		runs: set.Get("runs_decided"), resent: set.Get("runs_sent_again"), doubted: set.Get("runs_in_doubt"), done: set.Get("runs_done"),
 		moot: set.Get("runs_done_unserved"), stray: set.Get("notices_unmatched"), rejected: set.Get("runs_rejected"), malformed: set.Get("requests_malformed")}
+	r.count.calls, r.count.callsStray = set.Get("calls_made"), set.Get("calls_unmatched")
 	r.count.beyond, r.count.overShare, r.count.lowClass = set.Get("refused_beyond_tries"), set.Get("refused_over_share"), set.Get("refused_low_class")
 	r.shared = newShared(cfg.Replaceable)
 	for i := range cfg.Policy.Classes {
@@ -276,7 +295,10 @@
 // admit has the module decide on a request that repeats the one of an entry, or none.
 func (r *Replica) admit(now time.Duration, req *request, k *key) {
 	in := policy.Request{ID: req.id, Class: req.place, Retry: req.Retry, Caller: req.Caller, KB: req.KB, Rank: req.Rank,
-		Key: req.Item, Waited: max(now-req.door, 0), Due: req.door + req.Limit, Others: req.others}
+		Key: req.Item, Waited: max(now-req.door, 0), Others: req.others}
+	if !req.LimitUnknown { // else the module goes by the deadline of the class
+		in.Due = req.door + req.Limit
+	}
 	if k != nil {
 		in.Earlier = k.holder
 	}
@@ -350,8 +372,20 @@
 	req.Reply = nil
 }
 
+// patience is how long the caller of a request waits from its door: as the router says, or else the deadline of its
+// class.
+func (r *Replica) patience(req *request) time.Duration {
+	if req.LimitUnknown {
+		return req.class.Deadline
+	}
+	return req.Limit
+}
+
 // forget ends the books of a request.
 func (r *Replica) forget(req *request) {
+	if req.call.out {
+		r.cfg.Index.Stop(req.Txn)
+	}
 	delete(r.live, req.id)
 	delete(r.txns, req.Txn)
 	if k := req.waitsOn; k != nil {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -24,6 +24,7 @@
 	clock  *testkit.Clock
 	up     bool     // the link to the engine
 	runs   []string // RUNs written, by txn
+	waits  []string // FEEDs and SKIPs written
 	tries  map[string]*try
 	faults []string
 	asked  int
@@ -62,6 +63,20 @@
 
 func (b *bench) AskGauges() bool { b.asked++; return b.up }
 
+func (b *bench) Feed(txn string, reply []byte) bool {
+	if b.up {
+		b.waits = append(b.waits, "FEED "+txn+" "+string(reply))
+	}
+	return b.up
+}
+
+func (b *bench) Skip(txn string, notice int64) bool {
+	if b.up {
+		b.waits = append(b.waits, fmt.Sprint("SKIP ", txn, " ", notice))
+	}
+	return b.up
+}
+
 func (b *bench) Run(txn, class string, body []byte) bool {
 	if !b.up {
 		return false
--- a/internal/replica/shared.go
+++ b/internal/replica/shared.go
@@ -71,7 +71,7 @@
 			Until: req.door + req.class.Window + keyMargin, N: int64(req.door)})
 	}
 	r.shared.waiting[key] = append(r.shared.waiting[key], req)
-	r.clock.AfterFunc(min(claimTime, max(req.door+req.Limit-now, 0)), func() {
+	r.clock.AfterFunc(min(claimTime, max(req.door+r.patience(req)-now, 0)), func() {
 		r.enter(func(now time.Duration) { r.waitedTooLong(now, key, req) })
 	})
 }
--- a/internal/settings/course_test.go
+++ b/internal/settings/course_test.go
@@ -85,7 +85,9 @@
 func (c *course) say(format string, a ...any) {
 	c.told = append(c.told, fmt.Sprintf("%v ", c.clock.Now()-testkit.Start)+fmt.Sprintf(format, a...))
 }
-func (c *course) AskGauges() bool { return false }
+func (c *course) AskGauges() bool                    { return false }
+func (c *course) Feed(txn string, _ []byte) bool     { c.say("feed %s", txn); return true }
+func (c *course) Skip(txn string, notice int64) bool { c.say("skip %s %d", txn, notice); return true }
 func (c *course) Run(txn, class string, _ []byte) bool {
 	if c.up {
 		c.running = append(c.running, txn)
--- a/internal/settings/replica.go
+++ b/internal/settings/replica.go
@@ -20,6 +20,7 @@
 // Replica is the configuration of one real replica.
 type Replica struct {
 	Name, Listen, Engine, Directory string
+	Index                           string // the shared index that running requests call; empty at sites without calls
 	Seed                            int64
 	Stop                            time.Duration // from the notice to leave to the kill
 	Limits                          Limits
@@ -110,7 +111,7 @@
 		log.Printf("configuration: other %s need a restart; only the addresses are taken", strings.Join(changed, ", "))
 		taken := *next
 		*next = *r
-		next.Engine, next.Directory, next.Stop = taken.Engine, taken.Directory, taken.Stop
+		next.Engine, next.Directory, next.Index, next.Stop = taken.Engine, taken.Directory, taken.Index, taken.Stop
 	}
 	return next, nil
 }
@@ -118,7 +119,7 @@
 func parse(raw []byte) (*Replica, error) {
 	var f struct {
 		Name, Listen, Engine, Directory, Seed string
-		Control                               string
+		Control, Index                        string
 		StopMS                                float64 `json:"stop_ms"`
 		Limits                                Limits
 		Settings                              json.RawMessage
@@ -137,6 +138,9 @@
 	if err := checkControl(f.Control); err != nil {
 		return nil, fmt.Errorf(`configuration: "control" %w`, err)
 	}
+	if _, _, err := net.SplitHostPort(f.Index); f.Index != "" && err != nil {
+		return nil, fmt.Errorf(`configuration: "index" must be host:port, is %q`, f.Index)
+	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf(`configuration: "seed" must be up to 16 hex digits, is %q`, f.Seed)
@@ -154,7 +158,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	r := &Replica{Name: f.Name, Listen: f.Listen, Engine: f.Engine, Directory: f.Directory, Seed: int64(seed),
+	r := &Replica{Name: f.Name, Listen: f.Listen, Engine: f.Engine, Directory: f.Directory, Index: f.Index, Seed: int64(seed),
 		Stop: time.Duration(f.StopMS * float64(time.Millisecond)), Limits: f.Limits, Settings: s,
 		Policy: s.Policy(int64(seed)), OnCores: -1, Control: f.Control}
 	for _, t := range s.Tenants {
@@ -195,8 +199,11 @@
 	if r.Policy.Halt != policy.NoHalt {
 		return errors.New("configuration: the engine's protocol has no preemption, the settings want it")
 	}
-	if r.Policy.Dependency != policy.NoDependency {
-		return errors.New("configuration: the engine's protocol has no calls, the settings want them")
+	switch {
+	case r.Policy.Dependency == policy.NextTier:
+		return errors.New("configuration: the settings want calls to a next tier, which the engine's protocol has not")
+	case r.Policy.Dependency == policy.SharedDependency && r.Index == "":
+		return errors.New(`configuration: the settings want calls to a shared index, and "index" is missing`)
 	}
 	if err := names(r.Settings); err != nil {
 		return err
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -86,6 +86,8 @@
 		`"limits"`:          {`"sockets": 1024`, `"sockets": -1`},
 		"preemption":        {`"preemption": "off"`, `"preemption": "drop"`},
 		"calls":             {`"depends-on": "off"`, `"depends-on": "common"`},
+		"next tier":         {`"depends-on": "off"`, `"depends-on": "next_hop"`},
+		`"index" must be`:   {`"name": "n0"`, `"index": "here", "name": "n0"`},
 		`"on_cores"`:        {`"on_cores"`, `"cores_on"`},
 		"settings":          {`"cores": 6`, `"cores": "six"`},
 		"must be one word":  {`"lecture-page"`, `"lecture page"`},
@@ -109,6 +111,19 @@
 	}
 }
 
+// The replica used to turn down every site whose requests call a shared index.
+func TestCallsToASharedIndexAreTaken(t *testing.T) {
+	raw := strings.Replace(read(t), `"depends-on": "off"`, `"depends-on": "common"`, 1)
+	raw = strings.Replace(raw, `"name": "n0"`, `"index": "127.0.0.1:5432", "name": "n0"`, 1)
+	r, err := parse([]byte(raw))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if r.Index != "127.0.0.1:5432" || r.Policy.Dependency != policy.SharedDependency {
+		t.Errorf("index %q, dependency %v", r.Index, r.Policy.Dependency)
+	}
+}
+
 func TestTheEnvironmentGoesBeforeTheFile(t *testing.T) {
 	raw := strings.Replace(read(t), `"name": "n0"`, `"control": "127.0.0.1:9000", "name": "n0"`, 1)
 	for _, c := range []struct {
