--- a/internal/certs/year/year.go
+++ b/internal/certs/year/year.go
@@ -122,6 +122,7 @@
 	return nil
 }
 func (c *core) Turned()                       {}
+func (c *core) Gone(string)                   {} // callers of the year do not give up
 func (c *core) Healthy() bool                 { return true }
 func (c *core) CurrentSignal() replica.Signal { return replica.Signal{} }
 
--- a/internal/front/ends_test.go
+++ b/internal/front/ends_test.go
@@ -101,6 +101,7 @@
 	return nil
 }
 func (k *keeper) Turned()                       {}
+func (k *keeper) Gone(string)                   {} // its routers do not give up
 func (k *keeper) Healthy() bool                 { return true }
 func (k *keeper) CurrentSignal() replica.Signal { return replica.Signal{} }
 
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -26,8 +26,9 @@
 	in  []byte // read, not yet a whole frame; only the reader uses it
 	seq int32  // of the last call
 
-	mu      sync.Mutex // guards what follows; never held while the core is called
-	open    int        // calls without their answer
+	mu      sync.Mutex       // guards what follows; never held while the core is called
+	open    int              // calls without their answer
+	tries   map[int32]string // txn of each request without its answer, by the number of its call
 	used    time.Duration
 	partial time.Duration // since when a frame is begun and not whole; 0 when none is
 	kind    conns.Kind    // what it has carried
@@ -122,6 +123,9 @@
 		return err
 	}
 	if h.Type == thrift.Oneway {
+		if h.Name == "forget" {
+			s.forget(r)
+		}
 		return nil // nothing is owed
 	}
 	if h.Type != thrift.Call {
@@ -138,6 +142,7 @@
 		q, err := decodeServe(r)
 		if err == nil {
 			q.Reply = c
+			s.track(h.Seq, q.Txn) // before Arrive, which may answer at once
 			err = s.core.Arrive(q)
 		}
 		if err != nil {
@@ -158,6 +163,39 @@
 	return nil
 }
 
+// track notes the try that a call carries, so that a forget of the call reaches it.
+func (s *session) track(seq int32, txn string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.tries == nil {
+		s.tries = map[int32]string{}
+	}
+	s.tries[seq] = txn
+}
+
+// forget takes the word of a router that it no longer waits for one of its calls; a call that has its answer, or that
+// was never made, is passed over.
+func (s *session) forget(r *thrift.Reader) {
+	seq, found := int32(0), false
+	for {
+		t, id := r.Field()
+		if t == thrift.Stop || r.Err() != nil {
+			break
+		}
+		if id == 1 && t == thrift.I32 {
+			seq, found = r.I32(), true
+		} else {
+			r.Skip(t)
+		}
+	}
+	s.mu.Lock()
+	txn, open := s.tries[seq]
+	s.mu.Unlock()
+	if found && open && r.Err() == nil {
+		s.core.Gone(txn)
+	}
+}
+
 func (s *session) begin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,6 +230,7 @@
 	}
 	c.over = true
 	s.open--
+	delete(s.tries, c.seq)
 	s.used = s.now()
 	if !s.closed {
 		s.send(encode)
--- a/internal/front/session_test.go
+++ b/internal/front/session_test.go
@@ -19,6 +19,7 @@
 type core struct {
 	requests []replica.Request
 	turned   int
+	gone     []string
 }
 
 func (c *core) Arrive(q replica.Request) error {
@@ -29,6 +30,7 @@
 	return nil
 }
 func (c *core) Turned()                       { c.turned++ }
+func (c *core) Gone(txn string)               { c.gone = append(c.gone, txn) }
 func (c *core) Healthy() bool                 { return true }
 func (c *core) CurrentSignal() replica.Signal { return replica.Signal{Value: 0.25, Set: true} }
 
@@ -83,6 +85,36 @@
 	}
 }
 
+// A router's forget used to be passed over as any oneway message: the try went on, and its run was wasted.
+func TestAForgetReachesTheTryOfItsCall(t *testing.T) {
+	r := newRouter()
+	if err := r.feed(message("serve", 5, fields(), "")); err != nil {
+		t.Fatal(err)
+	}
+	forget := func(seq int32) []byte {
+		return thrift.AppendFrame(nil, func(b []byte) []byte {
+			b = thrift.AppendHeader(b, thrift.Header{Type: thrift.Oneway, Name: "forget", Seq: 0})
+			b = thrift.AppendI32(thrift.AppendField(b, thrift.I32, 1), seq)
+			return thrift.AppendStop(b)
+		})
+	}
+	for _, seq := range []int32{4, 5} { // a call that was never made is passed over
+		if err := r.feed(forget(seq)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if len(r.core.gone) != 1 || r.core.gone[0] != "9b1f03aa5c7e2d41" {
+		t.Fatalf("gone %q", r.core.gone)
+	}
+	r.core.requests[0].Reply.Answer(replica.Answer{Kind: replica.Served})
+	if err := r.feed(forget(5)); err != nil { // nor is one that has its answer
+		t.Fatal(err)
+	}
+	if len(r.core.gone) != 1 {
+		t.Errorf("gone %q after the answer", r.core.gone)
+	}
+}
+
 // A request without "limit" used to be malformed; routers at some sites do not say how long they wait.
 func TestARequestNeedNotSayHowLongItsCallerWaits(t *testing.T) {
 	r := newRouter()
--- a/internal/replica/calls_test.go
+++ b/internal/replica/calls_test.go
@@ -95,3 +95,43 @@
 	b.end(read.txn, policy.Cancelled)
 	wantList(t, "stopped", x.stops, read.txn)
 }
+
+// A caller that is gone used to be waited for: a held try ran later all the same. Now it is answered at once and never
+// run, and a try that runs already is left to end.
+func TestATryWhoseCallerIsGoneDoesNotRun(t *testing.T) {
+	b := newBenchOf(t, &bench{clock: newBench(t).clock, tries: map[string]*try{}}, Config{}, func(c *policy.Config) {
+		c.Cores = 1
+	})
+	var tries []*try
+	for range 6 {
+		tries = append(tries, b.arrive("", 0, 3*time.Second))
+	}
+	running := len(b.runs)
+	if running == 0 || running == len(tries) {
+		t.Fatalf("%d of %d run: the test needs some held", running, len(tries))
+	}
+	last := tries[len(tries)-1]
+	b.Gone(last.txn)
+	last.want(t, Refused, "")
+	b.Gone(tries[0].txn) // it runs: its end answers it
+	if len(tries[0].answers) != 0 {
+		t.Errorf("a running try is answered when its caller is gone: %+v", tries[0].answers)
+	}
+	for _, q := range tries[:running] {
+		b.end(q.txn, policy.Succeeded)
+	}
+	for i := 0; i < 100 && len(b.runs) < len(tries)-1; i++ {
+		b.clock.Advance(10 * ms)
+		for _, txn := range b.runs {
+			if q := b.tries[txn]; !q.over {
+				b.end(txn, policy.Succeeded)
+			}
+		}
+	}
+	if slices.Contains(b.runs, last.txn) {
+		t.Errorf("the try whose caller is gone ran: runs %q", b.runs)
+	}
+	if len(b.faults) > 0 {
+		t.Error(strings.Join(b.faults, "; "))
+	}
+}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -175,7 +175,7 @@
 type counts struct {
 	beyond, overShare, lowClass                                                                                                     *counters.Counter // refusals by the fleet's word
 	read, retries, served, refused, failed, reused, advised, giveups, runs, resent, doubted, done, moot, stray, rejected, malformed *counters.Counter
-	calls, callsStray                                                                                                               *counters.Counter
+	calls, callsStray, gone                                                                                                         *counters.Counter
 }
 
 // New builds a replica. The module may act at once, so the engine must be able to take calls.
@@ -188,7 +188,7 @@
 		reused: set.Get("answers_reused"), advised: set.Get("answers_with_later"), giveups: set.Get("answers_with_giveup"),
 		runs: set.Get("runs_decided"), resent: set.Get("runs_sent_again"), doubted: set.Get("runs_in_doubt"), done: set.Get("runs_done"),
 		moot: set.Get("runs_done_unserved"), stray: set.Get("notices_unmatched"), rejected: set.Get("runs_rejected"), malformed: set.Get("requests_malformed")}
-	r.count.calls, r.count.callsStray = set.Get("calls_made"), set.Get("calls_unmatched")
+	r.count.calls, r.count.callsStray, r.count.gone = set.Get("calls_made"), set.Get("calls_unmatched"), set.Get("callers_gone")
 	r.count.beyond, r.count.overShare, r.count.lowClass = set.Get("refused_beyond_tries"), set.Get("refused_over_share"), set.Get("refused_low_class")
 	r.shared = newShared(cfg.Replaceable)
 	for i := range cfg.Policy.Classes {
@@ -445,5 +445,24 @@
 	return r.signal
 }
 
+// Gone takes word that the caller of a try has stopped waiting for it: no answer is owed any more, and what has not
+// begun need not run. The module is told. A try that neither runs nor waits for another one is answered at once, as
+// refused, since it never ran: one answer does no harm, and its connection is not kept busy by it. Keyed tries are left
+// as they are while the other process of a replacement may be asked for their key.
+func (r *Replica) Gone(txn string) {
+	r.enter(func(now time.Duration) {
+		req := r.txns[txn]
+		if req == nil || req.answered || (r.shared.possible && req.class.Semantics == policy.Keyed) {
+			return
+		}
+		r.count.gone.Inc()
+		r.call(func() { r.ctl.Gone(now, req.id) })
+		if !req.running && req.waitsOn == nil && !req.answered {
+			r.answer(req, Answer{Kind: Refused})
+			r.forget(req)
+		}
+	})
+}
+
 // Turned counts a call that could not be taken as a request.
 func (r *Replica) Turned() { r.count.malformed.Inc() }
