--- a/cmd/simhost/fleet.go
+++ b/cmd/simhost/fleet.go
@@ -21,6 +21,7 @@
 	who     string
 	ctl     *policy.Controller // nil once the settings were turned down
 	classes map[string]int
+	tenants map[string]int // 1 + index into the settings' tenants
 }
 
 var outcomes = map[string]policy.Outcome{
@@ -85,7 +86,7 @@
 		in.crash(fmt.Sprintf("request of unknown class %q", e.Class))
 		return
 	}
-	in.ctl.Arrive(now, policy.Request{ID: policy.RequestID(e.Ticket), Class: class,
+	in.ctl.Arrive(now, policy.Request{ID: policy.RequestID(e.Ticket), Class: class, Tenant: in.tenants[string(e.Team)],
 		Retry: e.Retry, Caller: e.Caller, KB: e.KB, Rank: e.Rank, Earlier: policy.RequestID(e.Earlier),
 		Expected: settings.Micros(e.Expected), Key: e.Key, Waited: settings.Micros(e.Backlog), Due: settings.Micros(e.Due)})
 }
@@ -96,11 +97,14 @@
 	if err != nil {
 		return fmt.Errorf("instance %q: %w", e.Who, err)
 	}
-	in := &instance{fleet: f, who: e.Who, classes: map[string]int{}}
+	in := &instance{fleet: f, who: e.Who, classes: map[string]int{}, tenants: map[string]int{}}
 	f.instances[e.Who] = in
 	for i, l := range boot.Lanes {
 		in.classes[l.Name] = i
 	}
+	for i, t := range boot.Tenants {
+		in.tenants[t.Name] = i + 1
+	}
 	defer in.reportPanic()
 	ctl, err := policy.New(settings.Micros(moment), boot.Policy(e.Seed), in)
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -56,7 +56,8 @@
 		MarksRetry bool `json:"marks-retry"`
 	} `json:"callers"`
 	Tenants []struct {
-		Name string `json:"name"`
+		Name     string  `json:"name"`
+		Fraction float64 `json:"fraction"`
 	} `json:"tenants"`
 	Tick    int64  `json:"tick"`
 	WorthBy string `json:"worth-by"`
@@ -105,5 +106,8 @@
 		}
 		c.Classes = append(c.Classes, cl)
 	}
+	for _, t := range s.Tenants {
+		c.Tenants = append(c.Tenants, policy.Tenant{Name: t.Name, Fraction: t.Fraction})
+	}
 	return c
 }
--- /dev/null
+++ b/internal/settings/tenants_test.go
@@ -0,0 +1,23 @@
+package settings
+
+import (
+	"encoding/json"
+	"testing"
+
+	"cairnlane/policy"
+)
+
+// The module is told each tenant's fraction of the service, in the order of the settings, so that it can
+// tell what is sent beyond a share.
+func TestTenantsReachTheModuleWithTheirFractions(t *testing.T) {
+	s, err := Decode(json.RawMessage(`{"tenants":[{"name":"big","fraction":0.43,"quota-per-s":50},` +
+		`{"name":"small","fraction":0.57,"quota-per-s":66}]}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := s.Policy(1).Tenants
+	if len(got) != 2 || got[0] != (policy.Tenant{Name: "big", Fraction: 0.43}) ||
+		got[1] != (policy.Tenant{Name: "small", Fraction: 0.57}) {
+		t.Errorf("tenants %+v", got)
+	}
+}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -29,6 +29,7 @@
 	Key      string             `json:"partition-key"`
 	Backlog  int64              `json:"backlog-time"`
 	Due      int64              `json:"due"`
+	Team     Team               `json:"team"`
 	Status   string             `json:"status"`
 	Wait     int64              `json:"wait-time"`
 	Label    uint64             `json:"label"`
@@ -80,3 +81,21 @@
 	}
 	return append(out, '\n'), nil
 }
+
+// Team is the tenant of a request, by name; empty where the wire sends 0 or nothing, at a site with no tenants.
+type Team string
+
+// UnmarshalJSON takes a name or the number 0.
+func (t *Team) UnmarshalJSON(raw []byte) error {
+	var name string
+	if err := json.Unmarshal(raw, &name); err == nil {
+		*t = Team(name)
+		return nil
+	}
+	var none float64
+	if err := json.Unmarshal(raw, &none); err != nil || none != 0 {
+		return fmt.Errorf("team must be a name or 0, is %.40s", raw)
+	}
+	*t = ""
+	return nil
+}
--- a/policy/api.go
+++ b/policy/api.go
@@ -61,6 +61,12 @@
 	SkipWorth float64       // share of the worth kept when a call is skipped; 0 forbids it
 }
 
+// Tenant describes one tenant: what it sends beyond its share of the service is worth little.
+type Tenant struct {
+	Name     string
+	Fraction float64 // its share of the service, of all tenants' together
+}
+
 // Config holds the settings of one instance, as known when its process starts. Cores, MemoryKB and
 // Classes with an Aim and a Deadline are required. The zero value of the rest is safe: RunFactor and
 // FallFactor count as 1, Halt, Signal, Dependency, ShareFor and advice stay unused, and without an
@@ -78,9 +84,10 @@
 	AnswerSlack time.Duration
 	DrainGrace  time.Duration
 	Classes     []Class
-	Callers     int  // number of callers at the start
-	MarksRetry  bool // further tries are marked
-	Readiness   bool // the list that all callers have follows Host.Health
+	Tenants     []Tenant // a site may define none
+	Callers     int      // number of callers at the start
+	MarksRetry  bool     // further tries are marked
+	Readiness   bool     // the list that all callers have follows Host.Health
 	Halt        Preemption
 	Signal      SignalKind
 	Heeded      time.Duration // how long a caller remembers a signal
@@ -98,6 +105,7 @@
 type Request struct {
 	ID       RequestID
 	Class    int  // index into Config.Classes
+	Tenant   int  // 1 + index into Config.Tenants; 0 where none is told
 	Retry    bool // a marked further try
 	Caller   int
 	KB       float64
