--- a/policy/policy.go
+++ b/policy/policy.go
@@ -119,6 +119,7 @@
 	meanDensity                float64 // worth for work of the mean arrival
 	sameCaller                 float64 // chance that two arrivals share a caller: 1 / callers that count
 	repeats, lastShare         float64 // of arrivals: tried before; of refusals: asked not to try again
+	quotas                     quotas
 	lastCaller                 int
 	calls, callRetry, lingerer queue
 	callMean                   float64
@@ -151,7 +152,8 @@
 	cfg.RunFactor, cfg.FallFactor = max(cfg.RunFactor, 1), max(cfg.FallFactor, 1)
 	c := &Controller{cfg: cfg, host: host, now: now, began: now, ticked: now, resized: now, lastStart: now,
 		rng: uint64(cfg.Seed), live: map[RequestID]*request{}, keys: map[RequestID]bool{},
-		callers: map[int]*caller{}, reuse: 1, share: 1, signal: -1, refused: map[RequestID]bool{}}
+		callers: map[int]*caller{}, reuse: 1, share: 1, signal: -1, refused: map[RequestID]bool{},
+		quotas: newQuotas(cfg.Tenants)}
 	tightest := time.Duration(math.MaxInt64)
 	for i, k := range cfg.Classes {
 		if k.Aim <= 0 || k.Deadline <= 0 {
@@ -298,7 +300,7 @@
 	if c.burstAllowed > 0 || r.Others.Order < 0 {
 		return false
 	}
-	p, floor := c.dropProb*c.lean(r.class), 0.0
+	p, floor := c.quotas.reject(r.Tenant, c.dropProb)*c.lean(r.class), 0.0
 	if c.cfg.Signal == RankFloor && !c.draining {
 		floor = min(max(c.signal, 0), p)
 	}
@@ -329,6 +331,7 @@
 func (c *Controller) observe(r *request) {
 	count(&c.sameCaller, r.Caller == c.lastCaller)
 	count(&c.repeats, r.Retry)
+	c.quotas.observe(r.Tenant)
 	c.lastCaller = r.Caller
 	if r.class.meanRun > 0 {
 		average(&c.meanDensity, c.density(r.class))
--- a/policy/starts.go
+++ b/policy/starts.go
@@ -9,10 +9,11 @@
 
 // Tuned values of starts.
 const (
-	marginRuns = 1.4 // mean runs that must fit before the aim: crowded ones take longer than the mean
-	aheadShare = 0.6 // share of those held with a tighter aim taken to start first: some are refused
-	workShare  = 0.5 // share of a run that grows with its expected work; the rest is waits
-	trialAbove = 0.5 // share of the aim above which the mean run of a class may be stale: one is tried
+	marginRuns  = 1.4 // mean runs that must fit before the aim: crowded ones take longer than the mean
+	aheadShare  = 0.6 // share of those held with a tighter aim taken to start first: some are refused
+	workShare   = 0.5 // share of a run that grows with its expected work; the rest is waits
+	trialAbove  = 0.5 // share of the aim above which the mean run of a class may be stale: one is tried
+	trialDelays = 2   // referenceDelays between such trials
 )
 
 // order is the place in the hold: the tightest aim first.
@@ -36,10 +37,10 @@
 
 // stale tells whether r is to be tried though runs of its class seem to take too long, as none was of late.
 // It guards against a mean learned in a jam that shuts its class out for good, as no run corrects it. Harm:
-// one run for each referenceDelay that may be late.
+// one run for every trialDelays that may be late.
 func (c *Controller) stale(r *request) bool {
 	k := r.class
-	if float64(c.need(r)) < trialAbove*float64(k.Aim) || c.now-k.tried <= c.referenceDelay {
+	if float64(c.need(r)) < trialAbove*float64(k.Aim) || c.now-k.tried <= trialDelays*c.referenceDelay {
 		return false
 	}
 	k.tried = c.now
