--- a/cmd/cairnctl/main.go
+++ b/cmd/cairnctl/main.go
@@ -142,6 +142,7 @@
 		Days struct {
 			Seed   uint64        `default:"1" help:"The first seed."`
 			Seeds  int           `default:"10" help:"How many days of each case and mode."`
+			Site   string        `default:"examples/config.json" type:"existingfile" help:"The settings to play with; world.json beside them describes the rest."`
 			Boxes  []int         `default:"10" sep:"," help:"Sizes."`
 			Span   time.Duration `default:"40s" help:"Of a day."`
 			Steady bool          `help:"The loads without a fault, and the case with several, in place of all."`
--- a/cmd/cairnctl/overload.go
+++ b/cmd/cairnctl/overload.go
@@ -46,13 +46,17 @@
 // days plays them in virtual time; an error says which bounds were missed.
 func (o *options) days(w io.Writer) error {
 	t := o.Trial.Days
+	site, err := model.Open(t.Site)
+	if err != nil {
+		return err
+	}
 	var rows []model.Row
 	cases := slices.Concat(model.Steady, model.Hard)
 	if t.Steady {
 		cases = append(slices.Clone(model.Steady), model.Hard[len(model.Hard)-1])
 	}
 	for _, boxes := range t.Boxes {
-		rows = append(rows, model.Sweep{Site: model.Perth(1), Boxes: boxes, Seeds: t.Seeds, From: t.Seed, Span: t.Span, Cases: cases}.Run(w)...)
+		rows = append(rows, model.Sweep{Site: site, Boxes: boxes, Seeds: t.Seeds, From: t.Seed, Span: t.Span, Cases: cases}.Run(w)...)
 	}
 	model.Table(w, rows)
 	if t.Chart != "" {
--- a/internal/lab/model/cases.go
+++ b/internal/lab/model/cases.go
@@ -78,7 +78,7 @@
 
 // Day is a case's day of a seed.
 func (c Case) Day(site Site, boxes int, span time.Duration, seed uint64, mode Mode) Day {
-	d := Day{Site: site, Mode: mode, Load: Load{Seed: seed, Of: c.Of, Boxes: boxes, Routers: max(5, boxes/4), Span: span, Hot: 2, HotTimes: 3}}
+	d := Day{Site: site, Mode: mode, Load: Load{Seed: seed, Of: c.Of, Boxes: boxes, Routers: max(5, boxes/4), Span: span, Hot: site.Hot, HotTimes: 3}}
 	if c.Make != nil {
 		c.Make(&d)
 	}
--- a/internal/lab/model/day.go
+++ b/internal/lab/model/day.go
@@ -1,6 +1,7 @@
 // Package model is the project's own model of what it serves: clients, routers with their habits, boxes with cores, reading cost and cold
 // starts, and what goes wrong. It runs the real module, replica and fleet decisions in virtual time (Play), and the same clients, habits
-// and cores stand behind real processes in `make overload` (internal/lab/overloads). The figures are the brief's, nothing is taken from a bench.
+// and cores stand behind real processes in `make overload` (internal/lab/overloads). The figures come from a site's description
+// (Open), none is in the code.
 package model
 
 import (
@@ -11,78 +12,8 @@
 	"time"
 
 	"cairnlane/internal/decide/shed"
-	"cairnlane/policy"
 )
 
-// Class is a class of requests, as clients ask for it.
-type Class struct {
-	policy.Class
-	Share float64       // of the requests
-	Work  time.Duration // mean
-	CV    float64       // of the work
-}
-
-// Tenant is one of those who share the fleet.
-type Tenant struct {
-	Name  string
-	Share float64 // of the fleet's quota
-}
-
-// Site is what stays the same over days.
-type Site struct {
-	Machine
-	Classes  []Class
-	Tenants  []Tenant
-	Quota    float64       // share of the capacity that the tenants' shares are parts of
-	Over     float64       // what traffic beyond a share is worth
-	MaxLater time.Duration // the longest advice to stay away that is honoured
-	Heeded   time.Duration // how long a router goes by a free value
-	ListLag  time.Duration // until routers learn of a box that came or went
-}
-
-// Perth is the site of the brief at so many times its speed: figures of 3.x, 4, 5 and 6 there, mean values of the ranges.
-func Perth(faster float64) Site {
-	span := func(ms float64) time.Duration { return time.Duration(ms / faster * float64(time.Millisecond)) }
-	class := func(name string, share, work, cv, aim, deadline, worth, late float64, sem policy.Semantics) Class {
-		c := Class{Share: share, Work: span(work), CV: cv, Class: policy.Class{Name: name, Aim: span(aim), Deadline: span(deadline), Worth: worth, LateWorth: late, Semantics: sem}}
-		if sem == policy.Keyed {
-			c.Window = span(9618)
-		}
-		return c
-	}
-	s := Site{Quota: 0.85, Over: 0.1, MaxLater: span(1000), Heeded: span(1000), ListLag: 2 * time.Second,
-		Machine: Machine{Cores: 6, ThrashAt: 1.35, Thrash: 0.7, ColdFrom: 0.35, ColdFor: span(12000)},
-		Tenants: []Tenant{{"riverside-uni", 0.48}, {"hills-college", 0.32}, {"goldfields-tafe", 0.20}},
-		Classes: []Class{class("segment-fetch", 0.34, 215, 0.75, 1300, 3200, 1, 0, policy.Safe), class("lecture-page", 0.34, 365, 0.75, 2200, 5300, 1, 0.2, policy.Safe),
-			class("exam-revision", 0.236, 365, 0.7, 2200, 5300, 2, 0.2, policy.Safe), class("note-save", 0.084, 215, 0.7, 1300, 3200, 4, 0, policy.Keyed)}}
-	s.Read = time.Duration(0.25 * float64(s.MeanWork()))
-	return s
-}
-
-// MeanWork is that of a request.
-func (s Site) MeanWork() time.Duration {
-	mean := 0.0
-	for _, c := range s.Classes {
-		mean += c.Share * float64(c.Work)
-	}
-	return time.Duration(mean)
-}
-
-// Capacity is how many requests a second so many warm boxes serve at the most, each read once.
-func (s Site) Capacity(boxes int) float64 {
-	return float64(boxes*s.Cores) / (s.MeanWork() + s.Read).Seconds()
-}
-
-// Policy is what a box's module is told of the site.
-func (s Site) Policy(seed int64, routers int) policy.Config {
-	c := policy.Config{Seed: seed, Cores: s.Cores, MemoryKB: 91008, RunFactor: 16, KeyKB: 154, FallFactor: 8, AnswerSlack: 60 * time.Millisecond, DrainGrace: time.Second,
-		ColdFrom: s.ColdFrom, ColdFor: s.ColdFor, Callers: routers, MarksRetry: true, Signal: policy.RankFloor, Heeded: s.Heeded, MaxHoldOff: s.MaxLater, IdleMax: 15 * time.Second}
-	for _, k := range s.Classes {
-		c.Classes = append(c.Classes, k.Class)
-	}
-	return c
-}
-
 // Order are the classes in the order in which the fleet sheds them.
 func (s Site) Order() []int {
 	return shed.Order(len(s.Classes), func(i int) float64 { return s.Classes[i].Worth }, func(i int) time.Duration { return s.Classes[i].Aim })
--- a/internal/lab/model/play.go
+++ b/internal/lab/model/play.go
@@ -78,6 +78,7 @@
 	Messages, Bytes         float64         // of the fleet's talk, a second and box
 	GaveUp                  int             // refusals that asked to try nowhere else
 	Wrongly                 int             // of them, while another box was idle
+	Calls, Skipped          int             // to the index: those that it served, and those that runs went on without
 	Events                  uint64
 	Broken                  []string
 }
@@ -110,6 +111,7 @@
 	down    int // questions while the catalog was down
 	up      int
 	gone    []bool // as the ledger has it
+	index   *index
 }
 
 type box struct {
@@ -124,8 +126,11 @@
 	life   uint64 // incarnation
 	pace   probes.Pace
 	level  int
-	turns  []time.Duration // of its level
-	since  time.Duration   // the catalog is back, and it has not reported; 0: it has
+	turns  []time.Duration       // of its level
+	since  time.Duration         // the catalog is back, and it has not reported; 0: it has
+	calls  map[string]*indexCall // out, by request; nil at sites without calls
+	waits  map[string]*engineRun // runs that have calls to make
+	notice int64                 // of the engine, the last that asked for a call
 }
 
 // flow is a request on its way.
@@ -143,7 +148,7 @@
 // Play plays a day.
 func Play(d Day) Result {
 	p := &play{day: d, talk: stream(d.Seed, streamTalk), runs: map[string]int{}, gone: make([]bool, d.Boxes)}
-	p.now = start
+	p.now, p.index = start, &index{p: p}
 	if d.Relays == 0 {
 		p.day.Relays = 3
 	}
@@ -192,7 +197,7 @@
 		p.res.Probes = float64(p.down) / out
 	}
 	p.res.Reports = float64(p.up) / (d.Span.Seconds() + 12 - out)
-	p.res.Events = p.n
+	p.res.Events, p.res.Calls = p.n, p.index.served
 	return p.res
 }
 
@@ -261,11 +266,12 @@
 	b.dead, b.cores = false, NewCores(p.now, p.day.Machine, cold)
 	cfg := p.day.Policy(int64(p.day.Seed)*1000+int64(b.i), p.day.Routers)
 	cfg.Cold = cold
+	b.waits = map[string]*engineRun{}
 	var tenants []string
 	for _, t := range p.day.Tenants {
 		tenants = append(tenants, t.Name)
 	}
-	rep, err := replica.New(replica.Config{Policy: cfg, Tenants: tenants, ResultBytes: 1 << 20}, life{p, b, b.life}, engineOf{b, b.life}, new(counters.Set))
+	rep, err := replica.New(replica.Config{Policy: cfg, Tenants: tenants, ResultBytes: 1 << 20, Index: b.indexFor()}, life{p, b, b.life}, engineOf{b, b.life}, new(counters.Set))
 	if err != nil {
 		panic("model: the site's figures are no settings: " + err.Error())
 	}
@@ -381,16 +387,23 @@
 		}
 	}
 	began := b.p.now
-	b.add(q.Work, func() { b.rep.Done(txn, policy.Succeeded, b.p.now-began, nil) })
+	work := func() { b.add(q.Work, func() { b.rep.Done(txn, policy.Succeeded, b.p.now-began, nil) }) }
+	if b.calls == nil || b.p.day.callsOf(q) == 0 {
+		work()
+		return true
+	}
+	run := &engineRun{left: b.p.day.callsOf(q), begin: work}
+	b.waits[txn] = run
+	b.p.At(start+b.p.day.Due(q), func() { // it ends at its call once its request is over
+		if b.waits[txn] == run && !b.dead && b.life == e.life {
+			delete(b.waits, txn)
+			b.rep.Done(txn, policy.Cancelled, b.p.now-began, nil)
+		}
+	})
+	e.need(txn, run)
 	return true
 }
 
-// Feed implements replica.Engine. The model's requests make no calls.
-func (e engineOf) Feed(string, []byte) bool { return true }
-
-// Skip implements replica.Engine.
-func (e engineOf) Skip(string, int64) bool { return true }
-
 // AskGauges implements replica.Engine.
 func (e engineOf) AskGauges() bool {
 	b := e.b
--- a/internal/lab/overloads/trial.go
+++ b/internal/lab/overloads/trial.go
@@ -28,14 +28,21 @@
 	Progress io.Writer
 }
 
-// Times is how much faster than the brief's the trial's site is: shorter requests make days shorter and their figures less noisy.
+// Times is how much faster than the described one the trial's site is: shorter requests make days shorter and their figures less noisy.
 const Times = 3
 
-// Site is the trial's: the brief's, with fewer cores a box.
-func Site() model.Site {
-	s := model.Perth(Times)
-	s.Cores = 4
-	return s
+// boxCores are those of a box: fewer than a machine of a site has, so that one machine can carry all boxes.
+const boxCores = 4
+
+// Site is the trial's: that of a configuration, faster and with fewer cores a box.
+func Site(config string) (model.Site, error) {
+	s, err := model.Open(config)
+	if err != nil {
+		return model.Site{}, err
+	}
+	s = s.Faster(Times)
+	s.Cores = boxCores
+	return s, nil
 }
 
 // Run plays it.
@@ -43,6 +50,10 @@
 	if t.Progress == nil {
 		t.Progress = io.Discard
 	}
+	site, err := Site(t.Example)
+	if err != nil {
+		return nil, err
+	}
 	f := &Figures{Trial: t, Got: map[float64]map[model.Mode][]*Result{}}
 	var mu sync.Mutex
 	note := func(format string, a ...any) {
@@ -62,7 +73,7 @@
 			var wait sync.WaitGroup
 			for k, mode := range t.Modes {
 				wait.Go(func() {
-					d := model.Day{Site: Site(), Mode: mode, Load: model.Load{Seed: t.Seed*1000 + uint64(seed), Of: of, Boxes: t.Boxes, Routers: 5, Span: t.Span, Hot: 2, HotTimes: 3}}
+					d := model.Day{Site: site, Mode: mode, Load: model.Load{Seed: t.Seed*1000 + uint64(seed), Of: of, Boxes: t.Boxes, Routers: 5, Span: t.Span, Hot: site.Hot, HotTimes: 3}}
 					if t.Faults != nil {
 						t.Faults(&d)
 					}
--- a/internal/settings/replica.go
+++ b/internal/settings/replica.go
@@ -152,7 +152,7 @@
 		return nil, fmt.Errorf(`configuration: "limits" must all be above 0, are %+v`, f.Limits)
 	}
 	if len(f.Settings) == 0 {
-		return nil, errors.New(`configuration: "settings" is missing`)
+		return nil, errNoSettings
 	}
 	s, err := Decode(f.Settings)
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -4,7 +4,9 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"os"
 	"time"
 
 	"cairnlane/policy"
@@ -63,6 +65,9 @@
 	WorthBy string `json:"worth-by"`
 }
 
+// errNoSettings is what a configuration without settings is turned down with.
+var errNoSettings = errors.New(`configuration: "settings" is missing`)
+
 // Decode reads the settings of an instance.
 func Decode(raw json.RawMessage) (*Settings, error) {
 	s := new(Settings)
@@ -72,6 +77,22 @@
 	return s, nil
 }
 
+// Read reads the settings alone from the configuration of a replica at path, whatever else is in it.
+func Read(path string) (*Settings, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("read configuration: %w", err)
+	}
+	var f struct{ Settings json.RawMessage }
+	if err := json.Unmarshal(raw, &f); err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
+	}
+	if len(f.Settings) == 0 {
+		return nil, errNoSettings
+	}
+	return Decode(f.Settings)
+}
+
 // Micros is the unit of the settings and of the simulator's wire.
 func Micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
