--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,44 +1,47 @@
 // Command toy plays what a replica talks to, so that a newcomer can try one by hand: an engine that
-// sleeps and echoes, a catalog that says yes, and a router that sends a few requests and prints the
-// answers. It listens on the loopback addresses of examples/config.json. It measures nothing.
+// sleeps and echoes, a catalog that says yes, the index if the settings know one, and a router that
+// sends a few requests of each class and prints the answers. Addresses, classes and tenants are those
+// of the replica's configuration. It measures nothing.
 package main
 
 import (
-	"bufio"
 	"flag"
 	"fmt"
-	"io"
 	"log"
 	"math/rand/v2"
 	"net"
 	"net/http"
 	"strconv"
-	"strings"
 	"time"
 
+	"cairnlane/internal/settings"
 	"cairnlane/internal/thrift"
+	"cairnlane/policy"
 )
 
 func main() {
-	engine := flag.String("engine", "127.0.0.1:4400", "address of the toy engine")
-	directory := flag.String("directory", "127.0.0.1:2379", "address of the toy catalog")
-	replica := flag.String("replica", "127.0.0.1:7001", "address of the replica")
+	config := flag.String("config", "examples/config.json", "configuration of the replica")
 	ask := flag.Int("ask", 5, "how many requests to send, 0 for none")
 	work := flag.Duration("work", 200*time.Millisecond, "how long a run takes")
 	flag.Parse()
-	ln, err := net.Listen("tcp", *engine)
+	site, err := settings.Load(*config)
 	if err != nil {
 		log.Fatal(err)
 	}
-	go playEngine(ln, *work)
+	engine := listen(site.Engine)
+	calls := site.Policy.Dependency == policy.SharedDependency
+	go playEngine(engine, *work, calls)
+	if calls {
+		go playIndex(listen(site.Index))
+	}
 	go func() {
-		log.Fatal(http.ListenAndServe(*directory, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		log.Fatal(http.ListenAndServe(site.Directory, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			w.WriteHeader(http.StatusNoContent)
 		})))
 	}()
-	log.Printf("engine at %s, catalog at %s", *engine, *directory)
+	log.Printf("engine at %s, catalog at %s", site.Engine, site.Directory)
 	if *ask > 0 {
-		if err := playRouter(*replica, *ask); err != nil {
+		if err := playRouter(site.Listen, requests(site, *ask)); err != nil {
 			log.Fatal(err)
 		}
 		return
@@ -46,91 +49,58 @@
 	select {}
 }
 
-// playEngine serves one link after the other.
-func playEngine(ln net.Listener, work time.Duration) {
-	for {
-		conn, err := ln.Accept()
-		if err != nil {
-			log.Fatal(err)
-		}
-		if err := playLink(conn, work); err != nil {
-			log.Print("engine: the link ended: ", err)
-		}
+func listen(addr string) net.Listener {
+	ln, err := net.Listen("tcp", addr)
+	if err != nil {
+		log.Fatal(err)
 	}
+	return ln
 }
 
-func playLink(conn net.Conn, work time.Duration) error {
-	defer conn.Close()
-	in, out := bufio.NewReader(conn), make(chan string, 64)
-	gone := make(chan struct{})
-	defer close(gone)
-	go func() {
-		for n := 1; ; {
-			select {
-			case <-gone:
-				return
-			case s := <-out:
-				if strings.Contains(s, "DONE") {
-					s = strings.Replace(s, "#", strconv.Itoa(n), 1)
-					n++
-				}
-				io.WriteString(conn, s)
-			}
-		}
-	}()
-	for {
-		line, err := in.ReadString('\n')
-		if err != nil {
-			return err
+// request is one as the toy's router sends it.
+type request struct {
+	fields [][2]string
+	body   string
+}
+
+// requests are so many, of the site's classes and tenants in turn.
+func requests(site *settings.Replica, n int) (list []request) {
+	classes := site.Policy.Classes
+	for i := range n {
+		k := classes[i%len(classes)]
+		q := request{body: fmt.Sprint("body ", i+1), fields: [][2]string{{"verb", k.Name}, {"txn", fmt.Sprintf("%016x", rand.Uint64())},
+			{"door", strconv.FormatInt(time.Now().UnixMilli(), 10)}, {"lb", "1"}, {"limit", strconv.FormatInt(k.Deadline.Milliseconds(), 10)},
+			{"ram", "24.5"}, {"standing", "0.5"}}}
+		if len(site.Tenants) > 0 {
+			q.fields = append(q.fields, [2]string{"team", site.Tenants[i%len(site.Tenants)]})
 		}
-		switch w := strings.Fields(line); {
-		case len(w) == 2 && w[0] == "ATTACH":
-			out <- "HELLO running 0\r\n"
-		case len(w) == 2 && w[0] == "STAT":
-			out <- "STATS " + w[1] + " 0.2 1 0.1 1\r\n"
-		case len(w) == 4 && w[0] == "RUN":
-			n, err := strconv.Atoi(w[3])
-			if err != nil || n < 0 || n > 1<<16 {
-				return fmt.Errorf("bad length %q", w[3])
-			}
-			body := make([]byte, n+2)
-			if _, err := io.ReadFull(in, body); err != nil {
-				return err
-			}
-			time.AfterFunc(work, func() {
-				select {
-				case out <- fmt.Sprintf("DONE # %s fine %d %d\r\n%s", w[1], work.Milliseconds(), n, body):
-				case <-gone:
-				}
-			})
-		default:
-			return fmt.Errorf("no command: %q", line)
+		if k.Semantics == policy.Keyed {
+			q.fields = append(q.fields, [2]string{"unique", fmt.Sprintf("%032x", rand.Uint64())})
 		}
+		list = append(list, q)
 	}
+	return list
 }
 
-// playRouter sends some requests over one connection and prints the answers as they come.
-func playRouter(addr string, n int) error {
+// playRouter sends requests over one connection and prints the answers as they come.
+func playRouter(addr string, list []request) error {
 	conn, err := dial(addr)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	for i := 1; i <= n; i++ {
-		fields := [][2]string{{"verb", "lecture-page"}, {"txn", fmt.Sprintf("%016x", rand.Uint64())},
-			{"door", strconv.FormatInt(time.Now().UnixMilli(), 10)}, {"lb", "1"}, {"team", "riverside-uni"},
-			{"limit", "5000"}, {"ram", "24.5"}, {"standing", "0.5"}}
+	for i, q := range list {
 		frame := thrift.AppendFrame(nil, func(b []byte) []byte {
-			b = thrift.AppendHeader(b, thrift.Header{Type: thrift.Call, Name: "serve", Seq: int32(i)})
-			b = thrift.AppendStringMap(thrift.AppendField(b, thrift.Map, 1), fields)
-			return thrift.AppendStop(thrift.AppendString(thrift.AppendField(b, thrift.String, 2), fmt.Sprint("page ", i)))
+			b = thrift.AppendHeader(b, thrift.Header{Type: thrift.Call, Name: "serve", Seq: int32(i + 1)})
+			b = thrift.AppendStringMap(thrift.AppendField(b, thrift.Map, 1), q.fields)
+			return thrift.AppendStop(thrift.AppendString(thrift.AppendField(b, thrift.String, 2), q.body))
 		})
 		if _, err := conn.Write(frame); err != nil {
 			return err
 		}
 	}
 	var in []byte
-	for got, buf := 0, make([]byte, 4096); got < n; {
+	for got, buf := 0, make([]byte, 4096); got < len(list); {
 		payload, rest, err := thrift.Frame(in)
 		if err != nil {
 			return err
@@ -148,7 +118,7 @@
 		r := thrift.NewReader(payload)
 		h := r.Header()
 		_, kind := r.Field() // 0 served, 1 refused, 2 failed
-		log.Printf("answer to %d: %s", h.Seq, map[int16]string{0: "served", 1: "refused", 2: "failed"}[kind])
+		log.Printf("answer to %d (%s): %s", h.Seq, list[h.Seq-1].fields[0][1], map[int16]string{0: "served", 1: "refused", 2: "failed"}[kind])
 	}
 	return nil
 }
