--- a/examples/toy/engine.go
+++ b/examples/toy/engine.go
@@ -15,12 +15,12 @@
 // bodyMost bounds what the toy reads behind a line.
 const bodyMost = 1 << 16
 
-// playEngine serves one link after the other. With calls, each run makes one call to the index.
-func playEngine(ln net.Listener, work time.Duration, calls bool) {
+// playEngine serves one link after the other until ln is closed. With calls, each run makes one call to the index.
+func playEngine(ln net.Listener, work time.Duration, calls bool) error {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
-			log.Fatal(err)
+			return err
 		}
 		l := &link{conn: conn, in: bufio.NewReader(conn), work: work, calls: calls, bodies: map[string][]byte{}}
 		if err := l.play(); err != nil {
@@ -126,12 +126,12 @@
 	return body[:n], nil
 }
 
-// playIndex answers every call with what it asked.
-func playIndex(ln net.Listener) {
+// playIndex answers every call with what it asked, until ln is closed.
+func playIndex(ln net.Listener) error {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
-			log.Fatal(err)
+			return err
 		}
 		go func() {
 			defer conn.Close()
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -30,9 +30,10 @@
 	}
 	engine := listen(site.Engine)
 	calls := site.Policy.Dependency == policy.SharedDependency
-	go playEngine(engine, *work, calls)
+	go func() { log.Fatal(playEngine(engine, *work, calls)) }()
 	if calls {
-		go playIndex(listen(site.Index))
+		index := listen(site.Index)
+		go func() { log.Fatal(playIndex(index)) }()
 	}
 	go func() {
 		log.Fatal(http.ListenAndServe(site.Directory, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
