--- a/internal/handover/replace/process.go
+++ b/internal/handover/replace/process.go
@@ -79,6 +79,9 @@
 		return err
 	}
 	c["listen"], c["engine"], c["directory"] = w.ln.Addr().String(), p.engine.String(), w.catalog.String()
+	if w.index != nil {
+		c["index"] = w.index.String()
+	}
 	c["stop_ms"] = 1500
 	c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": w.cfg.Sockets}
 	s := c["settings"].(map[string]any)
--- a/internal/handover/replace/replace.go
+++ b/internal/handover/replace/replace.go
@@ -18,6 +18,7 @@
 	"cairnlane/internal/operator"
 	"cairnlane/internal/standin/catalog"
 	"cairnlane/internal/standin/engine"
+	"cairnlane/internal/standin/index"
 	"cairnlane/internal/standin/router"
 )
 
@@ -61,6 +62,7 @@
 	ln      *net.TCPListener
 	engine  *engine.Engine
 	catalog *catalog.Catalog
+	index   *index.Index // nil where runs call none
 	load    *rig.Load
 	stop    atomic.Bool
 	kills   atomic.Int64 // processes killed so far; a request open across one may be lost with it
@@ -122,9 +124,12 @@
 		return nil, err
 	}
 	traffic, err := rig.TrafficOf(cfg.Site)
+	if err == nil && traffic.Calls {
+		w.engine.Calls(true)
+		w.index, err = index.Start(rig.CallTakes)
+	}
 	if err != nil {
-		ln.Close()
-		w.catalog.Close()
+		w.end()
 		return nil, err
 	}
 	w.load = &rig.Load{Seed: cfg.Seed, Traffic: traffic, Limit: deadline * 3 / 4, Pause: 8 * time.Millisecond, Spread: true, Engines: func() []*engine.Engine { return []*engine.Engine{w.engine} },
@@ -153,6 +158,8 @@
 	w.wait.Wait()
 	w.load.End()
 	w.fig.Tally = w.load.Tally
+	_, _, wrong := w.engine.Fed()
+	w.fig.Wrong += int64(wrong)
 	w.fig.Notes = append(w.fig.Notes, w.load.Notes()...)
 	w.settle()
 	w.fig.Took = time.Since(w.began)
@@ -169,6 +176,9 @@
 		p.Kill()
 	}
 	w.catalog.Close()
+	if w.index != nil {
+		w.index.Close()
+	}
 	w.ln.Close()
 }
 
--- a/internal/handover/replace/replace_test.go
+++ b/internal/handover/replace/replace_test.go
@@ -184,6 +184,31 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
+// TestReplacementsWhereRunsCallAnIndex: the same at a site with two keyed classes whose runs call the index that all replicas share. Runs
+// wait for their calls across replacements and kills.
+func TestReplacementsWhereRunsCallAnIndex(t *testing.T) {
+	w, err := begin(Config{Seed: 1, Command: []string{os.Args[0]}, Site: "../../../examples/images/config.json", Dir: t.TempDir(), Sockets: 256})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer w.end()
+	for range 8 {
+		if err := w.replace(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	f := w.finish()
+	if missed := f.Missed(); len(missed) > 0 || f.Kills == 0 {
+		t.Errorf("missed %s\n%s\n%s", strings.Join(missed, ", "), f, strings.Join(f.Notes, "\n"))
+	}
+	calls, _ := w.index.Calls()
+	fed, skipped, wrong := w.engine.Fed()
+	if calls < 100 || fed < 100 || wrong > 0 {
+		t.Errorf("%d calls, %d fed, %d skipped, %d with the reply of another call", calls, fed, skipped, wrong)
+	}
+	t.Logf("%d calls, %d fed, %d skipped; %s", calls, fed, skipped, f)
+}
+
 // TestReplacementsUnderLoad is the short form of `make replace`.
 func TestReplacementsUnderLoad(t *testing.T) {
 	f, err := Run(Config{Seed: 1, Replacements: 12, Command: []string{os.Args[0]}, Site: site, Dir: t.TempDir(), Sockets: 256})
--- a/internal/lab/overloads/site_test.go
+++ b/internal/lab/overloads/site_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"cairnlane/internal/lab/model"
+	"cairnlane/internal/lab/rig"
+	"cairnlane/internal/lab/rigtest"
 	"cairnlane/internal/settings"
 	"cairnlane/policy"
 )
@@ -63,3 +65,27 @@
 		}
 	}
 }
+
+// TestADayAtAnotherSiteKeepsTheRules, over real processes: two keyed classes, five tenants, and runs that call an index. It judges rules and counts.
+func TestADayAtAnotherSiteKeepsTheRules(t *testing.T) {
+	dir, err := rig.TempDir()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer os.RemoveAll(dir)
+	f, err := Trial{Seed: 1, Seeds: 1, Boxes: 3, Loads: []float64{1.3}, Modes: []model.Mode{model.Fleet}, Span: 5 * time.Second, Example: images, Dir: dir, Serve: rigtest.Serve,
+		Faults: func(d *model.Day) {
+			d.Troubles = append(d.Troubles, model.Trouble{Kind: model.Kill, From: 2 * time.Second, For: 500 * time.Millisecond, Boxes: []int{2}})
+		}}.Run()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if missed := f.Rules(); len(missed) > 0 {
+		t.Errorf("missed %s\n%s", strings.Join(missed, ", "), strings.Join(f.Notes, "\n"))
+	}
+	r := f.Got[1.3][model.Fleet][0]
+	if r.Requests < 200 {
+		t.Errorf("too little was seen: %d requests", r.Requests)
+	}
+	t.Logf("%+v", *r)
+}
--- a/internal/lab/rig/site.go
+++ b/internal/lab/rig/site.go
@@ -22,6 +22,7 @@
 	"cairnlane/internal/fleet"
 	"cairnlane/internal/standin/catalog"
 	"cairnlane/internal/standin/engine"
+	"cairnlane/internal/standin/index"
 	"cairnlane/internal/standin/router"
 )
 
@@ -52,6 +53,8 @@
 	Net     *Net
 	Boxes   []*Box
 	Load    *Load
+	traffic Traffic
+	index   *index.Index // nil where runs call none
 	catalog *catalog.Catalog
 	began   time.Time
 	key     string     // a line of a key file
@@ -94,6 +97,9 @@
 
 type span struct{ from, to time.Time } // to is zero while it lasts
 
+// CallTakes is how long the index needs for a call in a trial.
+const CallTakes = 4 * time.Millisecond
+
 // deadline is the longest of the classes' in a site.
 const deadline = 800 * time.Millisecond
 
@@ -101,6 +107,14 @@
 func NewSite(cfg SiteConfig) (*Site, error) {
 	s := &Site{cfg: cfg, Net: NewNet(), began: time.Now(), key: newKey()}
 	var err error
+	if s.traffic, err = TrafficOf(cfg.Example); err != nil {
+		return nil, err
+	}
+	if s.traffic.Calls {
+		if s.index, err = index.Start(CallTakes); err != nil {
+			return nil, err
+		}
+	}
 	if s.catalog, err = catalog.Start(); err != nil {
 		return nil, err
 	}
@@ -124,6 +138,7 @@
 		if cfg.Engine != nil {
 			b.core = cfg.Engine(i)
 		}
+		b.core.Calls(s.traffic.Calls)
 		if b.engine, err = b.core.Listen(); err != nil {
 			return nil, err
 		}
@@ -152,6 +167,9 @@
 		return err
 	}
 	c["name"], c["listen"], c["engine"], c["directory"] = b.Name, listen, b.engine.String(), s.catalog.String()
+	if s.index != nil {
+		c["index"] = s.index.String()
+	}
 	c["stop_ms"] = 1000
 	c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 96, "sockets": 512}
 	set := c["settings"].(map[string]any)
@@ -225,11 +243,7 @@
 		return err
 	}
 	if s.cfg.Load {
-		traffic, err := TrafficOf(s.cfg.Example)
-		if err != nil {
-			return err
-		}
-		s.Load = &Load{Seed: s.cfg.Seed, Traffic: traffic, Limit: deadline * 3 / 4, Pause: 20 * time.Millisecond, Excused: s.excused, Engines: func() (list []*engine.Engine) {
+		s.Load = &Load{Seed: s.cfg.Seed, Traffic: s.traffic, Limit: deadline * 3 / 4, Pause: 20 * time.Millisecond, Excused: s.excused, Engines: func() (list []*engine.Engine) {
 			for _, b := range s.Boxes {
 				list = append(list, b.core)
 			}
@@ -299,6 +313,9 @@
 	}
 	s.Net.Close()
 	s.catalog.Close()
+	if s.index != nil {
+		s.index.Close()
+	}
 }
 
 // excused tells whether a box was killed or stopped at some time since.
--- a/internal/lab/rig/traffic.go
+++ b/internal/lab/rig/traffic.go
@@ -14,6 +14,7 @@
 	Tenant string
 	Safe   string // a class whose requests may run again; empty where all are keyed
 	Keyed  []KeyedClass
+	Calls  bool // runs call the index that all replicas share
 }
 
 // KeyedClass is a class of which a request with the same key runs once within a window. The rules have a replica keep the key for as long.
@@ -32,6 +33,7 @@
 		return t, err
 	}
 	c := s.Policy(0)
+	t.Calls = c.Dependency == policy.SharedDependency
 	if len(c.Tenants) > 0 {
 		t.Tenant = c.Tenants[0].Name
 	}
--- a/internal/lab/rig/traffic_test.go
+++ b/internal/lab/rig/traffic_test.go
@@ -23,7 +23,7 @@
 	}
 	for config, want := range map[string]Traffic{
 		lectures: {Tenant: "riverside-uni", Safe: "segment-fetch", Keyed: []KeyedClass{{"note-save", 9618 * time.Millisecond}}},
-		images:   {Tenant: "map-room", Safe: "view-scan", Keyed: []KeyedClass{{"save-label", 27600 * time.Millisecond}, {"move-scan", 18500 * time.Millisecond}}},
+		images:   {Tenant: "map-room", Safe: "view-scan", Keyed: []KeyedClass{{"save-label", 27600 * time.Millisecond}, {"move-scan", 18500 * time.Millisecond}}, Calls: true},
 		path:     {Keyed: []KeyedClass{{"b", 3 * time.Second}}},
 	} {
 		if got, err := TrafficOf(config); err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -29,6 +29,9 @@
 	onCore int
 	most   int
 	born   time.Time
+	calls  bool // each run makes one to the index
+
+	fed, skipped, wrong int // ends of calls
 }
 
 // New returns an engine whose runs take as long as work says.
@@ -110,6 +113,7 @@
 	notices []string // the last ones, up to number last
 	link    net.Conn
 	begun   map[string]bool
+	open    map[string]*call // of runs that wait for theirs, by id
 	closed  bool
 	cut     bool // links are closed as they come
 	dials   int  // links that came
@@ -121,7 +125,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in engine: %w", err)
 	}
-	a := &Address{engine: e, ln: ln, book: &book{begun: map[string]bool{}}}
+	a := &Address{engine: e, ln: ln, book: &book{begun: map[string]bool{}, open: map[string]*call{}}}
 	go a.accept()
 	return a, nil
 }
@@ -240,6 +244,8 @@
 		}
 		a.run(words[1], string(body[:length]))
 		return attached, nil
+	case (words[0] == "FEED" || words[0] == "SKIP") && len(words) == 3:
+		return attached, a.answer(c, r, words)
 	}
 	return attached, errCommand
 }
@@ -272,22 +278,37 @@
 	e.mu.Lock()
 	e.ran[body] = append(e.ran[body], Run{time.Now(), id})
 	e.ids[id]++
-	e.onCore++
-	e.most = max(e.most, e.onCore)
+	calls := e.calls
 	e.mu.Unlock()
-	e.begin(id, body, func(took time.Duration) {
+	begin := func() {
 		e.mu.Lock()
-		e.onCore--
+		e.onCore++
+		e.most = max(e.most, e.onCore)
 		e.mu.Unlock()
-		a.done(id, "did "+body, took)
-	})
+		e.begin(id, body, func(took time.Duration) {
+			e.mu.Lock()
+			e.onCore--
+			e.mu.Unlock()
+			a.done(id, "did "+body, took)
+		})
+	}
+	if calls {
+		a.need(id, body, begin)
+		return
+	}
+	begin()
 }
 
 func (a *Address) done(id, result string, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
+	a.tell("DONE %d %s fine %d %d\r\n%s\r\n", id, took.Milliseconds(), len(result), result)
+}
+
+// tell writes a notice with the next number, which is the first value of its format, and keeps it; a.mu is held.
+func (a *Address) tell(format string, values ...any) {
 	a.last++
-	notice := fmt.Sprintf("DONE %d %s fine %d %d\r\n%s\r\n", a.last, id, took.Milliseconds(), len(result), result)
+	notice := fmt.Sprintf(format, append([]any{a.last}, values...)...)
 	if a.notices = append(a.notices, notice); len(a.notices) > noticesKept {
 		a.notices = a.notices[1:]
 	}
