--- a/policy/calls.go
+++ b/policy/calls.go
@@ -9,8 +9,9 @@
 
 // Tuned values of calls.
 const (
-	callShare = 0.5 // share of the calls that this server may have in hand: it slows down earlier
-	callTries = 3   // tries of one call
+	callShare    = 0.5 // share of the calls that this server may have in hand: it slows down earlier
+	callTries    = 3   // tries of one call
+	skipPatience = 0.2 // share of its aim that a request waits for a call before it goes on without it
 )
 
 // NeedsCall takes a running request that waits for us to make its call.
@@ -18,7 +19,8 @@
 	c.begin(now)
 	if r := c.live[id]; r != nil {
 		c.enter(r, atCall)
-		r.tries = 0
+		r.tries, r.callAt = 0, c.now
+		r.calls++
 		if r.answered {
 			return
 		}
@@ -29,6 +31,9 @@
 }
 
 func (c *Controller) startCalls() {
+	if c.callLimit.crowded() { // the calls there are go to those that cannot do without
+		c.skipCalls()
+	}
 	for len(c.calls) > 0 {
 		r := c.calls[0].r
 		if r.ended || r.answered || r.state != atCall {
@@ -36,22 +41,61 @@
 			continue
 		}
 		if !c.mayCall() {
+			c.skipCalls()
 			return
 		}
 		heap.Pop(&c.calls)
+		if r.tries == 0 {
+			r.callWait += c.now - r.callAt
+		}
 		r.tries++
 		c.enter(r, calling)
 		c.host.Call(r.ID, max(c.limit(r.dueAt)-c.now, c.tick))
 	}
 }
 
+// skipCalls lets requests go on without a call that they can do without: at once while the dependency is
+// crowded, and else once they have waited, as others need the call more. Harm: they earn SkipWorth only.
+func (c *Controller) skipCalls() {
+	waiting := c.calls[:0]
+	for _, e := range c.calls {
+		switch r := e.r; {
+		case r.ended || r.answered || r.state != atCall:
+		case c.skips(r):
+			r.callWait += c.now - r.callAt
+			c.enter(r, running)
+			c.host.Skip(r.ID)
+		default:
+			waiting = append(waiting, e)
+		}
+	}
+	clear(c.calls[len(waiting):])
+	c.calls = waiting
+	heap.Init(&c.calls)
+}
+
+// skips tells whether a request that waits for a call is to go on without it.
+func (c *Controller) skips(r *request) bool {
+	patience := time.Duration(skipPatience * float64(r.class.Aim))
+	return r.class.SkipWorth > 0 && (c.callLimit.crowded() || c.now-r.callAt > patience)
+}
+
+// callDelay is the time in seconds until a request may make a call, by those that wait for theirs now. It
+// guards against work that is started only to wait there past its aim.
+func (c *Controller) callDelay() float64 {
+	if c.cfg.Dependency != SharedDependency {
+		return 0
+	}
+	return float64(c.count[atCall]) * c.callLimit.recent / max(c.callLimit.limit, 1)
+}
+
 // mayCall keeps calls in hand, abandoned ones too, in this server's share (rule 4), in the mean if under 1.
 func (c *Controller) mayCall() bool {
 	if c.cfg.Dependency != SharedDependency {
 		return true
 	}
-	n, share := float64(c.count[calling]+len(c.lingerer)), c.cfg.FairCalls*callShare
-	return n+1 <= share || n == 0 && c.callMean < share
+	n := float64(c.count[calling] + len(c.lingerer))
+	return n+1 <= c.callLimit.limit || n == 0 && c.callMean < c.callLimit.most
 }
 
 // Called takes the outcome of a call.
@@ -64,6 +108,9 @@
 	if o == TimedOut {
 		heap.Push(&c.lingerer, entry{c.now + c.cfg.CallLinger, nil}) // still in the dependency's hands
 	}
+	if c.cfg.Dependency == SharedDependency && (o == Succeeded || o == TimedOut) {
+		c.callLimit.observe(took)
+	}
 	if o == Succeeded {
 		c.enter(r, running)
 	} else {
--- /dev/null
+++ b/policy/calls_test.go
@@ -0,0 +1,111 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// A dependency that slows down when it is crowded used to be held crowded, at the bound that only kept it alive.
+func TestTheCallLimitFollowsTheLatency(t *testing.T) {
+	l := newCallLimit(10)
+	for range 100 {
+		l.observe(20 * ms)
+	}
+	if l.limit != 10 || l.crowded() {
+		t.Errorf("a limit of %.1f of 10 while calls are quick", l.limit)
+	}
+	for range 100 {
+		l.observe(400 * ms)
+	}
+	if l.limit > 3 || !l.crowded() {
+		t.Errorf("a limit of %.1f of 10 while calls take twenty times as long", l.limit)
+	}
+	for range 100 {
+		l.observe(20 * ms)
+	}
+	if l.limit < 9.9 || l.crowded() {
+		t.Errorf("a limit of %.1f of 10 once calls are quick again", l.limit)
+	}
+}
+
+func TestTheCallLimitStaysInItsBounds(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		most := rapid.Float64Range(0, 50).Draw(t, "most")
+		l := newCallLimit(most)
+		for _, took := range rapid.SliceOf(rapid.Int64Range(0, int64(time.Minute))).Draw(t, "calls") {
+			l.observe(time.Duration(took))
+			if least := min(leastCallLimit, most); l.limit < least || l.limit > most {
+				t.Fatalf("a limit of %g, want %g to %g", l.limit, least, most)
+			}
+		}
+	})
+}
+
+// callServer starts a controller that may have one call in hand, with a class that can go on without its call and
+// one that cannot, and begins a run of each class given; the first of them has the call.
+func callServer(t *testing.T, classes ...int) (*Controller, *fakeHost) {
+	t.Helper()
+	cfg := testConfig()
+	cfg.FairCalls, cfg.Cores = 1/callShare, 8
+	cfg.Classes[0].SkipWorth = 0.5
+	c, h := start(t, cfg)
+	for i, class := range classes {
+		c.Arrive(0, Request{ID: RequestID(i + 1), Class: class, KB: 1})
+		c.NeedsCall(0, RequestID(i+1))
+	}
+	return c, h
+}
+
+func TestARequestGoesOnWithoutACallThatItHasWaitedFor(t *testing.T) {
+	c, h := callServer(t, 1, 0, 1)
+	want(t, h, "keep 1, run 1, call 1, run 2, keep 3, run 3")
+	patience := time.Duration(skipPatience * float64(c.classes[0].Aim))
+	c.Tick(patience, Gauges{})
+	want(t, h, "")
+	c.Tick(patience+ms, Gauges{})
+	want(t, h, "skip 2") // and never 3, which earns nothing without its call
+	if len(c.calls) != 1 || c.count[running] != 1 || c.count[atCall] != 1 {
+		t.Errorf("%d wait, %d run, %d at a call", len(c.calls), c.count[running], c.count[atCall])
+	}
+}
+
+func TestCallsOfACrowdedDependencyGoToThoseThatCannotDoWithout(t *testing.T) {
+	c, h := callServer(t, 1)
+	h.take()
+	c.callLimit.most, c.callLimit.limit = 8, 2 // a second call might be made
+	c.Arrive(ms, Request{ID: 2, Class: 0, KB: 1})
+	c.NeedsCall(ms, 2)
+	want(t, h, "run 2, skip 2")
+}
+
+func TestARunIsJudgedWithoutItsWaitForACall(t *testing.T) {
+	c, h := callServer(t, 1, 1)
+	h.take()
+	c.Called(time.Second, 1, Succeeded, time.Second)
+	c.Done(time.Second, 1, Succeeded, time.Second)
+	c.Called(1100*ms, 2, Succeeded, 100*ms)
+	c.Done(1100*ms, 2, Succeeded, 1100*ms) // one second of it was spent waiting for the call of 1
+	if mean := c.classes[1].meanRun; mean > 1 || mean < 0.9 {
+		t.Errorf("a mean run of %.2f s, want that of 1 and a little of the 100 ms of 2", mean)
+	}
+	if c.classes[1].meanCalls != 1 {
+		t.Errorf("%.1f calls a run", c.classes[1].meanCalls)
+	}
+}
+
+// What had to wait for its call past its aim used to be started all the same.
+func TestALineAtTheCallsTurnsAwayWhatNeedsOne(t *testing.T) {
+	c, h := callServer(t, 1, 1, 1, 1, 1, 1)
+	h.take()
+	c.classes[1].meanRun, c.classes[1].meanCalls = 0.1, 1
+	c.callLimit.recent = 0.1
+	c.Arrive(ms, Request{ID: 10, Class: 1, KB: 1})
+	want(t, h, "keep 10, run 10") // five wait, for half a second
+	c.callLimit.recent = 0.4
+	c.Arrive(2*ms, Request{ID: 11, Class: 1, KB: 1})
+	want(t, h, "refuse 11")
+	c.Arrive(3*ms, Request{ID: 12, Class: 0, KB: 1}) // can go on without
+	want(t, h, "run 12")
+}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -45,13 +45,17 @@
 	answered bool // the final answer is out; what still runs is only waited for
 	ended    bool
 	kept     bool
-	trial    bool // runs to correct the mean of its class
-	tries    int  // calls made
+	trial    bool          // runs to correct the mean of its class
+	tries    int           // calls made
+	calls    int           // calls that it came to
+	callAt   time.Duration // when it came to the latest of them
+	callWait time.Duration // in all, until it could make them
 }
 
 type class struct {
 	Class
-	meanRun      float64 // seconds, of successful runs
+	meanRun      float64 // seconds, of successful runs without their waits for calls
+	meanCalls    float64 // of successful runs
 	meanExpected float64
 	tried        time.Duration // when one was last started, or held for a trial
 }
@@ -123,6 +127,7 @@
 	lastCaller                 int
 	calls, callRetry, lingerer queue
 	callMean                   float64
+	callLimit                  callLimit
 
 	callers, former map[int]*caller // seen since aged, and in the time before
 	aged            time.Duration
@@ -172,6 +177,7 @@
 	if !cfg.Cold {
 		c.burstAllowed = c.maxBurst
 	}
+	c.callLimit = newCallLimit(cfg.FairCalls * callShare)
 	c.pool = min(cfg.Cores, c.crowd())
 	c.stats = make([]sizeStat, int(float64(cfg.Cores)*cfg.FallFactor)+1)
 	c.sameCaller = 1 / float64(max(cfg.Callers, 1))
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -581,14 +581,16 @@
 	}
 }
 
-// A mean run learned in a jam used to shut its class out for good: all of it was refused as too late, so no
-// run ever corrected the mean.
+// A mean run learned in a jam used to shut its class out: all of it was refused as too late, so no run ever
+// corrected the mean; then few runs did, each with a small weight, for seconds after the jam.
 func TestAClassThatSeemsTooSlowIsTriedNowAndThen(t *testing.T) {
+	const bound = 30 // arrivals, one each 100 ms, until the class is admitted again
 	c, h := start(t, testConfig())
 	c.classes[0].meanRun = 3 // seconds; the aim is two
+	seemsSlow := func() bool { return c.need(&request{class: &c.classes[0]}) > c.classes[0].Aim }
 	now, id, served := time.Second, RequestID(0), 0
-	for ; c.classes[0].meanRun > 1; now += 100 * ms {
-		if id++; id > 1000 {
+	for ; seemsSlow(); now += 100 * ms {
+		if id++; id > bound {
 			t.Fatalf("a mean of %.1f s after %d arrivals, %d of them served", c.classes[0].meanRun, id, served)
 		}
 		c.Arrive(now, Request{ID: id, KB: 10})
--- a/policy/starts.go
+++ b/policy/starts.go
@@ -9,11 +9,12 @@
 
 // Tuned values of starts.
 const (
-	marginRuns  = 1.4 // mean runs that must fit before the aim: crowded ones take longer than the mean
-	aheadShare  = 0.6 // share of those held with a tighter aim taken to start first: some are refused
-	workShare   = 0.5 // share of a run that grows with its expected work; the rest is waits
-	trialAbove  = 0.5 // share of the aim above which the mean run of a class may be stale: one is tried
-	trialDelays = 2   // referenceDelays between such trials
+	marginRuns  = 1.4  // mean runs that must fit before the aim: crowded ones take longer than the mean
+	aheadShare  = 0.6  // share of those held with a tighter aim taken to start first: some are refused
+	workShare   = 0.5  // share of a run that grows with its expected work; the rest is waits
+	trialAbove  = 0.5  // share of the aim above which the mean run of a class may be stale: one is tried
+	trialDelays = 2    // referenceDelays between such trials
+	trialWeight = 0.25 // weight of such a trial in its class\'s mean
 )
 
 // order is the place in the hold: the tightest aim first.
@@ -32,6 +33,9 @@
 		}
 		mean *= 1 + share*(r.Expected.Seconds()/r.class.meanExpected-1)
 	}
+	if r.class.SkipWorth == 0 {
+		mean += r.class.meanCalls * c.callDelay()
+	}
 	return time.Duration(marginRuns * mean * float64(time.Second))
 }
 
@@ -136,7 +140,12 @@
 }
 
 func (c *Controller) learn(r *request, took float64) {
-	average(&r.class.meanRun, took)
+	weight := meanWeight
+	if r.trial { // one of few runs of its class, all of them made to correct its mean
+		weight = trialWeight
+	}
+	move(&r.class.meanRun, max(0, took-r.callWait.Seconds()), weight)
+	move(&r.class.meanCalls, float64(r.calls), weight)
 	average(&c.meanRun, took)
 	if r.Expected > 0 {
 		average(&r.class.meanExpected, r.Expected.Seconds())
@@ -153,9 +162,12 @@
 	}
 }
 
-func average(mean *float64, x float64) {
+func average(mean *float64, x float64) { move(mean, x, meanWeight) }
+
+// move draws a mean to its newest value, whose weight is given.
+func move(mean *float64, x, weight float64) {
 	if *mean == 0 {
 		*mean = x
 	}
-	*mean += meanWeight * (x - *mean)
+	*mean += weight * (x - *mean)
 }
