--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -127,6 +127,7 @@
 	id       policy.RequestID
 	class    *policy.Class
 	place    int // of its class
+	tenant   int // its tenant, as the module counts them
 	door     time.Duration
 	content  handover.Digest // Keyed: of class and body
 	claim    uint64          // under which the other process of a replacement has left its key to this one
@@ -148,6 +149,7 @@
 	clock   Clock
 	engine  Engine
 	classes map[string]int
+	tenants map[string]int // 1 + the place of each in the module's configuration
 	count   counts
 	figures *figures
 	advice  atomic.Pointer[shed.Advice] // what the fleet advises; nil where there is none
@@ -180,7 +182,7 @@
 
 // New builds a replica. The module may act at once, so the engine must be able to take calls.
 func New(cfg Config, clock Clock, engine Engine, set *counters.Set) (*Replica, error) {
-	r := &Replica{cfg: cfg, clock: clock, engine: engine, classes: map[string]int{},
+	r := &Replica{cfg: cfg, clock: clock, engine: engine, classes: map[string]int{}, tenants: map[string]int{},
 		live: map[policy.RequestID]*request{}, txns: map[string]*request{},
 		keys: keyTable{byName: map[string]*key{}, byHolder: map[policy.RequestID]*key{}, bound: cfg.ResultBytes}}
 	r.count = counts{read: set.Get("requests_read"), retries: set.Get("requests_marked_retry"),
@@ -195,6 +197,9 @@
 		r.classes[cfg.Policy.Classes[i].Name] = i
 		r.oldest = max(r.oldest, oldestDeadlines*cfg.Policy.Classes[i].Deadline)
 	}
+	for i, t := range cfg.Policy.Tenants {
+		r.tenants[t.Name] = i + 1
+	}
 	if r.cfg.Policy.KeyKB <= 0 {
 		r.cfg.Policy.KeyKB = 1e-3 // the module keeps only keys that cost something
 	}
@@ -247,7 +252,7 @@
 	} else {
 		q.Tenant = ""
 	}
-	req := &request{Request: q, class: &r.cfg.Policy.Classes[class], place: class, door: time.Duration(q.Door.UnixNano())}
+	req := &request{Request: q, class: &r.cfg.Policy.Classes[class], place: class, tenant: r.tenants[q.Tenant], door: time.Duration(q.Door.UnixNano())}
 	if req.class.Semantics == policy.Keyed && q.Unique == "" {
 		return fmt.Errorf("%w: class %q needs a key", ErrRequest, q.Class)
 	}
@@ -294,7 +299,13 @@
 
 // admit has the module decide on a request that repeats the one of an entry, or none.
 func (r *Replica) admit(now time.Duration, req *request, k *key) {
-	in := policy.Request{ID: req.id, Class: req.place, Retry: req.Retry, Caller: req.Caller, KB: req.KB, Rank: req.Rank,
+	in := r.described(now, req, k)
+	r.call(func() { r.ctl.Arrive(now, in) })
+}
+
+// described is what the module is told of a request that repeats the one of an entry, or none.
+func (r *Replica) described(now time.Duration, req *request, k *key) policy.Request {
+	in := policy.Request{ID: req.id, Class: req.place, Tenant: req.tenant, Retry: req.Retry, Caller: req.Caller, KB: req.KB, Rank: req.Rank,
 		Key: req.Item, Waited: max(now-req.door, 0), Others: req.others}
 	if !req.LimitUnknown { // else the module goes by the deadline of the class
 		in.Due = req.door + req.Limit
@@ -302,7 +313,7 @@
 	if k != nil {
 		in.Earlier = k.holder
 	}
-	r.call(func() { r.ctl.Arrive(now, in) })
+	return in
 }
 
 // Advise has requests that are read from now on decided with what the fleet advises, until the next call; nil ends it. Those that were
