--- a/internal/index/fake_test.go
+++ b/internal/index/fake_test.go
@@ -189,11 +189,17 @@
 	}
 }
 
-// start makes a client of f and a recorder; the client is closed at the end of the test.
+// start makes a client of f that has one connection, and a recorder; the client is closed at the end of the test.
 func start(t *testing.T, addr string) (*Client, *recorder, *counters.Set) {
+	return startWith(t, addr, 1)
+}
+
+// startWith makes a client that has up to links connections.
+func startWith(t *testing.T, addr string, links int) (*Client, *recorder, *counters.Set) {
 	set := new(counters.Set)
 	r := newRecorder()
 	c := New(addr, r, set)
+	c.linksMost = links
 	t.Cleanup(c.Close)
 	return c, r, set
 }
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -1,12 +1,14 @@
 // Package index is the client of the shared index, the store that every replica calls while a request runs. Calls go
-// out over one TCP connection in the line protocol of the index (PROTOCOL.md, "The index") and their replies come
-// back in any order. Each Get ends in exactly one Reply, told from a goroutine of the client, unless Stop or a later
-// Get for the same id gave it up first.
+// out over a few TCP connections in the line protocol of the index (PROTOCOL.md, "The index") and their replies come
+// back in any order. A connection that breaks takes all calls on it with it, so calls share one only when linksMost
+// are open. Each Get ends in exactly one Reply, told from a goroutine of the client, unless Stop or a later Get for the
+// same id gave it up first.
 package index
 
 import (
 	"fmt"
 	"net"
+	"slices"
 	"sync"
 	"time"
 
@@ -18,6 +20,7 @@
 	dialTimeout  = time.Second     // longest wait for the index to accept a connection
 	writeTimeout = 5 * time.Second // longest wait for one batch of lines to be written; past it the connection ends
 	idleClose    = 9 * time.Second // a connection with no call out is closed after so long, before the index does at 10 s
+	linksMost    = 4               // connections at once; calls beyond one for each of them share
 	callsMost    = 1024            // calls open at once, from Get until their Reply; past it a Get is turned away
 	outputMost   = 4 << 20         // bytes that wait to be written; a Get that would pass it is turned away
 	idDigits     = 16              // an id is 16 hex digits
@@ -39,14 +42,15 @@
 	replies                        Replies
 	calls, turned, timedOut, stops *counters.Counter
 	unknown, dials, refused        *counters.Counter
-	lost, garbage                  *counters.Counter
+	lost, garbage, interrupted     *counters.Counter
 	linkEnded                      func() // tests only: told after a connection ended by itself
+	linksMost                      int
 
 	deliver sync.Mutex // held while Replies is told, so that replies come one at a time
 
 	mu       sync.Mutex // guards the fields below; never held during I/O or while Replies is told
 	addr     string
-	link     *link            // the connection in use, nil while there is none
+	links    []*link          // the connections that are up or being made, oldest first
 	open     map[string]*call // calls not handed yet, by id
 	ready    []*call          // calls with an outcome that drain hands on
 	draining bool             // a drain goroutine runs
@@ -69,12 +73,12 @@
 // New returns a client of the index at addr (host:port) that tells replies to replies. It dials only when a call is
 // made. Its counters, named index_..., are taken from set.
 func New(addr string, replies Replies, set *counters.Set) *Client {
-	return &Client{replies: replies, addr: addr, open: map[string]*call{},
+	return &Client{replies: replies, addr: addr, open: map[string]*call{}, linksMost: linksMost,
 		calls: set.Get("index_calls"), turned: set.Get("index_calls_turned_away"),
 		timedOut: set.Get("index_calls_timed_out"), stops: set.Get("index_stops"),
 		unknown: set.Get("index_replies_unknown"), dials: set.Get("index_dials"),
 		refused: set.Get("index_dials_failed"), lost: set.Get("index_links_lost"),
-		garbage: set.Get("index_links_garbage")}
+		garbage: set.Get("index_links_garbage"), interrupted: set.Get("index_calls_interrupted")}
 }
 
 // Get calls the index for the request id (16 hex digits) with body, waiting at most wait for the reply; the index is
@@ -87,6 +91,9 @@
 	old := c.open[id]
 	if old != nil {
 		c.give(old)
+		if old.link != nil && !old.done {
+			old.link.gaveUp(id)
+		}
 	}
 	k := &call{id: id, start: time.Now()}
 	c.open[id] = k
@@ -100,7 +107,7 @@
 		c.finish(k, policy.TurnedAway)
 		return
 	}
-	l := c.connect()
+	l := c.connect(id)
 	l.out = append(append(append(l.out, head...), body...), "\r\n"...)
 	l.queued = append(l.queued, k)
 	k.link = l
@@ -125,24 +132,26 @@
 	}
 }
 
-// Move has later dials go to addr (host:port). The connection in use is kept until it ends.
+// Move has later calls go to the index at addr (host:port). The calls that are out end on the connections they are on.
 func (c *Client) Move(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addr = addr
 }
 
-// Close ends the connection; each call still out gets Reply with policy.Interrupted, once. Later calls are turned
+// Close ends all connections; each call still out gets Reply with policy.Interrupted, once. Later calls are turned
 // away. Close does not wait for the client's goroutines.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
-	var socket net.Conn
-	if c.link != nil {
-		socket, _ = c.end(c.link, policy.Interrupted, policy.Interrupted)
+	var sockets []net.Conn
+	for _, l := range slices.Clone(c.links) {
+		if socket, _ := c.end(l, policy.Interrupted, policy.Interrupted); socket != nil {
+			sockets = append(sockets, socket)
+		}
 	}
 	c.mu.Unlock()
-	if socket != nil {
+	for _, socket := range sockets {
 		socket.Close()
 	}
 }
@@ -165,6 +174,7 @@
 		return
 	}
 	k.link.out = append(k.link.out, "STOP "+k.id+"\r\n"...)
+	k.link.gaveUp(k.id)
 	c.stops.Inc()
 	k.link.signal()
 }
@@ -226,11 +236,11 @@
 }
 
 // pending tells how many bytes wait to be written. c.mu is held.
-func (c *Client) pending() int {
-	if c.link == nil {
-		return 0
+func (c *Client) pending() (bytes int) {
+	for _, l := range c.links {
+		bytes += len(l.out) + l.writing
 	}
-	return len(c.link.out) + c.link.writing
+	return bytes
 }
 
 // validID tells whether id is 16 hex digits.
--- a/internal/index/link.go
+++ b/internal/index/link.go
@@ -20,6 +20,7 @@
 	readSize   = 64 << 10 // buffer of the reader
 	lineMost   = 64       // longest reply line, CR LF included; a longer one is garbage
 	resultMost = 4 << 20  // longest result of a HIT, in bytes; a longer one is garbage
+	givenMost  = 64       // ids that a link remembers to have given up
 )
 
 // errGarbage marks what the index sent that the protocol does not allow.
@@ -34,15 +35,25 @@
 // link is one connection to the index. It has one goroutine that dials and writes and one that reads. Its fields
 // are guarded by Client.mu.
 type link struct {
+	addr    string
 	socket  net.Conn      // nil while dialing
 	out     []byte        // lines waiting to be written
 	queued  []*call       // calls whose GET is in out
 	writing int           // bytes taken by the writer and not written yet
 	wake    chan struct{} // has a value while out may have bytes
 	quit    chan struct{} // closed when the link ends
+	given   []string      // ids of calls that were given up on it of late
 	ended   bool
 }
 
+// gaveUp remembers that a call was given up on l.
+func (l *link) gaveUp(id string) {
+	if len(l.given) >= givenMost {
+		l.given = slices.Delete(l.given, 0, 1)
+	}
+	l.given = append(l.given, id)
+}
+
 // signal wakes the writer.
 func (l *link) signal() {
 	select {
@@ -51,19 +62,48 @@
 	}
 }
 
-// connect returns the link in use, and starts one if there is none. c.mu is held.
-func (c *Client) connect() *link {
-	if c.link == nil {
-		c.link = &link{wake: make(chan struct{}, 1), quit: make(chan struct{})}
-		c.dials.Inc()
-		go c.run(c.link, c.addr)
+// connect returns the link for a call. It is the one on which an earlier call for id was given up, as the index might
+// take a STOP on another link for the new call; else the one with the fewest calls out, or a new one before any is shared
+// while there are under linksMost. Of those that are alike the oldest is taken, so that the others are closed as idle
+// when there is little to do. Links to an earlier address take no new calls. c.mu is held.
+func (c *Client) connect(id string) *link {
+	var best *link
+	least, current := 0, 0
+	for _, l := range c.links {
+		if slices.Contains(l.given, id) {
+			return l
+		}
+		if l.addr != c.addr {
+			continue
+		}
+		current++
+		if n := c.out(l); best == nil || n < least {
+			best, least = l, n
+		}
+	}
+	if best != nil && (least == 0 || current >= c.linksMost) {
+		return best
 	}
-	return c.link
+	l := &link{addr: c.addr, wake: make(chan struct{}, 1), quit: make(chan struct{})}
+	c.links = append(c.links, l)
+	c.dials.Inc()
+	go c.run(l)
+	return l
 }
 
-// run dials addr for l, then writes what l is given until it ends.
-func (c *Client) run(l *link, addr string) {
-	socket, err := net.DialTimeout("tcp", addr, dialTimeout)
+// out counts the calls on l that have no outcome. c.mu is held.
+func (c *Client) out(l *link) (calls int) {
+	for _, k := range c.open {
+		if k.link == l && !k.done {
+			calls++
+		}
+	}
+	return calls
+}
+
+// run dials l, then writes what l is given until it ends.
+func (c *Client) run(l *link) {
+	socket, err := net.DialTimeout("tcp", l.addr, dialTimeout)
 	c.mu.Lock()
 	if err != nil {
 		c.refused.Inc()
@@ -138,14 +178,9 @@
 func (c *Client) idle(l *link) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(l.out) > 0 {
+	if len(l.out) > 0 || c.out(l) > 0 {
 		return false
 	}
-	for _, k := range c.open {
-		if k.link == l && !k.done {
-			return false
-		}
-	}
 	c.end(l, policy.Interrupted, policy.Unreachable)
 	return true
 }
@@ -234,16 +269,15 @@
 // lose ends l after err and closes its socket. A link that was still up and did not end by garbage is counted lost.
 func (c *Client) lose(l *link, socket net.Conn, err error) {
 	c.mu.Lock()
+	if !l.ended && !errors.Is(err, errGarbage) {
+		c.lost.Inc() // before the calls on l are told
+	}
 	_, first := c.end(l, policy.Interrupted, policy.Unreachable)
 	c.mu.Unlock()
 	socket.Close()
-	if !first {
-		return
-	}
-	if !errors.Is(err, errGarbage) {
-		c.lost.Inc()
+	if first {
+		c.told()
 	}
-	c.told()
 }
 
 // end ends l: each call on it that has no outcome gets sent if its GET was handed to the socket, else unsent. It
@@ -254,14 +288,13 @@
 	}
 	l.ended = true
 	close(l.quit)
-	if c.link == l {
-		c.link = nil
-	}
+	c.links = slices.DeleteFunc(c.links, func(other *link) bool { return other == l })
 	for _, k := range c.open {
 		if k.link != l || k.done {
 			continue
 		}
 		if k.sent {
+			c.interrupted.Inc()
 			c.finish(k, sent)
 		} else {
 			c.finish(k, unsent)
