--- a/internal/replica/calls_test.go
+++ b/internal/replica/calls_test.go
@@ -135,3 +135,28 @@
 		t.Error(strings.Join(b.faults, "; "))
 	}
 }
+
+// A repeat that waited for a held try whose caller went used to wait on until it was due: nobody was left to run for it. It
+// never ran, and its caller is told so at once.
+func TestARepeatOfATryWhoseCallerIsGoneIsRefused(t *testing.T) {
+	b := newBenchOf(t, &bench{clock: newBench(t).clock, tries: map[string]*try{}}, Config{}, func(c *policy.Config) {
+		c.Cores = 1
+	})
+	for range 4 {
+		b.arrive("", 0, 3*time.Second)
+	}
+	first, repeat := b.arrive("k", 0, 3*time.Second), b.arrive("k", 0, 3*time.Second)
+	if slices.Contains(b.runs, first.txn) || len(first.answers)+len(repeat.answers) != 0 {
+		t.Fatalf("runs %q: the test needs a held try and its repeat", b.runs)
+	}
+	b.Gone(first.txn)
+	first.want(t, Refused, "")
+	repeat.want(t, Refused, "")
+	again := b.arrive("k", 0, 3*time.Second) // a new request: the key is free
+	if again.answers != nil || b.txns[again.txn].waitsOn != nil {
+		t.Errorf("a later try is answered %+v or waits for one that is gone", again.answers)
+	}
+	if len(b.faults) > 0 {
+		t.Error(strings.Join(b.faults, "; "))
+	}
+}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -471,6 +471,9 @@
 		if !req.running && req.waitsOn == nil && !req.answered {
 			r.answer(req, Answer{Kind: Refused})
 			r.forget(req)
+			if k := req.key; k != nil { // repeats that waited for it never ran either
+				r.release(k, Answer{Kind: Refused}, policy.Failed)
+			}
 		}
 	})
 }
