--- a/policy/call_limit.go
+++ b/policy/call_limit.go
@@ -11,6 +11,7 @@
 	callWeight     = 0.1   // weight of the newest call in the mean time of calls and in the limit
 	callMemory     = 0.001 // part of the gap to the present mean by which each call raises the uncrowded time
 	crowdedFrom    = 0.5   // share of the calls allowed at the most under which the dependency is crowded
+	shedFactor     = 0.8   // what a call that was turned away leaves of the limit
 	leastCallLimit = 1.0   // calls that the limit leaves, where so many are allowed at all
 )
 
@@ -37,6 +38,9 @@
 	l.limit = min(max(l.limit, leastCallLimit), l.most)
 }
 
+// shed takes the word that the dependency turned a call away unseen: it holds too many.
+func (l *callLimit) shed() { l.limit = min(max(l.limit*shedFactor, leastCallLimit), l.most) }
+
 // gradient is the part of the limit that the present latency leaves, 1 where calls are not crowded.
 func (l *callLimit) gradient() float64 {
 	if l.recent <= 0 {
--- a/policy/calls.go
+++ b/policy/calls.go
@@ -10,7 +10,8 @@
 // Tuned values of calls.
 const (
 	callShare    = 0.5 // share of the calls that this server may have in hand: it slows down earlier
-	callTries    = 3   // tries of one call
+	callTries    = 3   // tries of one call, where the request can end without it
+	backoffSteps = 5   // doublings of the tick between two tries of one call
 	skipPatience = 0.2 // share of its aim that a request waits for a call before it goes on without it
 )
 
@@ -111,6 +112,9 @@
 	if c.cfg.Dependency == SharedDependency && (o == Succeeded || o == TimedOut) {
 		c.callLimit.observe(took)
 	}
+	if c.cfg.Dependency == SharedDependency && o == TurnedAway {
+		c.callLimit.shed()
+	}
 	if o == Succeeded {
 		c.enter(r, running)
 	} else {
@@ -123,10 +127,14 @@
 // afterFailedCall calls again only where that repeats no effect (rule 2), else skips or fails.
 func (c *Controller) afterFailedCall(r *request, o Outcome) {
 	neverRan := o == TurnedAway || o == Unreachable
-	wait := c.tick << r.tries
+	again := neverRan || r.class.Semantics == Safe
+	if r.tries >= callTries { // what has no other way goes on trying: it holds work that is done already
+		again = neverRan && r.class.SkipWorth == 0
+	}
+	wait := c.tick << min(r.tries, backoffSteps)
 	switch {
 	case r.answered:
-	case (neverRan || r.class.Semantics == Safe) && r.tries < callTries && c.now+wait < c.limit(r.dueAt):
+	case again && c.now+wait < c.limit(r.dueAt):
 		heap.Push(&c.callRetry, entry{c.now + wait, r})
 	case r.class.SkipWorth > 0:
 		c.enter(r, running)
--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -109,3 +109,49 @@
 	c.Arrive(3*ms, Request{ID: 12, Class: 0, KB: 1}) // can go on without
 	want(t, h, "run 12")
 }
+
+// A dependency that turns calls away used to make a run fail after three tries within some milliseconds, though
+// all its work was done.
+func TestACallThatIsTurnedAwayIsMadeAgainWithBackoff(t *testing.T) {
+	c, h := callServer(t, 1)
+	h.take()
+	tries, last, gap := 0, time.Duration(0), time.Duration(0)
+	for now := time.Duration(0); now < 4*time.Second; now += c.tick {
+		if c.live[1].state == calling {
+			if tries++; tries > 1 {
+				if now-last < gap {
+					t.Fatalf("try %d came %v after the one before it, which had waited %v", tries, now-last, gap)
+				}
+				gap = now - last
+			}
+			last = now
+			c.Called(now, 1, TurnedAway, 0)
+		}
+		c.Tick(now, Gauges{})
+	}
+	if tries <= callTries || tries > 15 {
+		t.Errorf("%d tries in four seconds", tries)
+	}
+	if c.live[1].answered {
+		t.Errorf("answered a second before it is due: %s", h.take())
+	}
+	h.take()
+	c.Tick(5*time.Second, Gauges{})
+	want(t, h, "fail 1")
+}
+
+func TestACallThatIsTurnedAwayLowersTheLimit(t *testing.T) {
+	l := newCallLimit(10)
+	for range 4 {
+		l.shed()
+	}
+	if l.limit > 5 {
+		t.Errorf("a limit of %.1f of 10 after four calls were turned away", l.limit)
+	}
+	for range 100 {
+		l.shed()
+	}
+	if l.limit != leastCallLimit {
+		t.Errorf("a limit of %g after a hundred", l.limit)
+	}
+}
