--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -13,6 +13,7 @@
 	exploreShare = 0.4  // chance that a full pool explores rather than optimizes
 	exploreReach = 0.15 // how far a step goes, as a share of the size, one at the least
 	resizeRuns   = 12.0 // mean runs between resizes: few cores complete few, whose mean tells nothing
+	resizeDelays = 2    // referenceDelays between resizes at the least
 	statResizes  = 20   // resizes after which a measured size is forgotten: speeds change
 	moveGain     = 1.03 // a nearby size must be better by this factor to be moved to
 	idleRoots    = 0.57 // roots of the core count that idle cores leave free (square-root staffing)
@@ -61,14 +62,14 @@
 }
 
 func (c *Controller) interval() time.Duration {
-	return max(c.referenceDelay, time.Duration(resizeRuns*c.meanRun*float64(time.Second)))
+	return max(resizeDelays*c.referenceDelay, time.Duration(resizeRuns*c.meanRun*float64(time.Second)))
 }
 
 func (c *Controller) climb() {
 	c.pool = min(c.pool, c.crowd())
 	cores := float64(c.cfg.Cores)
 	idle := c.onCores < cores-idleRoots*math.Sqrt(cores)
-	if idle && c.full && c.count[held] > 0 && c.now-c.climbed >= c.referenceDelay/2 {
+	if idle && c.full && c.count[held] > 0 && c.now-c.climbed >= c.referenceDelay {
 		c.pool = min(c.pool+max(1, c.cfg.Cores/4), c.crowd())
 		c.climbed = c.now
 	}
--- a/policy/pie.go
+++ b/policy/pie.go
@@ -13,7 +13,7 @@
 	alphaStep      = 0.25  // α΄ for each referenceDelay of time at twice the wanted delay
 	betaStep       = 0.25  // β΄ for each referenceDelay by which the delay has grown
 	burstDelays    = 4.0   // maxBurst in referenceDelays: a short jump passes without dice
-	rateDelays     = 4.0   // window of the dequeue rate in referenceDelays
+	rateDelays     = 8.0   // window of the dequeue rate in referenceDelays
 )
 
 // pie is the paper's regulator: a probability moved by a delay.
@@ -47,7 +47,7 @@
 	}
 	c.update(c.estimateDelay(), dt)
 	c.ahead.update(c.currentDelay+c.unread, dt)
-	c.quotas.average(c.dropProb, dt, c.referenceDelay)
+	c.quotas.average(c.dropProb, c.ahead.dropProb, dt, c.referenceDelay)
 	if c.dropProb == 0 && c.currentDelay < c.referenceDelay/2 && c.oldDelay < c.referenceDelay/2 {
 		c.burstAllowed = c.maxBurst
 	} else {
--- a/policy/quotas.go
+++ b/policy/quotas.go
@@ -8,7 +8,8 @@
 const (
 	tenantWeight       = 0.0075 // weight of the newest arrival in the tenants' shares of the arrivals
 	meanRejectDelays   = 8      // reference delays over which the probability of rejection is averaged
-	meanRejectMultiple = 2      // most by which a tenant's probability exceeds its own at that average
+	meanRejectMultiple = 1.5    // most by which a tenant's probability exceeds its own at that average
+	levelMultiple      = 2      // most by which the level exceeds that at its average
 )
 
 // quotas divides a rejection probability for all arrivals among the tenants, so that what is admitted is
@@ -19,6 +20,7 @@
 	fractions  []float64 // of the service, by tenant
 	arrivals   []float64 // share of the recent arrivals, by tenant
 	meanReject float64   // mean rejection probability of late
+	meanAhead  float64   // mean of late of the probability that callers are told of
 }
 
 func newQuotas(tenants []Tenant) quotas {
@@ -39,10 +41,12 @@
 	}
 }
 
-// average moves the mean rejection probability by the present one, which was in force for the time elapsed.
-func (q *quotas) average(probability float64, elapsed, referenceDelay time.Duration) {
+// average moves the means by the rejection probability and the one that callers are told of, which were in
+// force for the time elapsed.
+func (q *quotas) average(probability, ahead float64, elapsed, referenceDelay time.Duration) {
 	weight := min(1, float64(elapsed)/(meanRejectDelays*float64(referenceDelay)))
 	q.meanReject += weight * (probability - q.meanReject)
+	q.meanAhead += weight * (ahead - q.meanAhead)
 }
 
 // reject is the rejection probability of a tenant where it is probability for all arrivals, bounded by the
@@ -56,7 +60,17 @@
 	return min(q.share(tenant, probability), bound)
 }
 
-// least is the rejection probability of the tenant that is rejected least.
+// level is the part of all requests that callers are to hold back where probability of all is to be rejected:
+// no more than is rejected of the tenant rejected least, as callers hold back by rank and know nothing of
+// quotas. It is bounded as reject is, for callers go by what they were told longer than the moment lasted.
+func (q *quotas) level(probability float64) float64 {
+	if len(q.arrivals) == 0 {
+		return probability
+	}
+	return min(q.least(probability), levelMultiple*q.least(q.meanAhead))
+}
+
+// least is the part rejected of the tenant that is rejected least.
 func (q *quotas) least(probability float64) float64 {
 	least := probability
 	for i := range q.arrivals {
--- a/policy/quotas_test.go
+++ b/policy/quotas_test.go
@@ -74,11 +74,11 @@
 	if p := q.reject(2, 1); p != 0 {
 		t.Errorf("a tenant within its quota is rejected at %.2f", p)
 	}
-	if p := q.reject(1, 1); p < 0.5 {
-		t.Errorf("a tenant beyond its quota is rejected at %.2f only", p)
+	if p, want := q.reject(1, 1), meanRejectMultiple*0.2/0.7; math.Abs(p-want) > 1e-9 {
+		t.Errorf("a tenant beyond its quota is rejected at %.3f, want %.3f", p, want)
 	}
 	for range 200 { // an overload that lasts
-		q.average(1, 50*time.Millisecond, 300*time.Millisecond)
+		q.average(1, 1, 50*time.Millisecond, 300*time.Millisecond)
 	}
 	if p := q.reject(2, 1); p < 0.99 {
 		t.Errorf("a tenant within its quota is rejected at %.2f in an overload that lasts", p)
@@ -95,8 +95,8 @@
 			t.Errorf("tenant %d of four: %.2f", tenant, p)
 		}
 	}
-	if p := none.least(0.3); p != 0.3 {
-		t.Errorf("least of none: %.2f", p)
+	if p := none.level(0.3); p != 0.3 {
+		t.Errorf("level of none: %.2f", p)
 	}
 }
 
@@ -108,13 +108,19 @@
 	for i := range 2000 {
 		c.observe(&request{class: &c.classes[0], Request: Request{Tenant: 1 + max(0, i%10-6)}}) // 7 in 10 of the first
 	}
-	c.ahead.dropProb = 0.2
-	if level := c.Level(); level != 0 {
-		t.Errorf("a level of %.2f while three tenants are within their quotas", level)
-	}
-	c.ahead.dropProb = 0.8
-	if level := c.Level(); level <= 0 || level >= 0.8*levelShare {
-		t.Errorf("a level of %.2f at a chance of 0.8", level)
+	for _, want := range []struct {
+		probability, mean, least, most float64
+		name                           string
+	}{
+		{0.2, 0.2, 0, 0, "three tenants within their quotas"},
+		{0.8, 0.8, 0.1, 0.8*levelShare - 0.01, "an overload that lasts"},
+		{1, 0.2, 0, 0, "a moment of overload"},
+		{0.2, 0.8, 0, 0, "an overload that ends"},
+	} {
+		c.ahead.dropProb, c.quotas.meanAhead = want.probability, want.mean
+		if level := c.Level(); level < want.least || level > want.most {
+			t.Errorf("%s: a level of %.2f, want %.2f to %.2f", want.name, level, want.least, want.most)
+		}
 	}
 }
 
--- a/policy/signals.go
+++ b/policy/signals.go
@@ -109,9 +109,8 @@
 	}
 }
 
-// Level is the part of all requests, by rank, that this server would by itself have callers hold back: no
-// more than it rejects of any tenant, as callers hold back by rank and know nothing of quotas.
-func (c *Controller) Level() float64 { return c.quotas.least(c.ahead.dropProb) * levelShare }
+// Level is the part of all requests, by rank, that this server would by itself have callers hold back.
+func (c *Controller) Level() float64 { return c.quotas.level(c.ahead.dropProb) * levelShare }
 
 // Others tells what all servers would have callers hold back, in the mean; 0 where nothing is known.
 func (c *Controller) Others(mean float64) { c.mean = mean }
