--- a/internal/settings/replica.go
+++ b/internal/settings/replica.go
@@ -101,8 +101,8 @@
 		return nil, fmt.Errorf("configuration: %s at %s cannot become %s at %s without a restart", r.Name, r.Listen, next.Name, next.Listen)
 	}
 	var changed []string
-	for what, same := range map[string]bool{"settings": reflect.DeepEqual(next.Policy, r.Policy) && next.OnCores == r.OnCores,
-		"tenants": slices.Equal(next.Tenants, r.Tenants), "limits": next.Limits == r.Limits} {
+	for what, same := range map[string]bool{"settings": sameSettings(next, r),
+		"tenants": slices.Equal(next.Policy.Tenants, r.Policy.Tenants), "limits": next.Limits == r.Limits} {
 		if !same {
 			changed = append(changed, what)
 		}
@@ -116,6 +116,13 @@
 	return next, nil
 }
 
+// sameSettings compares what two configurations tell the module, tenants apart.
+func sameSettings(a, b *Replica) bool {
+	first, second := a.Policy, b.Policy
+	first.Tenants, second.Tenants = nil, nil
+	return reflect.DeepEqual(first, second) && a.OnCores == b.OnCores
+}
+
 func parse(raw []byte) (*Replica, error) {
 	var f struct {
 		Name, Listen, Engine, Directory, Seed string
