--- a/policy/answers.go
+++ b/policy/answers.go
@@ -83,7 +83,7 @@
 	count(&c.lastShare, advice.Last)
 	mute := c.cfg.Signal == NoSignal || c.cfg.Signal == CallerTokens
 	if mute && !c.closing { // the signal cannot say zero, and callers do come back
-		advice.HoldOff = time.Duration(c.ahead.dropProb * float64(c.cfg.MaxHoldOff))
+		advice.HoldOff = time.Duration(c.quotas.level(c.ahead.dropProb) * float64(c.cfg.MaxHoldOff))
 	} else if !mute && !c.draining && c.now > r.arrived+r.Waited { // given up on: back after a start
 		free := time.Duration(c.startTime / max(c.startSum, 1) * float64(time.Second))
 		advice.HoldOff = min(free, c.cfg.MaxHoldOff)
--- a/policy/quotas_test.go
+++ b/policy/quotas_test.go
@@ -153,3 +153,26 @@
 		t.Errorf("the tenant beyond its quota: %.2f rejected, want about 0.36", share)
 	}
 }
+
+// A caller that stays away does so with the requests of all tenants: it used to be told so while one tenant alone
+// was beyond its quota.
+func TestNobodyIsToldToStayAwayWhileOneTenantAloneSendsTooMuch(t *testing.T) {
+	for _, want := range []struct {
+		mean    float64
+		holdOff bool
+	}{{0.2, false}, {0.9, true}} {
+		cfg, h := testConfig(), new(adviceHost)
+		cfg.Signal, cfg.MaxHoldOff, cfg.Tenants = CallerTokens, time.Second, fourTenants()
+		c, err := New(0, cfg, h)
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.quotas = loaded(cfg.Tenants, 0.7, 0.1, 0.1, 0.1)
+		c.burstAllowed, c.dropProb, c.ahead.dropProb = 0, 1, 0.9
+		c.quotas.meanReject, c.quotas.meanAhead = 0.9, want.mean
+		c.Arrive(0, Request{ID: 1, Tenant: 1, KB: 10})
+		if c.live[1] != nil || (h.last.HoldOff > 0) != want.holdOff {
+			t.Errorf("a mean of %.1f: advice %+v, held %v", want.mean, h.last, c.live[1] != nil)
+		}
+	}
+}
