--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -17,13 +17,15 @@
 )
 
 const (
-	dialTimeout  = time.Second     // longest wait for the index to accept a connection
-	writeTimeout = 5 * time.Second // longest wait for one batch of lines to be written; past it the connection ends
-	idleClose    = 9 * time.Second // a connection with no call out is closed after so long, before the index does at 10 s
-	linksMost    = 4               // connections at once; calls beyond one for each of them share
-	callsMost    = 1024            // calls open at once, from Get until their Reply; past it a Get is turned away
-	outputMost   = 4 << 20         // bytes that wait to be written; a Get that would pass it is turned away
-	idDigits     = 16              // an id is 16 hex digits
+	dialTimeout  = time.Second            // longest wait for the index to accept a connection
+	writeTimeout = 5 * time.Second        // longest wait for one batch of lines to be written; past it the connection ends
+	idleClose    = 9 * time.Second        // a connection with no call out is closed after so long, before the index does at 10 s
+	linksMost    = 4                      // connections at once; calls beyond one for each of them share
+	silentAfter  = 200 * time.Millisecond // shortest time without an answer after which a connection is taken for silent
+	passedMost   = 16                     // later calls answered on other connections before it is
+	callsMost    = 1024                   // calls open at once, from Get until their Reply; past it a Get is turned away
+	outputMost   = 4 << 20                // bytes that wait to be written; a Get that would pass it is turned away
+	idDigits     = 16                     // an id is 16 hex digits
 )
 
 // Replies is told how calls end.
@@ -44,7 +46,9 @@
 	unknown, dials, refused        *counters.Counter
 	lost, garbage, interrupted     *counters.Counter
 	linkEnded                      func() // tests only: told after a connection ended by itself
+	silent                         *counters.Counter
 	linksMost                      int
+	silentAfter                    time.Duration
 
 	deliver sync.Mutex // held while Replies is told, so that replies come one at a time
 
@@ -73,7 +77,8 @@
 // New returns a client of the index at addr (host:port) that tells replies to replies. It dials only when a call is
 // made. Its counters, named index_..., are taken from set.
 func New(addr string, replies Replies, set *counters.Set) *Client {
-	return &Client{replies: replies, addr: addr, open: map[string]*call{}, linksMost: linksMost,
+	return &Client{replies: replies, addr: addr, open: map[string]*call{},
+		linksMost: linksMost, silentAfter: silentAfter, silent: set.Get("index_links_silent"),
 		calls: set.Get("index_calls"), turned: set.Get("index_calls_turned_away"),
 		timedOut: set.Get("index_calls_timed_out"), stops: set.Get("index_stops"),
 		unknown: set.Get("index_replies_unknown"), dials: set.Get("index_dials"),
--- a/internal/index/link.go
+++ b/internal/index/link.go
@@ -43,6 +43,7 @@
 	wake    chan struct{} // has a value while out may have bytes
 	quit    chan struct{} // closed when the link ends
 	given   []string      // ids of calls that were given up on it of late
+	passed  int           // later calls on other links that were answered since it last answered one
 	ended   bool
 }
 
@@ -258,7 +259,14 @@
 		k.done, k.outcome, k.took = true, outcome, time.Since(k.start)
 		k.timer.Stop()
 	}
+	var sockets []net.Conn
+	if fits {
+		sockets = c.endSilent(k)
+	}
 	c.mu.Unlock()
+	for _, socket := range sockets {
+		socket.Close()
+	}
 	if !fits {
 		c.unknown.Inc()
 		return
@@ -266,6 +274,37 @@
 	c.hand(k, result)
 }
 
+// endSilent ends the links that have answered nothing while passedMost calls made later than theirs were answered on
+// others, and returns their sockets to close. It guards against a connection that takes calls and answers none of them
+// any more: its calls would hold their places until they are given up. c.mu is held.
+func (c *Client) endSilent(answered *call) (sockets []net.Conn) {
+	answered.link.passed = 0
+	for _, l := range slices.Clone(c.links) {
+		oldest := c.oldest(l)
+		if l == answered.link || oldest == nil || !oldest.start.Before(answered.start) {
+			continue
+		}
+		if l.passed++; l.passed < passedMost || time.Since(oldest.start) <= c.silentAfter {
+			continue
+		}
+		c.silent.Inc()
+		if socket, _ := c.end(l, policy.Interrupted, policy.Unreachable); socket != nil {
+			sockets = append(sockets, socket)
+		}
+	}
+	return sockets
+}
+
+// oldest is the call that has been out on l for the longest, nil if none is. c.mu is held.
+func (c *Client) oldest(l *link) (oldest *call) {
+	for _, k := range c.open {
+		if k.link == l && k.sent && !k.done && (oldest == nil || k.start.Before(oldest.start)) {
+			oldest = k
+		}
+	}
+	return oldest
+}
+
 // lose ends l after err and closes its socket. A link that was still up and did not end by garbage is counted lost.
 func (c *Client) lose(l *link, socket net.Conn, err error) {
 	c.mu.Lock()
--- a/internal/index/links_test.go
+++ b/internal/index/links_test.go
@@ -1,7 +1,10 @@
 package index
 
 import (
+	"io"
+	"maps"
 	"testing"
+	"time"
 
 	"cairnlane/policy"
 )
@@ -98,3 +101,63 @@
 	r.expect(t, id(1), policy.Succeeded)
 	r.none(t)
 }
+
+// A connection that takes calls and answers none of them used to keep them, and each that was made again went to it too,
+// until all had waited for as long as they might.
+func TestAConnectionThatAnswersNothingMoreIsGivenUp(t *testing.T) {
+	f := newFake(t)
+	c, r, set := startWith(t, f.addr(), 2)
+	c.silentAfter = 0
+	c.Get(id(0), long, nil)
+	silent := f.next()
+	silent.expect("GET", id(0))
+	var well *peer
+	for n := 1; n <= passedMost; n++ {
+		r.none(t)
+		c.Get(id(n), long, nil)
+		if n == 1 {
+			well = f.next()
+		}
+		well.expect("GET", id(n))
+		well.hit(id(n), nil)
+		if n < passedMost {
+			r.expect(t, id(n), policy.Succeeded)
+		}
+	}
+	got := map[string]policy.Outcome{}
+	for range 2 { // in either order: one is told by the reader, one by the client's own goroutine
+		reply := r.next(t)
+		got[reply.id] = reply.outcome
+	}
+	if want := map[string]policy.Outcome{id(0): policy.Interrupted, id(passedMost): policy.Succeeded}; !maps.Equal(got, want) {
+		t.Fatalf("replies %v, want %v", got, want)
+	}
+	silent.socket.SetReadDeadline(time.Now().Add(guard))
+	if _, err := silent.r.ReadByte(); err != io.EOF {
+		t.Fatalf("the silent connection: %v, want its end", err)
+	}
+	if n := set.Get("index_links_silent").Load(); n != 1 {
+		t.Fatalf("%d silent links are counted, want 1", n)
+	}
+}
+
+// A slow call on a connection that answers others is no reason to end it.
+func TestAConnectionWithASlowCallStays(t *testing.T) {
+	f := newFake(t)
+	c, r, set := startWith(t, f.addr(), 1)
+	c.silentAfter = 0
+	c.Get(id(0), long, nil)
+	p := f.next()
+	p.expect("GET", id(0))
+	for n := 1; n <= 2*passedMost; n++ {
+		c.Get(id(n), long, nil)
+		p.expect("GET", id(n))
+		p.hit(id(n), nil)
+		r.expect(t, id(n), policy.Succeeded)
+	}
+	p.hit(id(0), nil)
+	r.expect(t, id(0), policy.Succeeded)
+	if n := set.Get("index_links_silent").Load(); n != 0 {
+		t.Fatalf("%d silent links are counted", n)
+	}
+}
--- a/policy/call_limit.go
+++ b/policy/call_limit.go
@@ -13,6 +13,8 @@
 	crowdedFrom    = 0.5   // share of the calls allowed at the most under which the dependency is crowded
 	shedFactor     = 0.8   // what a call that was turned away leaves of the limit
 	leastCallLimit = 1.0   // calls that the limit leaves, where so many are allowed at all
+	outlierFactor  = 5.0   // most that one call counts for in the mean time of calls, as a multiple of it
+	overdueFactor  = 10.0  // multiple of the mean time of calls after which one is overdue
 )
 
 // callLimit is a gradient limit on the calls in hand: it falls in proportion as calls take longer than
@@ -26,9 +28,14 @@
 
 func newCallLimit(most float64) callLimit { return callLimit{most: most, limit: most} }
 
-// observe learns from a call that ended after took, or was given up then.
+// observe learns from a call that ended after took, or was given up then. One that took far longer than the
+// mean counts for outlierFactor times it: a call that was never answered tells nothing of the others.
 func (l *callLimit) observe(took time.Duration) {
-	move(&l.recent, took.Seconds(), callWeight)
+	seconds := took.Seconds()
+	if l.recent > 0 {
+		seconds = min(seconds, outlierFactor*l.recent)
+	}
+	move(&l.recent, seconds, callWeight)
 	if l.uncrowded == 0 {
 		l.uncrowded = l.recent
 	}
@@ -41,6 +48,11 @@
 // shed takes the word that the dependency turned a call away unseen: it holds too many.
 func (l *callLimit) shed() { l.limit = min(max(l.limit*shedFactor, leastCallLimit), l.most) }
 
+// overdue is the age above which a call in hand is taken for one that will not be answered.
+func (l *callLimit) overdue() time.Duration {
+	return time.Duration(overdueFactor * l.recent * float64(time.Second))
+}
+
 // gradient is the part of the limit that the present latency leaves, 1 where calls are not crowded.
 func (l *callLimit) gradient() float64 {
 	if l.recent <= 0 {
--- a/policy/calls.go
+++ b/policy/calls.go
@@ -4,6 +4,7 @@
 
 import (
 	"container/heap"
+	"slices"
 	"time"
 )
 
@@ -51,6 +52,10 @@
 		}
 		r.tries++
 		c.enter(r, calling)
+		if c.cfg.Dependency == SharedDependency {
+			r.calledAt = c.now
+			c.callsOut = append(c.callsOut, entry{c.now, r})
+		}
 		c.host.Call(r.ID, max(c.limit(r.dueAt)-c.now, c.tick))
 	}
 }
@@ -96,7 +101,26 @@
 		return true
 	}
 	n := float64(c.count[calling] + len(c.lingerer))
-	return n+1 <= c.callLimit.limit || n == 0 && c.callMean < c.callLimit.most
+	if n+1 > c.callLimit.most {
+		return n == 0 && c.callMean < c.callLimit.most
+	}
+	return n-float64(c.overdueCalls())+1 <= c.callLimit.limit
+}
+
+// overdueCalls counts the calls in hand that are overdue. They are kept out of the limit that follows the
+// latency: a few that are never answered would hold up all others until they are given up.
+func (c *Controller) overdueCalls() int {
+	overdue, first := 0, 0
+	for ; first < len(c.callsOut) && c.now-c.callsOut[first].at > c.callLimit.overdue(); first++ {
+		if e := c.callsOut[first]; e.r.state == calling && !e.r.ended && e.r.calledAt == e.at {
+			c.callsOut[overdue] = e
+			overdue++
+		}
+	}
+	if first > overdue {
+		c.callsOut = slices.Delete(c.callsOut, overdue, first)
+	}
+	return overdue
 }
 
 // Called takes the outcome of a call.
--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -155,3 +155,43 @@
 		t.Errorf("a limit of %g after a hundred", l.limit)
 	}
 }
+
+// One call that was never answered used to count for its whole patience in the mean time of calls, so that the limit
+// fell and what needs a call was rejected for the wait it did not have.
+func TestACallThatIsNeverAnsweredSaysNothingOfTheOthers(t *testing.T) {
+	l := newCallLimit(10)
+	for range 100 {
+		l.observe(3 * ms)
+	}
+	l.observe(9 * time.Second)
+	if l.recent > 0.006 || l.crowded() {
+		t.Errorf("a mean of %.3f s and a limit of %.1f of 10 after one call was given up", l.recent, l.limit)
+	}
+}
+
+// Calls that are never answered used to take the places of the limit until they were given up, seconds later.
+func TestCallsThatAreOverdueHoldUpNoOther(t *testing.T) {
+	c, _ := callServer(t, 1, 1, 1, 1)
+	c.callLimit.most, c.callLimit.limit, c.callLimit.recent = 3, 1, 0.01
+	overdue := c.callLimit.overdue()
+	for _, step := range []struct {
+		at      time.Duration
+		calling int
+	}{
+		{overdue, 1},
+		{overdue + ms, 2},
+		{2*overdue + 3*ms, 3},
+		{4 * overdue, 3}, // all three are overdue, and no more are allowed
+	} {
+		if c.Tick(step.at, Gauges{}); c.count[calling] != step.calling {
+			t.Errorf("%d calls in hand after %v, want %d", c.count[calling], step.at, step.calling)
+		}
+	}
+	c.Called(4*overdue+ms, 1, Succeeded, 4*overdue)
+	if c.count[calling] != 3 || c.live[1].state != running {
+		t.Errorf("%d calls in hand once one is answered, want 3", c.count[calling])
+	}
+	if len(c.callsOut) != 3 {
+		t.Errorf("%d calls are remembered, three are out", len(c.callsOut))
+	}
+}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -50,6 +50,7 @@
 	calls    int           // calls that it came to
 	callAt   time.Duration // when it came to the latest of them
 	callWait time.Duration // in all, until it could make them
+	calledAt time.Duration // when its latest call was made
 }
 
 type class struct {
@@ -128,6 +129,7 @@
 	calls, callRetry, lingerer queue
 	callMean                   float64
 	callLimit                  callLimit
+	callsOut                   []entry // calls made, oldest first; ended ones are dropped once overdue
 
 	callers, former map[int]*caller // seen since aged, and in the time before
 	aged            time.Duration
