--- a/internal/handover/replace/replace.go
+++ b/internal/handover/replace/replace.go
@@ -54,6 +54,9 @@
 	doorTime  = time.Second
 )
 
+// servedTooFew is the missed bound on how many requests were served.
+const servedTooFew = "served: less than half"
+
 // world is a replica's surroundings.
 type world struct {
 	cfg     Config
@@ -256,7 +259,7 @@
 		list = append(list, "the door answers late")
 	}
 	if f.Served < f.Requests/2 {
-		list = append(list, "served: less than half")
+		list = append(list, servedTooFew)
 	}
 	return list
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -18,6 +18,9 @@
 // nothing.
 func Ask(addr, call string, most time.Duration) (string, error) {
 	c, err := net.DialTimeout("tcp", addr, most)
+	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
+		return "", fmt.Errorf("the replica at %s did not answer within %v: %w", addr, most, err)
+	}
 	if err != nil {
 		return "", fmt.Errorf("no replica answers at %s (is it running, and is this its control address?): %w", addr, err)
 	}
