--- a/internal/lab/model/sweep.go
+++ b/internal/lab/model/sweep.go
@@ -79,7 +79,8 @@
 	for i, c := range s.Cases {
 		rows[i] = Row{Case: c, Boxes: s.Boxes, Seeds: s.Seeds, Results: map[Mode][]Result{}, Settled: map[Mode]time.Duration{}}
 		for _, m := range []Mode{Alone, Fleet, Cut} {
-			rows[i].Results[m] = make([]Result, s.Seeds)
+			results := make([]Result, s.Seeds) // the map itself is for this goroutine alone
+			rows[i].Results[m] = results
 			for k := range s.Seeds {
 				wait.Go(func() {
 					slots <- struct{}{}
@@ -88,7 +89,7 @@
 					r := Play(d)
 					mu.Lock()
 					defer mu.Unlock()
-					rows[i].Results[m][k] = r
+					results[k] = r
 					if from, to, ok := d.Fault(); ok {
 						rows[i].Settled[m] += r.Settles(from, to, 0.9) / time.Duration(s.Seeds)
 					}
