--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"net"
+	"os"
+	"os/exec"
 	"strings"
 	"syscall"
 	"testing"
@@ -200,6 +202,10 @@
 // Without descriptors netpoll used to accept from a goroutine of its own, beside the poller, once there were some again.
 // Who comes meanwhile is turned away by the poller itself, and who comes later is served.
 func TestWithoutDescriptorsThePollerTurnsAway(t *testing.T) {
+	if os.Getenv(aloneVariable) == "" {
+		alone(t)
+		return
+	}
 	s, err := Listen("127.0.0.1:0", 100, new(echo), testkit.NewClock().Now, new(counters.Set))
 	if err != nil {
 		t.Fatal(err)
@@ -245,6 +251,19 @@
 	}
 }
 
+// aloneVariable marks the process of a test that needs one of its own.
+const aloneVariable = "FRONT_TEST_ALONE"
+
+// alone runs the test in a process of its own: what others of this one close late would free descriptors.
+func alone(t *testing.T) {
+	t.Helper()
+	cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
+	cmd.Env = append(os.Environ(), aloneVariable+"=1")
+	if out, err := cmd.CombinedOutput(); err != nil {
+		t.Fatalf("%v\n%s", err, out)
+	}
+}
+
 // Two that end one connection at the same moment, the sweep and its writer say, end it once.
 func TestAnEndIsCarriedOutOnce(t *testing.T) {
 	s := serve(t, 100)
