--- a/internal/handover/replace/replace.go
+++ b/internal/handover/replace/replace.go
@@ -121,7 +121,13 @@
 		ln.Close()
 		return nil, err
 	}
-	w.load = &rig.Load{Seed: cfg.Seed, Limit: deadline * 3 / 4, Pause: 8 * time.Millisecond, Spread: true, Engines: func() []*engine.Engine { return []*engine.Engine{w.engine} },
+	traffic, err := rig.TrafficOf(cfg.Site)
+	if err != nil {
+		ln.Close()
+		w.catalog.Close()
+		return nil, err
+	}
+	w.load = &rig.Load{Seed: cfg.Seed, Traffic: traffic, Limit: deadline * 3 / 4, Pause: 8 * time.Millisecond, Spread: true, Engines: func() []*engine.Engine { return []*engine.Engine{w.engine} },
 		Excused: func(_ int, began time.Time) bool { return w.dying.Load() || began.UnixNano() <= w.killed.Load() }}
 	for range 4 {
 		w.load.Routers = append(w.load.Routers, &router.Router{Addr: ln.Addr().String()})
--- a/internal/lab/overloads/cost.go
+++ b/internal/lab/overloads/cost.go
@@ -29,19 +29,26 @@
 
 // variant is a fleet of two boxes, one of which gets the requests.
 type variant struct {
-	name  string
-	extra string
-	rules bool
-	site  *rig.Site
-	wire  []*router.Router
-	cpu   []float64 // of a request, in microseconds, by round
+	name   string
+	extra  string
+	rules  bool
+	site   *rig.Site
+	wire   []*router.Router
+	cpu    []float64 // of a request, in microseconds, by round
+	class  string
+	tenant string
 }
 
 // Cost measures the processor time of a request over sockets, from router to engine and back, with what a fleet advises and without, and with the
 // flight recorder and without: the same boxes in one run, in turn, in an order that is drawn anew each round.
 func Cost(cfg CostConfig) (CostFigures, error) {
+	traffic, err := rig.TrafficOf(cfg.Example)
+	if err != nil {
+		return CostFigures{}, err
+	}
 	list := []*variant{{name: "off"}, {name: "advised", rules: true}, {name: "recorder", extra: "recorder = true"}}
 	for _, v := range list {
+		v.class, v.tenant = traffic.Safe, traffic.Tenant
 		if err := v.start(cfg); err != nil {
 			return CostFigures{}, fmt.Errorf("%s: %w", v.name, err)
 		}
@@ -96,7 +103,7 @@
 		return nil
 	}
 	c := v.site.Boxes[0].Control().Fleet()
-	n, err := c.PutConfig([]byte("needs = 2\noverload {\n shares = { riverside-uni = 0.5 }\n}\n"))
+	n, err := c.PutConfig(fmt.Appendf(nil, "needs = 2\noverload {\n shares = { %q = 0.5 }\n}\n", v.tenant))
 	if err == nil {
 		err = c.StartRoll(n, rollout.Plan{Canaries: 1, Share: 1, Patience: 12 * time.Second, Slots: 2})
 	}
@@ -127,7 +134,7 @@
 	for i := range n {
 		slots <- struct{}{}
 		wait.Add(1)
-		v.wire[i%len(v.wire)].Send(router.Request{Txn: fmt.Sprintf("%08x%08x", time.Now().UnixNano()&0xffffffff, i), Class: "segment-fetch", Tenant: "riverside-uni", Body: "x", Limit: 700 * time.Millisecond, Rank: 0.99}, func(o router.Outcome) {
+		v.wire[i%len(v.wire)].Send(router.Request{Txn: fmt.Sprintf("%08x%08x", time.Now().UnixNano()&0xffffffff, i), Class: v.class, Tenant: v.tenant, Body: "x", Limit: 700 * time.Millisecond, Rank: 0.99}, func(o router.Outcome) {
 			if o.End != router.Served {
 				mu.Lock()
 				bad++
--- a/internal/lab/rig/site.go
+++ b/internal/lab/rig/site.go
@@ -225,7 +225,11 @@
 		return err
 	}
 	if s.cfg.Load {
-		s.Load = &Load{Seed: s.cfg.Seed, Limit: deadline * 3 / 4, Pause: 20 * time.Millisecond, Excused: s.excused, Engines: func() (list []*engine.Engine) {
+		traffic, err := TrafficOf(s.cfg.Example)
+		if err != nil {
+			return err
+		}
+		s.Load = &Load{Seed: s.cfg.Seed, Traffic: traffic, Limit: deadline * 3 / 4, Pause: 20 * time.Millisecond, Excused: s.excused, Engines: func() (list []*engine.Engine) {
 			for _, b := range s.Boxes {
 				list = append(list, b.core)
 			}
--- /dev/null
+++ b/internal/lab/rig/traffic_test.go
@@ -0,0 +1,39 @@
+package rig
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+)
+
+const (
+	lectures = "../../../examples/config.json"
+	images   = "../../../examples/images/config.json"
+)
+
+// TestALoadIsOfItsSite: tenant and classes are found by what the settings say of them, wherever they stand in their lists.
+func TestALoadIsOfItsSite(t *testing.T) {
+	const allKeyed = `{"settings":{"lanes":[{"name":"b","semantics":"idempotency_key","dedup-window":3000000}]}}`
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(allKeyed), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for config, want := range map[string]Traffic{
+		lectures: {Tenant: "riverside-uni", Safe: "segment-fetch", Keyed: []KeyedClass{{"note-save", 9618 * time.Millisecond}}},
+		images:   {Tenant: "map-room", Safe: "view-scan", Keyed: []KeyedClass{{"save-label", 27600 * time.Millisecond}, {"move-scan", 18500 * time.Millisecond}}},
+		path:     {Keyed: []KeyedClass{{"b", 3 * time.Second}}},
+	} {
+		if got, err := TrafficOf(config); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %+v, %v", config, got, err)
+		}
+	}
+	if err := os.WriteFile(path, []byte(`{"settings":{"lanes":[{"name":"c","semantics":"non_idempotent"}]}}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := TrafficOf(path); !errors.Is(err, ErrNoTraffic) {
+		t.Errorf("no class of which a load can be made: %v", err)
+	}
+}
