--- a/internal/certs/year/year.go
+++ b/internal/certs/year/year.go
@@ -95,7 +95,6 @@
 	core   *core
 	fig    *Figures
 
-	mu     sync.Mutex
 	server *front.Server
 	tls    *front.TLS
 	set    *certs.Set
--- a/internal/lab/fleetsim/sim.go
+++ b/internal/lab/fleetsim/sim.go
@@ -135,8 +135,7 @@
 	token  uint64
 	until  time.Duration // of the effect under way
 	by     string
-	stale  bool // the effect under way was delayed between its check and its begin
-	lastBy string
+	stale  bool   // the effect under way was delayed between its check and its begin
 	lowest uint64 // version that it takes
 }
 
--- a/internal/lab/rig/site.go
+++ b/internal/lab/rig/site.go
@@ -81,7 +81,6 @@
 	listen string // of requests
 	fleet  string // where it hears peers
 	rate   float64
-	addr   string // of the engine
 	engine *engine.Address
 	core   *engine.Engine
 
