--- a/examples/toy/engine.go
+++ b/examples/toy/engine.go
@@ -23,9 +23,7 @@
 			return err
 		}
 		l := &link{conn: conn, in: bufio.NewReader(conn), work: work, calls: calls, bodies: map[string][]byte{}}
-		if err := l.play(); err != nil {
-			log.Print("engine: the link ended: ", err)
-		}
+		log.Print("engine: the link ended: ", l.play())
 		conn.Close()
 	}
 }
@@ -135,7 +133,7 @@
 		}
 		go func() {
 			defer conn.Close()
-			if err := serveIndex(conn); err != nil && err != io.EOF {
+			if err := serveIndex(conn); err != io.EOF {
 				log.Print("index: the connection ended: ", err)
 			}
 		}()
