--- a/internal/fleet/ledger/store.go
+++ b/internal/fleet/ledger/store.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 	"go.etcd.io/raft/v3/raftpb"
 	"golang.org/x/sys/unix"
 	"google.golang.org/protobuf/proto"
@@ -41,7 +42,7 @@
 	}
 	path := filepath.Join(dir, FileName)
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTime, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true})
-	if errors.Is(err, bbolt.ErrTimeout) {
+	if errors.Is(err, bbolterrors.ErrTimeout) {
 		err = errOtherProcess
 	}
 	if err != nil {
