--- a/internal/state/audit/index_test.go
+++ b/internal/state/audit/index_test.go
@@ -66,7 +66,7 @@
 		got[fmt.Sprint("hour ", hours)] = strings.Join(s, ", ")
 	}
 	if w := x.AtTime(5*time.Hour, 2*time.Hour); !w[0].Sure && !w[1].Sure {
-		got["near a change"] = fmt.Sprint("not sure")
+		got["near a change"] = "not sure"
 	}
 	for _, n := range []uint64{1, 2, 3} {
 		var s []string
