--- a/internal/fleet/peer/links_test.go
+++ b/internal/fleet/peer/links_test.go
@@ -2,8 +2,11 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
+	"io"
 	"net"
+	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -192,6 +195,20 @@
 		defer a.Links.mu.Unlock()
 		return a.strangers == 0
 	})
+	// Each is closed by a, those that were too many and those that said nothing; it is not enough that they no longer count.
+	var held atomic.Int64
+	var reads sync.WaitGroup
+	for _, c := range open {
+		c.SetReadDeadline(time.Now().Add(20 * time.Second)) // as long as until waits
+		reads.Go(func() {
+			if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
+				held.Add(1)
+			}
+		})
+	}
+	if reads.Wait(); held.Load() > 0 {
+		t.Errorf("%d of %d connections that prove nothing were not closed", held.Load(), len(open))
+	}
 	c, err := net.Dial("tcp", peers["a"])
 	if err != nil {
 		t.Fatal(err)
