--- a/internal/lab/audits/audits.go
+++ b/internal/lab/audits/audits.go
@@ -397,8 +397,22 @@
 		}
 		return nil
 	})
+	t.ended(s, n, err)
+	return nil // one that goes on is superseded by the next
+}
+
+// ended compares the end of a script's roll-out to n with the one that is wanted; late says that it did not end in time. Where there
+// are faults, they decide on both.
+func (t *trial) ended(s Script, n uint64, late error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
+	if late != nil {
+		fmt.Fprintf(t.cfg.Progress, "%-26s %d: %v\n", s.Name, n, late)
+		if s.Want != "" && t.cfg.Faults == 0 {
+			t.fig.Notes = append(t.fig.Notes, fmt.Sprintf("%s: %v, not %s", s.Name, late, s.Want))
+			t.fig.Unsettled++
+		}
+	}
 	for _, x := range t.ends {
 		if x.To == n {
 			fmt.Fprintf(t.cfg.Progress, "%-26s %d: %v %s\n", s.Name, n, x.Phase, x.Why)
@@ -408,7 +422,6 @@
 			}
 		}
 	}
-	return nil // one that goes on is superseded by the next
 }
 
 // harm kills or stops whoever conducts.
--- a/internal/lab/audits/audits_test.go
+++ b/internal/lab/audits/audits_test.go
@@ -1,6 +1,8 @@
 package audits
 
 import (
+	"errors"
+	"io"
 	"os"
 	"os/exec"
 	"strings"
@@ -8,6 +10,7 @@
 	"time"
 
 	"cairnlane/internal/decide/lease"
+	"cairnlane/internal/decide/rollout"
 	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/lab/rigtest"
 )
@@ -43,6 +46,31 @@
 	t.Log(f)
 }
 
+// TestAWantedEndThatDoesNotComeIsCounted, when no faults decide on it.
+func TestAWantedEndThatDoesNotComeIsCounted(t *testing.T) {
+	late, done := errors.New("it goes on"), map[uint64]rollout.Roll{1: {To: 7, Phase: rollout.Done}}
+	for name, x := range map[string]struct {
+		want      string
+		faults    int
+		ends      map[uint64]rollout.Roll
+		late      error
+		unsettled int
+	}{
+		"as wanted":                  {"done", 0, done, nil, 0},
+		"another end":                {"returned", 0, done, nil, 1},
+		"another end under faults":   {"returned", 3, done, nil, 0},
+		"none in time":               {"done", 0, nil, late, 1},
+		"none in time, none wanted":  {"", 0, nil, late, 0},
+		"none in time, under faults": {"done", 3, nil, late, 0},
+	} {
+		tr := &trial{cfg: Config{Faults: x.faults, Progress: io.Discard}, fig: &Figures{}, ends: x.ends}
+		tr.ended(Script{Name: name, Want: x.want}, 7, x.late)
+		if tr.fig.Unsettled != x.unsettled || len(tr.fig.Notes) != x.unsettled {
+			t.Errorf("%s: %d unsettled, not %d; %v", name, tr.fig.Unsettled, x.unsettled, tr.fig.Notes)
+		}
+	}
+}
+
 // TestABoundThatIsMissedIsSaid: the figures are of use only if they can be bad.
 func TestABoundThatIsMissedIsSaid(t *testing.T) {
 	good := Figures{Acts: 100, Answers: 100, Tampered: 5, TamperedFound: 5, Done: 3, Processes: 9, Rollouts: 8, Returned: 1, Superseded: 1, Conductors: 1, Stragglers: 1, ShutOut: 1}
