--- a/Makefile
+++ b/Makefile
@@ -12,14 +12,14 @@
 build:
 	mkdir -p bin && go build -o bin/ ./cmd/...
 
-# Format, vet, race tests in both builds, then the build as the deploy file has it.
+# Format, vet and staticcheck, race tests in both builds, then the build as the deploy file has it.
 test:
 	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "not gofmt'd: $$unformatted"; exit 1; fi
 	@if grep -n letsencrypt/ go.sum; then echo "go.sum: a test of a library wants another project's server, which is not brought in; add modules with go get, not go mod tidy"; exit 1; fi
 	@direct=$$(go list -f '{{range .Imports}}{{.}}{{"\n"}}{{end}}{{range .TestImports}}{{.}}{{"\n"}}{{end}}{{range .XTestImports}}{{.}}{{"\n"}}{{end}}' ./... | sort -u); \
 	for m in $$(sed -n 's|^\t\(.*\) v.* // indirect$$|\1|p' go.mod); do \
 		if echo "$$direct" | grep -q "^$$m\(/\|$$\)"; then echo "go.mod: $$m is imported directly and marked indirect"; exit 1; fi; done
-	go vet ./...
+	$(MAKE) lint
 	go vet -tags debug ./...
 	$(GOTEST) -race -count=1 ./...
 	$(GOTEST) -race -count=1 -tags debug ./...
