--- a/internal/lab/mutants/overload.go
+++ b/internal/lab/mutants/overload.go
@@ -18,7 +18,7 @@
 	{"fallback forgotten", "internal/decide/shed/shed.go", "	if a.Trust == 0 {\n		return w\n	}\n", "", "./internal/decide/shed", "TestWordsOfAnAdvice"},
 	{"what the fleet refuses taken for a full box", "internal/fleet/view/meter.go", "	own, served := rate(t.Refused, was.Refused), ", "	own, served := rate(t.Refused, was.Refused)+rate(t.Advised, was.Advised), ", "./internal/fleet/view", "TestCapacityIsMeasuredWhereItShows"},
 	{"callers that heed nothing refused first", "internal/replica/replica.go", "	if r.manners.Saw(req.Caller, req.Rank) {", "	if r.manners.Saw(req.Caller, req.Rank) && false {", "./internal/lab/model", "TestAFleetIsBetterThanEachAlone"},
-	{"each box asks for its own", "policy/signals.go", "*(max(c.mean, own-levelApart)-own)", "*(max(c.mean, own-levelApart)-own)*0", "./policy", "TestServersAskForTheSame"},
+	{"each box asks for its own", "policy/signals.go", "*(max(c.meanLevel, own-levelExcess)-own)", "*(max(c.meanLevel, own-levelExcess)-own)*0", "./policy", "TestSignalBlendsWithMeanOfServers"},
 	{"judged by the newest version", "policy/answers.go", "Version: r.Others.Version}", "Version: r.Others.Version + 1}", "./internal/replica", "TestARequestIsJudgedByTheVersionThatItWasReadUnder"},
-	{"give up though others have room", "policy/answers.go", "		crowded = o.Full\n", "		crowded = true\n", "./policy", "TestOthersDecideWhatARefusedCallerIsTold"},
+	{"give up though others have room", "policy/answers.go", "		othersReject = others.Full\n", "		othersReject = true\n", "./policy", "TestPeerStateDecidesRejectionAdvice"},
 }
--- a/policy/answers.go
+++ b/policy/answers.go
@@ -1,32 +1,33 @@
 package policy
 
-// This file holds final answers that are not results of runs: rejections, failures, callers that have left.
+// This file handles requests that end without the result of a run: rejections, failures and callers that
+// left.
 
 import (
 	"container/heap"
 	"time"
 )
 
-// Tuned values of rejections.
+// Parameters of rejections.
 const (
-	lastAbove = 0.1 // p above which a refused caller is asked not to try elsewhere
-	heedShare = 0.8 // share of callers taken to do as asked
+	noRetryThreshold = 0.1 // probability above which rejected callers are advised not to retry elsewhere
+	complianceShare  = 0.8 // share of callers assumed to follow the advice
 )
 
-// answerDue gives every request its answer a tick before it is owed (rule 1), all of them before a
-// stop (rule 3).
+// answerDue answers every request one tick before it is due (rule 1), and all of them before a stop (rule 3).
 func (c *Controller) answerDue() {
-	for len(c.dues) > 0 && c.limit(c.dues[0].at) <= c.now+c.tick {
-		r := heap.Pop(&c.dues).(entry).r
+	for len(c.dueQueue) > 0 && c.beforeStop(c.dueQueue[0].at) <= c.now+c.tickInterval {
+		r := heap.Pop(&c.dueQueue).(entry).req
 		switch {
 		case r.ended || r.answered:
-		case c.now+c.tick < c.limit(r.dueAt) && c.dropProb == 0 && c.count[held] == 0: // past its aim only
-		case r.state == held:
-			c.refuse(r)
+		case c.now+c.tickInterval < c.beforeStop(r.dueAt) && c.dropProb == 0 && c.count[queued] == 0:
+			// Only the aim has passed, and no other request needs the cores.
+		case r.state == queued:
+			c.reject(r)
 		case r.state == joined:
 			c.fail(r)
-			c.end(r)
-		case c.worthlessLate(r):
+			c.remove(r)
+		case c.worthlessAfterAim(r):
 			r.answered = true
 			c.host.Refuse(r.ID, Advice{Last: true})
 			c.halt(r)
@@ -37,78 +38,83 @@
 	}
 }
 
-// worthlessLate tells whether r can be stopped and earns nothing past its aim. While others wait, such
-// a run is ended at its aim, whatever made it late. Harm: a caller that repeats at once what was ended.
-func (c *Controller) worthlessLate(r *request) bool {
+// worthlessAfterAim reports whether r can be stopped and earns nothing after its aim. While other requests
+// wait, such a run is ended at its aim, whatever made it late. The cost is that its caller may repeat it at
+// once.
+func (c *Controller) worthlessAfterAim(r *request) bool {
 	return r.class.LateWorth == 0 && r.class.Semantics == Safe && c.cfg.Halt != NoHalt
 }
 
-// Gone takes the word that the caller has left: nothing is owed any more.
+// Gone reports that the caller of a request has left, so that it needs no answer.
 func (c *Controller) Gone(now time.Duration, id RequestID) {
-	c.begin(now)
+	c.beginEvent(now)
 	r := c.live[id]
 	if r == nil {
 		return
 	}
 	r.answered = true
-	if r.state == held || r.state == joined {
-		c.drop(r)
+	if r.state == queued || r.state == joined {
+		c.discard(r)
 	} else {
 		c.halt(r)
 	}
-	c.startHeld()
+	c.startQueued()
 }
 
-// halt stops work for which nobody waits, where it can be stopped and leaves no effect.
+// halt stops a run whose result is no longer needed, if runs can be stopped and this one has no side effects.
 func (c *Controller) halt(r *request) {
 	if r.state == running && r.class.Semantics == Safe && c.cfg.Halt != NoHalt {
 		c.host.Halt(r.ID)
 	}
 }
 
+// fail answers r with an error; its run, if any, may go on.
 func (c *Controller) fail(r *request) {
 	r.answered = true
 	c.host.Fail(r.ID)
 }
 
-// refuse turns away a held request, which never ran, with advice on what its caller should do. It asks not
-// to try elsewhere where repeats, if marked, tell that the neighbours refuse too: what one slow or cold
-// server of many refuses is not lost. Harm: reads elsewhere, until the repeats are seen.
-func (c *Controller) refuse(r *request) {
-	o, crowded := r.Others, c.ahead.dropProb > lastAbove && c.refusedElsewhere() > repeatsAbove
-	if o.Known {
-		crowded = o.Full
+// reject answers a queued request, which never ran, with a rejection and advice for its caller. The advice is
+// not to retry elsewhere only if the other servers are full, as far as known, or else if marked retries show
+// that they reject requests too: other servers can serve what a single slow or cold one rejects. The cost is
+// that other servers have to read such requests until the retries are noticed.
+func (c *Controller) reject(r *request) {
+	others, othersReject := r.Others,
+		c.advisory.dropProb > noRetryThreshold && c.rejectedElsewhere() > repeatThreshold
+	if others.Known {
+		othersReject = others.Full
 	}
-	advice := Advice{Last: !c.draining && (crowded || c.now > r.aimAt), Version: r.Others.Version}
-	count(&c.lastShare, advice.Last)
-	mute := c.cfg.Signal == NoSignal || c.cfg.Signal == CallerTokens
-	if mute && !c.closing { // the signal cannot say zero, and callers do come back
-		advice.HoldOff = time.Duration(c.quotas.level(c.ahead.dropProb) * float64(c.cfg.MaxHoldOff))
-	} else if !mute && !c.draining && c.now > r.arrived+r.Waited { // given up on: back after a start
-		free := time.Duration(c.startTime / max(c.startSum, 1) * float64(time.Second))
-		advice.HoldOff = min(free, c.cfg.MaxHoldOff)
+	advice := Advice{Last: !c.draining && (othersReject || c.now > r.aimAt), Version: r.Others.Version}
+	updateShare(&c.noRetryShare, advice.Last)
+	cannotSayZero := c.cfg.Signal == NoSignal || c.cfg.Signal == CallerTokens
+	if cannotSayZero && !c.closingIdle { // the signal cannot ask for zero requests, and callers return
+		advice.HoldOff = time.Duration(c.quotas.level(c.advisory.dropProb) * float64(c.cfg.MaxHoldOff))
+	} else if !cannotSayZero && !c.draining && c.now > r.arrived+r.Waited { // queued in vain
+		untilStart := time.Duration(c.startTime / max(c.startSum, 1) * float64(time.Second))
+		advice.HoldOff = min(untilStart, c.cfg.MaxHoldOff)
 	}
-	elsewhere := !mute && !c.draining && !o.Full && c.ahead.dropProb > lastAbove // others have room
-	if o.Known && (elsewhere || advice.HoldOff > 0) {
-		advice.HoldOff = min(o.Return, c.cfg.MaxHoldOff)
+	roomElsewhere := !cannotSayZero && !c.draining && !others.Full && c.advisory.dropProb > noRetryThreshold
+	if others.Known && (roomElsewhere || advice.HoldOff > 0) {
+		advice.HoldOff = min(others.Return, c.cfg.MaxHoldOff)
 	}
 	c.host.Refuse(r.ID, advice)
-	c.drop(r)
+	c.discard(r)
 }
 
-// refusedElsewhere estimates the share refused by the neighbours from repeats, fewer where callers heed Last.
-func (c *Controller) refusedElsewhere() float64 {
+// rejectedElsewhere estimates the share of requests that other servers reject from the share of retries among
+// arrivals, corrected for callers that follow the advice not to retry.
+func (c *Controller) rejectedElsewhere() float64 {
 	if !c.cfg.MarksRetry {
 		return 1
 	}
-	return c.repeats / (1 - heedShare*c.lastShare)
+	return c.repeatShare / (1 - complianceShare*c.noRetryShare)
 }
 
-// drop ends a request that never ran and forgets its key, so that a repeat counts as new.
-func (c *Controller) drop(r *request) {
-	c.forget(r)
-	if r.class.Semantics == Keyed && r.state == held {
-		c.refused[r.ID] = true
+// discard ends a request that never ran and deletes its key, so that a repeat counts as a new request.
+func (c *Controller) discard(r *request) {
+	c.forgetKey(r)
+	if r.class.Semantics == Keyed && r.state == queued {
+		c.rejectedInBatch[r.ID] = true
 	}
-	c.end(r)
+	c.remove(r)
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,177 +1,186 @@
-// Package policy is cairnlane's decision module. This file is its interface: the settings given at
-// the start, the events a server reports (methods of Controller, in policy.go) and the actions it
-// takes (Host). It holds types only; every decision lives in the other files.
+// Package policy decides which requests a server admits, when they run and what callers are told.
+//
+// This file declares the package's interface: the settings (Config), the requests and events that a server
+// reports (methods of Controller) and the actions that it carries out (Host). The decisions are in the other
+// files.
+//
+// The decisions keep four rules, which comments refer to by number:
+//  1. Every request is answered by its due time.
+//  2. A request that must not run twice never has its effect twice.
+//  3. A drain answers all requests before the stop and runs none that arrived after its grace.
+//  4. Memory, running requests and open calls stay within what the server and its dependency sustain.
 package policy
 
 import "time"
 
-// RequestID names one try of a request on this server.
+// RequestID identifies one attempt of a request on this server.
 type RequestID int64
 
-// Semantics tells whether a request may run more than once.
+// Semantics states whether a request may run more than once.
 type Semantics int
 
-// The kinds of repeat safety.
+// The values of Semantics.
 const (
 	Safe   Semantics = iota // may run any number of times
-	Keyed                   // may come again within a window and must run once
+	Keyed                   // may be repeated within a window and must run at most once
 	Unsafe                  // must not run again once it may have run
 )
 
-// Preemption tells what Host.Halt does to running work.
+// Preemption states what Host.Halt does to running work.
 type Preemption int
 
-// The kinds of preemption.
+// The values of Preemption.
 const (
 	NoHalt    Preemption = iota // Halt must not be used
-	DropHalt                    // the work done is lost
-	PauseHalt                   // the work done is kept in running memory
+	DropHalt                    // the work done so far is lost
+	PauseHalt                   // the work done so far is kept and occupies the memory of a running request
 )
 
-// SignalKind tells how callers read the free value set by Host.Signal.
+// SignalKind states how callers interpret the value set by Host.Signal.
 type SignalKind int
 
-// The kinds of signal.
+// The values of SignalKind.
 const (
 	NoSignal      SignalKind = iota // Signal must not be used
-	RankFloor                       // callers send nothing ranked below the value
-	CallerTokens                    // callers keep at most that many requests out with this server
-	ArrivalChance                   // the chance that a caller does not pass this server by
+	RankFloor                       // callers send no request whose rank is below the value
+	CallerTokens                    // each caller has at most that many requests open at this server
+	ArrivalChance                   // the probability that a caller picks this server instead of skipping it
 )
 
-// DependencyKind tells what running requests call.
+// DependencyKind states what running requests call.
 type DependencyKind int
 
-// The kinds of dependency.
+// The values of DependencyKind.
 const (
 	NoDependency     DependencyKind = iota
-	SharedDependency                // one service for all servers
-	NextTier                        // servers that run the same module
+	SharedDependency                // one service that all servers call
+	NextTier                        // servers that run this package themselves
 )
 
 // Class describes one class of requests.
 type Class struct {
 	Name      string
-	Aim       time.Duration // an answer within it earns the full worth
-	Deadline  time.Duration // callers give up after it
+	Aim       time.Duration // latency target: an answer within it earns the full worth
+	Deadline  time.Duration // callers give up after this time
 	Worth     float64
-	LateWorth float64 // share of the worth that an answer after the aim keeps
+	LateWorth float64 // share of the worth that an answer later than the aim earns
 	Semantics Semantics
-	Window    time.Duration // Keyed: repeats may come for so long
-	SkipWorth float64       // share of the worth kept when a call is skipped; 0 forbids it
+	Window    time.Duration // Keyed: time during which repeats may arrive
+	SkipWorth float64       // share of the worth earned when the call is skipped; 0 forbids skipping
 }
 
-// Tenant describes one tenant: what it sends beyond its share of the service is worth little.
+// Tenant describes one tenant. Requests beyond its share of the service are worth little.
 type Tenant struct {
 	Name     string
-	Fraction float64 // its share of the service, of all tenants' together
+	Fraction float64 // its share of the service that all tenants use together
 }
 
 // Config holds the settings of one instance, as known when its process starts. Cores, MemoryKB and
-// Classes with an Aim and a Deadline are required. The zero value of the rest is safe: RunFactor and
-// FallFactor count as 1, Halt, Signal, Dependency, ShareFor and advice stay unused, and without an
-// AnswerSlack the timer goes by the aims.
+// Classes with an Aim and a Deadline are required. The zero values of the other fields are safe: RunFactor
+// and FallFactor count as 1, Halt, Signal, Dependency, ShareFor and advice to hold off are not used, and
+// without an AnswerSlack the interval between ticks is derived from the aims.
 type Config struct {
 	Seed        int64
 	Cores       int
-	Cold        bool          // the process was started only now
-	ColdFrom    float64       // share of its speed that a cold server has at the least
-	ColdFor     time.Duration // a cold server is warm after this time at the latest
+	Cold        bool          // the server has just started and is slower until it is warm
+	ColdFrom    float64       // lowest speed of a cold server, as a share of its warm speed
+	ColdFor     time.Duration // time after which a cold server is warm at the latest
 	MemoryKB    float64
-	RunFactor   float64 // memory of a running request over that of a held one
-	KeyKB       float64 // memory of one kept key
-	FallFactor  float64 // running requests a core that a warm server survives in the mean
-	AnswerSlack time.Duration
-	DrainGrace  time.Duration
+	RunFactor   float64       // memory of a running request relative to that of a queued one
+	KeyKB       float64       // memory of one stored key
+	FallFactor  float64       // mean number of running requests per core that a warm server can sustain
+	AnswerSlack time.Duration // how late an answer may be after its due time
+	DrainGrace  time.Duration // time after the start of a drain in which arrivals are still admitted
 	Classes     []Class
-	Tenants     []Tenant // a site may define none
+	Tenants     []Tenant // may be empty
 	Callers     int      // number of callers at the start
-	MarksRetry  bool     // further tries are marked
-	Readiness   bool     // the list that all callers have follows Host.Health
+	MarksRetry  bool     // callers mark retries
+	Readiness   bool     // a server whose Host.Health is false is removed from the list that callers use
 	Halt        Preemption
 	Signal      SignalKind
-	Heeded      time.Duration // how long a caller remembers a signal
-	MaxHoldOff  time.Duration // longest advice to stay away that is honoured; 0 where none is
+	Heeded      time.Duration // time for which a caller follows a signal
+	MaxHoldOff  time.Duration // longest Advice.HoldOff that callers follow; 0 if they follow none
 	Dependency  DependencyKind
-	FairCalls   float64       // SharedDependency: mean calls in hand that this server may have
-	CallsOver   time.Duration // the window of that mean
-	CallLinger  time.Duration // how long an abandoned call may stay in the dependency's hands
-	ShareFor    time.Duration // how long the answer to a read may be handed to others; 0 for never
-	IdleMax     time.Duration // callers close idle connections after it; 0 leaves them alone
-	WorthByWork bool          // worth counts for each unit of work, not for each request
+	FairCalls   float64       // SharedDependency: mean number of open calls that this server may have
+	CallsOver   time.Duration // window over which that mean is taken
+	CallLinger  time.Duration // how long an abandoned call may still occupy the dependency
+	ShareFor    time.Duration // time for which the answer to a read may be reused for others; 0 for never
+	IdleMax     time.Duration // idle time after which callers close a connection; 0 if they do not
+	WorthByWork bool          // Class.Worth counts per unit of work, not per request
 }
 
-// Request is one try that was read.
+// Request is one attempt of a request that was read from its connection.
 type Request struct {
 	ID       RequestID
 	Class    int  // index into Config.Classes
-	Tenant   int  // 1 + index into Config.Tenants; 0 where none is told
-	Retry    bool // a marked further try
+	Tenant   int  // 1 + index into Config.Tenants; 0 if unknown
+	Retry    bool // marked as a retry by its caller
 	Caller   int
 	KB       float64
-	Rank     float64       // 0 to 1, by worth
-	Earlier  RequestID     // the kept request that this one repeats, or 0
-	Expected time.Duration // expected work on a standard core, 0 if not told
+	Rank     float64       // 0 to 1; requests of higher worth have a higher rank
+	Earlier  RequestID     // the request with a stored key that this one repeats, or 0
+	Expected time.Duration // expected work on a standard core; 0 if unknown
 	Key      string
-	Waited   time.Duration // time since it reached the machine
-	Due      time.Duration // clock time at which the caller leaves, 0 if not told
+	Waited   time.Duration // time from its arrival at the machine until it was read
+	Due      time.Duration // clock time at which the caller gives up; 0 if unknown
 	Others   Others
 }
 
-// Others is what is known, as a request is read, of the other servers that serve the same callers. The zero
-// value is nothing: the server is alone.
+// Others is the state of the other servers that serve the same callers, as known when a request is read. The
+// zero value means that nothing is known about them.
 type Others struct {
-	Version uint64        // under which it is known; handed back with a refusal
-	Known   bool          // Full and Return count
-	Full    bool          // none of them could serve the request
-	Return  time.Duration // when its caller is to come back, drawn so that not all come at once
-	Beyond  bool          // a further try, beyond those that all servers together take
-	// Order is 2 for what is refused at the least pressure, 1 once many are refused, and -1 for what chance
-	// does not refuse, as it would be read again elsewhere.
+	Version uint64        // version of this state; returned in the Advice of a rejection
+	Known   bool          // Full and Return are valid
+	Full    bool          // none of them has room for the request
+	Return  time.Duration // time until the caller should return, randomized to spread the callers
+	Beyond  bool          // a retry that exceeds the number that all servers together accept
+	// Order is 2 for requests that are rejected at the slightest overload, 1 for those rejected once many
+	// are, and -1 for those that are not rejected at random, as another server would have to read them
+	// again.
 	Order int
 }
 
-// Outcome tells how a run or a call ended.
+// Outcome states how a run or a call ended.
 type Outcome int
 
-// The outcomes of runs and calls.
+// The values of Outcome.
 const (
 	Succeeded   Outcome = iota
-	Failed              // it failed, possibly after taking effect
-	TurnedAway          // proven: it never ran
-	TimedOut            // given up on; it may have had its effect
-	Unreachable         // proven: it never ran
-	Interrupted         // it may have had its effect
+	Failed              // it failed and may have had its effect
+	TurnedAway          // rejected; it certainly never ran
+	TimedOut            // abandoned after a time-out; it may have had its effect
+	Unreachable         // no connection; it certainly never ran
+	Interrupted         // the connection broke; it may have had its effect
 	Cancelled           // the run was stopped
-	Moot                // proven: nothing started, the request had ended
+	Moot                // nothing was started, as the request had already ended
 )
 
-// Gauges are the server's own readings.
+// Gauges are measurements of the server.
 type Gauges struct {
-	OnCores float64       // present demand for a core
-	Age     time.Duration // how old they are
+	OnCores float64       // current demand for cores
+	Age     time.Duration // time since they were measured
 }
 
-// Advice goes out with a refusal.
+// Advice tells the caller of a rejected request what to do next.
 type Advice struct {
-	HoldOff time.Duration // stay away from this server for so long
-	Last    bool          // do not try elsewhere
+	HoldOff time.Duration // send nothing to this server for this time
+	Last    bool          // do not retry at another server
 	Version uint64        // Others.Version of the request
 }
 
 // Host carries out the actions of a Controller on its server.
 type Host interface {
-	Run(id RequestID)                         // start a held request or resume a paused one
-	Refuse(id RequestID, advice Advice)       // final answer: turned away, never ran
+	Run(id RequestID)                         // start a queued request or resume a paused one
+	Refuse(id RequestID, advice Advice)       // final answer: rejected
 	Fail(id RequestID)                        // final answer: an error
-	Reuse(id RequestID)                       // answer with the outcome of the request it repeats
-	Keep(id RequestID, ttl time.Duration)     // remember the key of a request
-	Forget(id RequestID)                      // drop that memory
-	Call(id RequestID, maxWait time.Duration) // make the call the request waits for
-	Skip(id RequestID)                        // go on without the call
-	Halt(id RequestID)                        // stop running work
-	Signal(value float64)                     // set the free value sent with every answer
-	Health(good bool)                         // answer to health checks, given from store
-	CloseIdle(after time.Duration)            // close connections idle for so long
-	Wake(after time.Duration)                 // ask for a Tick
+	Reuse(id RequestID)                       // answer with the outcome of the request that it repeats
+	Keep(id RequestID, ttl time.Duration)     // store the key of a request
+	Forget(id RequestID)                      // delete the stored key
+	Call(id RequestID, maxWait time.Duration) // make the call that the request waits for
+	Skip(id RequestID)                        // continue the run without the call
+	Halt(id RequestID)                        // stop a run; see Preemption
+	Signal(value float64)                     // set the value sent with every answer; see SignalKind
+	Health(good bool)                         // set the result that health checks get
+	CloseIdle(after time.Duration)            // close connections that are idle for this time
+	Wake(after time.Duration)                 // call Controller.Tick after this time
 }
--- a/policy/call_limit.go
+++ b/policy/call_limit.go
@@ -1,65 +1,67 @@
 package policy
 
-// This file holds the limit on the calls in hand at a dependency that all servers share.
+// This file limits the open calls at a dependency that all servers share.
 
 import "time"
 
-// Tuned values of the limit.
+// Parameters of the limit.
 const (
-	callTolerance  = 2.0   // multiple of the time of an uncrowded call above which the limit falls
-	callAllowance  = 2.0   // calls beyond what the latency leaves, so that the limit can rise again
-	callWeight     = 0.1   // weight of the newest call in the mean time of calls and in the limit
-	callMemory     = 0.001 // part of the gap to the present mean by which each call raises the uncrowded time
-	crowdedFrom    = 0.5   // share of the calls allowed at the most under which the dependency is crowded
-	shedFactor     = 0.8   // what a call that was turned away leaves of the limit
-	leastCallLimit = 1.0   // calls that the limit leaves, where so many are allowed at all
-	outlierFactor  = 5.0   // most that one call counts for in the mean time of calls, as a multiple of it
-	overdueFactor  = 10.0  // multiple of the mean time of calls after which one is overdue
+	callTolerance   = 2.0   // multiple of the baseline duration of calls above which the limit falls
+	callAllowance   = 2.0   // calls added to what the gradient allows, so that the limit can rise again
+	callWeight      = 0.1   // weight of the newest call in the mean duration of calls and in the limit
+	baselineDrift   = 0.001 // part of its gap to the mean by which each call raises the baseline
+	congestedShare  = 0.5   // share of the maximum below which a limit means that the dependency is congested
+	rejectionFactor = 0.8   // factor on the limit for each rejected call
+	minCallLimit    = 1.0   // lower bound of the limit, unless the maximum is lower
+	outlierFactor   = 5.0   // multiple of the mean duration at which the duration of a single call is capped
+	overdueFactor   = 10.0  // multiple of the mean duration after which a call is overdue
 )
 
-// callLimit is a gradient limit on the calls in hand: it falls in proportion as calls take longer than
-// callTolerance times an uncrowded one. It guards against a dependency that gets less done the more it holds.
+// callLimit is a gradient-based limit on open calls: it falls in proportion as calls take longer than
+// callTolerance times the baseline. It protects a dependency whose throughput falls under concurrent calls.
 type callLimit struct {
-	most      float64 // calls in hand that are allowed at the most
-	limit     float64 // calls in hand that are allowed now
-	uncrowded float64 // seconds that a call takes where few are in hand
-	recent    float64 // seconds that calls took in the mean of late
+	maximum  float64 // upper bound of the limit
+	limit    float64 // open calls allowed now
+	baseline float64 // duration in seconds of a call while few are open
+	meanTime float64 // moving average of the duration in seconds
 }
 
-func newCallLimit(most float64) callLimit { return callLimit{most: most, limit: most} }
+func newCallLimit(maximum float64) callLimit { return callLimit{maximum: maximum, limit: maximum} }
 
-// observe learns from a call that ended after took, or was given up then. One that took far longer than the
-// mean counts for outlierFactor times it: a call that was never answered tells nothing of the others.
+// observe adjusts the limit to a call that ended or was abandoned after took. A duration far above the mean
+// is capped at outlierFactor times the mean, as a call that is never answered says nothing about the others.
 func (l *callLimit) observe(took time.Duration) {
 	seconds := took.Seconds()
-	if l.recent > 0 {
-		seconds = min(seconds, outlierFactor*l.recent)
+	if l.meanTime > 0 {
+		seconds = min(seconds, outlierFactor*l.meanTime)
 	}
-	move(&l.recent, seconds, callWeight)
-	if l.uncrowded == 0 {
-		l.uncrowded = l.recent
+	updateWeightedMean(&l.meanTime, seconds, callWeight)
+	if l.baseline == 0 {
+		l.baseline = l.meanTime
 	}
-	l.uncrowded = min(l.recent, l.uncrowded+callMemory*(l.recent-l.uncrowded))
+	l.baseline = min(l.meanTime, l.baseline+baselineDrift*(l.meanTime-l.baseline))
 	target := l.limit*l.gradient() + callAllowance
 	l.limit += callWeight * (target - l.limit)
-	l.limit = min(max(l.limit, leastCallLimit), l.most)
+	l.limit = min(max(l.limit, minCallLimit), l.maximum)
 }
 
-// shed takes the word that the dependency turned a call away unseen: it holds too many.
-func (l *callLimit) shed() { l.limit = min(max(l.limit*shedFactor, leastCallLimit), l.most) }
+// observeRejection lowers the limit after the dependency rejected a call, which means that it has too many.
+func (l *callLimit) observeRejection() {
+	l.limit = min(max(l.limit*rejectionFactor, minCallLimit), l.maximum)
+}
 
-// overdue is the age above which a call in hand is taken for one that will not be answered.
-func (l *callLimit) overdue() time.Duration {
-	return time.Duration(overdueFactor * l.recent * float64(time.Second))
+// overdueAge returns the age above which an open call is assumed to remain unanswered.
+func (l *callLimit) overdueAge() time.Duration {
+	return time.Duration(overdueFactor * l.meanTime * float64(time.Second))
 }
 
-// gradient is the part of the limit that the present latency leaves, 1 where calls are not crowded.
+// gradient returns the factor on the limit at the present latency, which is 1 without congestion.
 func (l *callLimit) gradient() float64 {
-	if l.recent <= 0 {
+	if l.meanTime <= 0 {
 		return 1
 	}
-	return min(1, callTolerance*l.uncrowded/l.recent)
+	return min(1, callTolerance*l.baseline/l.meanTime)
 }
 
-// crowded tells whether the dependency takes far fewer calls than this server may have in hand.
-func (l *callLimit) crowded() bool { return l.limit < crowdedFrom*l.most }
+// congested reports whether the dependency takes far fewer calls than this server may have open.
+func (l *callLimit) congested() bool { return l.limit < congestedShare*l.maximum }
--- a/policy/calls.go
+++ b/policy/calls.go
@@ -1,6 +1,6 @@
 package policy
 
-// This file holds the calls that running requests make to a dependency.
+// This file schedules the calls that running requests make to a dependency.
 
 import (
 	"container/heap"
@@ -8,175 +8,181 @@
 	"time"
 )
 
-// Tuned values of calls.
+// Parameters of calls.
 const (
-	callShare    = 0.5 // share of the calls that this server may have in hand: it slows down earlier
-	callTries    = 3   // tries of one call, where the request can end without it
-	backoffSteps = 5   // doublings of the tick between two tries of one call
-	skipPatience = 0.2 // share of its aim that a request waits for a call before it goes on without it
+	callShare       = 0.5 // share of FairCalls to use, as the dependency slows down before that number
+	maxCallAttempts = 3   // attempts at a call if the request can end without it
+	backoffSteps    = 5   // maximum number of doublings of the tick between two attempts at a call
+	skipWaitShare   = 0.2 // share of its aim that a request waits for a call before the call is skipped
 )
 
-// NeedsCall takes a running request that waits for us to make its call.
+// NeedsCall reports that a running request waits for the controller to make its call.
 func (c *Controller) NeedsCall(now time.Duration, id RequestID) {
-	c.begin(now)
+	c.beginEvent(now)
 	if r := c.live[id]; r != nil {
-		c.enter(r, atCall)
-		r.tries, r.callAt = 0, c.now
-		r.calls++
+		c.setState(r, awaitingCall)
+		r.attempts, r.callWantedAt = 0, c.now
+		r.callCount++
 		if r.answered {
 			return
 		}
-		heap.Push(&c.calls, entry{c.order(r), r})
+		heap.Push(&c.callQueue, entry{c.startBy(r), r})
 		c.startCalls()
-		c.startHeld()
+		c.startQueued()
 	}
 }
 
+// startCalls makes queued calls as far as the limit allows, and skips those that may and should be skipped.
 func (c *Controller) startCalls() {
-	if c.callLimit.crowded() { // the calls there are go to those that cannot do without
+	if c.callLimit.congested() { // the few possible calls are left to requests that cannot skip theirs
 		c.skipCalls()
 	}
-	for len(c.calls) > 0 {
-		r := c.calls[0].r
-		if r.ended || r.answered || r.state != atCall {
-			heap.Pop(&c.calls)
+	for len(c.callQueue) > 0 {
+		r := c.callQueue[0].req
+		if r.ended || r.answered || r.state != awaitingCall {
+			heap.Pop(&c.callQueue)
 			continue
 		}
 		if !c.mayCall() {
 			c.skipCalls()
 			return
 		}
-		heap.Pop(&c.calls)
-		if r.tries == 0 {
-			r.callWait += c.now - r.callAt
+		heap.Pop(&c.callQueue)
+		if r.attempts == 0 {
+			r.callWait += c.now - r.callWantedAt
 		}
-		r.tries++
-		c.enter(r, calling)
+		r.attempts++
+		c.setState(r, calling)
 		if c.cfg.Dependency == SharedDependency {
-			r.calledAt = c.now
-			c.callsOut = append(c.callsOut, entry{c.now, r})
+			r.callStartedAt = c.now
+			c.openCalls = append(c.openCalls, entry{c.now, r})
 		}
-		c.host.Call(r.ID, max(c.limit(r.dueAt)-c.now, c.tick))
+		c.host.Call(r.ID, max(c.beforeStop(r.dueAt)-c.now, c.tickInterval))
 	}
 }
 
-// skipCalls lets requests go on without a call that they can do without: at once while the dependency is
-// crowded, and else once they have waited, as others need the call more. Harm: they earn SkipWorth only.
+// skipCalls continues requests without a call that they can skip: at once while the dependency is congested,
+// and otherwise once they have waited, as other requests cannot skip theirs. The cost is that they earn only
+// SkipWorth.
 func (c *Controller) skipCalls() {
-	waiting := c.calls[:0]
-	for _, e := range c.calls {
-		switch r := e.r; {
-		case r.ended || r.answered || r.state != atCall:
-		case c.skips(r):
-			r.callWait += c.now - r.callAt
-			c.enter(r, running)
+	waiting := c.callQueue[:0]
+	for _, e := range c.callQueue {
+		switch r := e.req; {
+		case r.ended || r.answered || r.state != awaitingCall:
+		case c.shouldSkip(r):
+			r.callWait += c.now - r.callWantedAt
+			c.setState(r, running)
 			c.host.Skip(r.ID)
 		default:
 			waiting = append(waiting, e)
 		}
 	}
-	clear(c.calls[len(waiting):])
-	c.calls = waiting
-	heap.Init(&c.calls)
+	clear(c.callQueue[len(waiting):])
+	c.callQueue = waiting
+	heap.Init(&c.callQueue)
 }
 
-// skips tells whether a request that waits for a call is to go on without it.
-func (c *Controller) skips(r *request) bool {
-	patience := time.Duration(skipPatience * float64(r.class.Aim))
-	return r.class.SkipWorth > 0 && (c.callLimit.crowded() || c.now-r.callAt > patience)
+// shouldSkip reports whether a request that waits for a call is to continue without it.
+func (c *Controller) shouldSkip(r *request) bool {
+	patience := time.Duration(skipWaitShare * float64(r.class.Aim))
+	return r.class.SkipWorth > 0 && (c.callLimit.congested() || c.now-r.callWantedAt > patience)
 }
 
-// callDelay is the time in seconds until a request may make a call, by those that wait for theirs now. It
-// guards against work that is started only to wait there past its aim.
+// callDelay estimates the time in seconds until a new request could make a call, from the number that wait
+// for theirs now. It prevents starting requests that would wait for their call past their aim.
 func (c *Controller) callDelay() float64 {
 	if c.cfg.Dependency != SharedDependency {
 		return 0
 	}
-	return float64(c.count[atCall]) * c.callLimit.recent / max(c.callLimit.limit, 1)
+	return float64(c.count[awaitingCall]) * c.callLimit.meanTime / max(c.callLimit.limit, 1)
 }
 
-// mayCall keeps calls in hand, abandoned ones too, in this server's share (rule 4), in the mean if under 1.
+// mayCall reports whether another call may be made. The open calls, abandoned ones included, stay within this
+// server's share (rule 4). If the share is less than one call, it holds in the mean.
 func (c *Controller) mayCall() bool {
 	if c.cfg.Dependency != SharedDependency {
 		return true
 	}
-	n := float64(c.count[calling] + len(c.lingerer))
-	if n+1 > c.callLimit.most {
-		return n == 0 && c.callMean < c.callLimit.most
+	inHand := float64(c.count[calling] + len(c.abandonedCalls))
+	if inHand+1 > c.callLimit.maximum {
+		return inHand == 0 && c.meanCallsInHand < c.callLimit.maximum
 	}
-	return n-float64(c.overdueCalls())+1 <= c.callLimit.limit
+	return inHand-float64(c.overdueCalls())+1 <= c.callLimit.limit
 }
 
-// overdueCalls counts the calls in hand that are overdue. They are kept out of the limit that follows the
-// latency: a few that are never answered would hold up all others until they are given up.
+// overdueCalls counts the open calls that are overdue. They do not count towards the latency-based limit, as
+// a few calls that are never answered would block all others until they time out.
 func (c *Controller) overdueCalls() int {
 	overdue, first := 0, 0
-	for ; first < len(c.callsOut) && c.now-c.callsOut[first].at > c.callLimit.overdue(); first++ {
-		if e := c.callsOut[first]; e.r.state == calling && !e.r.ended && e.r.calledAt == e.at {
-			c.callsOut[overdue] = e
+	for ; first < len(c.openCalls) && c.now-c.openCalls[first].at > c.callLimit.overdueAge(); first++ {
+		if e := c.openCalls[first]; e.req.state == calling && !e.req.ended && e.req.callStartedAt == e.at {
+			c.openCalls[overdue] = e
 			overdue++
 		}
 	}
 	if first > overdue {
-		c.callsOut = slices.Delete(c.callsOut, overdue, first)
+		c.openCalls = slices.Delete(c.openCalls, overdue, first)
 	}
 	return overdue
 }
 
-// Called takes the outcome of a call.
+// Called handles the outcome of a call.
 func (c *Controller) Called(now time.Duration, id RequestID, o Outcome, took time.Duration) {
-	c.begin(now)
+	c.beginEvent(now)
 	r := c.live[id]
 	if r == nil {
 		return
 	}
 	if o == TimedOut {
-		heap.Push(&c.lingerer, entry{c.now + c.cfg.CallLinger, nil}) // still in the dependency's hands
+		heap.Push(&c.abandonedCalls, entry{c.now + c.cfg.CallLinger, nil}) // may still occupy the dependency
 	}
 	if c.cfg.Dependency == SharedDependency && (o == Succeeded || o == TimedOut) {
 		c.callLimit.observe(took)
 	}
 	if c.cfg.Dependency == SharedDependency && o == TurnedAway {
-		c.callLimit.shed()
+		c.callLimit.observeRejection()
 	}
 	if o == Succeeded {
-		c.enter(r, running)
+		c.setState(r, running)
 	} else {
-		c.enter(r, atCall)
+		c.setState(r, awaitingCall)
 		c.afterFailedCall(r, o)
 	}
 	c.startCalls()
 }
 
-// afterFailedCall calls again only where that repeats no effect (rule 2), else skips or fails.
+// afterFailedCall retries a call only if that cannot repeat an effect (rule 2); otherwise it skips the call
+// or fails the request.
 func (c *Controller) afterFailedCall(r *request, o Outcome) {
 	neverRan := o == TurnedAway || o == Unreachable
 	again := neverRan || r.class.Semantics == Safe
-	if r.tries >= callTries { // what has no other way goes on trying: it holds work that is done already
+	if r.attempts >= maxCallAttempts { // only a call that cannot be skipped is retried, to save the work done
 		again = neverRan && r.class.SkipWorth == 0
 	}
-	wait := c.tick << min(r.tries, backoffSteps)
+	wait := c.tickInterval << min(r.attempts, backoffSteps)
 	switch {
 	case r.answered:
-	case again && c.now+wait < c.limit(r.dueAt):
-		heap.Push(&c.callRetry, entry{c.now + wait, r})
+	case again && c.now+wait < c.beforeStop(r.dueAt):
+		heap.Push(&c.callRetries, entry{c.now + wait, r})
 	case r.class.SkipWorth > 0:
-		c.enter(r, running)
+		c.setState(r, running)
 		c.host.Skip(r.ID)
 	default:
 		c.fail(r)
 	}
 }
 
+// tickCalls drops abandoned calls that have lingered long enough, requeues retries that are due and updates
+// the mean number of open calls.
 func (c *Controller) tickCalls(dt time.Duration) {
-	for len(c.lingerer) > 0 && c.lingerer[0].at <= c.now {
-		heap.Pop(&c.lingerer)
+	for len(c.abandonedCalls) > 0 && c.abandonedCalls[0].at <= c.now {
+		heap.Pop(&c.abandonedCalls)
 	}
-	for len(c.callRetry) > 0 && c.callRetry[0].at <= c.now {
-		r := heap.Pop(&c.callRetry).(entry).r
-		heap.Push(&c.calls, entry{c.order(r), r})
+	for len(c.callRetries) > 0 && c.callRetries[0].at <= c.now {
+		r := heap.Pop(&c.callRetries).(entry).req
+		heap.Push(&c.callQueue, entry{c.startBy(r), r})
 	}
-	gap := float64(c.count[calling]+len(c.lingerer)) - c.callMean
-	c.callMean += gap * min(1, float64(dt)/float64(max(c.cfg.CallsOver, c.tick)))
+	gap := float64(c.count[calling]+len(c.abandonedCalls)) - c.meanCallsInHand
+	c.meanCallsInHand += gap * min(1, float64(dt)/float64(max(c.cfg.CallsOver, c.tickInterval)))
 	c.startCalls()
 }
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -1,101 +1,110 @@
 package policy
 
-// This file holds the concurrency limit: how many requests run at once.
+// This file sets the concurrency limit, runLimit: how many requests run at once.
 
 import (
 	"math"
 	"time"
 )
 
-// Tuned values of the concurrency limit.
+// Parameters of the concurrency limit.
 const (
-	poolRatio    = 1.2  // an underused pool shrinks to its last peak use times this
-	exploreShare = 0.4  // chance that a full pool explores rather than optimizes
-	exploreReach = 0.15 // how far a step goes, as a share of the size, one at the least
-	resizeRuns   = 12.0 // mean runs between resizes: few cores complete few, whose mean tells nothing
-	resizeDelays = 2    // referenceDelays between resizes at the least
-	statResizes  = 20   // resizes after which a measured size is forgotten: speeds change
-	moveGain     = 1.03 // a nearby size must be better by this factor to be moved to
-	idleRoots    = 0.57 // roots of the core count that idle cores leave free (square-root staffing)
-	crowdShare   = 0.8  // share of the survivable crowd that may be in hand
+	shrinkRatio    = 1.2  // a limit that was not reached shrinks to the peak of running requests times this
+	exploreProb    = 0.4  // probability that a limit that was reached explores rather than optimizes
+	stepShare      = 0.15 // largest step as a share of the limit; at least 1
+	resizeRuns     = 12.0 // mean runs between resizes: with few cores, fewer completions give no useful mean
+	resizeDelays   = 2    // least number of referenceDelays between resizes
+	statLifetime   = 20   // resize intervals after which a measurement expires, as speeds change
+	minGain        = 1.03 // factor by which a nearby limit must be better than the present one
+	idleCoreFactor = 0.57 // spare cores to leave, in square roots of the core count (square-root staffing)
+	inFlightShare  = 0.8  // share of the sustainable number of requests that may be in flight
 )
 
-// crowd is how many requests may be in hand, at calls included: they come back unannounced.
-func (c *Controller) crowd() int {
+// maxInFlight returns how many requests may be in flight. Those at calls count, as they may resume at any
+// time.
+func (c *Controller) maxInFlight() int {
 	warmth := 1.0
-	if c.cfg.Cold && c.now-c.began < c.cfg.ColdFor {
-		warmth = c.cfg.ColdFrom + (1-c.cfg.ColdFrom)*float64(c.now-c.began)/float64(c.cfg.ColdFor)
+	if c.cfg.Cold && c.now-c.startedAt < c.cfg.ColdFor {
+		warmth = c.cfg.ColdFrom + (1-c.cfg.ColdFrom)*float64(c.now-c.startedAt)/float64(c.cfg.ColdFor)
 	}
 	limit := float64(c.cfg.Cores) * (1 + (c.cfg.FallFactor-1)*warmth)
-	return max(1, int(limit*crowdShare*c.share))
+	return max(1, int(limit*inFlightShare*c.serverShare))
 }
 
-// Share gives this instance a part of its server, while another process of it runs work (rule 4).
+// Share sets the part of the server that this instance may use while another process runs work on it (rule
+// 4).
 func (c *Controller) Share(now time.Duration, share float64) {
-	c.begin(now)
-	c.share = share
-	c.pool = min(c.pool, c.crowd())
+	c.beginEvent(now)
+	c.serverShare = share
+	c.runLimit = min(c.runLimit, c.maxInFlight())
 }
 
-// resize takes one of the paper's three steps, or climbs while cores idle though work is held.
+// resize takes one of the three steps of the autothrottle algorithm (explore, optimize, shrink) at the end of
+// each resize interval. Between them it raises the limit while cores are idle and requests are queued.
 func (c *Controller) resize() {
-	c.climb()
-	since := c.now - c.resized
-	if since < c.interval() {
+	c.growOnIdleCores()
+	since := c.now - c.resizedAt
+	if since < c.resizeInterval() {
 		return
 	}
-	if c.full {
-		if c.completions > 0 && c.pool < len(c.stats) {
-			c.stats[c.pool] = sizeStat{c.completions / since.Seconds(), c.latencySum / c.completions, c.now}
+	if c.limitReached {
+		if c.completions > 0 && c.runLimit < len(c.limitStats) {
+			c.limitStats[c.runLimit] = limitStat{
+				c.completions / since.Seconds(), c.latencySum / c.completions, c.now}
 		}
-		if c.random() < exploreShare {
+		if c.random() < exploreProb {
 			c.explore()
 		} else {
 			c.optimize()
 		}
 	} else {
-		c.pool = min(c.pool, int(math.Ceil(float64(c.peak)*poolRatio)))
+		c.runLimit = min(c.runLimit, int(math.Ceil(float64(c.peakRunning)*shrinkRatio)))
 	}
-	c.pool = min(max(c.pool, c.cfg.Cores), c.crowd())
-	c.resized, c.peak, c.full = c.now, c.count[running], false
+	c.runLimit = min(max(c.runLimit, c.cfg.Cores), c.maxInFlight())
+	c.resizedAt, c.peakRunning, c.limitReached = c.now, c.count[running], false
 	c.completions, c.latencySum = 0, 0
 }
 
-func (c *Controller) interval() time.Duration {
+// resizeInterval returns the time between two steps of the limit.
+func (c *Controller) resizeInterval() time.Duration {
 	return max(resizeDelays*c.referenceDelay, time.Duration(resizeRuns*c.meanRun*float64(time.Second)))
 }
 
-func (c *Controller) climb() {
-	c.pool = min(c.pool, c.crowd())
+// growOnIdleCores raises the limit, at most once per referenceDelay, if cores are idle while requests are
+// queued.
+func (c *Controller) growOnIdleCores() {
+	c.runLimit = min(c.runLimit, c.maxInFlight())
 	cores := float64(c.cfg.Cores)
-	idle := c.onCores < cores-idleRoots*math.Sqrt(cores)
-	if idle && c.full && c.count[held] > 0 && c.now-c.climbed >= c.referenceDelay {
-		c.pool = min(c.pool+max(1, c.cfg.Cores/4), c.crowd())
-		c.climbed = c.now
+	idle := c.coreDemand < cores-idleCoreFactor*math.Sqrt(cores)
+	if idle && c.limitReached && c.count[queued] > 0 && c.now-c.grownAt >= c.referenceDelay {
+		c.runLimit = min(c.runLimit+max(1, c.cfg.Cores/4), c.maxInFlight())
+		c.grownAt = c.now
 	}
 }
 
-func (c *Controller) reach() int { return max(1, int(exploreReach*float64(c.pool))) }
+// maxStep returns the largest step of the limit up or down.
+func (c *Controller) maxStep() int { return max(1, int(stepShare*float64(c.runLimit))) }
 
+// explore moves the limit by a random step.
 func (c *Controller) explore() {
-	c.pool += int(c.random()*float64(2*c.reach()+1)) - c.reach()
+	c.runLimit += int(c.random()*float64(2*c.maxStep()+1)) - c.maxStep()
 }
 
-// optimize moves to the best size within reach, by throughput over latency.
+// optimize moves the limit to the value within one step that has the best ratio of throughput to latency.
 func (c *Controller) optimize() {
-	best, bestMerit := c.pool, 0.0
-	for s := max(1, c.pool-c.reach()); s <= min(c.pool+c.reach(), len(c.stats)-1); s++ {
-		st := c.stats[s]
-		if st.latency <= 0 || c.now-st.at > statResizes*c.interval() {
+	best, bestMerit := c.runLimit, 0.0
+	for n := max(1, c.runLimit-c.maxStep()); n <= min(c.runLimit+c.maxStep(), len(c.limitStats)-1); n++ {
+		st := c.limitStats[n]
+		if st.latency <= 0 || c.now-st.at > statLifetime*c.resizeInterval() {
 			continue
 		}
 		merit := st.throughput / st.latency
-		if s != c.pool {
-			merit /= moveGain
+		if n != c.runLimit {
+			merit /= minGain
 		}
 		if merit > bestMerit {
-			best, bestMerit = s, merit
+			best, bestMerit = n, merit
 		}
 	}
-	c.pool = best
+	c.runLimit = best
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,17 +7,17 @@
 	"cairnlane/policy"
 )
 
-type printer struct{ policy.Host }
+type printingHost struct{ policy.Host }
 
-func (printer) Run(id policy.RequestID) { fmt.Println("run", id) }
-func (printer) Health(bool)             {}
-func (printer) Wake(time.Duration)      {}
+func (printingHost) Run(id policy.RequestID) { fmt.Println("run", id) }
+func (printingHost) Health(bool)             {}
+func (printingHost) Wake(time.Duration)      {}
 
 func ExampleController() {
 	cfg := policy.Config{Seed: 7, Cores: 2, MemoryKB: 4096, RunFactor: 8, FallFactor: 6,
 		AnswerSlack: 100 * time.Millisecond,
 		Classes:     []policy.Class{{Name: "read", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}}
-	ctl, err := policy.New(0, cfg, printer{})
+	ctl, err := policy.New(0, cfg, printingHost{})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/policy/keys.go
+++ b/policy/keys.go
@@ -1,21 +1,23 @@
 package policy
 
-// This file holds idempotency keys and what repeats them.
+// This file handles idempotency keys and the requests that repeat them.
 
 import "container/heap"
 
-// Tuned values of keys.
+// Parameters of the key store.
 const (
-	keyShare = 0.4 // share of the memory that kept keys may take
+	keyShare = 0.4 // largest share of the memory that stored keys may take
 )
 
-func (c *Controller) forget(r *request) {
-	if r.kept {
+// forgetKey deletes the stored key of r, if there is one.
+func (c *Controller) forgetKey(r *request) {
+	if r.keyStored {
 		c.host.Forget(r.ID)
 		delete(c.keys, r.ID)
 	}
 }
 
+// keyCost returns the memory in KB of the key of r, or 0 if its key is not stored.
 func (c *Controller) keyCost(r *request) float64 {
 	if r.class.Semantics == Keyed || c.cfg.ShareFor > 0 && r.Key != "" && r.class.Semantics == Safe {
 		return c.cfg.KeyKB
@@ -23,35 +25,37 @@
 	return 0
 }
 
-// keep remembers a request as soon as it is held: a repeat may reach the machine at any time, and
-// two unlinked tries could both run. The window counts from its arrival at the machine.
-func (c *Controller) keep(r *request) {
+// storeKey stores the key of a request as soon as it is queued: a repeat may arrive at any time, and two
+// attempts that are not linked could both run. The window begins at the request's arrival at the machine.
+func (c *Controller) storeKey(r *request) {
 	if c.keyCost(r) == 0 {
 		return
 	}
-	ttl := r.arrived + r.class.Window + c.tick - c.now
+	ttl := r.arrived + r.class.Window + c.tickInterval - c.now
 	if r.class.Semantics == Safe {
-		ttl = c.limit(r.dueAt) + c.cfg.ShareFor - c.now
+		ttl = c.beforeStop(r.dueAt) + c.cfg.ShareFor - c.now
 	}
-	r.kept = true
+	r.keyStored = true
 	c.keys[r.ID] = true
-	heap.Push(&c.keyEnds, entry{c.now + ttl, r})
+	heap.Push(&c.keyExpiries, entry{c.now + ttl, r})
 	c.host.Keep(r.ID, ttl)
 }
 
-// join answers a repeat with the outcome of the try it repeats; it never runs and is never refused.
+// join answers a repeat with the outcome of the request that it repeats. A repeat never runs. It is never
+// rejected, but fails if there is no memory for it.
 func (c *Controller) join(r *request) {
-	c.enter(r, joined)
-	if c.memory > c.memoryLimit() {
+	c.setState(r, joined)
+	if c.memoryUsed > c.memoryLimit() {
 		c.fail(r)
-		c.end(r)
+		c.remove(r)
 		return
 	}
 	c.host.Reuse(r.ID)
 }
 
+// expireKeys frees the memory of keys whose window has ended.
 func (c *Controller) expireKeys() {
-	for len(c.keyEnds) > 0 && c.keyEnds[0].at+c.tick < c.now {
-		delete(c.keys, heap.Pop(&c.keyEnds).(entry).r.ID)
+	for len(c.keyExpiries) > 0 && c.keyExpiries[0].at+c.tickInterval < c.now {
+		delete(c.keys, heap.Pop(&c.keyExpiries).(entry).req.ID)
 	}
 }
--- a/policy/pie.go
+++ b/policy/pie.go
@@ -1,27 +1,28 @@
 package policy
 
-// This file holds the PIE controller: the probability of rejection, moved by the queueing delay.
+// This file holds the PIE controller (RFC 8033), which sets the drop probability from the queuing delay.
 
 import (
 	"math"
 	"time"
 )
 
-// Tuned values of the PIE controller. Times are relative to the aims in Config.
+// Parameters of the PIE controller. Times are relative to the aims in Config.
 const (
-	referenceShare = 0.125 // referenceDelay over the tightest aim (the design starts at 0.25)
-	alphaStep      = 0.25  // α΄ for each referenceDelay of time at twice the wanted delay
-	betaStep       = 0.25  // β΄ for each referenceDelay by which the delay has grown
-	burstDelays    = 4.0   // maxBurst in referenceDelays: a short jump passes without dice
-	rateDelays     = 8.0   // window of the dequeue rate in referenceDelays
+	referenceShare = 0.125 // referenceDelay as a share of the tightest aim
+	alphaStep      = 0.25  // α per referenceDelay of time, at a delay of twice the reference
+	betaStep       = 0.25  // β per referenceDelay by which the delay has grown
+	burstDelays    = 4.0   // maxBurst in referenceDelays; a short burst passes without random rejections
+	rateDelays     = 8.0   // window in referenceDelays over which the dequeue rate is averaged
 )
 
-// pie is the paper's regulator: a probability moved by a delay.
+// pie is the control law of PIE: it moves a drop probability by the deviation and the trend of a delay.
 type pie struct {
 	referenceDelay, currentDelay, oldDelay time.Duration
 	dropProb                               float64
 }
 
+// update moves dropProb for the delay measured over the time dt. The steps are smaller while dropProb is low.
 func (e *pie) update(currentDelay, dt time.Duration) {
 	e.oldDelay, e.currentDelay = e.currentDelay, currentDelay
 	ref := float64(e.referenceDelay)
@@ -37,17 +38,18 @@
 	e.dropProb = min(max(e.dropProb, 0), 1)
 }
 
-// regulate moves the chance of the dice by the delay in the hold, and what callers are told by that delay
-// and the wait unread together: the dice cannot shorten the latter, callers can. It guards against slow
-// reads while the hold stays empty (a slowed server, a storm of repeats).
-func (c *Controller) regulate(dt time.Duration) {
-	c.measureRate(dt)
+// updateProbabilities moves the drop probability by the queuing delay, and the advisory probability by that
+// delay plus the wait of requests to be read. Rejecting requests that were read cannot shorten the latter,
+// but callers that send less can. This covers a server that reads slowly while its queue is empty, as when
+// it has slowed down or gets a flood of retries.
+func (c *Controller) updateProbabilities(dt time.Duration) {
+	c.updateStartRate(dt)
 	if c.now-c.lastArrival > c.referenceDelay {
-		c.unread = 0
+		c.meanReadWait = 0
 	}
-	c.update(c.estimateDelay(), dt)
-	c.ahead.update(c.currentDelay+c.unread, dt)
-	c.quotas.average(c.dropProb, c.ahead.dropProb, dt, c.referenceDelay)
+	c.update(c.estimateQueueDelay(), dt)
+	c.advisory.update(c.currentDelay+c.meanReadWait, dt)
+	c.quotas.updateMeans(c.dropProb, c.advisory.dropProb, dt, c.referenceDelay)
 	if c.dropProb == 0 && c.currentDelay < c.referenceDelay/2 && c.oldDelay < c.referenceDelay/2 {
 		c.burstAllowed = c.maxBurst
 	} else {
@@ -55,25 +57,27 @@
 	}
 }
 
-// measureRate averages the starts per second over the time in which work stood in the hold: at
-// other times starts tell what comes in, not what the server can do.
-func (c *Controller) measureRate(dt time.Duration) {
-	if c.count[held] > 0 || c.full {
+// updateStartRate averages the starts per second over the time in which requests were queued. At other times
+// the starts show the arrival rate, not the capacity of the server.
+func (c *Controller) updateStartRate(dt time.Duration) {
+	if c.count[queued] > 0 || c.limitReached {
 		fade := math.Exp(-float64(dt) / (rateDelays * float64(c.referenceDelay)))
-		c.startSum = max(c.startSum*fade+c.starts, 0)
+		c.startSum = max(c.startSum*fade+c.newStarts, 0)
 		c.startTime = c.startTime*fade + dt.Seconds()
 	}
-	c.starts = 0
+	c.newStarts = 0
 }
 
-func (c *Controller) estimateDelay() time.Duration {
-	waiting := c.count[held]
+// estimateQueueDelay returns the time in which the queue empties at the recent rate of starts, or the wait of
+// its head if there were too few starts.
+func (c *Controller) estimateQueueDelay() time.Duration {
+	waiting := c.count[queued]
 	if waiting == 0 {
 		return 0
 	}
 	window := time.Duration(rateDelays * float64(c.referenceDelay))
 	if c.startSum < 0.5 || c.now-c.lastStart > window {
-		return c.now - c.hold[0].r.arrived // startHeld leaves a held one there
+		return c.now - c.waitQueue[0].req.arrived // startQueued leaves a queued request at the head
 	}
 	return time.Duration(float64(waiting) * c.startTime / c.startSum * float64(time.Second))
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,7 +1,7 @@
-// Cairnlane's decisions, all of them: kanaloa's mechanism, in which a PIE controller refuses arrivals
-// at read by chance and an exploring autothrottle pool bounds how many requests run at once.
-// The interface (settings, events, actions) is in api.go. This file holds the controller, its state and
-// what happens to an arrival; the other files hold one concern each.
+// This file holds the Controller, its state and the admission of arriving requests; each of the other files
+// covers one concern, and api.go declares the interface (settings, events, actions). The method is that of
+// kanaloa: a PIE controller rejects arrivals at random, and an adaptive limit ("autothrottle"), which
+// explores nearby values, bounds how many requests run at once.
 package policy
 
 import (
@@ -11,69 +11,71 @@
 	"time"
 )
 
-// Tuned values of the controller; each other file names its own. Times are relative to the aims, the answer
-// slack and the windows in Config.
+// Parameters of the controller. Times are relative to the aims, the answer slack and the windows in Config.
 const (
-	ticksPerSlack = 4    // ticks in the answer slack: a due answer is never later than a quarter of it
-	unreadWeight  = 0.1  // weight of the newest arrival in the mean wait to be read
-	memoryShare   = 0.96 // share of the memory that is used
-	meanWeight    = 0.05 // weight of the newest run in a class's mean
-	sameShare     = 0.01 // shares of the deadline that differ by less are the same patience
-	seenMost      = 50   // most that a caller's usual patience counts for: habits change
-	repeatsAbove  = 0.15 // share of repeats among arrivals above which the neighbours refuse as well
-	idleShare     = 0.25 // share of IdleMax whose idling costs as much as a new connection
+	ticksPerSlack    = 4    // ticks per answer slack; a due answer is at most a quarter of the slack late
+	readWaitWeight   = 0.1  // weight of the newest arrival in the mean wait to be read
+	memoryShare      = 0.96 // share of the memory that is used
+	meanWeight       = 0.05 // weight of the newest value in a moving average
+	timeoutTolerance = 0.01 // time-outs whose shares of the deadline differ by no more count as equal
+	maxTimeoutVotes  = 50   // bound on the votes for a caller's usual time-out, as callers change theirs
+	repeatThreshold  = 0.15 // share of retries among arrivals above which other servers also reject
+	idleCostShare    = 0.25 // share of IdleMax; idling for that long costs as much as a new connection
 )
 
+// state is the stage of a live request.
 type state int
 
 const (
-	held    state = iota
-	joined        // waits for the outcome of the request it repeats
-	running       // in the pool
-	atCall        // waits for us to make or give up its call
-	calling       // its call is out
-	states
+	queued state = iota // waits in the queue until it may run
+	joined              // waits for the outcome of the request it repeats
+	running
+	awaitingCall // waits until the controller starts or skips its call
+	calling      // its call is open
+	stateCount
 )
 
+// request is a request that has not ended, with the controller's bookkeeping.
 type request struct {
 	Request
-	class    *class
-	state    state
-	arrived  time.Duration
-	aimAt    time.Duration
-	dueAt    time.Duration
-	answered bool // the final answer is out; what still runs is only waited for
-	ended    bool
-	kept     bool
-	trial    bool          // runs to correct the mean of its class
-	tries    int           // calls made
-	calls    int           // calls that it came to
-	callAt   time.Duration // when it came to the latest of them
-	callWait time.Duration // in all, until it could make them
-	calledAt time.Duration // when its latest call was made
+	class         *class
+	state         state
+	arrived       time.Duration
+	aimAt         time.Duration
+	dueAt         time.Duration
+	answered      bool // the final answer was sent; the run may still go on
+	ended         bool
+	keyStored     bool
+	probe         bool          // runs to correct the mean run time of its class
+	attempts      int           // attempts at its latest call
+	callCount     int           // calls that it asked for
+	callWantedAt  time.Duration // when it asked for the latest call
+	callWait      time.Duration // total wait until its calls could be made
+	callStartedAt time.Duration // when the latest attempt at a call was made
 }
 
+// class is a Class with moving averages over its requests.
 type class struct {
 	Class
-	meanRun      float64 // seconds, of successful runs without their waits for calls
-	meanCalls    float64 // of successful runs
+	meanRun      float64 // mean duration in seconds of successful runs, without their waits for calls
+	meanCalls    float64 // mean number of calls per successful run
 	meanExpected float64
-	tried        time.Duration // when one was last started, or held for a trial
+	lastStart    time.Duration // when one was last started or chosen as a probe
 }
 
-// caller holds the share of the deadline most often seen on its tries (a majority count) and its last visit.
+// caller holds the most frequent time-out of a caller's attempts, found by majority vote.
 type caller struct {
-	tryShare float64
-	seen     int
-	last     time.Duration
+	timeoutShare float64 // that time-out as a share of the deadline
+	votes        int
+	lastSeen     time.Duration
 }
 
 type entry struct {
-	at time.Duration
-	r  *request
+	at  time.Duration
+	req *request
 }
 
-// queue is a heap by time.
+// queue is a min-heap ordered by time; it implements heap.Interface.
 type queue []entry
 
 func (q queue) Len() int           { return len(q) }
@@ -87,12 +89,13 @@
 	return e
 }
 
-type sizeStat struct {
+// limitStat is what was measured at one value of the run limit.
+type limitStat struct {
 	throughput, latency float64
 	at                  time.Duration
 }
 
-// Controller decides for one server.
+// Controller makes the decisions for one server. It is not safe for concurrent use.
 type Controller struct {
 	cfg     Config
 	host    Host
@@ -100,201 +103,207 @@
 	now     time.Duration
 	rng     uint64
 
-	began, ticked, tick time.Duration
-
-	live   map[RequestID]*request
-	count  [states]int
-	memory float64
-	hold   queue // held requests in the order of starts
-	dues   queue // all requests by the time an answer is owed
-
-	pie                             // moves the dice
-	ahead                       pie // moves what callers are told before they send
-	burstAllowed, maxBurst      time.Duration
-	starts, startSum, startTime float64
-	lastStart, lastArrival      time.Duration
-	unread                      time.Duration // mean wait of arrivals to be read
-
-	pool, peak                 int
-	full                       bool
-	resized, climbed           time.Duration
-	stats                      []sizeStat
-	completions, latencySum    float64
-	meanRun, onCores           float64
-	meanDensity                float64 // worth for work of the mean arrival
-	sameCaller                 float64 // chance that two arrivals share a caller: 1 / callers that count
-	repeats, lastShare         float64 // of arrivals: tried before; of refusals: asked not to try again
-	quotas                     quotas
-	lastCaller                 int
-	calls, callRetry, lingerer queue
-	callMean                   float64
-	callLimit                  callLimit
-	callsOut                   []entry // calls made, oldest first; ended ones are dropped once overdue
-
-	callers, former map[int]*caller // seen since aged, and in the time before
-	aged            time.Duration
-	reuse, idling   float64 // chance that a caller comes back to its open connection; seconds that one idles
-	closing         bool    // idle connections are closed at once
+	startedAt, lastTick, tickInterval time.Duration
+
+	live       map[RequestID]*request
+	count      [stateCount]int // live requests by state
+	memoryUsed float64
+	waitQueue  queue // queued requests in the order of their starts
+	dueQueue   queue // all requests by the time at which they must be answered
+
+	pie                                // drop probability for arrivals
+	advisory                       pie // probability that determines the signal to callers
+	burstAllowed, maxBurst         time.Duration
+	newStarts, startSum, startTime float64
+	lastStart, lastArrival         time.Duration
+	meanReadWait                   time.Duration // mean wait of arrivals until they are read
+
+	runLimit, peakRunning   int
+	limitReached            bool
+	resizedAt, grownAt      time.Duration
+	limitStats              []limitStat // by run limit
+	completions, latencySum float64
+	meanRun, coreDemand     float64
+	meanDensity             float64 // mean worth per work of arrivals
+	sameCallerProb          float64 // probability that two successive arrivals have the same caller
+	repeatShare             float64 // share of arrivals that are retries
+	noRetryShare            float64 // share of rejections that advise against a retry
+	quotas                  quotas
+	lastCaller              int
+
+	callQueue, callRetries, abandonedCalls queue
+	meanCallsInHand                        float64
+	callLimit                              callLimit
+	openCalls                              []entry // oldest first; overdue ones that have ended are removed
+
+	callers, oldCallers map[int]*caller // seen since callersRotatedAt, and in the period before
+	callersRotatedAt    time.Duration
+	reuseProb           float64 // probability that a caller returns while its connection is still open
+	meanIdle            float64 // mean idle time of connections in seconds
+	closingIdle         bool    // idle connections are closed after one tick
+
 	keys            map[RequestID]bool
-	keyEnds         queue
-	refused         map[RequestID]bool // keyed requests turned away in this batch
-
-	back            time.Duration // when this server returns to the list it has left; 0 while on it
-	draining        bool
-	drainAt, stopAt time.Duration // stopAt is 0 while no stop is known
-	share           float64       // of the server, where another process of it runs work as well
-	signal, mean    float64       // what callers are to hold back, here and in the mean of all servers
+	keyExpiries     queue
+	rejectedInBatch map[RequestID]bool // keyed requests rejected in the current batch of events
+
+	relistAt          time.Duration // when this server returns to the callers' list; 0 while it is listed
+	draining          bool
+	drainAt, stopAt   time.Duration // stopAt is 0 while no stop is known
+	serverShare       float64       // share of the server that this process may use
+	signal, meanLevel float64       // the value last sent to callers; the mean Level of all servers
 }
 
-// New returns the controller of a server that starts now; its error names a setting no server could have.
+// New returns the controller of a server that starts now, or an error that names an invalid setting.
 func New(now time.Duration, cfg Config, host Host) (*Controller, error) {
 	switch {
 	case cfg.Cores <= 0:
-		return nil, fmt.Errorf("config: Cores is %d", cfg.Cores)
+		return nil, fmt.Errorf("config: Cores must be positive, got %d", cfg.Cores)
 	case cfg.MemoryKB <= 0:
-		return nil, fmt.Errorf("config: MemoryKB is %g", cfg.MemoryKB)
+		return nil, fmt.Errorf("config: MemoryKB must be positive, got %g", cfg.MemoryKB)
 	case len(cfg.Classes) == 0:
-		return nil, fmt.Errorf("config: Classes is empty")
+		return nil, fmt.Errorf("config: Classes must not be empty")
 	}
 	cfg.RunFactor, cfg.FallFactor = max(cfg.RunFactor, 1), max(cfg.FallFactor, 1)
-	c := &Controller{cfg: cfg, host: host, now: now, began: now, ticked: now, resized: now, lastStart: now,
-		rng: uint64(cfg.Seed), live: map[RequestID]*request{}, keys: map[RequestID]bool{},
-		callers: map[int]*caller{}, reuse: 1, share: 1, signal: -1, refused: map[RequestID]bool{},
-		quotas: newQuotas(cfg.Tenants)}
+	c := &Controller{cfg: cfg, host: host, now: now, startedAt: now, lastTick: now, resizedAt: now,
+		lastStart: now, rng: uint64(cfg.Seed), live: map[RequestID]*request{}, keys: map[RequestID]bool{},
+		callers: map[int]*caller{}, reuseProb: 1, serverShare: 1, signal: -1,
+		rejectedInBatch: map[RequestID]bool{}, quotas: newQuotas(cfg.Tenants)}
 	tightest := time.Duration(math.MaxInt64)
 	for i, k := range cfg.Classes {
 		if k.Aim <= 0 || k.Deadline <= 0 {
-			return nil, fmt.Errorf("config: Classes[%d] has no Aim or no Deadline", i)
+			return nil, fmt.Errorf("config: Classes[%d]: aim %v and deadline %v must be positive",
+				i, k.Aim, k.Deadline)
 		}
 		c.classes = append(c.classes, class{Class: k})
 		tightest = min(tightest, k.Aim)
 	}
 	c.referenceDelay = time.Duration(float64(tightest) * referenceShare)
-	c.ahead.referenceDelay = c.referenceDelay
+	c.advisory.referenceDelay = c.referenceDelay
 	c.maxBurst = time.Duration(float64(c.referenceDelay) * burstDelays)
-	c.tick = cfg.AnswerSlack / ticksPerSlack
-	if c.tick <= 0 {
-		c.tick = c.referenceDelay / ticksPerSlack
+	c.tickInterval = cfg.AnswerSlack / ticksPerSlack
+	if c.tickInterval <= 0 {
+		c.tickInterval = c.referenceDelay / ticksPerSlack
 	}
 	if !cfg.Cold {
 		c.burstAllowed = c.maxBurst
 	}
 	c.callLimit = newCallLimit(cfg.FairCalls * callShare)
-	c.pool = min(cfg.Cores, c.crowd())
-	c.stats = make([]sizeStat, int(float64(cfg.Cores)*cfg.FallFactor)+1)
-	c.sameCaller = 1 / float64(max(cfg.Callers, 1))
+	c.runLimit = min(cfg.Cores, c.maxInFlight())
+	c.limitStats = make([]limitStat, int(float64(cfg.Cores)*cfg.FallFactor)+1)
+	c.sameCallerProb = 1 / float64(max(cfg.Callers, 1))
 	host.Health(true)
-	host.Wake(c.tick)
+	host.Wake(c.tickInterval)
 	return c, nil
 }
 
-// Started tells that the cores of this server came up that long ago: a cold server warms from then on,
-// however long its process has waited for them.
+// Started reports how long ago the cores of this server started. A cold server warms up from that time on,
+// not from the start of its process, which may have waited for the cores.
 func (c *Controller) Started(now, ago time.Duration) {
-	c.begin(now)
+	c.beginEvent(now)
 	if c.cfg.Cold {
-		c.began = now - ago
-		c.pool = min(c.pool, c.crowd())
+		c.startedAt = now - ago
+		c.runLimit = min(c.runLimit, c.maxInFlight())
 	}
 }
 
-// ---- arrival: guards, then burst allowance, then PIE's dice ----
-
-// Arrive takes a request that was read: it is joined to what it repeats, refused or held.
+// Arrive handles a request that was read. A repeat is joined to the request that it repeats; others are
+// rejected by fixed rules (mustReject), rejected at random (rejectByChance) or queued.
 func (c *Controller) Arrive(now time.Duration, q Request) {
-	c.begin(now)
+	c.beginEvent(now)
 	r := &request{Request: q, class: &c.classes[q.Class], arrived: now - q.Waited}
 	r.dueAt = max(q.Due, now)
 	if q.Due <= 0 {
 		r.dueAt = max(r.arrived+r.class.Deadline, now)
 	}
-	r.aimAt = c.origin(r) + r.class.Aim
-	c.observe(r)
-	c.unread += time.Duration(unreadWeight * float64(q.Waited-c.unread))
+	r.aimAt = c.firstSent(r) + r.class.Aim
+	c.observeArrival(r)
+	c.meanReadWait += time.Duration(readWaitWeight * float64(q.Waited-c.meanReadWait))
 	c.lastArrival = now
-	r.trial = c.stale(r)
-	c.enter(r, held)
-	heap.Push(&c.dues, entry{r.dueAt, r})
-	if c.worthlessLate(r) && r.aimAt < r.dueAt {
-		heap.Push(&c.dues, entry{r.aimAt, r})
+	r.probe = c.needsProbe(r)
+	c.setState(r, queued)
+	heap.Push(&c.dueQueue, entry{r.dueAt, r})
+	if c.worthlessAfterAim(r) && r.aimAt < r.dueAt {
+		heap.Push(&c.dueQueue, entry{r.aimAt, r})
 	}
 	switch {
-	case q.Earlier != 0 && !c.refused[q.Earlier]:
+	case q.Earlier != 0 && !c.rejectedInBatch[q.Earlier]:
 		c.join(r)
-	case c.guarded(r) || c.dice(r):
-		c.refuse(r)
+	case c.mustReject(r) || c.rejectByChance(r):
+		c.reject(r)
 	default:
-		c.keep(r)
-		heap.Push(&c.hold, entry{c.order(r), r})
+		c.storeKey(r)
+		heap.Push(&c.waitQueue, entry{c.startBy(r), r})
 	}
-	c.startHeld()
+	c.startQueued()
 }
 
-// origin estimates when the request that r is a try of was first sent, as its aim counts from there.
-// Callers give each try a fixed share of the deadline, the one most often seen: what comes with less is an
-// attempt at the same try, what comes with more has all that is left. It guards against cores spent on
-// repeats that are late already. Harm: where patience varies it takes some first tries for old.
-func (c *Controller) origin(r *request) time.Duration {
-	k := c.caller(r)
+// firstSent estimates when the first attempt of r's request was sent, as the aim counts from then. Callers
+// usually give each attempt the same share of the deadline, so that an attempt with less time left was resent
+// within that share, and one with more time has all that is left of the deadline. This avoids spending cores
+// on retries that are already late. If callers' time-outs vary, some first attempts are taken for retries.
+func (c *Controller) firstSent(r *request) time.Duration {
+	known := c.callerStats(r)
 	share := float64(r.dueAt-r.arrived) / float64(r.class.Deadline)
 	switch {
-	case math.Abs(share-k.tryShare) <= sameShare:
-		k.seen = min(k.seen+1, seenMost)
-	case k.seen == 0:
-		k.tryShare = share
+	case math.Abs(share-known.timeoutShare) <= timeoutTolerance:
+		known.votes = min(known.votes+1, maxTimeoutVotes)
+	case known.votes == 0:
+		known.timeoutShare = share
 	default:
-		k.seen--
-		if share > k.tryShare {
+		known.votes--
+		if share > known.timeoutShare {
 			return min(r.dueAt-r.class.Deadline, r.arrived)
 		}
-		return r.dueAt - time.Duration(k.tryShare*float64(r.class.Deadline))
+		return r.dueAt - time.Duration(known.timeoutShare*float64(r.class.Deadline))
 	}
 	return r.arrived
 }
 
-// caller finds what is known of r's caller; what was not seen for a while is forgotten.
-func (c *Controller) caller(r *request) *caller {
-	if age := c.cfg.IdleMax + r.class.Deadline; c.now-c.aged > age {
-		c.callers, c.former, c.aged = map[int]*caller{}, c.callers, c.now
+// callerStats returns the statistics of r's caller and removes those of callers not seen for a while.
+func (c *Controller) callerStats(r *request) *caller {
+	if age := c.cfg.IdleMax + r.class.Deadline; c.now-c.callersRotatedAt > age {
+		c.callers, c.oldCallers, c.callersRotatedAt = map[int]*caller{}, c.callers, c.now
 	}
-	k := c.callers[r.Caller]
-	if k == nil {
-		if k = c.former[r.Caller]; k == nil {
-			k = &caller{last: c.began - 1}
+	known := c.callers[r.Caller]
+	if known == nil {
+		if known = c.oldCallers[r.Caller]; known == nil {
+			known = &caller{lastSeen: c.startedAt - 1}
 		}
-		c.callers[r.Caller] = k
+		c.callers[r.Caller] = known
 	}
-	c.connections(c.now-k.last, k.last >= c.began)
-	k.last = c.now
-	return k
+	c.updateIdleClosing(c.now-known.lastSeen, known.lastSeen >= c.startedAt)
+	known.lastSeen = c.now
+	return known
 }
 
-// connections closes idle ones at once where holding them costs more than opening them anew, and keeps
-// them where callers come back soon. It guards against a full table, which takes cores and shuts callers
-// out, where there are far more callers than places. Harm: handshakes, where callers come in clusters.
-func (c *Controller) connections(gap time.Duration, known bool) {
-	count(&c.reuse, known && gap < c.cfg.IdleMax)
-	average(&c.idling, min(gap, c.cfg.IdleMax).Seconds())
-	closing, after := c.idling > c.reuse*idleShare*c.cfg.IdleMax.Seconds(), c.cfg.IdleMax
+// updateIdleClosing decides whether idle connections are closed at once, which it does if keeping them costs
+// more than opening them again. With far more callers than connection slots, idle connections would fill the
+// connection table, use cores and shut out other callers. The cost is extra handshakes for callers whose
+// requests come in clusters.
+func (c *Controller) updateIdleClosing(gap time.Duration, known bool) {
+	updateShare(&c.reuseProb, known && gap < c.cfg.IdleMax)
+	updateMean(&c.meanIdle, min(gap, c.cfg.IdleMax).Seconds())
+	closing, after := c.meanIdle > c.reuseProb*idleCostShare*c.cfg.IdleMax.Seconds(), c.cfg.IdleMax
 	if closing {
-		after = c.tick
+		after = c.tickInterval
 	}
-	if closing != c.closing {
-		c.closing = closing
+	if closing != c.closingIdle {
+		c.closingIdle = closing
 		c.host.CloseIdle(after)
 	}
 }
 
-// guarded tells whether a rule or plain arithmetic forbids holding r, whatever the dice say.
-func (c *Controller) guarded(r *request) bool {
+// mustReject reports whether a rule or a lack of time or memory forbids queuing r, whatever the drop
+// probability is.
+func (c *Controller) mustReject(r *request) bool {
 	switch o := r.Others; {
-	case c.draining && r.arrived > c.drainAt+c.cfg.DrainGrace: // rule 3
+	case c.draining && r.arrived > c.drainAt+c.cfg.DrainGrace: // rule 3: drain
 		return true
-	case c.tooLate(r) || c.doomed(r):
+	case c.tooLate(r) || c.predictedLate(r):
 		return true
-	case o.Beyond || o.Order > 1 && c.ahead.dropProb > 0 || o.Order > 0 && c.dropProb > lastAbove:
-		return true // first, so that callers need not hold back the rest
-	case c.memory+c.keyCost(r) > c.memoryLimit(): // rule 4, and rule 2: no room to remember it
+	case o.Beyond || o.Order > 1 && c.advisory.dropProb > 0 || o.Order > 0 && c.dropProb > noRetryThreshold:
+		return true // before others, so that callers need to hold back less of the rest
+	case c.memoryUsed+c.keyCost(r) > c.memoryLimit(): // rule 4: memory; rule 2: no room for its key
 		return true
 	case c.keyCost(r) > 0 && float64(len(c.keys)+1)*c.cfg.KeyKB > keyShare*c.cfg.MemoryKB:
 		return true
@@ -302,13 +311,13 @@
 	return false
 }
 
-// dice is PIE's random refusal. Ranks below the floor said to callers go first, at the same mean
-// rate: those who heed it have paid already.
-func (c *Controller) dice(r *request) bool {
+// rejectByChance rejects r at random with PIE's drop probability. Requests ranked below the floor signalled
+// to callers are rejected first, at the same mean rate, as callers that respect the floor already send less.
+func (c *Controller) rejectByChance(r *request) bool {
 	if c.burstAllowed > 0 || r.Others.Order < 0 {
 		return false
 	}
-	p, floor := c.quotas.reject(r.Tenant, c.dropProb)*c.lean(r.class), 0.0
+	p, floor := c.quotas.reject(r.Tenant, c.dropProb)*c.classFactor(r.class), 0.0
 	if c.cfg.Signal == RankFloor && !c.draining {
 		floor = min(max(c.signal, 0), p)
 	}
@@ -318,44 +327,45 @@
 	return c.random()*(1-floor) < p-floor
 }
 
-// lean lowers the chance of classes that earn more for their work than the mean, to the inverse of their
-// lead; PIE makes up for it on the rest. Classes under the mean stay alike, so that none is starved.
-func (c *Controller) lean(k *class) float64 {
-	if c.meanDensity <= 0 || k.meanRun <= 0 {
+// classFactor is the factor on the drop probability of a class: the mean worth density over that of the class
+// if the class is above the mean, and 1 for all others, so that none is starved. PIE compensates by rejecting
+// more of the others.
+func (c *Controller) classFactor(cl *class) float64 {
+	if c.meanDensity <= 0 || cl.meanRun <= 0 {
 		return 1
 	}
-	return min(1, c.meanDensity/c.density(k))
+	return min(1, c.meanDensity/c.worthDensity(cl))
 }
 
-// density is the worth of a class for the work it takes.
-func (c *Controller) density(k *class) float64 {
+// worthDensity returns the worth of a class per unit of work.
+func (c *Controller) worthDensity(cl *class) float64 {
 	if c.cfg.WorthByWork {
-		return k.Worth
+		return cl.Worth
 	}
-	return k.Worth / k.meanRun
+	return cl.Worth / cl.meanRun
 }
 
-// observe learns from each arrival what the mean one is like.
-func (c *Controller) observe(r *request) {
-	count(&c.sameCaller, r.Caller == c.lastCaller)
-	count(&c.repeats, r.Retry)
+// observeArrival updates the moving averages over arrivals.
+func (c *Controller) observeArrival(r *request) {
+	updateShare(&c.sameCallerProb, r.Caller == c.lastCaller)
+	updateShare(&c.repeatShare, r.Retry)
 	c.quotas.observe(r.Tenant)
 	c.lastCaller = r.Caller
 	if r.class.meanRun > 0 {
-		average(&c.meanDensity, c.density(r.class))
+		updateMean(&c.meanDensity, c.worthDensity(r.class))
 	}
 }
 
-// ---- bookkeeping ----
-
-func (c *Controller) begin(now time.Duration) {
+// beginEvent sets the clock. Events with the same time belong to one batch.
+func (c *Controller) beginEvent(now time.Duration) {
 	if now != c.now {
-		clear(c.refused)
+		clear(c.rejectedInBatch)
 	}
 	c.now = now
 }
 
-func (c *Controller) random() float64 { // SplitMix64
+// random returns a number in [0, 1) by SplitMix64.
+func (c *Controller) random() float64 {
 	c.rng += 0x9e3779b97f4a7c15
 	z := c.rng
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
@@ -363,32 +373,33 @@
 	return float64((z^z>>31)>>11) / (1 << 53)
 }
 
-func (c *Controller) weight(r *request) float64 {
-	if r.state == held {
+// memoryOf returns the memory in KB that r takes in its present state.
+func (c *Controller) memoryOf(r *request) float64 {
+	if r.state == queued {
 		return r.KB
 	}
 	return r.KB * c.cfg.RunFactor
 }
 
-// enter moves a live request to a state and keeps count and memory exact.
-func (c *Controller) enter(r *request, s state) {
+// setState moves a request to a state and updates the counts and the memory in use.
+func (c *Controller) setState(r *request, s state) {
 	if c.live[r.ID] == r {
 		c.count[r.state]--
-		c.memory -= c.weight(r)
+		c.memoryUsed -= c.memoryOf(r)
 	}
 	c.live[r.ID] = r
 	r.state = s
 	c.count[s]++
-	c.memory += c.weight(r)
+	c.memoryUsed += c.memoryOf(r)
 }
 
-func (c *Controller) end(r *request) {
+func (c *Controller) remove(r *request) {
 	c.count[r.state]--
-	c.memory -= c.weight(r)
+	c.memoryUsed -= c.memoryOf(r)
 	r.ended = true
 	delete(c.live, r.ID)
 }
 
 func (c *Controller) memoryLimit() float64 {
-	return memoryShare*c.share*c.cfg.MemoryKB - float64(len(c.keys))*c.cfg.KeyKB
+	return memoryShare*c.serverShare*c.cfg.MemoryKB - float64(len(c.keys))*c.cfg.KeyKB
 }
--- a/policy/quotas_test.go
+++ b/policy/quotas_test.go
@@ -8,36 +8,36 @@
 	"pgregory.net/rapid"
 )
 
-// fourTenants has one tenant that sends most of the arrivals and three that send less than their fractions.
+// fourTenants returns a large tenant and three smaller ones.
 func fourTenants() []Tenant {
 	return []Tenant{{"large", 0.4}, {"first", 0.2}, {"second", 0.2}, {"third", 0.2}}
 }
 
-// loaded returns quotas that have seen arrivals in these proportions.
-func loaded(tenants []Tenant, arrivals ...float64) quotas {
+// quotasWithArrivals returns quotas whose recent arrivals have these proportions.
+func quotasWithArrivals(tenants []Tenant, arrivals ...float64) quotas {
 	q := newQuotas(tenants)
 	copy(q.arrivals, arrivals)
 	return q
 }
 
-func TestWhatIsBeyondAQuotaIsRejectedFirst(t *testing.T) {
-	q := loaded(fourTenants(), 0.7, 0.1, 0.1, 0.1)
+func TestRequestsBeyondQuotaAreRejectedFirst(t *testing.T) {
+	q := quotasWithArrivals(fourTenants(), 0.7, 0.1, 0.1, 0.1)
 	for _, c := range []struct{ all, large, small float64 }{
 		{0, 0, 0},
-		{0.28, 0.28 / 0.7, 0},             // the small ones send less than their fractions of what is admitted
-		{0.6, 1 - 0.16/0.7, 1 - 0.08/0.1}, // each gets its fraction of the 0.4 that is admitted
+		{0.28, 0.28 / 0.7, 0},             // the small tenants send less than their fractions of the admitted arrivals
+		{0.6, 1 - 0.16/0.7, 1 - 0.08/0.1}, // each tenant gets its fraction of the 0.4 that is admitted
 		{1, 1, 1},
 	} {
-		large, small := q.share(1, c.all), q.share(2, c.all)
+		large, small := q.rejectedShare(1, c.all), q.rejectedShare(2, c.all)
 		if math.Abs(large-c.large) > 1e-9 || math.Abs(small-c.small) > 1e-9 {
 			t.Errorf("%.2f of all: %.3f and %.3f rejected, want %.3f and %.3f", c.all, large, small, c.large, c.small)
 		}
 	}
 }
 
-// Whatever tenants send, the parts rejected add up to what was to be rejected, and of two tenants that are both
-// rejected in part neither is admitted more for its fraction.
-func TestQuotasRejectWhatWasToBeRejected(t *testing.T) {
+// For any arrivals, the rejected shares add up to the total probability, and all tenants that are partly rejected are
+// admitted the same per unit of their fraction.
+func TestQuotasRejectTotalProbability(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tenants, arrivals, all := []Tenant{}, []float64{}, 0.0
 		for range rapid.IntRange(1, 8).Draw(t, "tenants") {
@@ -45,17 +45,17 @@
 			arrivals = append(arrivals, rapid.Float64Range(0.001, 1).Draw(t, "arrivals"))
 			all += arrivals[len(arrivals)-1]
 		}
-		q, probability := loaded(tenants, arrivals...), rapid.Float64Range(0, 1).Draw(t, "probability")
+		q, probability := quotasWithArrivals(tenants, arrivals...), rapid.Float64Range(0, 1).Draw(t, "probability")
 		rejected, level := 0.0, 0.0
 		for i, tenant := range tenants {
-			share := q.share(i+1, probability)
+			share := q.rejectedShare(i+1, probability)
 			if share < 0 || share > 1 {
-				t.Fatalf("a probability of %g", share)
+				t.Fatalf("rejected share %g, want 0 to 1", share)
 			}
 			rejected += share * arrivals[i]
 			if admitted := (1 - share) * arrivals[i] / tenant.Fraction; share > 1e-9 {
 				if level > 0 && math.Abs(admitted-level) > 1e-6 {
-					t.Fatalf("admitted %g and %g for a unit of the fraction", admitted, level)
+					t.Fatalf("admitted %g and %g per unit of the fraction", admitted, level)
 				}
 				level = admitted
 			}
@@ -66,69 +66,69 @@
 	})
 }
 
-// The controller's probability swings to 1 for a moment in every overload; tenants within their quotas were
-// rejected with the rest then.
-func TestAMomentOfOverloadSparesTenantsWithinTheirQuotas(t *testing.T) {
-	q := loaded(fourTenants(), 0.7, 0.1, 0.1, 0.1)
+// Guards against rejecting tenants within their quotas when the drop probability overshoots to 1 for a moment, as it does
+// in every overload.
+func TestShortOverloadSparesTenantsWithinQuota(t *testing.T) {
+	q := quotasWithArrivals(fourTenants(), 0.7, 0.1, 0.1, 0.1)
 	q.meanReject = 0.2
 	if p := q.reject(2, 1); p != 0 {
-		t.Errorf("a tenant within its quota is rejected at %.2f", p)
+		t.Errorf("tenant within its quota: rejection probability %.2f, want 0", p)
 	}
 	if p, want := q.reject(1, 1), meanRejectMultiple*0.2/0.7; math.Abs(p-want) > 1e-9 {
-		t.Errorf("a tenant beyond its quota is rejected at %.3f, want %.3f", p, want)
+		t.Errorf("tenant beyond its quota: rejection probability %.3f, want %.3f", p, want)
 	}
-	for range 200 { // an overload that lasts
-		q.average(1, 1, 50*time.Millisecond, 300*time.Millisecond)
+	for range 200 { // a lasting overload
+		q.updateMeans(1, 1, 50*time.Millisecond, 300*time.Millisecond)
 	}
 	if p := q.reject(2, 1); p < 0.99 {
-		t.Errorf("a tenant within its quota is rejected at %.2f in an overload that lasts", p)
+		t.Errorf("tenant within its quota: rejection probability %.2f in a lasting overload, want at least 0.99", p)
 	}
 }
 
-func TestWithoutQuotasAllAreRejectedAlike(t *testing.T) {
-	none, some := newQuotas(nil), loaded(fourTenants(), 0.7, 0.1, 0.1, 0.1)
+func TestTenantsWithoutQuotaAreRejectedAlike(t *testing.T) {
+	none, some := newQuotas(nil), quotasWithArrivals(fourTenants(), 0.7, 0.1, 0.1, 0.1)
 	for _, tenant := range []int{0, 5, 9} {
 		if p := none.reject(tenant, 0.3); p != 0.3 {
-			t.Errorf("tenant %d of none: %.2f", tenant, p)
+			t.Errorf("tenant %d without quotas: rejection probability %.2f, want 0.3", tenant, p)
 		}
 		if p := some.reject(tenant, 0.3); p != 0.3 {
-			t.Errorf("tenant %d of four: %.2f", tenant, p)
+			t.Errorf("tenant %d, not among the four with quotas: rejection probability %.2f, want 0.3", tenant, p)
 		}
 	}
 	if p := none.level(0.3); p != 0.3 {
-		t.Errorf("level of none: %.2f", p)
+		t.Errorf("level without quotas %.2f, want 0.3", p)
 	}
 }
 
-// Callers hold back by rank alone: the level must not hold back a tenant that nothing is rejected of.
-func TestTheLevelIsWhatTheTenantSparedMostIsRejected(t *testing.T) {
+// Callers hold back requests by rank alone, so the level must not affect a tenant of which nothing is rejected.
+func TestLevelIsRejectedShareOfLeastRejectedTenant(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = fourTenants()
-	c, _ := start(t, cfg)
+	c, _ := startController(t, cfg)
 	for i := range 2000 {
-		c.observe(&request{class: &c.classes[0], Request: Request{Tenant: 1 + max(0, i%10-6)}}) // 7 in 10 of the first
+		c.observeArrival(&request{class: &c.classes[0], Request: Request{Tenant: 1 + max(0, i%10-6)}}) // 7 of 10 are from the first tenant
 	}
 	for _, want := range []struct {
 		probability, mean, least, most float64
 		name                           string
 	}{
 		{0.2, 0.2, 0, 0, "three tenants within their quotas"},
-		{0.8, 0.8, 0.1, 0.8*levelShare - 0.01, "an overload that lasts"},
-		{1, 0.2, 0, 0, "a moment of overload"},
-		{0.2, 0.8, 0, 0, "an overload that ends"},
+		{0.8, 0.8, 0.1, 0.8*levelShare - 0.01, "lasting overload"},
+		{1, 0.2, 0, 0, "short overload"},
+		{0.2, 0.8, 0, 0, "overload that has ended"},
 	} {
-		c.ahead.dropProb, c.quotas.meanAhead = want.probability, want.mean
+		c.advisory.dropProb, c.quotas.meanAdvisory = want.probability, want.mean
 		if level := c.Level(); level < want.least || level > want.most {
-			t.Errorf("%s: a level of %.2f, want %.2f to %.2f", want.name, level, want.least, want.most)
+			t.Errorf("%s: level %.2f, want %.2f to %.2f", want.name, level, want.least, want.most)
 		}
 	}
 }
 
-// A controller in overload rejects the tenant beyond its quota and runs those within theirs.
-func TestArrivalsAreRejectedByTheirTenants(t *testing.T) {
+// An overloaded controller rejects requests of the tenant beyond its quota and runs those of the others.
+func TestArrivalsAreRejectedByTenant(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = fourTenants()
-	c, h := start(t, cfg)
+	c, h := startController(t, cfg)
 	c.burstAllowed = 0
 	rejected, arrived := map[int]int{}, map[int]int{}
 	for i := range 4000 {
@@ -142,7 +142,7 @@
 		} else {
 			c.Done(now, id, Succeeded, ms)
 		}
-		h.take()
+		h.takeActions()
 	}
 	for tenant := 2; tenant <= 4; tenant++ {
 		if rejected[tenant] > arrived[tenant]/100 {
@@ -150,13 +150,13 @@
 		}
 	}
 	if share := float64(rejected[1]) / float64(arrived[1]); share < 0.3 || share > 0.42 {
-		t.Errorf("the tenant beyond its quota: %.2f rejected, want about 0.36", share)
+		t.Errorf("tenant beyond its quota: %.2f rejected, want 0.3 to 0.42", share)
 	}
 }
 
-// A caller that stays away does so with the requests of all tenants: it used to be told so while one tenant alone
-// was beyond its quota.
-func TestNobodyIsToldToStayAwayWhileOneTenantAloneSendsTooMuch(t *testing.T) {
+// A caller that holds off sends no request of any tenant. Guards against a hold-off while only one tenant exceeds its
+// quota.
+func TestNoHoldOffWhileOnlyOneTenantExceedsQuota(t *testing.T) {
 	for _, want := range []struct {
 		mean    float64
 		holdOff bool
@@ -167,12 +167,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.quotas = loaded(cfg.Tenants, 0.7, 0.1, 0.1, 0.1)
-		c.burstAllowed, c.dropProb, c.ahead.dropProb = 0, 1, 0.9
-		c.quotas.meanReject, c.quotas.meanAhead = 0.9, want.mean
+		c.quotas = quotasWithArrivals(cfg.Tenants, 0.7, 0.1, 0.1, 0.1)
+		c.burstAllowed, c.dropProb, c.advisory.dropProb = 0, 1, 0.9
+		c.quotas.meanReject, c.quotas.meanAdvisory = 0.9, want.mean
 		c.Arrive(0, Request{ID: 1, Tenant: 1, KB: 10})
 		if c.live[1] != nil || (h.last.HoldOff > 0) != want.holdOff {
-			t.Errorf("a mean of %.1f: advice %+v, held %v", want.mean, h.last, c.live[1] != nil)
+			t.Errorf("mean %.1f: advice %+v, admitted %v", want.mean, h.last, c.live[1] != nil)
 		}
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -7,128 +7,130 @@
 	"time"
 )
 
-// checker is a Host that keeps its own books of the four rules, apart from the module's.
-type checker struct {
+// ruleChecker is a Host that checks the four rules with its own bookkeeping, independent of the controller's.
+type ruleChecker struct {
 	Host
-	cfg    Config
-	now    time.Duration
-	faults []string
-	reqs   map[RequestID]*tracked
-	kept   map[RequestID]time.Duration
-	calls  int
-	stop   time.Duration // 0 while not draining
-	notice time.Duration
+	cfg         Config
+	now         time.Duration
+	violations  []string
+	requests    map[RequestID]*trackedRequest
+	keys        map[RequestID]time.Duration
+	callsInHand int
+	stopAt      time.Duration // 0 while not draining
+	drainAt     time.Duration
 }
 
-type tracked struct {
+type trackedRequest struct {
 	Request
-	arrived, due time.Duration
-	ran, on      bool // ever run; in running memory now
-	atCall, out  bool // waits for a call; the call is out
-	joined       bool
-	answers      int
-	gone, over   bool
-	doubt        bool // a call of it may have had its effect
+	arrived, dueAt        time.Duration
+	ran, running          bool // has run at some time; runs now
+	awaitingCall, calling bool // waits for a call; the call is open
+	joined                bool
+	answers               int
+	gone, ended           bool
+	mayHaveEffect         bool // one of its calls may have had its effect
 }
 
-func (k *checker) fault(format string, a ...any) {
-	k.faults = append(k.faults, fmt.Sprintf("%v: ", k.now)+fmt.Sprintf(format, a...))
+func (k *ruleChecker) violation(format string, a ...any) {
+	k.violations = append(k.violations, fmt.Sprintf("%v: ", k.now)+fmt.Sprintf(format, a...))
 }
 
-func (k *checker) safe(r *tracked) bool { return k.cfg.Classes[r.Class].Semantics == Safe }
+func (k *ruleChecker) isSafe(r *trackedRequest) bool { return k.cfg.Classes[r.Class].Semantics == Safe }
 
-func (k *checker) Run(id RequestID) {
-	r := k.reqs[id]
-	if r.over || r.joined || r.ran && !k.safe(r) {
-		k.fault("duplicate: %d runs again", id)
+func (k *ruleChecker) Run(id RequestID) {
+	r := k.requests[id]
+	if r.ended || r.joined || r.ran && !k.isSafe(r) {
+		k.violation("duplicate: %d runs again", id)
 	}
-	if first := k.reqs[r.Earlier]; first != nil && first.ran && !k.safe(r) {
-		k.fault("duplicate: %d runs after its try %d", id, first.ID)
+	if first := k.requests[r.Earlier]; first != nil && first.ran && !k.isSafe(r) {
+		k.violation("duplicate: %d runs after the earlier attempt %d", id, first.ID)
 	}
-	if k.stop > 0 && r.arrived > k.notice+k.cfg.DrainGrace {
-		k.fault("drain: %d runs though it came after the grace", id)
+	if k.stopAt > 0 && r.arrived > k.drainAt+k.cfg.DrainGrace {
+		k.violation("drain: %d runs although it arrived after the grace", id)
 	}
-	r.ran, r.on = true, true
+	r.ran, r.running = true, true
 }
 
-func (k *checker) answer(id RequestID, refusal bool) {
-	r := k.reqs[id]
+func (k *ruleChecker) checkAnswer(id RequestID, rejected bool) {
+	r := k.requests[id]
 	r.answers++
 	if r.answers > 1 {
-		k.fault("lost: %d answered twice", id)
+		k.violation("lost: %d answered twice", id)
 	}
-	if refusal && !k.safe(r) && (r.ran || r.joined) {
-		k.fault("duplicate: %d refused though it may have run", id)
+	if rejected && !k.isSafe(r) && (r.ran || r.joined) {
+		k.violation("duplicate: %d rejected although it may have run", id)
 	}
-	if !r.on && !r.atCall {
-		r.over = true
+	if !r.running && !r.awaitingCall {
+		r.ended = true
 	}
 }
 
-func (k *checker) Refuse(id RequestID, _ Advice)        { k.answer(id, true) }
-func (k *checker) Fail(id RequestID)                    { k.answer(id, false) }
-func (k *checker) Reuse(id RequestID)                   { k.reqs[id].joined = true }
-func (k *checker) Keep(id RequestID, ttl time.Duration) { k.kept[id] = k.now + ttl }
-func (k *checker) Forget(id RequestID)                  { delete(k.kept, id) }
-func (k *checker) Skip(id RequestID)                    { k.reqs[id].atCall, k.reqs[id].on = false, true }
-func (k *checker) Signal(float64)                       {}
-func (k *checker) CloseIdle(time.Duration)              {}
-func (k *checker) Health(bool)                          {}
-func (k *checker) Wake(time.Duration)                   {}
-func (k *checker) Call(id RequestID, _ time.Duration) {
-	r := k.reqs[id]
-	if r.doubt && !k.safe(r) {
-		k.fault("duplicate: the call of %d is repeated", id)
+func (k *ruleChecker) Refuse(id RequestID, _ Advice)        { k.checkAnswer(id, true) }
+func (k *ruleChecker) Fail(id RequestID)                    { k.checkAnswer(id, false) }
+func (k *ruleChecker) Reuse(id RequestID)                   { k.requests[id].joined = true }
+func (k *ruleChecker) Keep(id RequestID, ttl time.Duration) { k.keys[id] = k.now + ttl }
+func (k *ruleChecker) Forget(id RequestID)                  { delete(k.keys, id) }
+func (k *ruleChecker) Skip(id RequestID) {
+	k.requests[id].awaitingCall, k.requests[id].running = false, true
+}
+func (k *ruleChecker) Signal(float64)          {}
+func (k *ruleChecker) CloseIdle(time.Duration) {}
+func (k *ruleChecker) Health(bool)             {}
+func (k *ruleChecker) Wake(time.Duration)      {}
+func (k *ruleChecker) Call(id RequestID, _ time.Duration) {
+	r := k.requests[id]
+	if r.mayHaveEffect && !k.isSafe(r) {
+		k.violation("duplicate: the call of %d is repeated", id)
 	}
-	r.out = true
-	k.calls++
+	r.calling = true
+	k.callsInHand++
 }
 
-func (k *checker) Halt(id RequestID) {
+func (k *ruleChecker) Halt(id RequestID) {
 	if k.cfg.Halt == NoHalt {
-		k.fault("fault: halt of %d where it is off", id)
+		k.violation("preemption: %d halted with NoHalt", id)
 	}
 }
 
-// settle checks what must hold once a batch has been answered.
-func (k *checker) settle() {
-	memory, crowd := 0.0, 0
-	for _, r := range k.reqs {
+// checkState checks the rules that must hold after each batch of events.
+func (k *ruleChecker) checkState() {
+	memory, runs := 0.0, 0
+	for _, r := range k.requests {
 		switch {
-		case r.over:
+		case r.ended:
 			continue
-		case r.on || r.atCall:
+		case r.running || r.awaitingCall:
 			memory += r.KB * k.cfg.RunFactor
 		default:
 			memory += r.KB
 		}
-		if r.on {
-			crowd++
+		if r.running {
+			runs++
 		}
-		if r.answers == 0 && !r.gone && k.now > r.due+k.cfg.AnswerSlack {
-			k.fault("lost: %d unanswered after its due time", r.ID)
+		if r.answers == 0 && !r.gone && k.now > r.dueAt+k.cfg.AnswerSlack {
+			k.violation("lost: %d unanswered after its due time", r.ID)
 		}
-		if r.answers == 0 && !r.gone && k.stop > 0 && k.now >= k.stop {
-			k.fault("drain: %d unanswered at the stop", r.ID)
+		if r.answers == 0 && !r.gone && k.stopAt > 0 && k.now >= k.stopAt {
+			k.violation("drain: %d unanswered at the stop", r.ID)
 		}
 	}
-	for id, until := range k.kept {
+	for id, until := range k.keys {
 		if until < k.now {
-			delete(k.kept, id)
+			delete(k.keys, id)
 		}
 	}
-	if memory += float64(len(k.kept)) * k.cfg.KeyKB; memory > k.cfg.MemoryKB {
-		k.fault("fall-over: %g KB of %g", memory, k.cfg.MemoryKB)
+	if memory += float64(len(k.keys)) * k.cfg.KeyKB; memory > k.cfg.MemoryKB {
+		k.violation("limit: %g KB in use of %g", memory, k.cfg.MemoryKB)
 	}
 	warmth := 1.0
 	if k.cfg.Cold {
 		warmth = min(1, k.cfg.ColdFrom+(1-k.cfg.ColdFrom)*float64(k.now)/float64(k.cfg.ColdFor))
 	}
-	if float64(crowd) > float64(k.cfg.Cores)*(1+(k.cfg.FallFactor-1)*warmth) {
-		k.fault("fall-over: %d on the cores", crowd)
+	if float64(runs) > float64(k.cfg.Cores)*(1+(k.cfg.FallFactor-1)*warmth) {
+		k.violation("limit: %d running requests", runs)
 	}
-	if k.cfg.Dependency == SharedDependency && float64(k.calls) > max(1, k.cfg.FairCalls) {
-		k.fault("fall-over: %d calls in hand", k.calls)
+	if k.cfg.Dependency == SharedDependency && float64(k.callsInHand) > max(1, k.cfg.FairCalls) {
+		k.violation("limit: %d open calls", k.callsInHand)
 	}
 }
 
@@ -147,131 +149,133 @@
 	return cfg
 }
 
-// play feeds a controller a random but legal stream of events and returns the rules it broke.
-func play(t *testing.T, seed int64) []string {
+// playRandomEvents sends a random but valid stream of events to a controller and returns the violations of the rules.
+func playRandomEvents(t *testing.T, seed int64) []string {
 	t.Helper()
 	rnd := rand.New(rand.NewSource(seed))
-	k := &checker{cfg: randomConfig(rnd), reqs: map[RequestID]*tracked{}, kept: map[RequestID]time.Duration{}}
+	k := &ruleChecker{cfg: randomConfig(rnd), requests: map[RequestID]*trackedRequest{}, keys: map[RequestID]time.Duration{}}
 	c, err := New(0, k.cfg, k)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var ids []RequestID
 	drainFrom := time.Duration(4+rnd.Intn(8)) * time.Second
-	for k.now = 25 * ms; k.now < 15*time.Second && (k.stop == 0 || k.now <= k.stop); k.now += 25 * ms {
-		if k.now >= drainFrom && k.stop == 0 {
-			k.notice, k.stop = k.now, k.now+3*time.Second
-			c.Drain(k.now, k.stop)
+	for k.now = 25 * ms; k.now < 15*time.Second && (k.stopAt == 0 || k.now <= k.stopAt); k.now += 25 * ms {
+		if k.now >= drainFrom && k.stopAt == 0 {
+			k.drainAt, k.stopAt = k.now, k.now+3*time.Second
+			c.Drain(k.now, k.stopAt)
 		}
 		for n := rnd.Intn(4); n > 0; n-- {
 			arriveRandom(c, k, rnd, &ids)
 		}
 		for _, id := range ids {
-			if r := k.reqs[id]; !r.over {
+			if r := k.requests[id]; !r.ended {
 				stepRandom(c, k, rnd, r)
 			}
 		}
 		c.Tick(k.now, Gauges{OnCores: float64(rnd.Intn(2 * k.cfg.Cores))})
-		k.settle()
+		k.checkState()
 	}
-	return k.faults
+	return k.violations
 }
 
-func arriveRandom(c *Controller, k *checker, rnd *rand.Rand, ids *[]RequestID) {
-	r := &tracked{Request: Request{ID: RequestID(len(*ids) + 1), Class: rnd.Intn(3), Caller: rnd.Intn(40),
+// arriveRandom sends a random request, which may repeat an earlier one.
+func arriveRandom(c *Controller, k *ruleChecker, rnd *rand.Rand, ids *[]RequestID) {
+	r := &trackedRequest{Request: Request{ID: RequestID(len(*ids) + 1), Class: rnd.Intn(3), Caller: rnd.Intn(40),
 		Retry: rnd.Intn(4) == 0, Expected: time.Duration(rnd.Intn(3)*200) * ms,
 		KB: 5 + 60*rnd.Float64(), Rank: rnd.Float64(), Waited: time.Duration(rnd.Intn(300)) * ms}}
 	r.arrived = k.now - r.Waited
 	class := k.cfg.Classes[r.Class]
-	r.due = r.arrived + class.Deadline
+	r.dueAt = r.arrived + class.Deadline
 	if rnd.Intn(2) == 0 {
-		r.due = k.now + time.Duration(rnd.Intn(3000))*ms
-		r.Due = r.due
+		r.dueAt = k.now + time.Duration(rnd.Intn(3000))*ms
+		r.Due = r.dueAt
 	}
 	if class.Semantics == Keyed && rnd.Intn(3) == 0 {
 		for _, id := range *ids {
-			if p := k.reqs[id]; p.Class == r.Class && k.kept[id] > r.arrived {
+			if p := k.requests[id]; p.Class == r.Class && k.keys[id] > r.arrived {
 				r.Earlier = id
 			}
 		}
 	}
 	*ids = append(*ids, r.ID)
-	k.reqs[r.ID] = r
+	k.requests[r.ID] = r
 	c.Arrive(k.now, r.Request)
 }
 
-func stepRandom(c *Controller, k *checker, rnd *rand.Rand, r *tracked) {
+// stepRandom ends r or its call, makes it ask for a call, or lets its caller leave, or does nothing.
+func stepRandom(c *Controller, k *ruleChecker, rnd *rand.Rand, r *trackedRequest) {
 	outcomes := []Outcome{Succeeded, Succeeded, Failed}
 	switch x := rnd.Intn(40); {
-	case r.out && x < 8:
-		r.out = false
-		k.calls--
+	case r.calling && x < 8:
+		r.calling = false
+		k.callsInHand--
 		o := []Outcome{Succeeded, Failed, TurnedAway, TimedOut, Unreachable, Interrupted}[rnd.Intn(6)]
 		if o == Succeeded {
-			r.atCall, r.on = false, true
+			r.awaitingCall, r.running = false, true
 		} else if o != TurnedAway && o != Unreachable {
-			r.doubt = true
+			r.mayHaveEffect = true
 		}
 		c.Called(k.now, r.ID, o, 50*ms)
-	case r.on && x == 0 && k.cfg.Dependency != NoDependency:
-		r.atCall, r.on = true, false
+	case r.running && x == 0 && k.cfg.Dependency != NoDependency:
+		r.awaitingCall, r.running = true, false
 		c.NeedsCall(k.now, r.ID)
-	case r.on && x < 5, r.joined && x < 3:
-		r.over, r.on = true, false
+	case r.running && x < 5, r.joined && x < 3:
+		r.ended, r.running = true, false
 		o := outcomes[rnd.Intn(3)]
 		if r.answers == 0 {
 			r.answers++
 		}
 		c.Done(k.now, r.ID, o, time.Duration(rnd.Intn(500))*ms)
-	case r.atCall && r.answers > 0 && !r.out:
-		r.over, r.atCall = true, false
+	case r.awaitingCall && r.answers > 0 && !r.calling:
+		r.ended, r.awaitingCall = true, false
 		c.Done(k.now, r.ID, Cancelled, 100*ms)
 	case x == 39 && r.answers == 0 && !r.gone:
 		r.gone = true
-		r.over = !r.on && !r.atCall
+		r.ended = !r.running && !r.awaitingCall
 		c.Gone(k.now, r.ID)
 	}
 }
 
-func TestRulesHoldOnRandomDays(t *testing.T) {
+func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 150; seed++ {
-		if faults := play(t, seed); len(faults) > 0 {
-			t.Errorf("seed %d: %d faults, first %s", seed, len(faults), faults[0])
+		if violations := playRandomEvents(t, seed); len(violations) > 0 {
+			t.Errorf("seed %d: %d violations, the first is %s", seed, len(violations), violations[0])
 		}
 	}
 }
 
-func TestTheCheckerCanFail(t *testing.T) {
-	for name, breach := range map[string]func(k *checker){
-		"lost":      func(k *checker) { k.reqs[1].due = -time.Second; k.settle() },
-		"twice":     func(k *checker) { k.Fail(1); k.Fail(1) },
-		"duplicate": func(k *checker) { k.Run(1); k.Run(1) },
-		"refused":   func(k *checker) { k.Run(1); k.Refuse(1, Advice{}) },
-		"call":      func(k *checker) { k.reqs[1].doubt = true; k.Call(1, 0) },
-		"drain":     func(k *checker) { k.stop = 1; k.notice = -2 * time.Second; k.Run(1) },
-		"unstopped": func(k *checker) { k.stop = 1; k.now = 1; k.settle() },
-		"memory":    func(k *checker) { k.reqs[1].KB = 1e6; k.settle() },
-		"crowd": func(k *checker) {
+func TestRuleCheckerDetectsEachViolation(t *testing.T) {
+	for name, violate := range map[string]func(k *ruleChecker){
+		"unanswered":         func(k *ruleChecker) { k.requests[1].dueAt = -time.Second; k.checkState() },
+		"answered twice":     func(k *ruleChecker) { k.Fail(1); k.Fail(1) },
+		"run twice":          func(k *ruleChecker) { k.Run(1); k.Run(1) },
+		"rejected after run": func(k *ruleChecker) { k.Run(1); k.Refuse(1, Advice{}) },
+		"call repeated":      func(k *ruleChecker) { k.requests[1].mayHaveEffect = true; k.Call(1, 0) },
+		"run after grace":    func(k *ruleChecker) { k.stopAt = 1; k.drainAt = -2 * time.Second; k.Run(1) },
+		"unanswered at stop": func(k *ruleChecker) { k.stopAt = 1; k.now = 1; k.checkState() },
+		"memory":             func(k *ruleChecker) { k.requests[1].KB = 1e6; k.checkState() },
+		"running requests": func(k *ruleChecker) {
 			for id := RequestID(2); id < 20; id++ {
-				k.reqs[id] = &tracked{Request: Request{ID: id}, on: true, due: time.Hour}
+				k.requests[id] = &trackedRequest{Request: Request{ID: id}, running: true, dueAt: time.Hour}
 			}
-			k.settle()
+			k.checkState()
 		},
-		"calls": func(k *checker) { k.calls = 100; k.settle() },
+		"open calls": func(k *ruleChecker) { k.callsInHand = 100; k.checkState() },
 	} {
-		k := &checker{cfg: testConfig(), kept: map[RequestID]time.Duration{}}
-		k.reqs = map[RequestID]*tracked{1: {Request: Request{ID: 1, Class: 1}, due: time.Hour}}
-		if breach(k); len(k.faults) == 0 {
-			t.Errorf("%s: not seen", name)
+		k := &ruleChecker{cfg: testConfig(), keys: map[RequestID]time.Duration{}}
+		k.requests = map[RequestID]*trackedRequest{1: {Request: Request{ID: 1, Class: 1}, dueAt: time.Hour}}
+		if violate(k); len(k.violations) == 0 {
+			t.Errorf("%s: violation not detected", name)
 		}
 	}
 }
 
-// TestMemoryStaysBoundedOverLongUptime plays hours of a well-loaded server and watches every table.
+// TestMemoryStaysBoundedOverLongUptime simulates hours of a busy server and bounds the size of each table.
 func TestMemoryStaysBoundedOverLongUptime(t *testing.T) {
 	cfg := testConfig()
 	cfg.IdleMax, cfg.ShareFor = 10*time.Second, time.Second
-	c, h := start(t, cfg)
+	c, h := startController(t, cfg)
 	var started []RequestID
 	for i := 1; i <= 400000; i++ {
 		now, id := time.Duration(i)*25*ms, RequestID(i)
@@ -281,19 +285,21 @@
 			started = started[1:]
 		}
 		c.Tick(now, Gauges{OnCores: 2})
-		for _, act := range h.acts {
+		for _, action := range h.actions {
 			var ran RequestID
-			if n, _ := fmt.Sscanf(act, "run %d", &ran); n == 1 {
+			if n, _ := fmt.Sscanf(action, "run %d", &ran); n == 1 {
 				started = append(started, ran)
 			}
 		}
-		h.take()
+		h.takeActions()
 	}
-	for name, n := range map[string]int{"live": len(c.live), "hold": len(c.hold), "dues": len(c.dues),
-		"keys": len(c.keys), "keyEnds": len(c.keyEnds), "refused": len(c.refused), "calls": len(c.calls),
-		"callers": len(c.callers) + len(c.former)} {
+	for name, n := range map[string]int{"live": len(c.live), "waitQueue": len(c.waitQueue),
+		"dueQueue": len(c.dueQueue),
+		"keys":     len(c.keys), "keyExpiries": len(c.keyExpiries), "rejectedInBatch": len(c.rejectedInBatch),
+		"callQueue": len(c.callQueue),
+		"callers":   len(c.callers) + len(c.oldCallers)} {
 		if n > 2000 {
-			t.Errorf("%s holds %d entries after %v", name, n, c.now)
+			t.Errorf("%s has %d entries after %v, want at most 2000", name, n, c.now)
 		}
 	}
 }
--- a/policy/signals.go
+++ b/policy/signals.go
@@ -1,106 +1,108 @@
 package policy
 
-// This file holds draining, health and what callers are told ahead of their requests.
+// This file handles draining, health and the signal that tells callers how much to send.
 
 import (
 	"math"
 	"time"
 )
 
-// Tuned values of signals. Times are relative to Config.Heeded, the answer slack and the reference delay.
+// Parameters of signals. Times are relative to Config.Heeded, the answer slack and the reference delay.
 const (
-	levelShare    = 0.9  // share of p that callers are asked to hold back; the dice take the rest
-	signalStep    = 0.01 // smallest change of the signal that is worth saying
-	levelApart    = 0.15 // by how much more than the mean of all servers one in trouble asks for
-	commonFrom    = 0.1  // mean above which they come to ask for the same, fully a commonOver further
-	commonOver    = 0.2
-	retireAbove   = 2    // wait unread, in referenceDelays, above which a server alone in trouble leaves
-	retireRepeats = 0.08 // share refused elsewhere under which it is taken to be alone
-	retireDelays  = 10   // referenceDelays for which it leaves
-	leadShare     = 0.1  // share of Heeded before the end of the grace at which a drain sends callers away
-	stopSlacks    = 2    // answer slacks before the stop by which a drain has answered all
-	gaugeTicks    = 8.0  // ticks over which the demand for cores is averaged
+	levelShare       = 0.9  // share of the probability that callers hold back; random rejection does the rest
+	signalStep       = 0.01 // smallest change of the signal that is sent
+	levelExcess      = 0.15 // how far its level may exceed the mean before a server asks for more than that
+	commonFrom       = 0.1  // mean level above which servers start to ask for the same level
+	commonOver       = 0.2  // increase of the mean beyond commonFrom at which they fully do
+	delistAbove      = 2    // wait to be read, in referenceDelays, above which a server is delisted
+	delistMaxRepeats = 0.08 // share rejected elsewhere below which only this server is overloaded
+	delistDelays     = 10   // referenceDelays for which it is delisted
+	drainLeadShare   = 0.1  // share of Heeded before the end of the grace at which a drain redirects callers
+	stopSlacks       = 2    // answer slacks before the stop by which all requests are answered
+	gaugeTicks       = 8.0  // ticks over which the demand for cores is averaged
 )
 
-// Drain takes the notice to leave: callers are steered away before its grace ends.
+// Drain starts a drain: the server stops at stopAt, and its callers are redirected before the grace ends.
 func (c *Controller) Drain(now, stopAt time.Duration) {
-	c.begin(now)
+	c.beginEvent(now)
 	c.draining, c.drainAt, c.stopAt = true, now, stopAt
 	c.host.Health(false)
-	c.say()
+	c.updateSignal()
 }
 
-// StopAt says when this process ends though its server goes on: all is answered before then.
+// StopAt sets when this process ends while its server goes on. All requests are answered before that time.
 func (c *Controller) StopAt(now, stopAt time.Duration) {
-	c.begin(now)
+	c.beginEvent(now)
 	c.stopAt = stopAt
 }
 
-// limit is the given time, or the last moment before a stop.
-func (c *Controller) limit(at time.Duration) time.Duration {
+// beforeStop returns at, or the time by which all requests must be answered before a stop if that is earlier.
+func (c *Controller) beforeStop(at time.Duration) time.Duration {
 	if c.stopAt > 0 {
-		return min(at, c.stopAt-stopSlacks*max(c.cfg.AnswerSlack, c.tick))
+		return min(at, c.stopAt-stopSlacks*max(c.cfg.AnswerSlack, c.tickInterval))
 	}
 	return at
 }
 
-// Tick takes the timer with the server's gauges; all that goes by time happens here.
+// Tick handles the periodic timer: it does everything that depends on the passage of time.
 func (c *Controller) Tick(now time.Duration, g Gauges) {
-	c.begin(now)
-	dt := now - c.ticked
-	c.ticked = now
-	if g.Age > c.referenceDelay { // nobody knows: taken for busy, so that the pool does not climb
+	c.beginEvent(now)
+	dt := now - c.lastTick
+	c.lastTick = now
+	if g.Age > c.referenceDelay { // too old: assume busy cores, so that the run limit does not grow
 		g.OnCores = float64(c.cfg.Cores)
 	}
-	c.onCores += (min(g.OnCores, float64(c.cfg.Cores)) - c.onCores) / gaugeTicks
+	c.coreDemand += (min(g.OnCores, float64(c.cfg.Cores)) - c.coreDemand) / gaugeTicks
 	c.answerDue()
 	c.expireKeys()
-	c.regulate(dt)
+	c.updateProbabilities(dt)
 	c.resize()
 	c.tickCalls(dt)
-	c.sweepHold()
-	c.startHeld()
-	c.say()
-	c.retire()
-	c.host.Wake(c.tick)
+	c.rejectLate()
+	c.startQueued()
+	c.updateSignal()
+	c.updateListing()
+	c.host.Wake(c.tickInterval)
 }
 
-// retire leaves the list that all callers share for a while, where arrivals wait long to be read and the
-// neighbours are well: at size the one word that reaches all. Harm: a herd that leaves together.
-func (c *Controller) retire() {
-	alone := c.cfg.MarksRetry && c.refusedElsewhere() < retireRepeats
+// updateListing removes this server from the list that all callers use for a while, if its arrivals wait long
+// to be read and the other servers are not overloaded. With many callers, the list is the only message that
+// reaches all of them. The risk is that many servers leave the list at once.
+func (c *Controller) updateListing() {
+	onlyHere := c.cfg.MarksRetry && c.rejectedElsewhere() < delistMaxRepeats
 	switch {
-	case !c.cfg.Readiness || c.draining || c.now < c.back:
-	case c.back > 0:
-		c.back = 0
+	case !c.cfg.Readiness || c.draining || c.now < c.relistAt:
+	case c.relistAt > 0:
+		c.relistAt = 0
 		c.host.Health(true)
-	case alone && float64(c.unread) > retireAbove*float64(c.referenceDelay):
-		c.back = c.now + time.Duration(retireDelays*float64(c.referenceDelay))
+	case onlyHere && float64(c.meanReadWait) > delistAbove*float64(c.referenceDelay):
+		c.relistAt = c.now + time.Duration(delistDelays*float64(c.referenceDelay))
 		c.host.Health(false)
 	}
 }
 
-// say tells callers how much to send, in the terms that the site knows, from the same law. A server that
-// leaves sends them away only as the grace runs out: until then its cores still serve.
-func (c *Controller) say() {
+// updateSignal tells callers how much to send, in the form given by Config.Signal. All forms follow the
+// advisory probability. A draining server redirects its callers only when the grace is about to end, as its
+// cores can serve requests until then.
+func (c *Controller) updateSignal() {
 	value := 0.0
-	lead := time.Duration(leadShare * float64(c.cfg.Heeded))
-	leaving := c.draining && c.now >= c.drainAt+c.cfg.DrainGrace-lead
+	lead := time.Duration(drainLeadShare * float64(c.cfg.Heeded))
+	redirecting := c.draining && c.now >= c.drainAt+c.cfg.DrainGrace-lead
 	switch c.cfg.Signal {
 	case NoSignal:
 		return
 	case RankFloor:
-		value = c.common(c.Level())
-		if leaving {
+		value = c.blendWithMean(c.Level())
+		if redirecting {
 			value = 1
 		}
 	case CallerTokens:
-		whole := float64(c.pool) + c.referenceDelay.Seconds()*c.startSum/max(c.startTime, 1e-3)
-		value = max(1, whole/(1+c.ahead.dropProb*(1/max(c.sameCaller, meanWeight)-1)))
+		capacity := float64(c.runLimit) + c.referenceDelay.Seconds()*c.startSum/max(c.startTime, 1e-3)
+		value = max(1, capacity/(1+c.advisory.dropProb*(1/max(c.sameCallerProb, meanWeight)-1)))
 	case ArrivalChance:
-		value = 1 - c.ahead.dropProb
+		value = 1 - c.advisory.dropProb
 	}
-	if leaving && c.cfg.Signal != RankFloor {
+	if redirecting && c.cfg.Signal != RankFloor {
 		value = 0
 	}
 	if math.Abs(value-c.signal) > signalStep*max(1, value) || value == 0 && c.signal != 0 {
@@ -109,14 +111,16 @@
 	}
 }
 
-// Level is the part of all requests, by rank, that this server would by itself have callers hold back.
-func (c *Controller) Level() float64 { return c.quotas.level(c.ahead.dropProb) * levelShare }
+// Level returns the share of all requests, lowest ranks first, that this server alone would ask callers to
+// hold back.
+func (c *Controller) Level() float64 { return c.quotas.level(c.advisory.dropProb) * levelShare }
 
-// Others tells what all servers would have callers hold back, in the mean; 0 where nothing is known.
-func (c *Controller) Others(mean float64) { c.mean = mean }
+// Others sets the mean Level of all servers, or 0 if it is unknown.
+func (c *Controller) Others(mean float64) { c.meanLevel = mean }
 
-// common draws what callers are told to the mean of the servers. It guards against a herd: callers leave one
-// that asks for more, so each is by turns empty and flooded. One that is far worse off still says so.
-func (c *Controller) common(own float64) float64 {
-	return own + min(max((c.mean-commonFrom)/commonOver, 0), 1)*(max(c.mean, own-levelApart)-own)
+// blendWithMean moves the level of this server towards the mean of all servers. Otherwise callers would move
+// away from a server that asks for more than others, so that each server would alternate between empty and
+// flooded. A server that is far above the mean still asks for more.
+func (c *Controller) blendWithMean(own float64) float64 {
+	return own + min(max((c.meanLevel-commonFrom)/commonOver, 0), 1)*(max(c.meanLevel, own-levelExcess)-own)
 }
--- a/policy/starts.go
+++ b/policy/starts.go
@@ -1,34 +1,34 @@
 package policy
 
-// This file holds the order of held requests and when they start.
+// This file orders the queued requests and starts them.
 
 import (
 	"container/heap"
 	"time"
 )
 
-// Tuned values of starts.
+// Parameters of starts.
 const (
-	marginRuns  = 1.4  // mean runs that must fit before the aim: crowded ones take longer than the mean
-	aheadShare  = 0.6  // share of those held with a tighter aim taken to start first: some are refused
-	workShare   = 0.5  // share of a run that grows with its expected work; the rest is waits
-	trialAbove  = 0.5  // share of the aim above which the mean run of a class may be stale: one is tried
-	trialDelays = 2    // referenceDelays between such trials
-	trialWeight = 0.25 // weight of such a trial in its class\'s mean
+	marginRuns  = 1.4  // mean runs that must fit before the aim, as runs under load take longer than the mean
+	aheadShare  = 0.6  // share of queued requests with a tighter aim that start first; the rest are rejected
+	workShare   = 0.5  // share of a run that grows with its expected work; the rest is waiting
+	probeAbove  = 0.5  // share of the aim; a class whose needed time exceeds it may have an outdated mean
+	probeDelays = 2    // referenceDelays between probes of such a class
+	probeWeight = 0.25 // weight of a probe in the mean run of its class
 )
 
-// order is the place in the hold: the tightest aim first.
-func (c *Controller) order(r *request) time.Duration { return min(r.aimAt, r.dueAt) }
+// startBy returns the time by which queued requests are ordered: the earlier of the aim and the due time.
+func (c *Controller) startBy(r *request) time.Duration { return min(r.aimAt, r.dueAt) }
 
-// need is the time that a run of r takes, as seen so far.
-func (c *Controller) need(r *request) time.Duration {
+// neededTime returns the time that r needs to finish its run, with a margin, or 0 for a probe.
+func (c *Controller) neededTime(r *request) time.Duration {
 	mean := r.class.meanRun
-	if r.trial {
+	if r.probe {
 		return 0
 	}
 	if r.Expected > 0 && r.class.meanExpected > 0 {
-		share := 1.0 // under pressure a doubtful large request is not worth the cores
-		if c.ahead.dropProb < lastAbove {
+		share := 1.0 // under pressure a large request is not worth its cores
+		if c.advisory.dropProb < noRetryThreshold {
 			share = workShare
 		}
 		mean *= 1 + share*(r.Expected.Seconds()/r.class.meanExpected-1)
@@ -39,133 +39,141 @@
 	return time.Duration(marginRuns * mean * float64(time.Second))
 }
 
-// stale tells whether r is to be tried though runs of its class seem to take too long, as none was of late.
-// It guards against a mean learned in a jam that shuts its class out for good, as no run corrects it. Harm:
-// one run for every trialDelays that may be late.
-func (c *Controller) stale(r *request) bool {
-	k := r.class
-	if float64(c.need(r)) < trialAbove*float64(k.Aim) || c.now-k.tried <= trialDelays*c.referenceDelay {
+// needsProbe reports whether r is to run as a probe although runs of its class seem to take too long,
+// because none has started recently. Otherwise a mean measured during an overload could exclude its class
+// for good, as no run would correct it. The cost is one run per probeDelays that may be late.
+func (c *Controller) needsProbe(r *request) bool {
+	cl := r.class
+	if float64(c.neededTime(r)) < probeAbove*float64(cl.Aim) ||
+		c.now-cl.lastStart <= probeDelays*c.referenceDelay {
 		return false
 	}
-	k.tried = c.now
+	cl.lastStart = c.now
 	return true
 }
 
+// tooLate reports whether r could not finish in time even if it started now.
 func (c *Controller) tooLate(r *request) bool {
-	return c.now+c.need(r) > c.limit(min(r.aimAt, r.dueAt))
+	return c.now+c.neededTime(r) > c.beforeStop(min(r.aimAt, r.dueAt))
 }
 
-// startHeld fills the pool from the hold; what can no longer make its aim is refused.
-func (c *Controller) startHeld() {
-	for len(c.hold) > 0 {
-		switch r := c.hold[0].r; {
-		case r.ended || r.state != held:
+// startQueued starts queued requests up to the run limit, and rejects those that can no longer meet their
+// aim.
+func (c *Controller) startQueued() {
+	for len(c.waitQueue) > 0 {
+		switch r := c.waitQueue[0].req; {
+		case r.ended || r.state != queued:
 		case c.tooLate(r):
-			c.refuse(r)
-		case !c.room(r):
-			c.full = true
+			c.reject(r)
+		case !c.hasRoom(r):
+			c.limitReached = true
 			return
 		default:
-			c.run(r)
+			c.startRun(r)
 		}
-		heap.Pop(&c.hold)
+		heap.Pop(&c.waitQueue)
 	}
 }
 
-// sweepHold gives up at once on what can no longer make its aim, also behind a head that still can: runs of
-// its class take longer. Its caller hears so a tick later instead of when it gets to the head.
-func (c *Controller) sweepHold() {
-	for _, e := range c.hold {
-		if r := e.r; !r.ended && r.state == held && c.tooLate(r) {
-			c.refuse(r)
+// rejectLate rejects all queued requests that can no longer meet their aim. One behind a head that still can
+// is late as well if runs of its class take longer; its caller learns so within a tick, not once it is the
+// head.
+func (c *Controller) rejectLate() {
+	for _, e := range c.waitQueue {
+		if r := e.req; !r.ended && r.state == queued && c.tooLate(r) {
+			c.reject(r)
 		}
 	}
 }
 
-// doomed tells whether those held with a tighter aim, at the present rate of starts, keep r past its own.
-// It guards against reads that are held only to be given up on. Harm: some that others would have let pass.
-func (c *Controller) doomed(r *request) bool {
-	if c.count[held] == 0 || c.startSum < 0.5 {
+// predictedLate reports whether the queued requests with a tighter aim will keep r waiting past its own aim
+// at the present rate of starts. This avoids queuing requests only to reject them later. The cost is that
+// some are rejected that would have met their aim, as requests ahead of them are rejected in turn.
+func (c *Controller) predictedLate(r *request) bool {
+	if c.count[queued] == 0 || c.startSum < 0.5 {
 		return false
 	}
-	ahead, at := 0, c.order(r)
-	for _, e := range c.hold {
-		if e.at <= at && !e.r.ended && e.r.state == held {
+	ahead, at := 0, c.startBy(r)
+	for _, e := range c.waitQueue {
+		if e.at <= at && !e.req.ended && e.req.state == queued {
 			ahead++
 		}
 	}
 	wait := aheadShare * float64(ahead) * c.startTime / c.startSum
-	return c.now+time.Duration(wait*float64(time.Second))+c.need(r) > c.limit(at)
+	return c.now+time.Duration(wait*float64(time.Second))+c.neededTime(r) > c.beforeStop(at)
 }
 
-func (c *Controller) room(r *request) bool {
-	inHand := c.count[running] + c.count[atCall] + c.count[calling]
-	return c.count[running] < c.pool && inHand < c.crowd() &&
-		c.memory+r.KB*(c.cfg.RunFactor-1) <= c.memoryLimit()
+// hasRoom reports whether the limits on running requests, requests in flight and memory let r start.
+func (c *Controller) hasRoom(r *request) bool {
+	inHand := c.count[running] + c.count[awaitingCall] + c.count[calling]
+	return c.count[running] < c.runLimit && inHand < c.maxInFlight() &&
+		c.memoryUsed+r.KB*(c.cfg.RunFactor-1) <= c.memoryLimit()
 }
 
-func (c *Controller) run(r *request) {
-	c.enter(r, running)
-	c.peak = max(c.peak, c.count[running])
-	c.starts++
-	c.lastStart, r.class.tried = c.now, c.now
+func (c *Controller) startRun(r *request) {
+	c.setState(r, running)
+	c.peakRunning = max(c.peakRunning, c.count[running])
+	c.newStarts++
+	c.lastStart, r.class.lastStart = c.now, c.now
 	c.host.Run(r.ID)
 }
 
-// Done takes the end of a run or of a join.
+// Done handles the end of a run, or of a repeat that was joined to an earlier request.
 func (c *Controller) Done(now time.Duration, id RequestID, o Outcome, took time.Duration) {
-	c.begin(now)
+	c.beginEvent(now)
 	r := c.live[id]
 	if r == nil {
 		return
 	}
 	if r.state == calling {
-		heap.Push(&c.lingerer, entry{c.now + c.cfg.CallLinger, nil}) // still in the dependency's hands
+		heap.Push(&c.abandonedCalls, entry{c.now + c.cfg.CallLinger, nil}) // may still occupy the dependency
 	}
-	switch t := took.Seconds(); {
+	switch seconds := took.Seconds(); {
 	case r.state == joined:
 	case o == Succeeded:
-		c.learn(r, t)
-	case o == TurnedAway: // it never ran: no dequeue, and its key is free
-		c.starts--
-		c.forget(r)
+		c.learnFromRun(r, seconds)
+	case o == TurnedAway: // it never ran: its start does not count, and its key is free
+		c.newStarts--
+		c.forgetKey(r)
 	case o == Failed:
-		c.starts-- // a quick failure is no dequeue
-	case o == Cancelled && t > r.class.meanRun: // it would have taken longer still
-		average(&r.class.meanRun, t)
+		c.newStarts-- // a quick failure says nothing about the rate of starts
+	case o == Cancelled && seconds > r.class.meanRun: // a complete run would have taken even longer
+		updateMean(&r.class.meanRun, seconds)
 	}
-	c.end(r)
-	c.startHeld()
+	c.remove(r)
+	c.startQueued()
 	c.startCalls()
 }
 
-func (c *Controller) learn(r *request, took float64) {
+// learnFromRun updates the moving averages with a successful run.
+func (c *Controller) learnFromRun(r *request, took float64) {
 	weight := meanWeight
-	if r.trial { // one of few runs of its class, all of them made to correct its mean
-		weight = trialWeight
+	if r.probe { // one of few runs of its class
+		weight = probeWeight
 	}
-	move(&r.class.meanRun, max(0, took-r.callWait.Seconds()), weight)
-	move(&r.class.meanCalls, float64(r.calls), weight)
-	average(&c.meanRun, took)
+	updateWeightedMean(&r.class.meanRun, max(0, took-r.callWait.Seconds()), weight)
+	updateWeightedMean(&r.class.meanCalls, float64(r.callCount), weight)
+	updateMean(&c.meanRun, took)
 	if r.Expected > 0 {
-		average(&r.class.meanExpected, r.Expected.Seconds())
+		updateMean(&r.class.meanExpected, r.Expected.Seconds())
 	}
 	c.completions++
 	c.latencySum += took
 }
 
-// count moves the share of the cases in which yes held of late.
-func count(share *float64, yes bool) {
+// updateShare updates a moving average of the share of cases in which yes is true.
+func updateShare(share *float64, yes bool) {
 	*share *= 1 - meanWeight
 	if yes {
 		*share += meanWeight
 	}
 }
 
-func average(mean *float64, x float64) { move(mean, x, meanWeight) }
+// updateMean updates a moving average with x, whose weight is meanWeight.
+func updateMean(mean *float64, x float64) { updateWeightedMean(mean, x, meanWeight) }
 
-// move draws a mean to its newest value, whose weight is given.
-func move(mean *float64, x, weight float64) {
+// updateWeightedMean updates a moving average with x. The first value becomes the average.
+func updateWeightedMean(mean *float64, x, weight float64) {
 	if *mean == 0 {
 		*mean = x
 	}
