--- a/internal/wire/team_test.go
+++ b/internal/wire/team_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The tenant of a request is read by name; a site with no tenants sends 0 or nothing.
-func TestTheTeamIsANameOrNone(t *testing.T) {
+// The team of a request is a name. Without tenants the simulator sends 0 or nothing.
+func TestTeamIsNameOrZero(t *testing.T) {
 	b, err := Decode([]byte(`{"moment":5,"items":[{"m":"inbound","team":"x"},{"m":"inbound","team":0},{"m":"inbound"}]}`))
 	if err != nil {
 		t.Fatal(err)
@@ -12,6 +12,6 @@
 		t.Errorf("teams %q, %q, %q", b.Items[0].Team, b.Items[1].Team, b.Items[2].Team)
 	}
 	if _, err := Decode([]byte(`{"moment":5,"items":[{"m":"inbound","team":[1]}]}`)); err == nil {
-		t.Error("no error for a team that is a list")
+		t.Error("no error for a list as team")
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire decodes the batches of the wire and encodes the replies. It decides nothing.
+// Package wire decodes the batches of events that the simulator sends and encodes the replies.
 package wire
 
 import (
@@ -6,13 +6,14 @@
 	"fmt"
 )
 
-// Batch is one line of input.
+// Batch is one line of input: events that happen at the same time.
 type Batch struct {
-	Moment int64   `json:"moment"`
+	Moment int64   `json:"moment"` // simulated time in microseconds
 	Items  []Event `json:"items"`
 }
 
-// Event is any event; which fields are set depends on Name.
+// Event is one event of the simulator. Name determines which fields are set. Durations and times are in
+// microseconds.
 type Event struct {
 	Name     string             `json:"m"`
 	Who      string             `json:"who"`
@@ -36,7 +37,7 @@
 	Usage    map[string]float64 `json:"usage"`
 }
 
-// Action is any action; Name tells which fields belong to it.
+// Action is one action of a server. Name determines which fields are set. Durations are in microseconds.
 type Action struct {
 	Name    string   `json:"m"`
 	Who     string   `json:"who"`
@@ -53,7 +54,7 @@
 	Text    string   `json:"note-text,omitempty"`
 }
 
-// Decode reads one line of input.
+// Decode decodes one line of input.
 func Decode(line []byte) (*Batch, error) {
 	var b struct {
 		Moment *int64   `json:"moment"`
@@ -63,12 +64,12 @@
 		return nil, fmt.Errorf("decode batch: %w", err)
 	}
 	if b.Moment == nil || b.Items == nil {
-		return nil, fmt.Errorf("decode batch: no moment or no items")
+		return nil, fmt.Errorf("decode batch: moment or items missing")
 	}
 	return &Batch{Moment: *b.Moment, Items: *b.Items}, nil
 }
 
-// Encode writes one reply, newline included.
+// Encode returns the reply line for the actions, including its newline.
 func Encode(actions []Action) ([]byte, error) {
 	if actions == nil {
 		actions = []Action{}
@@ -82,10 +83,11 @@
 	return append(out, '\n'), nil
 }
 
-// Team is the tenant of a request, by name; empty where the wire sends 0 or nothing, at a site with no tenants.
+// Team is the name of a request's tenant. It is empty if the simulator sends 0 or nothing because its settings
+// define no tenants.
 type Team string
 
-// UnmarshalJSON takes a name or the number 0.
+// UnmarshalJSON decodes a name or the number 0.
 func (t *Team) UnmarshalJSON(raw []byte) error {
 	var name string
 	if err := json.Unmarshal(raw, &name); err == nil {
@@ -94,7 +96,7 @@
 	}
 	var none float64
 	if err := json.Unmarshal(raw, &none); err != nil || none != 0 {
-		return fmt.Errorf("team must be a name or 0, is %.40s", raw)
+		return fmt.Errorf("decode team: must be a name or 0, got %.40s", raw)
 	}
 	*t = ""
 	return nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestDecodeTurnsDownWhatIsNoBatch(t *testing.T) {
+func TestDecodeRejectsMalformedBatches(t *testing.T) {
 	for _, line := range []string{"", "x", "[]", "{}", `{"moment":1}`, `{"items":[]}`, `{"moment":"1","items":[]}`,
 		`{"moment":1,"items":[{"m":5}]}`} {
 		if _, err := Decode([]byte(line)); err == nil {
@@ -36,7 +36,7 @@
 		t.Errorf("encoded %s", out)
 	}
 	if out, _ := Encode(nil); strings.TrimSpace(string(out)) != `{"actions":[]}` {
-		t.Errorf("empty reply is %s", out)
+		t.Errorf("encoded empty reply %s", out)
 	}
 }
 
