--- a/cmd/simhost/fleet.go
+++ b/cmd/simhost/fleet.go
@@ -9,37 +9,38 @@
 	"cairnlane/policy"
 )
 
-// fleet holds the instances of this process; they share nothing but the reply being built.
+// fleet holds the simulated servers of this process. They share nothing but the reply that is being built.
 type fleet struct {
 	instances map[string]*instance
 	actions   []wire.Action
 }
 
-// instance is one server's controller with the names its settings gave.
+// instance is one simulated server: its controller and the names that its settings define.
 type instance struct {
-	fleet   *fleet
-	who     string
-	ctl     *policy.Controller // nil once the settings were turned down
-	classes map[string]int
-	tenants map[string]int // 1 + index into the settings' tenants
+	fleet      *fleet
+	name       string
+	controller *policy.Controller // nil after a crash or invalid settings
+	classes    map[string]int     // index into the settings' lanes, by name
+	tenants    map[string]int     // 1 + index into the settings' tenants, by name
 }
 
+// outcomes maps the statuses of the protocol to outcomes.
 var outcomes = map[string]policy.Outcome{
 	"Ok": policy.Succeeded, "Failed": policy.Failed, "QueueFull": policy.TurnedAway,
 	"TimedOut": policy.TimedOut, "ConnectError": policy.Unreachable,
 	"ResetByPeer": policy.Interrupted, "Canceled": policy.Cancelled, "Ignored": policy.Moot,
 }
 
-// handle passes one event on; a panic in the module becomes a crash of its instance.
+// handle passes one event to its instance. A panic in the controller is reported as a crash of the instance.
 func (f *fleet) handle(moment int64, e *wire.Event) (err error) {
 	if e.Name == "hello" {
-		return f.begin(moment, e)
+		return f.startInstance(moment, e)
 	}
 	in := f.instances[e.Who]
 	if in == nil {
-		return fmt.Errorf("%q for instance %q, which was never begun", e.Name, e.Who)
+		return fmt.Errorf("event %q for instance %q, which was never started", e.Name, e.Who)
 	}
-	if in.ctl == nil {
+	if in.controller == nil {
 		return nil
 	}
 	defer in.reportPanic()
@@ -47,36 +48,39 @@
 	return nil
 }
 
+// reportPanic must be deferred; it turns a panic into a crash of the instance.
 func (in *instance) reportPanic() {
 	if p := recover(); p != nil {
 		in.crash(fmt.Sprint(p))
 	}
 }
 
+// crash reports that the instance has failed. It handles no further events.
 func (in *instance) crash(text string) {
-	in.ctl = nil
-	in.do(wire.Action{Name: "crash", Text: text})
+	in.controller = nil
+	in.addAction(wire.Action{Name: "crash", Text: text})
 }
 
+// dispatch calls the method of the controller that handles the event.
 func (in *instance) dispatch(now time.Duration, e *wire.Event) {
 	id := policy.RequestID(e.Ticket)
 	switch e.Name {
 	case "inbound":
 		in.arrive(now, e)
 	case "result":
-		in.ctl.Done(now, id, outcomes[e.Status], settings.Micros(e.Wait))
+		in.controller.Done(now, id, outcomes[e.Status], settings.Micros(e.Wait))
 	case "wants-call":
-		in.ctl.NeedsCall(now, id)
+		in.controller.NeedsCall(now, id)
 	case "came-back":
-		in.ctl.Called(now, id, outcomes[e.Status], settings.Micros(e.Wait))
+		in.controller.Called(now, id, outcomes[e.Status], settings.Micros(e.Wait))
 	case "fired":
-		in.ctl.Tick(now, policy.Gauges{OnCores: e.Usage["on_cores"]})
+		in.controller.Tick(now, policy.Gauges{OnCores: e.Usage["on_cores"]})
 	case "wind-down":
-		in.ctl.Drain(now, settings.Micros(e.Due))
+		in.controller.Drain(now, settings.Micros(e.Due))
 	case "expired":
-		in.ctl.Gone(now, id)
+		in.controller.Gone(now, id)
 	case "stop":
-		delete(in.fleet.instances, in.who)
+		delete(in.fleet.instances, in.name)
 	}
 }
 
@@ -86,31 +90,31 @@
 		in.crash(fmt.Sprintf("request of unknown class %q", e.Class))
 		return
 	}
-	in.ctl.Arrive(now, policy.Request{ID: policy.RequestID(e.Ticket), Class: class, Tenant: in.tenants[string(e.Team)],
+	in.controller.Arrive(now, policy.Request{ID: policy.RequestID(e.Ticket), Class: class, Tenant: in.tenants[string(e.Team)],
 		Retry: e.Retry, Caller: e.Caller, KB: e.KB, Rank: e.Rank, Earlier: policy.RequestID(e.Earlier),
 		Expected: settings.Micros(e.Expected), Key: e.Key, Waited: settings.Micros(e.Backlog), Due: settings.Micros(e.Due)})
 }
 
-// begin builds a new instance from its settings, in place of any former life.
-func (f *fleet) begin(moment int64, e *wire.Event) error {
+// startInstance creates an instance from its settings and replaces an earlier one of the same name.
+func (f *fleet) startInstance(moment int64, e *wire.Event) error {
 	boot, err := settings.Decode(e.Boot)
 	if err != nil {
 		return fmt.Errorf("instance %q: %w", e.Who, err)
 	}
-	in := &instance{fleet: f, who: e.Who, classes: map[string]int{}, tenants: map[string]int{}}
+	in := &instance{fleet: f, name: e.Who, classes: map[string]int{}, tenants: map[string]int{}}
 	f.instances[e.Who] = in
-	for i, l := range boot.Lanes {
-		in.classes[l.Name] = i
+	for i, lane := range boot.Lanes {
+		in.classes[lane.Name] = i
 	}
-	for i, t := range boot.Tenants {
-		in.tenants[t.Name] = i + 1
+	for i, tenant := range boot.Tenants {
+		in.tenants[tenant.Name] = i + 1
 	}
 	defer in.reportPanic()
-	ctl, err := policy.New(settings.Micros(moment), boot.Policy(e.Seed), in)
+	controller, err := policy.New(settings.Micros(moment), boot.Policy(e.Seed), in)
 	if err != nil {
 		in.crash(err.Error())
 		return nil
 	}
-	in.ctl = ctl
+	in.controller = controller
 	return nil
 }
--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -7,67 +7,69 @@
 	"cairnlane/policy"
 )
 
-// The methods below make an instance the policy.Host of its controller.
+// The exported methods below implement policy.Host: each adds an action of the protocol to the reply.
 
-func (in *instance) do(a wire.Action) {
-	a.Who = in.who
+// addAction adds an action of this instance to the reply.
+func (in *instance) addAction(a wire.Action) {
+	a.Who = in.name
 	in.fleet.actions = append(in.fleet.actions, a)
 }
 
-func (in *instance) request(name string, id policy.RequestID) {
-	in.do(wire.Action{Name: name, Ticket: int64(id)})
+// addRequestAction adds an action that names only a request.
+func (in *instance) addRequestAction(name string, id policy.RequestID) {
+	in.addAction(wire.Action{Name: name, Ticket: int64(id)})
 }
 
 // Run implements policy.Host.
-func (in *instance) Run(id policy.RequestID) { in.request("serve", id) }
+func (in *instance) Run(id policy.RequestID) { in.addRequestAction("serve", id) }
 
 // Refuse implements policy.Host.
 func (in *instance) Refuse(id policy.RequestID, a policy.Advice) {
-	in.do(wire.Action{Name: "not-now", Ticket: int64(id), HoldOff: a.HoldOff.Microseconds(), Last: a.Last})
+	in.addAction(wire.Action{Name: "not-now", Ticket: int64(id), HoldOff: a.HoldOff.Microseconds(), Last: a.Last})
 }
 
 // Fail implements policy.Host.
-func (in *instance) Fail(id policy.RequestID) { in.request("finish-error", id) }
+func (in *instance) Fail(id policy.RequestID) { in.addRequestAction("finish-error", id) }
 
 // Reuse implements policy.Host.
-func (in *instance) Reuse(id policy.RequestID) { in.request("reuse", id) }
+func (in *instance) Reuse(id policy.RequestID) { in.addRequestAction("reuse", id) }
 
 // Keep implements policy.Host.
 func (in *instance) Keep(id policy.RequestID, ttl time.Duration) {
 	us := ttl.Microseconds()
-	in.do(wire.Action{Name: "store-key", Ticket: int64(id), TTL: &us})
+	in.addAction(wire.Action{Name: "store-key", Ticket: int64(id), TTL: &us})
 }
 
 // Forget implements policy.Host.
-func (in *instance) Forget(id policy.RequestID) { in.request("erase", id) }
+func (in *instance) Forget(id policy.RequestID) { in.addRequestAction("erase", id) }
 
 // Call implements policy.Host.
 func (in *instance) Call(id policy.RequestID, maxWait time.Duration) {
-	in.do(wire.Action{Name: "dial", Ticket: int64(id), MaxWait: maxWait.Microseconds()})
+	in.addAction(wire.Action{Name: "dial", Ticket: int64(id), MaxWait: maxWait.Microseconds()})
 }
 
 // Skip implements policy.Host.
-func (in *instance) Skip(id policy.RequestID) { in.request("skip", id) }
+func (in *instance) Skip(id policy.RequestID) { in.addRequestAction("skip", id) }
 
 // Halt implements policy.Host.
-func (in *instance) Halt(id policy.RequestID) { in.request("yank", id) }
+func (in *instance) Halt(id policy.RequestID) { in.addRequestAction("yank", id) }
 
 // Signal implements policy.Host.
-func (in *instance) Signal(value float64) { in.do(wire.Action{Name: "signal", X: &value}) }
+func (in *instance) Signal(value float64) { in.addAction(wire.Action{Name: "signal", X: &value}) }
 
 // Health implements policy.Host.
 func (in *instance) Health(good bool) {
-	in.do(wire.Action{Name: "fitness", Cached: true, Want: &good})
+	in.addAction(wire.Action{Name: "fitness", Cached: true, Want: &good})
 }
 
 // CloseIdle implements policy.Host.
 func (in *instance) CloseIdle(after time.Duration) {
 	us := after.Microseconds()
-	in.do(wire.Action{Name: "reap-after", TTL: &us})
+	in.addAction(wire.Action{Name: "reap-after", TTL: &us})
 }
 
 // Wake implements policy.Host.
 func (in *instance) Wake(after time.Duration) {
 	us, label := after.Microseconds(), uint64(0)
-	in.do(wire.Action{Name: "notify-me", Label: &label, After: &us})
+	in.addAction(wire.Action{Name: "notify-me", Label: &label, After: &us})
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost connects the simulator's wire on standard input and output to one policy
-// controller for each instance. It carries events and actions over and decides nothing.
+// Command simhost connects a simulator to the admission controller of package policy. It reads batches of
+// events from standard input and writes the resulting actions to standard output, with one controller per
+// simulated server. It only translates between the two and makes no decisions.
 package main
 
 import (
@@ -19,7 +20,7 @@
 	}
 }
 
-// serve answers each line of in with one line on out until in ends.
+// serve writes one reply line to out for each line of in, until in ends.
 func serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<16)
 	f := &fleet{instances: map[string]*instance{}}
@@ -41,7 +42,7 @@
 	}
 }
 
-// answer carries one batch to its instances and returns the encoded reply.
+// answer passes the events of one batch to their instances and returns the encoded reply.
 func (f *fleet) answer(line []byte) ([]byte, error) {
 	batch, err := wire.Decode(line)
 	if err != nil {
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-const boot = `{"family-info":{"cores":2,"memory-kb":9000,"blowup":8,"preemption":"drop","say":"min_rank"},` +
+const bootInfo = `{"family-info":{"cores":2,"memory-kb":9000,"blowup":8,"preemption":"drop","say":"min_rank"},` +
 	`"guarantees":{"answer-slack":100000,"fall-multiple":6},"lanes":[{"name":"a","aim":1000000,` +
 	`"deadline":3000000,"importance":1,"semantics":"read_like"}]}`
 
-func hello(who int) string {
-	return fmt.Sprintf(`{"m":"hello","who":"server/%d","seed":%d,"boot-info":%s}`, who, who+1, boot)
+func helloEvent(who int) string {
+	return fmt.Sprintf(`{"m":"hello","who":"server/%d","seed":%d,"boot-info":%s}`, who, who+1, bootInfo)
 }
 
-func run(t *testing.T, in string) (string, error) {
+func runServe(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := serve(strings.NewReader(in), &out)
@@ -24,39 +24,39 @@
 }
 
 func TestRequestIsServed(t *testing.T) {
-	out, err := run(t, `{"moment":1,"items":[`+hello(0)+`,{"m":"inbound","who":"server/0","ticket":7,"class":"a","kb":5},`+
+	out, err := runServe(t, `{"moment":1,"items":[`+helloEvent(0)+`,{"m":"inbound","who":"server/0","ticket":7,"class":"a","kb":5},`+
 		`{"m":"result","who":"server/0","ticket":7,"status":"Ok"},{"m":"result","who":"server/0","ticket":7,"status":"Ok"}]}`)
 	if err != nil || !strings.Contains(out, `{"m":"serve","who":"server/0","ticket":7}`) {
 		t.Errorf("reply %s, error %v", out, err)
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestMalformedInputIsReported(t *testing.T) {
 	for name, in := range map[string]string{
-		"no batch":          "rubbish\n",
-		"never begun":       `{"moment":1,"items":[{"m":"fired","who":"server/9"}]}`,
-		"cut short":         `{"moment":1,"items":[`,
+		"not JSON":          "rubbish\n",
+		"unknown instance":  `{"moment":1,"items":[{"m":"fired","who":"server/9"}]}`,
+		"truncated":         `{"moment":1,"items":[`,
 		"settings not JSON": `{"moment":1,"items":[{"m":"hello","who":"server/0","boot-info":"x"}]}`,
 	} {
-		if out, err := run(t, in); err == nil || out != "" {
+		if out, err := runServe(t, in); err == nil || out != "" {
 			t.Errorf("%s: reply %q, error %v", name, out, err)
 		}
 	}
-	if out, err := run(t, ""); err != nil || out != "" {
+	if out, err := runServe(t, ""); err != nil || out != "" {
 		t.Errorf("end of input: reply %q, error %v", out, err)
 	}
 }
 
-func TestImpossibleSettingsAreACrash(t *testing.T) {
-	out, err := run(t, `{"moment":1,"items":[{"m":"hello","who":"server/0","boot-info":{}}]}`)
+func TestInvalidSettingsCrashInstance(t *testing.T) {
+	out, err := runServe(t, `{"moment":1,"items":[{"m":"hello","who":"server/0","boot-info":{}}]}`)
 	if err != nil || !strings.Contains(out, `"m":"crash"`) || !strings.Contains(out, "Cores") {
 		t.Errorf("reply %s, error %v", out, err)
 	}
 }
 
-func TestPanicIsACrash(t *testing.T) {
+func TestPanicCrashesInstance(t *testing.T) {
 	f := &fleet{instances: map[string]*instance{}}
-	in := &instance{fleet: f, who: "server/0"}
+	in := &instance{fleet: f, name: "server/0"}
 	func() {
 		defer in.reportPanic()
 		panic("boom")
@@ -66,15 +66,15 @@
 	}
 }
 
-// TestOneProcessOrMany plays one script in one fleet and in a fleet for each instance.
-func TestOneProcessOrMany(t *testing.T) {
+// TestInstancesDoNotAffectEachOther runs three servers in one process and each alone, and compares their actions.
+func TestInstancesDoNotAffectEachOther(t *testing.T) {
 	script := func(servers ...int) string {
 		var lines []string
 		for step := 0; step < 60; step++ {
 			var items []string
 			for _, s := range servers {
 				if step == 0 {
-					items = append(items, hello(s))
+					items = append(items, helloEvent(s))
 					continue
 				}
 				who := fmt.Sprintf(`"who":"server/%d"`, s)
@@ -104,17 +104,17 @@
 		}
 		return strings.Join(own, "\n")
 	}
-	together, err := run(t, script(0, 1, 2))
+	together, err := runServe(t, script(0, 1, 2))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for s := 0; s < 3; s++ {
-		alone, err := run(t, script(s))
+		alone, err := runServe(t, script(s))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if a, b := actionsOf(alone, s), actionsOf(together, s); a != b || len(a) < 500 {
-			t.Errorf("server %d acts otherwise among others:\n%.400s\n%.400s", s, a, b)
+			t.Errorf("server %d acts differently alone and with others:\n%.400s\n%.400s", s, a, b)
 		}
 	}
 }
