--- a/policy/answers.go
+++ b/policy/answers.go
@@ -1,7 +1,7 @@
 package policy
 
-// This file handles requests that end without the result of a run: rejections, failures and callers that
-// left.
+// This file handles requests that end without the result
+// of a run: rejections, failures and callers that left.
 
 import (
 	"container/heap"
@@ -38,9 +38,9 @@
 	}
 }
 
-// worthlessAfterAim reports whether r can be stopped and earns nothing after its aim. While other requests
-// wait, such a run is ended at its aim, whatever made it late. The cost is that its caller may repeat it at
-// once.
+// worthlessAfterAim reports whether r can be stopped and earns nothing
+// after its aim. While other requests wait, such a run is ended at its aim,
+// whatever made it late. The cost is that its caller may repeat it at once.
 func (c *Controller) worthlessAfterAim(r *request) bool {
 	return r.class.LateWorth == 0 && r.class.Semantics == Safe && c.cfg.Halt != NoHalt
 }
--- a/policy/calls.go
+++ b/policy/calls.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// skipCalls continues requests without a call that they can skip: at once while the dependency is congested,
-// and otherwise once they have waited, as other requests cannot skip theirs. The cost is that they earn only
-// SkipWorth.
+// skipCalls continues requests without a call that they can skip: at once while
+// the dependency is congested, and otherwise once they have waited, as other
+// requests cannot skip theirs. The cost is that they earn only SkipWorth.
 func (c *Controller) skipCalls() {
 	waiting := c.callQueue[:0]
 	for _, e := range c.callQueue {
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -16,12 +16,12 @@
 	resizeDelays   = 2    // least number of referenceDelays between resizes
 	statLifetime   = 20   // resize intervals after which a measurement expires, as speeds change
 	minGain        = 1.03 // factor by which a nearby limit must be better than the present one
-	idleCoreFactor = 0.57 // spare cores to leave, in square roots of the core count (square-root staffing)
+	idleCoreFactor = 0.57 // spare cores, in square roots of the core count (square-root staffing)
 	inFlightShare  = 0.8  // share of the sustainable number of requests that may be in flight
 )
 
-// maxInFlight returns how many requests may be in flight. Those at calls count, as they may resume at any
-// time.
+// maxInFlight returns how many requests may be in flight.
+// Those at calls count, as they may resume at any time.
 func (c *Controller) maxInFlight() int {
 	warmth := 1.0
 	if c.cfg.Cold && c.now-c.startedAt < c.cfg.ColdFor {
@@ -31,8 +31,8 @@
 	return max(1, int(limit*inFlightShare*c.serverShare))
 }
 
-// Share sets the part of the server that this instance may use while another process runs work on it (rule
-// 4).
+// Share sets the part of the server that this instance may use while another process also runs work there
+// (rule 4).
 func (c *Controller) Share(now time.Duration, share float64) {
 	c.beginEvent(now)
 	c.serverShare = share
@@ -70,8 +70,8 @@
 	return max(resizeDelays*c.referenceDelay, time.Duration(resizeRuns*c.meanRun*float64(time.Second)))
 }
 
-// growOnIdleCores raises the limit, at most once per referenceDelay, if cores are idle while requests are
-// queued.
+// growOnIdleCores raises the limit, at most once per
+// referenceDelay, if cores are idle while requests are queued.
 func (c *Controller) growOnIdleCores() {
 	c.runLimit = min(c.runLimit, c.maxInFlight())
 	cores := float64(c.cfg.Cores)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,8 +1,9 @@
+package policy
+
 // This file holds the Controller, its state and the admission of arriving requests; each of the other files
 // covers one concern, and api.go declares the interface (settings, events, actions). The method is that of
 // kanaloa: a PIE controller rejects arrivals at random, and an adaptive limit ("autothrottle"), which
 // explores nearby values, bounds how many requests run at once.
-package policy
 
 import (
 	"container/heap"
@@ -35,7 +36,7 @@
 	stateCount
 )
 
-// request is a request that has not ended, with the controller's bookkeeping.
+// request is a Request with the controller's bookkeeping.
 type request struct {
 	Request
 	class         *class
@@ -57,9 +58,9 @@
 // class is a Class with moving averages over its requests.
 type class struct {
 	Class
-	meanRun      float64 // mean duration in seconds of successful runs, without their waits for calls
-	meanCalls    float64 // mean number of calls per successful run
-	meanExpected float64
+	meanRun      float64       // mean duration in seconds of successful runs, without their waits for calls
+	meanCalls    float64       // mean number of calls per successful run
+	meanExpected float64       // mean expected work in seconds
 	lastStart    time.Duration // when one was last started or chosen as a probe
 }
 
@@ -111,12 +112,13 @@
 	waitQueue  queue // queued requests in the order of their starts
 	dueQueue   queue // all requests by the time at which they must be answered
 
-	pie                                // drop probability for arrivals
-	advisory                       pie // probability that determines the signal to callers
-	burstAllowed, maxBurst         time.Duration
-	newStarts, startSum, startTime float64
-	lastStart, lastArrival         time.Duration
-	meanReadWait                   time.Duration // mean wait of arrivals until they are read
+	pie                        // drop probability for arrivals
+	advisory               pie // probability that determines the signal to callers
+	burstAllowed, maxBurst time.Duration
+	newStarts              float64 // starts since the last tick
+	startSum, startTime    float64 // decayed sums of starts, and of the seconds in which they happened
+	lastStart, lastArrival time.Duration
+	meanReadWait           time.Duration // mean wait of arrivals until they are read
 
 	runLimit, peakRunning   int
 	limitReached            bool
@@ -125,7 +127,7 @@
 	completions, latencySum float64
 	meanRun, coreDemand     float64
 	meanDensity             float64 // mean worth per work of arrivals
-	sameCallerProb          float64 // probability that two successive arrivals have the same caller
+	sameCallerProb          float64 // probability that successive arrivals share a caller; 1 / active callers
 	repeatShare             float64 // share of arrivals that are retries
 	noRetryShare            float64 // share of rejections that advise against a retry
 	quotas                  quotas
--- a/policy/quotas.go
+++ b/policy/quotas.go
@@ -49,10 +49,10 @@
 	q.meanAdvisory += weight * (advisory - q.meanAdvisory)
 }
 
-// reject returns the rejection probability of a tenant when probability is that of all arrivals. It is
-// bounded by the moving average, so that a short overshoot of the controller does not reject tenants within
-// their quotas. The cost is that a sudden overload by such tenants is countered a few reference delays
-// later.
+// reject returns the rejection probability of a tenant when probability is that
+// of all arrivals. It is bounded by the moving average, so that a short overshoot
+// of the controller does not reject tenants within their quotas. The cost is that
+// a sudden overload by such tenants is countered a few reference delays later.
 func (q *quotas) reject(tenant int, probability float64) float64 {
 	if !q.hasQuota(tenant) {
 		return probability
@@ -81,8 +81,8 @@
 	return least
 }
 
-// rejectedShare returns the share of a tenant's arrivals that is rejected when probability is that of all
-// arrivals.
+// rejectedShare returns the share of a tenant's arrivals
+// that is rejected when probability is that of all arrivals.
 func (q *quotas) rejectedShare(tenant int, probability float64) float64 {
 	if !q.hasQuota(tenant) {
 		return probability
--- a/policy/signals.go
+++ b/policy/signals.go
@@ -11,9 +11,9 @@
 const (
 	levelShare       = 0.9  // share of the probability that callers hold back; random rejection does the rest
 	signalStep       = 0.01 // smallest change of the signal that is sent
-	levelExcess      = 0.15 // how far its level may exceed the mean before a server asks for more than that
+	levelExcess      = 0.15 // excess of a server's own level over the mean up to which it asks for the mean
 	commonFrom       = 0.1  // mean level above which servers start to ask for the same level
-	commonOver       = 0.2  // increase of the mean beyond commonFrom at which they fully do
+	commonOver       = 0.2  // further increase of the mean at which all of them ask for the mean
 	delistAbove      = 2    // wait to be read, in referenceDelays, above which a server is delisted
 	delistMaxRepeats = 0.08 // share rejected elsewhere below which only this server is overloaded
 	delistDelays     = 10   // referenceDelays for which it is delisted
--- a/policy/starts.go
+++ b/policy/starts.go
@@ -57,8 +57,8 @@
 	return c.now+c.neededTime(r) > c.beforeStop(min(r.aimAt, r.dueAt))
 }
 
-// startQueued starts queued requests up to the run limit, and rejects those that can no longer meet their
-// aim.
+// startQueued starts queued requests up to the run limit,
+// and rejects those that can no longer meet their aim.
 func (c *Controller) startQueued() {
 	for len(c.waitQueue) > 0 {
 		switch r := c.waitQueue[0].req; {
@@ -75,9 +75,9 @@
 	}
 }
 
-// rejectLate rejects all queued requests that can no longer meet their aim. One behind a head that still can
-// is late as well if runs of its class take longer; its caller learns so within a tick, not once it is the
-// head.
+// rejectLate rejects all queued requests that can no longer meet their aim.
+// One behind a head that still can is late as well if runs of its class
+// take longer; its caller learns so within a tick, not once it is the head.
 func (c *Controller) rejectLate() {
 	for _, e := range c.waitQueue {
 		if r := e.req; !r.ended && r.state == queued && c.tooLate(r) {
@@ -148,7 +148,7 @@
 // learnFromRun updates the moving averages with a successful run.
 func (c *Controller) learnFromRun(r *request, took float64) {
 	weight := meanWeight
-	if r.probe { // one of few runs of its class
+	if r.probe { // one of few runs of its class, made to correct its mean
 		weight = probeWeight
 	}
 	updateWeightedMean(&r.class.meanRun, max(0, took-r.callWait.Seconds()), weight)
