--- a/policy/api.go
+++ b/policy/api.go
@@ -126,17 +126,17 @@
 	Others   Others
 }
 
-// Others is the state of the other servers that serve the same callers, as known when a request is read. The
-// zero value means that nothing is known about them.
+// Others is the state of the other servers that serve the same callers, as known when a request is read.
+// The zero value means that nothing is known about them.
 type Others struct {
 	Version uint64        // version of this state; returned in the Advice of a rejection
 	Known   bool          // Full and Return are valid
 	Full    bool          // none of them has room for the request
 	Return  time.Duration // time until the caller should return, randomized to spread the callers
 	Beyond  bool          // a retry that exceeds the number that all servers together accept
-	// Order is 2 for requests that are rejected at the slightest overload, 1 for those rejected once many
-	// are, and -1 for those that are not rejected at random, as another server would have to read them
-	// again.
+	// Order is 2 for requests that are rejected at the slightest overload, 1 for those rejected once
+	// many are, and -1 for those that are not rejected at random, as another server would have to read
+	// them again.
 	Order int
 }
 
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -31,8 +31,8 @@
 	return max(1, int(limit*inFlightShare*c.serverShare))
 }
 
-// Share sets the part of the server that this instance may use while another process also runs work there
-// (rule 4).
+// Share sets the part of the server that this instance may use while another process also runs work
+// there (rule 4).
 func (c *Controller) Share(now time.Duration, share float64) {
 	c.beginEvent(now)
 	c.serverShare = share
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -198,8 +198,8 @@
 	return c, nil
 }
 
-// Started reports how long ago the cores of this server started. A cold server warms up from that time on,
-// not from the start of its process, which may have waited for the cores.
+// Started reports how long ago the cores of this server started. A cold server warms up from that time
+// on, not from the start of its process, which may have waited for the cores.
 func (c *Controller) Started(now, ago time.Duration) {
 	c.beginEvent(now)
 	if c.cfg.Cold {
@@ -303,7 +303,8 @@
 		return true
 	case c.tooLate(r) || c.predictedLate(r):
 		return true
-	case o.Beyond || o.Order > 1 && c.advisory.dropProb > 0 || o.Order > 0 && c.dropProb > noRetryThreshold:
+	case o.Beyond || o.Order > 1 && c.advisory.dropProb > 0 ||
+		o.Order > 0 && c.dropProb > noRetryThreshold:
 		return true // before others, so that callers need to hold back less of the rest
 	case c.memoryUsed+c.keyCost(r) > c.memoryLimit(): // rule 4: memory; rule 2: no room for its key
 		return true
--- a/policy/signals.go
+++ b/policy/signals.go
@@ -30,7 +30,7 @@
 	c.updateSignal()
 }
 
-// StopAt sets when this process ends while its server goes on. All requests are answered before that time.
+// StopAt sets when this process ends while its server goes on. All requests are answered before then.
 func (c *Controller) StopAt(now, stopAt time.Duration) {
 	c.beginEvent(now)
 	c.stopAt = stopAt
