--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -9,50 +9,50 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// State is how a request for a slot stands, as its box knows.
+// State is the state of a request for a slot as known to its box.
 type State uint8
 
 // The states of a request.
 const (
-	Asked    State = iota + 1 // not granted yet, as far as this box knows
+	Asked    State = iota + 1 // not known to be granted
 	Held                      // granted, and the box may act
-	Renewing                  // held, with a renewal under way
-	Doubtful                  // granted, but the box's own clock says that another may have it: it may not act
-	Lost                      // the ledger has ended it
-	GivenUp                   // given back or withdrawn by the box itself
-	Refused                   // the ledger turned it down
+	Renewing                  // held, with a renewal in progress
+	Doubtful                  // granted, but by the box's clock the lease may have expired: the box may not act
+	Lost                      // ended by the ledger
+	GivenUp                   // released or withdrawn by the box itself
+	Refused                   // rejected by the ledger, or the box's name was taken by another process
 )
 
-var states = [...]string{"", "asked", "held", "renewing", "doubtful", "lost", "given up", "refused"}
+var stateNames = [...]string{"", "asked", "held", "renewing", "doubtful", "lost", "given up", "refused"}
 
 func (s State) String() string {
-	if int(s) < len(states) {
-		return states[s]
+	if int(s) < len(stateNames) {
+		return stateNames[s]
 	}
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// MarshalText has states written by name.
+// MarshalText implements encoding.TextMarshaler. The text is the name of the state.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Over tells whether a request stands so for good.
+// Over reports whether the state is final.
 func (s State) Over() bool { return s == Lost || s == GivenUp || s == Refused }
 
-// event is what happens to a request.
+// event is an input to the state machine of a request.
 type event uint8
 
 const (
-	grantedFresh event = iota + 1 // the ledger shows it as held, and the box's clock allows to act
-	grantedStale                  // the ledger shows it as held, and the box's clock does not
+	grantedFresh event = iota + 1 // the table shows it as held, and the box's session is valid by its clock
+	grantedStale                  // the table shows it as held, but the box's session may have expired
 	renewalSent
-	clockRanOut
-	tableEnded // the ledger held it and does so no more
-	turnedDown // the ledger knows the request no more and never granted it
+	deadlinePassed
+	removedFromTable // the table no longer shows it as held
+	rejected         // the table does not contain the request, which was never granted
 	sessionEnded
-	given
+	givenUp
 )
 
-// next is the state machine of a request.
+// next returns the state after an event.
 func (s State) next(e event) State {
 	if s.Over() {
 		return s
@@ -60,135 +60,135 @@
 	switch e {
 	case grantedFresh:
 		return Held
-	case grantedStale, clockRanOut:
-		if s == Asked && e == clockRanOut {
-			return Asked // it waits on; the next session asks again
+	case grantedStale, deadlinePassed:
+		if s == Asked && e == deadlinePassed {
+			return Asked // still waiting; the next session repeats the request
 		}
 		return Doubtful
 	case renewalSent:
 		if s == Held {
 			return Renewing
 		}
-	case tableEnded:
+	case removedFromTable:
 		return Lost
-	case turnedDown:
+	case rejected:
 		return Refused
 	case sessionEnded:
 		if s != Asked {
 			return Lost
 		}
-	case given:
+	case givenUp:
 		return GivenUp
 	}
 	return s
 }
 
-// Request is what a box asks for.
+// Request describes a requested slot.
 type Request struct {
 	Task     string
-	Slots    int // how many boxes may have one at a time; the same at all boxes
+	Slots    int // maximum number of boxes that hold one at a time; must be the same on all boxes
 	Priority int
 	Sticky   bool
 }
 
-// Ask is one request and how it stands.
+// Ask is a request and its state.
 type Ask struct {
 	Request
-	ID    uint64 // by this box; 0 is none
+	ID    uint64 // assigned by this box; never 0
 	State State
-	Token uint64 // once granted
-	Stop  bool   // the box is asked to stop early
-	Why   error  // of Refused
-	Place int    // in the queue, from 1; 0 when it does not wait or that is not known
-
-	seq     uint64 // of its Acquire in this session; 0 before it was made
-	taken   bool   // taken up from an earlier session of the box
-	inTable bool
+	Token uint64 // set once granted
+	Stop  bool   // the box is requested to stop early
+	Why   error  // reason of Refused
+	Place int    // position in the queue, from 1; 0 when not waiting or unknown
+
+	acquireSeq uint64 // number of its Acquire in this session; 0 if none was created
+	takenOver  bool   // taken over from an earlier session of the box
+	inTable    bool
 }
 
-// Taken tells whether the slot was taken up from an earlier session of the box.
-func (a *Ask) Taken() bool { return a.taken }
+// Taken reports whether the slot was taken over from an earlier session of the box.
+func (a *Ask) Taken() bool { return a.takenOver }
 
-// Phase is how a box stands to its fleet.
+// Phase is the membership state of a box in its fleet.
 type Phase uint8
 
-// The phases of a box.
+// Phases of a box.
 const (
-	Joining    Phase = iota + 1 // it has no session
-	In                          // it has one
-	Displaced                   // another process has joined under its name and has said no more yet: it may be a late word of a dead one
-	Superseded                  // another process has joined under its name; it acts no more and does not join again
-	Gone                        // it has left
+	Joining    Phase = iota + 1 // the box has no session
+	In                          // the box has a session
+	Displaced                   // another process has joined under the box's name but sent nothing since: the join may be a delayed message of a dead process
+	Superseded                  // another live process has joined under the box's name; this one stops acting and does not join again
+	Gone                        // the box has left
 )
 
-var phases = [...]string{"", "joining", "in", "displaced", "superseded", "gone"}
+var phaseNames = [...]string{"", "joining", "in", "displaced", "superseded", "gone"}
 
-func (p Phase) String() string { return phases[p] }
+func (p Phase) String() string { return phaseNames[p] }
 
-// MarshalText has phases written by name.
+// MarshalText implements encoding.TextMarshaler. The text is the name of the phase.
 func (p Phase) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-// pending is a command that this box does not know to be applied.
-type pending struct {
+// unacknowledged is a command that is not known to be applied.
+type unacknowledged struct {
 	Command
-	at time.Duration // when it was made, which is before it could be sent
+	createdAt time.Duration // creation time, which is before it could be sent
 }
 
-// Holder is one box's side. Its clock is the box's own and runs also while the machine sleeps. The zero value is not
-// ready; it is not safe for use by several goroutines.
+// Holder is the client side of the leases of one box. Times are those of the box's own clock, which also runs while the
+// machine is suspended. The zero value is not usable; use NewHolder. A Holder is not safe for concurrent use.
 type Holder struct {
-	box, build string
-	nonce      uint64
-	terms      Terms
-	phase      Phase
-	try        uint64 // joins so far
-	session    uint64 // 0 when there is none
-	latest     uint64 // the last one that there was
-	seq        uint64 // of the last command that was made
-	last       uint64 // ID of the last ask
-	made       time.Duration
-	until      time.Duration // it may act before this
-	open       []pending     // in order
-	send       time.Duration // when to send what is open again; 0: at once
-	asks       []*Ask
+	box, build   string
+	nonce        uint64
+	terms        Terms
+	phase        Phase
+	joinAttempts uint64           // number of joins so far
+	session      uint64           // current session; 0 if there is none
+	lastSession  uint64           // ID of the last session, which may have ended
+	lastSeq      uint64           // number of the last command created
+	lastAskID    uint64           // ID of the last Ask
+	lastCreated  time.Duration    // creation time of the last command
+	actUntil     time.Duration    // the box may act before this time
+	pending      []unacknowledged // in order
+	resendAt     time.Duration    // when to resend the pending commands; 0: immediately
+	asks         []*Ask
 }
 
-// AsksMost bounds what one box asks for at a time.
+// AsksMost is the maximum number of requests of one box at a time.
 const AsksMost = 2048
 
-// openMost is with how many open commands none is made only to renew: the ledger does not answer, and each is sent again
-// with all before it.
-const openMost = 64
+// maxPendingForRenew is the number of pending commands from which on no Renew is added: the ledger is not responding, and each
+// resend contains all pending commands.
+const maxPendingForRenew = 64
 
-// Errors of a holder.
+// Errors returned by a Holder.
 var (
-	ErrTooMany = errors.New("this box asks for too much at a time")
-	ErrOut     = errors.New("this box takes no part in the fleet any more")
-	ErrLate    = errors.New("the lease may have run out by this box's own clock")
-	ErrShort   = errors.New("the lease does not last long enough for this")
+	ErrTooMany = errors.New("too many open requests on this box")
+	ErrOut     = errors.New("this box has left the fleet or was superseded by another process")
+	ErrLate    = errors.New("the lease may have expired by this box's clock")
+	ErrShort   = errors.New("the remaining lease time is too short")
 )
 
-// NewHolder returns the side of a box. The nonce is drawn anew at each start of a process.
+// NewHolder returns the Holder of a box. Each process must use a new random nonce.
 func NewHolder(box, build string, nonce uint64, terms Terms) *Holder {
 	return &Holder{box: box, build: build, nonce: nonce, terms: terms, phase: Joining}
 }
 
-// Phase tells how the box stands.
+// Phase returns the membership state of the box.
 func (h *Holder) Phase() Phase { return h.phase }
 
-// Session is the box's present one, 0 if there is none.
+// Session returns the ID of the box's current session, 0 if there is none.
 func (h *Holder) Session() uint64 { return h.session }
 
-// Left tells whether the box has left, as far as it has to tell anybody.
-func (h *Holder) Left() bool { return h.phase == Gone && len(h.open) == 0 }
+// Left reports whether the box has left and has no command to send any more.
+func (h *Holder) Left() bool { return h.phase == Gone && len(h.pending) == 0 }
 
-// Until is before when, by its own clock, the box may act for the fleet.
-func (h *Holder) Until() time.Duration { return h.until }
+// Until returns the time, by the box's clock, before which the box may act for the fleet.
+func (h *Holder) Until() time.Duration { return h.actUntil }
 
-// Asks lists what it asks for and what was decided, oldest first. The asks are the holder's.
+// Asks returns all requests, oldest first. They belong to the Holder and must not be modified.
 func (h *Holder) Asks() []*Ask { return h.asks }
 
-// Find returns an ask; nil if there is none.
+// Find returns the request with the given ID, or nil.
 func (h *Holder) Find(id uint64) *Ask {
 	for _, a := range h.asks {
 		if a.ID == id {
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// Acquire asks for a slot. It waits in the queue until it is granted or given up, over sessions.
+// Acquire requests a slot. The request stays queued across sessions until it is granted or given up.
 func (h *Holder) Acquire(now time.Duration, r Request) (*Ask, error) {
 	if h.phase == Superseded || h.phase == Gone {
 		return nil, ErrOut
@@ -206,71 +206,72 @@
 	if len(h.asks) >= AsksMost {
 		return nil, ErrTooMany
 	}
-	h.last++
-	a := &Ask{Request: r, ID: h.last, State: Asked}
+	h.lastAskID++
+	a := &Ask{Request: r, ID: h.lastAskID, State: Asked}
 	h.asks = append(h.asks, a)
-	h.ask(now, a)
+	h.sendAcquire(now, a)
 	return a, nil
 }
 
-func (h *Holder) ask(now time.Duration, a *Ask) {
+// sendAcquire creates the Acquire command of a request if the box has a session.
+func (h *Holder) sendAcquire(now time.Duration, a *Ask) {
 	if h.phase == In {
-		a.seq = h.make(now, Command{Kind: Acquire, Task: a.Task, Slots: a.Slots, Priority: a.Priority, Sticky: a.Sticky})
+		a.acquireSeq = h.enqueue(now, Command{Kind: Acquire, Task: a.Task, Slots: a.Slots, Priority: a.Priority, Sticky: a.Sticky})
 	}
 }
 
-// make numbers a command of the session and has it sent.
-func (h *Holder) make(now time.Duration, c Command) uint64 {
-	h.seq++
-	c.Session, c.Seq = h.session, h.seq
-	h.open = append(h.open, pending{c, now})
-	h.made, h.send = now, 0
+// enqueue assigns the next number to a command of the session and queues it for sending.
+func (h *Holder) enqueue(now time.Duration, c Command) uint64 {
+	h.lastSeq++
+	c.Session, c.Seq = h.session, h.lastSeq
+	h.pending = append(h.pending, unacknowledged{c, now})
+	h.lastCreated, h.resendAt = now, 0
 	return c.Seq
 }
 
-// GiveUp gives a slot back, or withdraws a request. The caller acts under it no more when it calls.
+// GiveUp releases a slot or withdraws a request. The caller must have stopped acting under it.
 func (h *Holder) GiveUp(now time.Duration, a *Ask) {
 	if a.State.Over() {
 		return
 	}
-	a.State = a.State.next(given)
-	if h.phase == In && (a.seq != 0 || a.taken) {
-		c := Command{Kind: Release, Ask: a.seq}
-		if a.taken {
+	a.State = a.State.next(givenUp)
+	if h.phase == In && (a.acquireSeq != 0 || a.takenOver) {
+		c := Command{Kind: Release, Ask: a.acquireSeq}
+		if a.takenOver {
 			c.Token = a.Token
 		}
-		h.make(now, c)
+		h.enqueue(now, c)
 	}
 }
 
-// Part has the box leave. It acts no more when it calls.
+// Part makes the box leave the fleet. The caller must have stopped acting.
 func (h *Holder) Part(now time.Duration) {
 	for _, a := range h.asks {
-		a.State = a.State.next(given)
+		a.State = a.State.next(givenUp)
 	}
 	if h.phase == In {
-		h.make(now, Command{Kind: Part})
+		h.enqueue(now, Command{Kind: Part})
 	}
-	h.phase, h.until = Gone, 0
+	h.phase, h.actUntil = Gone, 0
 	if h.session == 0 {
-		h.open = nil
+		h.pending = nil
 	}
 }
 
-// Drop forgets an ask that is over.
+// Drop removes a request that is in a final state.
 func (h *Holder) Drop(a *Ask) {
 	if a.State.Over() {
 		h.asks = slices.DeleteFunc(h.asks, func(o *Ask) bool { return o == a })
 	}
 }
 
-// May tells whether an effect that takes at most need may be begun now. It is to be asked immediately before the effect.
+// May returns nil if an action that takes at most need may be started now. It must be called immediately before the action.
 func (h *Holder) May(now time.Duration, a *Ask, need time.Duration) error {
 	if a.State == Held || a.State == Renewing {
-		if now >= h.until {
-			h.tick(now)
-		} else if now+need >= h.until {
-			return fmt.Errorf("%w: it has %v left and %v is needed", ErrShort, h.until-now, need)
+		if now >= h.actUntil {
+			h.checkDeadline(now)
+		} else if now+need >= h.actUntil {
+			return fmt.Errorf("%w: %v left, %v needed", ErrShort, h.actUntil-now, need)
 		}
 	}
 	switch a.State {
@@ -279,55 +280,55 @@
 	case Doubtful:
 		return ErrLate
 	}
-	return fmt.Errorf("the lease is %v", a.State)
+	return fmt.Errorf("the request is %v", a.State)
 }
 
-// tick takes note that time has passed.
-func (h *Holder) tick(now time.Duration) {
-	if now < h.until {
+// checkDeadline updates the states of the requests if the box may no longer act.
+func (h *Holder) checkDeadline(now time.Duration) {
+	if now < h.actUntil {
 		return
 	}
 	for _, a := range h.asks {
-		a.State = a.State.next(clockRanOut)
+		a.State = a.State.next(deadlinePassed)
 	}
 }
 
-// Due returns what is to be sent to the ledger now, in order, and when to ask next. All that is not known to be applied is
-// sent together: what was applied already is turned down by its number.
-func (h *Holder) Due(now time.Duration) (list []Command, next time.Duration) {
-	h.tick(now)
-	again := h.terms.Pause()
+// Due returns the commands to send to the ledger now, in order, and the time of the next call. All commands that are not
+// known to be applied are sent together; the table rejects already applied ones by their number.
+func (h *Holder) Due(now time.Duration) (commands []Command, next time.Duration) {
+	h.checkDeadline(now)
+	interval := h.terms.Pause()
 	switch {
-	case h.phase == Joining && len(h.open) == 0:
-		h.try++
-		h.open = []pending{{Command{Kind: Join, Box: h.box, Nonce: h.nonce, Try: h.try, Build: h.build}, now}}
-		h.send = 0
-	case h.phase == In && now >= h.made+h.terms.Pause() && len(h.open) < openMost:
-		h.make(now, Command{Kind: Renew})
+	case h.phase == Joining && len(h.pending) == 0:
+		h.joinAttempts++
+		h.pending = []unacknowledged{{Command{Kind: Join, Box: h.box, Nonce: h.nonce, Try: h.joinAttempts, Build: h.build}, now}}
+		h.resendAt = 0
+	case h.phase == In && now >= h.lastCreated+h.terms.Pause() && len(h.pending) < maxPendingForRenew:
+		h.enqueue(now, Command{Kind: Renew})
 		for _, a := range h.asks {
 			a.State = a.State.next(renewalSent)
 		}
 	}
-	next = now + again
+	next = now + interval
 	if h.phase == In {
-		next = min(next, max(h.made+again, now+again/4))
+		next = min(next, max(h.lastCreated+interval, now+interval/4))
 	}
-	if len(h.open) == 0 {
+	if len(h.pending) == 0 {
 		return nil, next
 	}
-	if now < h.send {
-		return nil, min(next, h.send)
+	if now < h.resendAt {
+		return nil, min(next, h.resendAt)
 	}
-	h.send = now + again/2
-	for _, p := range h.open {
-		list = append(list, p.Command)
+	h.resendAt = now + interval/2
+	for _, p := range h.pending {
+		commands = append(commands, p.Command)
 	}
-	return list, min(next, h.send)
+	return commands, min(next, h.resendAt)
 }
 
-// Saw takes the table as it is after commands were applied here. turned tells why one of this box's commands was turned
-// down, by its number; it may be nil, when that is not known.
-func (h *Holder) Saw(now time.Duration, t *Table, turned func(seq uint64) error) {
+// Saw updates the Holder after commands were applied to the local table. rejection returns the reason for which the
+// command of this box with the given number was rejected; it may be nil if reasons are not known.
+func (h *Holder) Saw(now time.Duration, t *Table, rejection func(seq uint64) error) {
 	h.terms = t.Terms
 	if h.phase == Superseded {
 		return
@@ -336,18 +337,18 @@
 	mine := t.Sessions[h.session]
 	switch {
 	case h.phase == In && (mine == nil || mine.Past):
-		h.lose()
+		h.endSession()
 	case h.phase == Gone && mine == nil:
-		h.open = nil
+		h.pending = nil
 		return
 	}
 	switch {
-	case newest != nil && newest.Nonce != h.nonce && h.latest != 0 && newest.ID > h.latest:
-		h.phase, h.open = Displaced, nil
-		if newest.Seq > 0 { // it lives
+	case newest != nil && newest.Nonce != h.nonce && h.lastSession != 0 && newest.ID > h.lastSession:
+		h.phase, h.pending = Displaced, nil
+		if newest.Seq > 0 { // the other process is alive
 			h.phase = Superseded
 			for _, a := range h.asks {
-				a.State = a.State.next(turnedDown)
+				a.State = a.State.next(rejected)
 			}
 		}
 		return
@@ -355,55 +356,55 @@
 		h.phase = Joining
 		return
 	case h.phase == Joining && newest != nil && newest.Nonce == h.nonce:
-		h.begin(now, newest)
+		h.startSession(now, newest)
 	}
 	if mine = t.Sessions[h.session]; mine == nil {
 		return
 	}
-	for len(h.open) > 0 && h.open[0].Seq <= mine.Seq {
-		h.until = max(h.until, h.open[0].at+h.terms.Acting())
-		h.open = h.open[1:]
+	for len(h.pending) > 0 && h.pending[0].Seq <= mine.Seq {
+		h.actUntil = max(h.actUntil, h.pending[0].createdAt+h.terms.Acting())
+		h.pending = h.pending[1:]
 	}
 	if h.phase != Gone {
-		h.look(now, t, mine, turned)
+		h.updateAsks(now, t, mine, rejection)
 	}
 }
 
-// begin takes up the session that a join has begun.
-func (h *Holder) begin(now time.Duration, s *Session) {
-	h.phase, h.session, h.latest, h.seq = In, s.ID, s.ID, 0
-	if len(h.open) == 1 && h.open[0].Kind == Join && s.Try == h.try {
-		h.until, h.made = h.open[0].at+h.terms.Acting(), h.open[0].at
-	} else { // an earlier join came late: nothing says when it was made
-		h.until, h.made = 0, now-h.terms.Pause()
+// startSession starts using the session that a join has created.
+func (h *Holder) startSession(now time.Duration, s *Session) {
+	h.phase, h.session, h.lastSession, h.lastSeq = In, s.ID, s.ID, 0
+	if len(h.pending) == 1 && h.pending[0].Kind == Join && s.Try == h.joinAttempts {
+		h.actUntil, h.lastCreated = h.pending[0].createdAt+h.terms.Acting(), h.pending[0].createdAt
+	} else { // an earlier join was applied late: its creation time is unknown
+		h.actUntil, h.lastCreated = 0, now-h.terms.Pause()
 	}
-	h.open = nil
+	h.pending = nil
 	for _, a := range h.asks {
 		if a.State == Asked {
-			h.ask(now, a)
+			h.sendAcquire(now, a)
 		}
 	}
 }
 
-// lose takes note that the session has ended.
-func (h *Holder) lose() {
-	h.phase, h.session, h.until, h.open = Joining, 0, 0, nil
+// endSession updates the state after the session has ended.
+func (h *Holder) endSession() {
+	h.phase, h.session, h.actUntil, h.pending = Joining, 0, 0, nil
 	for _, a := range h.asks {
 		a.State = a.State.next(sessionEnded)
-		a.seq, a.inTable, a.Place = 0, false, 0
+		a.acquireSeq, a.inTable, a.Place = 0, false, 0
 	}
 }
 
-// look finds what the table says of this box's requests.
-func (h *Holder) look(now time.Duration, t *Table, mine *Session, turned func(uint64) error) {
+// updateAsks updates the state of this box's requests from the table.
+func (h *Holder) updateAsks(now time.Duration, t *Table, mine *Session, rejection func(uint64) error) {
 	bySeq := map[uint64]*Ask{}
 	byToken := map[uint64]*Ask{}
 	for _, a := range h.asks {
 		a.inTable = false
-		if a.taken {
+		if a.takenOver {
 			byToken[a.Token] = a
-		} else if a.seq != 0 {
-			bySeq[a.seq] = a
+		} else if a.acquireSeq != 0 {
+			bySeq[a.acquireSeq] = a
 		}
 	}
 	for name, task := range t.Tasks {
@@ -414,8 +415,8 @@
 			a := bySeq[l.Ask]
 			if l.Ask == 0 {
 				if a = byToken[l.Token]; a == nil {
-					h.last++
-					a = &Ask{Request: Request{Task: name, Slots: task.Slots, Priority: l.Priority, Sticky: true}, ID: h.last, State: Asked, taken: true}
+					h.lastAskID++
+					a = &Ask{Request: Request{Task: name, Slots: task.Slots, Priority: l.Priority, Sticky: true}, ID: h.lastAskID, State: Asked, takenOver: true}
 					h.asks = append(h.asks, a)
 				}
 			}
@@ -423,8 +424,8 @@
 				continue
 			}
 			a.Token, a.Stop, a.Place, a.inTable = l.Token, a.Stop || l.Stop, 0, true
-			if now < h.until {
-				if a.State != Renewing || len(h.open) == 0 {
+			if now < h.actUntil {
+				if a.State != Renewing || len(h.pending) == 0 {
 					a.State = a.State.next(grantedFresh)
 				}
 			} else {
@@ -438,39 +439,39 @@
 		}
 	}
 	for _, a := range h.asks {
-		if a.inTable || a.State.Over() || !a.taken && (a.seq == 0 || a.seq > mine.Seq) {
+		if a.inTable || a.State.Over() || !a.takenOver && (a.acquireSeq == 0 || a.acquireSeq > mine.Seq) {
 			continue
 		}
 		if a.State != Asked {
-			a.State = a.State.next(tableEnded)
+			a.State = a.State.next(removedFromTable)
 			continue
 		}
-		if turned != nil {
-			a.Why = turned(a.seq)
+		if rejection != nil {
+			a.Why = rejection(a.acquireSeq)
 		}
-		a.State = a.State.next(turnedDown)
+		a.State = a.State.next(rejected)
 	}
 }
 
-// Report tells the head of the box's audit chain. It tells whether there is a session to tell it in.
+// Report sends the head of the box's audit chain. It returns false if there is no session to send it in.
 func (h *Holder) Report(now time.Duration, m Mark) bool {
 	if h.phase == In {
-		h.make(now, Command{Kind: Report, Chain: m.Chain, N: m.N, Sum: m.Sum, First: m.First})
+		h.enqueue(now, Command{Kind: Report, Chain: m.Chain, N: m.N, Sum: m.Sum, First: m.First})
 	}
 	return h.phase == In
 }
 
-// Carry has the ledger take a payload in this session, and returns its number; 0 when there is no session.
+// Carry queues a payload as a command of this session and returns the command's number, or 0 if there is no session.
 func (h *Holder) Carry(now time.Duration, payload cbor.ByteString) uint64 {
 	if h.phase != In {
 		return 0
 	}
-	return h.make(now, Command{Kind: Carry, Payload: payload})
+	return h.enqueue(now, Command{Kind: Carry, Payload: payload})
 }
 
-// Stop asks the holder of a token to stop early.
+// Stop requests the holder of a token to stop early.
 func (h *Holder) Stop(now time.Duration, token uint64) {
 	if h.phase == In {
-		h.make(now, Command{Kind: Stop, Token: token})
+		h.enqueue(now, Command{Kind: Stop, Token: token})
 	}
 }
--- a/internal/decide/lease/judge.go
+++ b/internal/decide/lease/judge.go
@@ -6,69 +6,69 @@
 	"time"
 )
 
-// Judge says which sessions have run out, by one box's own clock. Any box may judge; see the package's comment.
+// Judge determines which sessions have expired, by one box's own clock. Any box may judge; see the package comment.
 type Judge struct {
-	seen   map[uint64]sight
-	closed sight // of a table that is closed; its seq is 0 if it is not
+	observed map[uint64]observation
+	closed   observation // of a closed table; its seq is 0 if the table is not closed
 }
 
-type sight struct {
-	seq uint64
-	at  time.Duration // when this box saw the command applied
-	ask time.Duration // when the end is to be asked for, the first time or again
+// observation is the last observed state of a session.
+type observation struct {
+	seq    uint64
+	seenAt time.Duration // when this box saw the last command applied
+	sendAt time.Duration // when to send the command that ends the session, for the first time or again
 }
 
-// Saw takes the table as it is after commands were applied. It must be called before time passes in which another box
-// could think that the commands are not yet applied here; later is safe, and ends sessions later.
+// Saw updates the judge after commands were applied to the table. A late call is safe: it only delays the end of sessions.
 func (j *Judge) Saw(now time.Duration, t *Table) {
-	if j.seen == nil {
-		j.seen = map[uint64]sight{}
+	if j.observed == nil {
+		j.observed = map[uint64]observation{}
 	}
 	for id, s := range t.Sessions {
-		if old, ok := j.seen[id]; !ok || old.seq != s.Seq {
-			j.seen[id] = sight{seq: s.Seq, at: now, ask: now + t.Terms.Term}
+		if old, ok := j.observed[id]; !ok || old.seq != s.Seq {
+			j.observed[id] = observation{seq: s.Seq, seenAt: now, sendAt: now + t.Terms.Term}
 		}
 	}
 	if t.Closed != j.closed.seq {
-		j.closed = sight{seq: t.Closed, at: now, ask: now + t.Terms.Term}
+		j.closed = observation{seq: t.Closed, seenAt: now, sendAt: now + t.Terms.Term}
 	}
-	for id := range j.seen {
+	for id := range j.observed {
 		if t.Sessions[id] == nil {
-			delete(j.seen, id)
+			delete(j.observed, id)
 		}
 	}
 }
 
-// Silent is for how long this box has seen nothing of a session.
+// Silent returns the time since this box last saw a command of the session.
 func (j *Judge) Silent(now time.Duration, session uint64) time.Duration {
-	if s, ok := j.seen[session]; ok {
-		return now - s.at
+	if s, ok := j.observed[session]; ok {
+		return now - s.seenAt
 	}
 	return 0
 }
 
-// Forget has it judge from nothing, as at the start of a process.
+// Forget discards all observations, as at the start of a process.
 func (j *Judge) Forget() { *j = Judge{} }
 
-// Due returns the commands that end what has run out, and when to ask next. Each is asked for again after a quarter of a
-// term, since a command may be lost.
-func (j *Judge) Due(now time.Duration, t *Table) (list []Command, next time.Duration) {
+// Due returns the commands that end expired sessions or open a closed table, and the time of the next call. Each command
+// is repeated after a quarter of a term, since commands may be lost.
+func (j *Judge) Due(now time.Duration, t *Table) (commands []Command, next time.Duration) {
 	next = now + t.Terms.Term/4
-	for id, s := range j.seen {
-		if now >= s.ask {
-			list = append(list, Command{Kind: Expire, Session: id, Seq: s.seq})
-			s.ask = now + t.Terms.Term/4
-			j.seen[id] = s
+	for id, s := range j.observed {
+		if now >= s.sendAt {
+			commands = append(commands, Command{Kind: Expire, Session: id, Seq: s.seq})
+			s.sendAt = now + t.Terms.Term/4
+			j.observed[id] = s
 		}
-		next = min(next, s.ask)
+		next = min(next, s.sendAt)
 	}
 	if j.closed.seq != 0 {
-		if now >= j.closed.ask {
-			list = append(list, Command{Kind: Open, Seq: j.closed.seq})
-			j.closed.ask = now + t.Terms.Term/4
+		if now >= j.closed.sendAt {
+			commands = append(commands, Command{Kind: Open, Seq: j.closed.seq})
+			j.closed.sendAt = now + t.Terms.Term/4
 		}
-		next = min(next, j.closed.ask)
+		next = min(next, j.closed.sendAt)
 	}
-	slices.SortFunc(list, func(a, b Command) int { return cmp.Compare(a.Session, b.Session) })
-	return list, next
+	slices.SortFunc(commands, func(a, b Command) int { return cmp.Compare(a.Session, b.Session) })
+	return commands, next
 }
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -1,19 +1,20 @@
-// Package lease decides who may do a task that a fleet does once. Two halves work together: the Table, which all boxes
-// apply from the ledger in the same order, and the Holder, which each box has for itself and which says until when it
-// may act.
+// Package lease implements the leases under which a box may run a task that must run on a limited number of boxes. It
+// has two parts: the Table, a replicated state machine that every box applies from the ledger in the same order, and the
+// Holder, which each box runs locally and which decides until when the box may act.
 //
-// What it rests on. No times are compared between boxes and none stands in the ledger. A box's session is renewed by any
-// of its commands that the ledger applies; commands of a session are numbered. Two spans of one length, the term, are
-// measured, each by one box's own clock:
+// Timestamps are never compared between boxes, and the ledger contains none. Every command of a box that the ledger
+// applies renews the box's session; the commands of a session carry sequence numbers. The lease term is measured twice,
+// each time by the clock of one box:
 //
-//   - the holder's runs from before it made the command, and is shorter by the stated drift (Terms.Acting);
-//   - the judge's runs from when it saw the command applied, which is later (Judge). A session is ended by a command that
-//     names the number the judge saw last. If the session was renewed since, the number is another one and the command
-//     does nothing. So it does not matter who judges, how old its view is, or how long it was stopped: a former leader
-//     that wakes can say nothing that harms.
+//   - The holder's interval starts before it creates the command and is shortened by the maximum clock drift
+//     (Terms.Acting).
+//   - The judge's interval starts when it sees the command applied, which is later (Judge). The command that ends a
+//     session names the last sequence number the judge saw. If the session has been renewed since, the number differs
+//     and the command has no effect. It is therefore safe for any box to judge, with a view of any age and after a pause
+//     of any length: a former leader that resumes cannot end a renewed session.
 //
-// A clock here is one that also runs while the machine sleeps. A clock that drifts by more than the stated share breaks
-// the promise; what is acted upon then still refuses the older token.
+// Clocks must keep running while the machine is suspended. A clock that drifts by more than Terms.Drift breaks the
+// guarantee; the resource that the holder acts on must then still reject the older token.
 package lease
 
 import (
@@ -27,132 +28,133 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Terms are what a fleet has agreed on; they are part of what the ledger holds.
+// Terms are the lease parameters of a fleet. They are part of the replicated state.
 type Terms struct {
-	Term  time.Duration // how long a session lives without a word of its box
-	Drift float64       // the share by which a clock may run fast or slow, at most
+	Term  time.Duration // time after which a session that is not renewed may be ended
+	Drift float64       // maximum relative rate error of a clock, fast or slow
 }
 
-// The bounds of terms.
+// Bounds of Terms.
 const (
 	MinTerm  = 100 * time.Millisecond
 	MaxTerm  = 10 * time.Minute
 	MaxDrift = 0.2
 )
 
-// Check tells what is wrong with terms.
+// Check returns an error if a value of t is out of bounds.
 func (t Terms) Check() error {
 	if t.Term < MinTerm || t.Term > MaxTerm {
-		return fmt.Errorf("the term is %v, it must be from %v to %v", t.Term, MinTerm, MaxTerm)
+		return fmt.Errorf("lease term %v is out of range: must be from %v to %v", t.Term, MinTerm, MaxTerm)
 	}
 	if !(t.Drift >= 0 && t.Drift <= MaxDrift) {
-		return fmt.Errorf("the drift is %v, it must be from 0 to %v", t.Drift, MaxDrift)
+		return fmt.Errorf("clock drift %v is out of range: must be from 0 to %v", t.Drift, MaxDrift)
 	}
 	return nil
 }
 
-// Acting is how long, by its own clock, a holder may act after it made a command that was applied. A slow holder measures
-// Acting in Acting/(1-Drift) of true time, a fast judge measures Term in Term/(1+Drift): the first is never the longer one.
+// Acting returns how long, by its own clock, a holder may act after it created a command that was applied. A slow holder
+// measures Acting in Acting/(1-Drift) of real time, a fast judge measures Term in Term/(1+Drift): the former is never longer.
 func (t Terms) Acting() time.Duration {
 	return time.Duration(float64(t.Term) * (1 - t.Drift) / (1 + t.Drift))
 }
 
-// Pause is how long after its last command a box renews its session.
+// Pause returns the time after its last command at which a box renews its session.
 func (t Terms) Pause() time.Duration { return t.Acting() / 3 }
 
-// Kind is what a command does.
+// Kind is the type of a command.
 type Kind uint8
 
-// The commands. All but the first four are of a session, and numbered in it.
+// Command kinds. All but the first four belong to a session and carry its sequence number.
 const (
-	Join    Kind = iota + 1 // begins a session for a box; Nonce tells its process from another one of that name
-	Expire                  // ends a session that was not renewed since Seq
-	Free                    // by an operator: gives back the slot with this Token, whoever holds it
-	Open                    // ends what Close began; Seq is the index at which it was closed
-	Renew                   // does nothing but renew
-	Acquire                 // asks for a slot of a task
-	Release                 // gives back or withdraws what Ask asked for
-	Stop                    // asks the holder of Token to stop early
-	Part                    // ends the session; the box acts no more
-	Report                  // tells the head of the box's audit chain: Chain, N and Sum
-	Carry                   // carries what is not about leases, once and in the session's order: Payload
+	Join    Kind = iota + 1 // starts a session for a box; Nonce distinguishes its process from others with the same name
+	Expire                  // ends a session that has not been renewed since Seq
+	Free                    // sent by an operator: releases the slot with this Token, whoever holds it
+	Open                    // allows grants again after Close; Seq is the index at which the table was closed
+	Renew                   // only renews the session
+	Acquire                 // requests a slot of a task
+	Release                 // releases the slot or withdraws the request of the Acquire with number Ask
+	Stop                    // requests the holder of Token to stop early
+	Part                    // ends the session; the box stops acting
+	Report                  // reports the head of the box's audit chain: Chain, N and Sum
+	Carry                   // transports Payload, which is not about leases, exactly once and in session order
 )
 
-var kinds = [...]string{"", "join", "expire", "free", "open", "renew", "acquire", "release", "stop", "part", "report", "carry"}
+var kindNames = [...]string{"", "join", "expire", "free", "open", "renew", "acquire", "release", "stop", "part", "report", "carry"}
 
 func (k Kind) String() string {
-	if int(k) < len(kinds) && k > 0 {
-		return kinds[k]
+	if int(k) < len(kindNames) && k > 0 {
+		return kindNames[k]
 	}
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Command is one entry of the ledger that concerns leases. Fields that a kind does not use are left out.
+// Command is one lease command in the ledger. Fields that a kind does not use are omitted.
 type Command struct {
 	Kind     Kind            `cbor:"1,keyasint"`
 	Session  uint64          `cbor:"2,keyasint,omitempty"`
 	Seq      uint64          `cbor:"3,keyasint,omitempty"`
 	Box      string          `cbor:"4,keyasint,omitempty"`
-	Nonce    uint64          `cbor:"5,keyasint,omitempty"`  // drawn by each process of a box
-	Try      uint64          `cbor:"13,keyasint,omitempty"` // counts the joins of a process
+	Nonce    uint64          `cbor:"5,keyasint,omitempty"`  // random number of the box's process
+	Try      uint64          `cbor:"13,keyasint,omitempty"` // counts the joins of the process
 	Build    string          `cbor:"6,keyasint,omitempty"`
 	Task     string          `cbor:"7,keyasint,omitempty"`
-	Ask      uint64          `cbor:"8,keyasint,omitempty"` // the Seq of the Acquire that is meant
+	Ask      uint64          `cbor:"8,keyasint,omitempty"` // the Seq of the Acquire that is referred to
 	Slots    int             `cbor:"9,keyasint,omitempty"`
 	Priority int             `cbor:"10,keyasint,omitempty"`
-	Sticky   bool            `cbor:"11,keyasint,omitempty"` // the slot outlives the session: see Lease
+	Sticky   bool            `cbor:"11,keyasint,omitempty"` // the slot survives the end of the session: see Lease
 	Token    uint64          `cbor:"12,keyasint,omitempty"`
 	Chain    string          `cbor:"14,keyasint,omitempty"`
 	N        uint64          `cbor:"15,keyasint,omitempty"`
 	Sum      string          `cbor:"16,keyasint,omitempty"` // in hexadecimal
 	First    uint64          `cbor:"18,keyasint,omitempty"`
-	Payload  cbor.ByteString `cbor:"17,keyasint,omitempty"` // the table does not look into it
+	Payload  cbor.ByteString `cbor:"17,keyasint,omitempty"` // opaque to the table
 }
 
-// Mark is the head of a box's audit chain, as the box has told it.
+// Mark is the head of a box's audit chain as reported by the box.
 type Mark struct {
 	Chain string `cbor:"1,keyasint" json:"chain"`
 	N     uint64 `cbor:"2,keyasint" json:"n"`
 	Sum   string `cbor:"3,keyasint" json:"sum"`
-	Index uint64 `cbor:"4,keyasint" json:"index"` // at which it was told: what is before N was done before
-	First uint64 `cbor:"5,keyasint" json:"first"` // from this entry on the box has kept all; 0: it does not know
+	Index uint64 `cbor:"4,keyasint" json:"index"` // ledger index of the report: entries before N were written before it
+	First uint64 `cbor:"5,keyasint" json:"first"` // oldest entry since which the box has kept all entries; 0 if unknown
 }
 
-// marksKept is how many marks are kept for each box; the oldest go first.
-const marksKept = 32
+// maxMarks is the number of marks kept for each box; the oldest are dropped first.
+const maxMarks = 32
 
-// Session is a box's time in the fleet, from one join to its end.
+// Session is one membership of a box in the fleet, from a join to its end.
 type Session struct {
-	ID    uint64 `cbor:"1,keyasint"` // the ledger's index of the join: the box's incarnation, which only grows
+	ID    uint64 `cbor:"1,keyasint"` // ledger index of the join; it is the box's incarnation number and only increases
 	Box   string `cbor:"2,keyasint"`
 	Nonce uint64 `cbor:"3,keyasint"`
 	Try   uint64 `cbor:"7,keyasint"`
 	Build string `cbor:"4,keyasint"`
-	Seq   uint64 `cbor:"5,keyasint"` // of the last command that was applied
-	Past  bool   `cbor:"6,keyasint"` // another process has joined under the name; this one may renew no more
+	Seq   uint64 `cbor:"5,keyasint"` // number of the last applied command
+	Past  bool   `cbor:"6,keyasint"` // the session can no longer be renewed: another process has joined under the name, or the box was barred
 }
 
-// Ended is the last session of a box that has none.
+// Ended describes the last session of a box that has no session now.
 type Ended struct {
 	Session uint64 `cbor:"1,keyasint"`
-	Parted  bool   `cbor:"2,keyasint"` // it left in order; else it was not heard of for a term
+	Parted  bool   `cbor:"2,keyasint"` // the box left by Part; otherwise its session expired or the box was barred
 }
 
-// Lease is a slot that is held.
+// Lease is a held slot.
 type Lease struct {
 	Session  uint64 `cbor:"1,keyasint"`
 	Box      string `cbor:"2,keyasint"`
 	Ask      uint64 `cbor:"3,keyasint"`
 	Token    uint64 `cbor:"4,keyasint"`
 	Priority int    `cbor:"5,keyasint"`
-	// Sticky slots stand for something that is so although its box is silent, such as being out of service. When the
-	// session ends they are Orphans: taken, but nobody may act under them. The box's next session takes them up.
+	// Sticky slots represent a condition that persists while the box is unreachable, such as being out of service. When
+	// the session ends, its sticky slots become orphans: they stay occupied, but no box may act under them. The box's
+	// next session takes them over.
 	Sticky bool `cbor:"6,keyasint"`
 	Orphan bool `cbor:"7,keyasint"`
-	Stop   bool `cbor:"8,keyasint"` // the holder is asked to stop early
+	Stop   bool `cbor:"8,keyasint"` // the holder is requested to stop early
 }
 
-// Waiter is a place in a task's queue.
+// Waiter is an entry of a task's queue.
 type Waiter struct {
 	Session  uint64 `cbor:"1,keyasint"`
 	Box      string `cbor:"2,keyasint"`
@@ -160,62 +162,63 @@
 	Ticket   uint64 `cbor:"4,keyasint"`
 	Priority int    `cbor:"5,keyasint"`
 	Sticky   bool   `cbor:"6,keyasint"`
-	Passed   int    `cbor:"7,keyasint"` // how often one that came later was served first
+	Passed   int    `cbor:"7,keyasint"` // number of later requests that were granted first
 }
 
-// PassedMost is how often a waiter may be passed by others of higher priority.
+// PassedMost is the number of later requests with higher priority that may be granted before a waiter.
 const PassedMost = 8
 
-// Task is something that at most Slots boxes do at a time.
+// Task is a task that at most Slots boxes may run at a time.
 type Task struct {
 	Slots   int      `cbor:"1,keyasint"`
-	Holders []Lease  `cbor:"2,keyasint"` // in the order in which they got it
-	Queue   []Waiter `cbor:"3,keyasint"` // in the order in which they came
+	Holders []Lease  `cbor:"2,keyasint"` // in the order of the grants
+	Queue   []Waiter `cbor:"3,keyasint"` // in the order of arrival
 }
 
-// The bounds of a table. What is beyond them is turned down.
+// Bounds of a Table. Commands that would exceed them are rejected.
 const (
 	MaxTasks    = 4096
-	MaxWaiters  = 1024 // of one task
+	MaxWaiters  = 1024 // for each task
 	MaxSessions = 4096
 	MaxPlaces   = 1 << 16 // holders and waiters of all tasks together
-	MaxName     = 128     // bytes of a name
+	MaxName     = 128     // length of a name in bytes
 	MaxSlots    = 1024
 )
 
-// Table is what the fleet agrees on. It depends on nothing but the commands and their order.
+// Table is the replicated lease state. It depends only on the commands and their order.
 type Table struct {
 	Terms    Terms               `cbor:"1,keyasint"`
-	Token    uint64              `cbor:"2,keyasint"` // the last that was given out; it only grows
+	Token    uint64              `cbor:"2,keyasint"` // last fencing token issued; it only increases
 	Ticket   uint64              `cbor:"3,keyasint"`
 	Sessions map[uint64]*Session `cbor:"4,keyasint"`
-	Names    map[string]uint64   `cbor:"5,keyasint"`            // the newest session of each box that has one
-	Tasks    map[string]*Task    `cbor:"6,keyasint"`            // those that somebody holds or waits for
-	Left     map[string]Ended    `cbor:"8,keyasint"`            // the last session of boxes that have none now
-	Marks    map[string][]Mark   `cbor:"9,keyasint"`            // of each box, oldest first
-	Closed   uint64              `cbor:"7,keyasint"`            // not 0: nothing is granted until a judge opens; see Close
-	Barred   map[string]bool     `cbor:"10,keyasint,omitempty"` // boxes that are granted nothing; see Bar
+	Names    map[string]uint64   `cbor:"5,keyasint"`            // current session of each box that has one
+	Tasks    map[string]*Task    `cbor:"6,keyasint"`            // tasks with a holder or a waiter
+	Left     map[string]Ended    `cbor:"8,keyasint"`            // last session of each box that has none now
+	Marks    map[string][]Mark   `cbor:"9,keyasint"`            // for each box, oldest first
+	Closed   uint64              `cbor:"7,keyasint"`            // if not 0, nothing is granted until a judge sends Open; see Close
+	Barred   map[string]bool     `cbor:"10,keyasint,omitempty"` // boxes whose requests are rejected; see Bar
 }
 
-// NewTable returns an empty one.
+// NewTable returns an empty table.
 func NewTable(t Terms) *Table {
 	return &Table{Terms: t, Sessions: map[uint64]*Session{}, Names: map[string]uint64{}, Tasks: map[string]*Task{}, Left: map[string]Ended{}, Marks: map[string][]Mark{}}
 }
 
-// Why a command was turned down. The command has then changed nothing, but renewed its session if it has one.
+// Reasons for which Apply rejects a command. A rejected command has no effect, but if it carried the next number of a
+// valid session it has renewed that session.
 var (
-	ErrNoSession  = errors.New("this box's session has ended; it has to join anew")
-	ErrSuperseded = errors.New("another process has joined under this box's name")
-	ErrOrder      = errors.New("the command is a repeat, or one before it is missing")
-	ErrRenewed    = errors.New("the session was renewed in the meantime")
-	ErrSlots      = errors.New("the task is held or waited for with another number of slots")
-	ErrFull       = errors.New("the fleet keeps no more of these")
-	ErrNotHeld    = errors.New("nobody holds or waits for this")
-	ErrBad        = errors.New("not a command that this box knows")
-	ErrBarred     = errors.New("this box is shut out of the fleet until it is up to date; 'cairnctl fleet stragglers' says what is missing")
+	ErrNoSession  = errors.New("the box's session has ended; the box must join again")
+	ErrSuperseded = errors.New("session superseded: the box's name was taken by another process, or the box was barred")
+	ErrOrder      = errors.New("command out of order: repeated, or a previous command is missing")
+	ErrRenewed    = errors.New("stale command: the state that it refers to has changed in the meantime")
+	ErrSlots      = errors.New("the task is in use with a different number of slots")
+	ErrFull       = errors.New("limit reached: too many sessions, tasks, waiters or slots in use")
+	ErrNotHeld    = errors.New("no such lease or request")
+	ErrBad        = errors.New("invalid or unknown command")
+	ErrBarred     = errors.New("this box is barred from the fleet until it is up to date; see 'cairnctl fleet stragglers'")
 )
 
-// Apply carries out a command that stands at an index of the ledger.
+// Apply executes the command at the given ledger index.
 func (t *Table) Apply(index uint64, c Command) error {
 	switch c.Kind {
 	case Join:
@@ -274,21 +277,21 @@
 	return ErrBad
 }
 
-// report keeps a mark. A mark never goes back within a chain.
+// report stores a mark. Within a chain, N must increase.
 func (t *Table) report(box string, m Mark) error {
-	list := t.Marks[box]
+	marks := t.Marks[box]
 	switch {
-	case m.Chain == "" || len(m.Chain) > MaxName || len(m.Sum) > MaxName || len(list) == 0 && len(t.Marks) >= MaxSessions:
+	case m.Chain == "" || len(m.Chain) > MaxName || len(m.Sum) > MaxName || len(marks) == 0 && len(t.Marks) >= MaxSessions:
 		return ErrBad
-	case len(list) > 0 && list[len(list)-1].Chain == m.Chain && list[len(list)-1].N >= m.N:
+	case len(marks) > 0 && marks[len(marks)-1].Chain == m.Chain && marks[len(marks)-1].N >= m.N:
 		return ErrOrder
 	}
-	t.Marks[box] = append(slices.Clone(list[max(0, len(list)+1-marksKept):]), m)
+	t.Marks[box] = append(slices.Clone(marks[max(0, len(marks)+1-maxMarks):]), m)
 	return nil
 }
 
-// join begins a session. One that a process of the same name has is not ended: that process may still act, until the
-// judges have waited for it as for any other. It may only renew no more.
+// join starts a session. An existing session of the same box name is not ended, because its process may still act until
+// the session expires; the session just cannot be renewed any more.
 func (t *Table) join(index uint64, c Command) error {
 	if c.Box == "" || len(c.Box) > MaxName || len(c.Build) > MaxName {
 		return ErrBad
@@ -317,7 +320,7 @@
 	return nil
 }
 
-// end ends a session. What it held is free, but for what outlives it.
+// end removes a session, withdraws its requests and frees its slots, except sticky ones.
 func (t *Table) end(s *Session, parted bool) {
 	delete(t.Sessions, s.ID)
 	if t.Names[s.Box] == s.ID {
@@ -326,7 +329,7 @@
 			t.Left[s.Box] = Ended{s.ID, parted}
 		}
 	}
-	next := t.Sessions[t.Names[s.Box]] // of the same box, if another process has joined
+	next := t.Sessions[t.Names[s.Box]] // session of another process of the same box, if one has joined
 	for _, name := range t.TaskNames() {
 		task := t.Tasks[name]
 		task.Queue = slices.DeleteFunc(task.Queue, func(w Waiter) bool { return w.Session == s.ID })
@@ -349,7 +352,7 @@
 	}
 }
 
-// TaskNames lists the tasks in one order on all boxes.
+// TaskNames returns the names of all tasks in sorted order, which is the same on all boxes.
 func (t *Table) TaskNames() []string {
 	names := make([]string, 0, len(t.Tasks))
 	for name := range t.Tasks {
@@ -365,7 +368,7 @@
 	}
 	task := t.Tasks[c.Task]
 	switch {
-	case t.places() >= MaxPlaces, task == nil && len(t.Tasks) >= MaxTasks:
+	case t.placeCount() >= MaxPlaces, task == nil && len(t.Tasks) >= MaxTasks:
 		return ErrFull
 	case task == nil:
 		task = &Task{Slots: c.Slots}
@@ -381,21 +384,21 @@
 	return nil
 }
 
-// places counts holders and waiters, so that a state stays within what one message may hold.
-func (t *Table) places() (n int) {
+// placeCount counts the holders and waiters of all tasks. The bound on them keeps an encoded state small enough for one message.
+func (t *Table) placeCount() (n int) {
 	for _, task := range t.Tasks {
 		n += len(task.Holders) + len(task.Queue)
 	}
 	return n
 }
 
-// grant gives free slots to those who wait: the highest priority first, among equals who came first, and whoever was
-// passed too often before all of them. A task that nobody is left for is forgotten.
+// grant assigns free slots to waiters: highest priority first, in order of arrival among equals, and waiters that were
+// passed PassedMost times before all others. A task without holders and waiters is deleted.
 func (t *Table) grant(name string, task *Task) {
 	for len(task.Holders) < task.Slots && len(task.Queue) > 0 && t.Closed == 0 {
 		best := 0
 		for i, w := range task.Queue {
-			if before(w, task.Queue[best]) {
+			if precedes(w, task.Queue[best]) {
 				best = i
 			}
 		}
@@ -414,7 +417,8 @@
 	}
 }
 
-func before(a, b Waiter) bool {
+// precedes reports whether a is to be granted a slot before b.
+func precedes(a, b Waiter) bool {
 	if x, y := a.Passed >= PassedMost, b.Passed >= PassedMost; x != y {
 		return x
 	} else if x {
@@ -426,8 +430,8 @@
 	return a.Ticket < b.Ticket
 }
 
-// release gives back or withdraws what a session's command asked for. A sticky slot that was taken up from an earlier
-// session was asked for by none of this one's, and is named by its token.
+// release frees the slot or withdraws the request of one of the session's Acquire commands. A sticky slot taken over from
+// an earlier session has no such command in this session and is identified by its token.
 func (t *Table) release(session, ask, token uint64) error {
 	if ask == 0 {
 		return t.free(func(l Lease) bool { return l.Session == session && l.Token == token })
@@ -444,13 +448,13 @@
 	return t.free(func(l Lease) bool { return l.Session == session && l.Ask == ask })
 }
 
-// free takes the slots away that a test names.
-func (t *Table) free(is func(Lease) bool) error {
+// free frees all slots for which is returns true.
+func (t *Table) free(match func(Lease) bool) error {
 	err := ErrNotHeld
 	for _, name := range t.TaskNames() {
 		task := t.Tasks[name]
 		n := len(task.Holders)
-		task.Holders = slices.DeleteFunc(task.Holders, is)
+		task.Holders = slices.DeleteFunc(task.Holders, match)
 		if len(task.Holders) < n {
 			t.grant(name, task)
 			err = nil
@@ -471,9 +475,9 @@
 	return ErrNotHeld
 }
 
-// Bar has a box be granted nothing until Unbar. Its session may renew no more and ends as that of a box which is not heard: what
-// it holds is another's once the judges have waited for it, so a box that has not heard of it yet is no danger. It joins anew, to
-// say that it is up to date.
+// Bar rejects all Acquire and Stop commands of a box until Unbar. Its session can no longer be renewed and ends by expiry.
+// Its slots are granted to others only after that, so it is safe if the box has not learned of it yet. The box joins again
+// to report that it is up to date.
 func (t *Table) Bar(box string) {
 	if t.Barred == nil {
 		t.Barred = map[string]bool{}
@@ -486,25 +490,25 @@
 	}
 }
 
-// Unbar ends what Bar began.
+// Unbar reverts Bar.
 func (t *Table) Unbar(box string) {
 	if delete(t.Barred, box); len(t.Barred) == 0 {
 		t.Barred = nil
 	}
 }
 
-// Close begins the table anew above a token, for an operator who gives up a ledger whose majority is lost. Holders whom
-// the lost ledger had may still act, and not all of them are known here; so nothing is granted until a judge has waited
-// for a term and asks to Open.
+// Close raises the token to at least the given one and suspends all grants. It is used when an operator restarts a ledger
+// whose majority is lost: holders granted by the lost ledger may still act, and this table may not know all of them, so
+// nothing is granted until a judge has waited for a term and sends Open.
 func (t *Table) Close(index, token uint64) {
 	t.Token, t.Closed = max(t.Token, token), index
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (t *Table) Clone() *Table {
 	c := *t
 	c.Left, c.Barred = maps.Clone(t.Left), maps.Clone(t.Barred)
-	c.Marks = maps.Clone(t.Marks) // a box's list is made anew when it changes
+	c.Marks = maps.Clone(t.Marks) // shallow is enough: a box's list is replaced, not modified
 	c.Sessions, c.Names, c.Tasks = make(map[uint64]*Session, len(t.Sessions)), maps.Clone(t.Names), make(map[string]*Task, len(t.Tasks))
 	for id, s := range t.Sessions {
 		n := *s
@@ -516,7 +520,7 @@
 	return &c
 }
 
-// Check tells which invariant does not hold; nil means that all do.
+// Check returns an error if an invariant is violated.
 func (t *Table) Check() error {
 	tokens := map[uint64]string{}
 	for name, task := range t.Tasks {
@@ -524,28 +528,28 @@
 		case len(task.Holders) > task.Slots:
 			return fmt.Errorf("%s: %d holders of %d slots", name, len(task.Holders), task.Slots)
 		case len(task.Holders) < task.Slots && len(task.Queue) > 0 && t.Closed == 0:
-			return fmt.Errorf("%s: a slot is free and somebody waits", name)
+			return fmt.Errorf("%s: a slot is free although the queue is not empty", name)
 		case len(task.Holders)+len(task.Queue) == 0:
-			return fmt.Errorf("%s: kept for nobody", name)
+			return fmt.Errorf("%s: task without holders and waiters", name)
 		}
 		for _, l := range task.Holders {
 			if other, ok := tokens[l.Token]; ok || l.Token > t.Token || l.Token == 0 {
-				return fmt.Errorf("%s: token %d of %d given out, also for %q", name, l.Token, t.Token, other)
+				return fmt.Errorf("%s: token %d (last issued: %d) is invalid or duplicated in task %q", name, l.Token, t.Token, other)
 			}
 			tokens[l.Token] = name
 			if _, ok := t.Sessions[l.Session]; ok == l.Orphan || l.Orphan && !l.Sticky {
-				return fmt.Errorf("%s: holder %+v, and its session is there: %v", name, l, ok)
+				return fmt.Errorf("%s: holder %+v does not match its session (present: %v)", name, l, ok)
 			}
 		}
 		for _, w := range task.Queue {
 			if t.Sessions[w.Session] == nil {
-				return fmt.Errorf("%s: %s waits without a session", name, w.Box)
+				return fmt.Errorf("%s: waiter %s has no session", name, w.Box)
 			}
 		}
 	}
 	for box, id := range t.Names {
 		if s := t.Sessions[id]; s == nil || s.Box != box || s.Past {
-			return fmt.Errorf("%s: its newest session is %+v", box, s)
+			return fmt.Errorf("%s: invalid current session %+v", box, s)
 		}
 	}
 	return nil
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// script applies commands written as words, such as "join a", "acquire a export 1 prio", "expire a 3"; a trailing "!" and a
-// word name the error that is expected. It returns the table and the sessions by name.
-func script(t *testing.T, lines string) (*Table, map[string]uint64) {
+// runScript applies commands in text form, such as "join a", "acquire a export 1 5" or "expire a 3". A trailing "!word" names the
+// expected error. It returns the table and the session IDs by name.
+func runScript(t *testing.T, lines string) (*Table, map[string]uint64) {
 	t.Helper()
 	table := NewTable(Terms{Term: time.Second, Drift: 0.1})
 	sessions, seqs, nonces := map[string]uint64{}, map[string]uint64{}, map[string]uint64{}
@@ -20,28 +20,28 @@
 		line, want, _ := strings.Cut(strings.TrimSpace(line), " !")
 		f := strings.Fields(line)
 		index++
-		who := f[1]
-		c := Command{Session: sessions[who]}
-		numbered := func() { seqs[who]++; c.Seq = seqs[who] }
+		name := f[1]
+		c := Command{Session: sessions[name]}
+		numbered := func() { seqs[name]++; c.Seq = seqs[name] }
 		var n int
 		if len(f) > 2 {
 			fmt.Sscan(f[len(f)-1], &n)
 		}
 		switch f[0] {
-		case "join": // "join a2" is another process of box a
-			nonces[who] = index
-			c = Command{Kind: Join, Box: who[:1], Nonce: index, Try: 1}
-			sessions[who], seqs[who] = index, 0
-		case "rejoin": // the same process once more
-			c = Command{Kind: Join, Box: who[:1], Nonce: nonces[who], Try: uint64(n)}
+		case "join": // "join a2" joins as another process of box a
+			nonces[name] = index
+			c = Command{Kind: Join, Box: name[:1], Nonce: index, Try: 1}
+			sessions[name], seqs[name] = index, 0
+		case "rejoin": // another join of the same process
+			c = Command{Kind: Join, Box: name[:1], Nonce: nonces[name], Try: uint64(n)}
 			if want == "" {
-				sessions[who], seqs[who] = index, 0
+				sessions[name], seqs[name] = index, 0
 			}
 		case "renew":
 			c.Kind = Renew
 			numbered()
-		case "again": // the last number once more
-			c.Kind, c.Seq = Renew, seqs[who]
+		case "again": // repeats the last sequence number
+			c.Kind, c.Seq = Renew, seqs[name]
 		case "acquire", "sticky":
 			c.Kind, c.Task, c.Slots, c.Sticky = Acquire, f[2], 1, f[0] == "sticky"
 			if len(f) > 3 {
@@ -71,11 +71,11 @@
 			c.Kind = 99
 			numbered()
 		default:
-			t.Fatal("no such line: ", line)
+			t.Fatal("unknown script line: ", line)
 		}
 		err := table.Apply(index, c)
 		if !errors.Is(err, errs[want]) || (err == nil) != (want == "") {
-			t.Fatalf("%q gave %v", line, err)
+			t.Fatalf("%q returned %v", line, err)
 		}
 		if err := table.Check(); err != nil {
 			t.Fatalf("after %q: %v", line, err)
@@ -84,8 +84,8 @@
 	return table, sessions
 }
 
-// show writes a task as "holder/token ... | waiter ...".
-func show(t *Table, task string) string {
+// formatTask formats a task as "holder/token ... | waiter ...".
+func formatTask(t *Table, task string) string {
 	k := t.Tasks[task]
 	if k == nil {
 		return "-"
@@ -108,73 +108,73 @@
 	return strings.Join(s, " ")
 }
 
-func TestTheTable(t *testing.T) {
+func TestTableApply(t *testing.T) {
 	for name, c := range map[string]struct{ lines, want string }{
-		"one holds, others wait in order":    {"join a\njoin b\njoin c\nacquire a x\nacquire b x\nacquire c x", "a/1 | b c"},
-		"the next one has a higher token":    {"join a\njoin b\nacquire a x\nacquire b x\nrelease a 1", "b/2 |"},
-		"a task is forgotten with the last":  {"join a\nacquire a x\nrelease a 1", "-"},
-		"slots":                              {"join a\njoin b\njoin c\nacquire a x 2\nacquire b x 2\nacquire c x 2", "a/1 b/2 | c"},
-		"other slots are turned down":        {"join a\njoin b\nacquire a x 2\nacquire b x 3 !slots", "a/1 |"},
-		"priority before time":               {"join a\njoin b\njoin c\nacquire a x\nacquire b x\nacquire c x 1 5\nrelease a 1", "c/2 | b"},
-		"withdrawn from the queue":           {"join a\njoin b\nacquire a x\nacquire b x\nrelease b 1", "a/1 |"},
-		"what nobody holds":                  {"join a\nrelease a 7 !held\nacquire a x", "a/1 |"},
-		"a repeat does nothing":              {"join a\nacquire a x\nagain a !order\nrenew a", "a/1 |"},
-		"an end by an old number":            {"join a\nacquire a x\nrenew a\nexpire a 1 !renewed", "a/1 |"},
-		"an end by the last number":          {"join a\njoin b\nacquire a x\nacquire b x\nexpire a 1\nrenew a !session", "b/2 |"},
-		"an end twice":                       {"join a\nexpire a 0\nexpire a 0 !session\njoin b\nacquire b x", "b/1 |"},
-		"who waits and ends, waits no more":  {"join a\njoin b\nacquire a x\nacquire b x\nexpire b 1", "a/1 |"},
-		"a second process does not get it":   {"join a\nacquire a x\njoin a2\nacquire a2 x\nrenew a !superseded", "a/1 | a"},
-		"until the first one has run out":    {"join a\nacquire a x\njoin a2\nacquire a2 x\nexpire a 1", "a/2 |"},
-		"a late repeat of a join":            {"join a\nacquire a x\nrejoin a 1 !order", "a/1 |"},
-		"a new join of the same process":     {"join a\nacquire a x\nrejoin a 2\nrenew a", "a/1 |"},
-		"a sticky slot outlives its session": {"join a\njoin b\nsticky a x\nsticky b x\nexpire a 1", "a/1 orphan | b"},
-		"its box takes it up again":          {"join a\njoin b\nsticky a x\nsticky b x\nexpire a 1\njoin a", "a/2 | b"},
-		"and gives it back by its token":     {"join a\njoin b\nsticky a x\nsticky b x\nexpire a 1\njoin a\nreturn a 2", "b/3 |"},
-		"a second process takes it up":       {"join a\nsticky a x\njoin a2\nexpire a 1", "a/2 |"},
-		"an operator frees it":               {"join a\njoin b\nsticky a x\nsticky b x\nexpire a 1\nfree op 1", "b/2 |"},
-		"nothing to free":                    {"join a\nacquire a x\nfree op 9 !held", "a/1 |"},
-		"a holder is asked to stop":          {"join a\njoin b\nacquire a x\nstop b 1", "a/1 stop |"},
-		"who parts gives all back":           {"join a\njoin b\nacquire a x\nacquire b x\npart a\nrenew a !session", "b/2 |"},
-		"an unknown command":                 {"join a\nacquire a x\nunknown a !bad\nrenew a", "a/1 |"},
-		"no slots at all":                    {"join a\nacquire a x 0 !bad\nacquire a x", "a/1 |"},
-		"a slot more than once is not given": {"join a\nacquire a x\nacquire a x", "a/1 | a"},
+		"one holder, others wait in order":          {"join a\njoin b\njoin c\nacquire a x\nacquire b x\nacquire c x", "a/1 | b c"},
+		"next holder gets a higher token":           {"join a\njoin b\nacquire a x\nacquire b x\nrelease a 1", "b/2 |"},
+		"unused task is deleted":                    {"join a\nacquire a x\nrelease a 1", "-"},
+		"several slots":                             {"join a\njoin b\njoin c\nacquire a x 2\nacquire b x 2\nacquire c x 2", "a/1 b/2 | c"},
+		"different slot count is rejected":          {"join a\njoin b\nacquire a x 2\nacquire b x 3 !slots", "a/1 |"},
+		"priority before arrival":                   {"join a\njoin b\njoin c\nacquire a x\nacquire b x\nacquire c x 1 5\nrelease a 1", "c/2 | b"},
+		"request withdrawn from the queue":          {"join a\njoin b\nacquire a x\nacquire b x\nrelease b 1", "a/1 |"},
+		"release of an unknown request":             {"join a\nrelease a 7 !held\nacquire a x", "a/1 |"},
+		"repeated command has no effect":            {"join a\nacquire a x\nagain a !order\nrenew a", "a/1 |"},
+		"expire with an old number":                 {"join a\nacquire a x\nrenew a\nexpire a 1 !renewed", "a/1 |"},
+		"expire with the current number":            {"join a\njoin b\nacquire a x\nacquire b x\nexpire a 1\nrenew a !session", "b/2 |"},
+		"expire twice":                              {"join a\nexpire a 0\nexpire a 0 !session\njoin b\nacquire b x", "b/1 |"},
+		"expired session leaves the queue":          {"join a\njoin b\nacquire a x\nacquire b x\nexpire b 1", "a/1 |"},
+		"second process has to wait":                {"join a\nacquire a x\njoin a2\nacquire a2 x\nrenew a !superseded", "a/1 | a"},
+		"second process gets the slot after expiry": {"join a\nacquire a x\njoin a2\nacquire a2 x\nexpire a 1", "a/2 |"},
+		"repeated join is rejected":                 {"join a\nacquire a x\nrejoin a 1 !order", "a/1 |"},
+		"new join of the same process":              {"join a\nacquire a x\nrejoin a 2\nrenew a", "a/1 |"},
+		"sticky slot survives its session":          {"join a\njoin b\nsticky a x\nsticky b x\nexpire a 1", "a/1 orphan | b"},
+		"box takes over its sticky slot again":      {"join a\njoin b\nsticky a x\nsticky b x\nexpire a 1\njoin a", "a/2 | b"},
+		"sticky slot released by token":             {"join a\njoin b\nsticky a x\nsticky b x\nexpire a 1\njoin a\nreturn a 2", "b/3 |"},
+		"second process takes over a sticky slot":   {"join a\nsticky a x\njoin a2\nexpire a 1", "a/2 |"},
+		"operator frees an orphaned slot":           {"join a\njoin b\nsticky a x\nsticky b x\nexpire a 1\nfree op 1", "b/2 |"},
+		"free of an unknown token":                  {"join a\nacquire a x\nfree op 9 !held", "a/1 |"},
+		"holder is requested to stop":               {"join a\njoin b\nacquire a x\nstop b 1", "a/1 stop |"},
+		"part releases everything":                  {"join a\njoin b\nacquire a x\nacquire b x\npart a\nrenew a !session", "b/2 |"},
+		"unknown command":                           {"join a\nacquire a x\nunknown a !bad\nrenew a", "a/1 |"},
+		"zero slots":                                {"join a\nacquire a x 0 !bad\nacquire a x", "a/1 |"},
+		"same box waits for its own slot":           {"join a\nacquire a x\nacquire a x", "a/1 | a"},
 	} {
-		table, _ := script(t, c.lines)
-		if got := show(table, "x"); strings.TrimSpace(got) != c.want {
+		table, _ := runScript(t, c.lines)
+		if got := formatTask(table, "x"); strings.TrimSpace(got) != c.want {
 			t.Errorf("%s: %q, want %q", name, got, c.want)
 		}
 	}
 }
 
-func TestNobodyIsPassedForEver(t *testing.T) {
+func TestWaiterIsNotStarvedByHigherPriority(t *testing.T) {
 	lines := "join a\njoin b\njoin c\nacquire a x\nacquire b x\n"
 	held, other := "a", "c"
 	asked := map[string]int{"a": 1}
 	for range PassedMost {
 		asked[other]++
 		lines += fmt.Sprintf("acquire %s x 1 9\nrelease %s %d\n", other, held, asked[held])
-		asked[held]++ // the release is numbered as well
+		asked[held]++ // the release has a sequence number as well
 		held, other = other, held
 	}
 	asked[other]++
 	lines += fmt.Sprintf("acquire %s x 1 9\nrelease %s %d\n", other, held, asked[held])
-	table, _ := script(t, lines)
+	table, _ := runScript(t, lines)
 	if k := table.Tasks["x"]; k.Holders[0].Box != "b" {
-		t.Errorf("%s, and b was passed %d times before", show(table, "x"), PassedMost)
+		t.Errorf("%s: b is not the holder although it was passed %d times", formatTask(table, "x"), PassedMost)
 	}
 }
 
-func TestATableThatIsBegunAnewGrantsNothingForATerm(t *testing.T) {
-	table, sessions := script(t, "join a\njoin b\nacquire a x\nacquire b x")
+func TestClosedTableGrantsNothingForOneTerm(t *testing.T) {
+	table, sessions := runScript(t, "join a\njoin b\nacquire a x\nacquire b x")
 	table.Close(100, 1<<40)
 	var j Judge
 	j.Saw(0, table)
 	table.Apply(101, Command{Kind: Release, Session: sessions["a"], Seq: 2, Ask: 1})
-	if got := show(table, "x"); got != "| b" {
-		t.Fatalf("granted at once: %s", got)
+	if got := formatTask(table, "x"); got != "| b" {
+		t.Fatalf("granted immediately after Close: %s", got)
 	}
 	if list, _ := j.Due(time.Second-1, table); len(list) != 0 {
-		t.Fatalf("judged before a term has passed: %v", list)
+		t.Fatalf("judge returned commands before a term has passed: %v", list)
 	}
 	list, _ := j.Due(time.Second, table)
 	var open Command
@@ -186,19 +186,19 @@
 	stale := open
 	stale.Seq--
 	if err := table.Apply(102, stale); err != ErrRenewed {
-		t.Fatalf("opened by a stale command: %v", err)
+		t.Fatalf("stale Open command returned %v", err)
 	}
 	if err := table.Apply(103, open); err != nil {
 		t.Fatal(err)
 	}
 	if k := table.Tasks["x"]; k.Holders[0].Token != 1<<40+1 {
-		t.Errorf("%s", show(table, "x"))
+		t.Errorf("%s", formatTask(table, "x"))
 	}
 }
 
-// TestStatesOfARequest goes through every state and event.
-func TestStatesOfARequest(t *testing.T) {
-	want := map[State][]State{ // by event, in the order of their constants
+// TestStateTransitions checks the transition of every state on every event.
+func TestStateTransitions(t *testing.T) {
+	want := map[State][]State{ // next states, in the order of the event constants
 		Asked:    {Held, Doubtful, Asked, Asked, Lost, Refused, Asked, GivenUp},
 		Held:     {Held, Doubtful, Renewing, Doubtful, Lost, Refused, Lost, GivenUp},
 		Renewing: {Held, Doubtful, Renewing, Doubtful, Lost, Refused, Lost, GivenUp},
@@ -216,7 +216,7 @@
 	}
 }
 
-func TestAHolderActsFromBeforeItAskedAndNoLongerThanItsTermLessDrift(t *testing.T) {
+func TestActingPeriodStartsAtCommandCreation(t *testing.T) {
 	terms := Terms{Term: 11 * time.Second, Drift: 0.1} // acting: 9 s
 	table := NewTable(terms)
 	h := NewHolder("a", "", 1, terms)
@@ -233,7 +233,7 @@
 	h.Saw(2*time.Second, table, nil)
 	list, _ = h.Due(3 * time.Second)
 	apply(list)
-	h.Saw(8*time.Second, table, nil) // the answer takes long; the acquire was made at 2 s
+	h.Saw(8*time.Second, table, nil) // the response is slow; the acquire was created at 2 s
 	for at, want := range map[time.Duration]error{9 * time.Second: nil, 11*time.Second - 1: nil, 11 * time.Second: ErrLate} {
 		h2, a2 := *h, *a
 		h2.asks = []*Ask{&a2}
@@ -242,42 +242,42 @@
 		}
 	}
 	if err := h.May(10*time.Second, a, 2*time.Second); !errors.Is(err, ErrShort) {
-		t.Errorf("an effect longer than what is left: %v", err)
+		t.Errorf("action longer than the remaining time: %v", err)
 	}
 	h.GiveUp(10*time.Second, a)
 	if err := h.May(10*time.Second, a, 0); err == nil {
-		t.Error("acts after it gave up")
+		t.Error("may act after GiveUp")
 	}
 }
 
-func TestMarksOfAChainGoOnAndAreBounded(t *testing.T) {
-	table, sessions := script(t, "join a")
+func TestMarksIncreaseWithinChainAndAreBounded(t *testing.T) {
+	table, sessions := runScript(t, "join a")
 	seq := uint64(0)
 	report := func(chain string, n uint64) error {
 		seq++
 		return table.Apply(0, Command{Kind: Report, Session: sessions["a"], Seq: seq, Chain: chain, N: n, Sum: "00"})
 	}
-	for n := uint64(1); n <= 2*marksKept; n++ {
+	for n := uint64(1); n <= 2*maxMarks; n++ {
 		if err := report("one", n); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if report("one", marksKept) != ErrOrder || report("", 1) != ErrBad || report("two", 1) != nil {
-		t.Error("a mark that goes back, has no chain, or is of a new one")
+	if report("one", maxMarks) != ErrOrder || report("", 1) != ErrBad || report("two", 1) != nil {
+		t.Error("wrong result for a mark that does not increase, has no chain, or starts a new chain")
 	}
 	list := table.Marks["a"]
-	if len(list) != marksKept || list[marksKept-1].Chain != "two" || list[marksKept-2].N != 2*marksKept {
-		t.Errorf("%d marks, the last %+v", len(list), list[len(list)-1])
+	if len(list) != maxMarks || list[maxMarks-1].Chain != "two" || list[maxMarks-2].N != 2*maxMarks {
+		t.Errorf("%d marks, last mark %+v", len(list), list[len(list)-1])
 	}
 	before := table.Clone()
 	report("two", 2)
-	if before.Marks["a"][marksKept-1].N != 1 {
-		t.Error("a copy has changed")
+	if before.Marks["a"][maxMarks-1].N != 1 {
+		t.Error("clone was modified")
 	}
 }
 
-// TestATableIsBounded asks for more of everything than is kept.
-func TestATableIsBounded(t *testing.T) {
+// TestTableBounds exceeds each bound of the table.
+func TestTableBounds(t *testing.T) {
 	table := NewTable(Terms{Term: time.Second})
 	index := uint64(0)
 	var sessions []uint64
@@ -291,51 +291,51 @@
 		sessions = append(sessions, index)
 	}
 	seq := map[uint64]uint64{}
-	ask := func(i int, task string) error {
+	acquire := func(i int, task string) error {
 		s := sessions[i%len(sessions)]
 		seq[s]++
 		return table.Apply(0, Command{Kind: Acquire, Session: s, Seq: seq[s], Task: task, Slots: 1})
 	}
-	turned := 0
+	rejectedCount := 0
 	for k := range MaxWaiters + 2 {
-		if ask(k, "task0") == ErrFull {
-			turned++
+		if acquire(k, "task0") == ErrFull {
+			rejectedCount++
 		}
 	}
-	// The rest is put in as it would have come.
-	for i := 1; table.places() < MaxPlaces; i++ {
+	// The remaining tasks are inserted directly, in the form that commands would have produced.
+	for i := 1; table.placeCount() < MaxPlaces; i++ {
 		full := table.Tasks["task0"]
-		n := min(MaxWaiters, MaxPlaces-table.places()-1)
+		n := min(MaxWaiters, MaxPlaces-table.placeCount()-1)
 		table.Token++
 		lease := full.Holders[0]
 		lease.Token = table.Token
 		table.Tasks[fmt.Sprint("task", i)] = &Task{Slots: 1, Holders: []Lease{lease}, Queue: full.Queue[:n:n]}
 	}
-	if len(sessions) != MaxSessions || turned != 1 || ask(0, "one more") != ErrFull || ask(0, "task63") != ErrFull {
-		t.Errorf("%d sessions, %d places, %d were turned down of one task", len(sessions), table.places(), turned)
+	if len(sessions) != MaxSessions || rejectedCount != 1 || acquire(0, "one more") != ErrFull || acquire(0, "task63") != ErrFull {
+		t.Errorf("%d sessions, %d places, %d requests for one task rejected", len(sessions), table.placeCount(), rejectedCount)
 	}
 	if err := table.Check(); err != nil {
 		t.Error(err)
 	}
 	small := NewTable(Terms{Term: time.Second})
 	small.Apply(1, Command{Kind: Join, Box: "a", Nonce: 1, Try: 1})
-	turned = 0
+	rejectedCount = 0
 	for i := range MaxTasks + 1 {
 		if small.Apply(0, Command{Kind: Acquire, Session: 1, Seq: uint64(i + 1), Task: fmt.Sprint(i), Slots: 1}) == ErrFull {
-			turned++
+			rejectedCount++
 		}
 	}
-	if turned != 1 {
-		t.Errorf("%d tasks were turned down", turned)
+	if rejectedCount != 1 {
+		t.Errorf("%d tasks rejected, want 1", rejectedCount)
 	}
 }
 
-func TestAThousandTasksAreRenewedByOneCommand(t *testing.T) {
+func TestOneCommandRenewsAllTasks(t *testing.T) {
 	terms := Terms{Term: 10 * time.Second}
 	table := NewTable(terms)
 	h := NewHolder("x", "", 1, terms)
 	index, commands := uint64(0), 0
-	turn := func(now time.Duration) {
+	exchange := func(now time.Duration) {
 		for {
 			list, _ := h.Due(now)
 			if len(list) == 0 {
@@ -349,16 +349,16 @@
 			h.Saw(now, table, nil)
 		}
 	}
-	turn(0)
+	exchange(0)
 	for i := range 1000 {
 		if _, err := h.Acquire(0, Request{Task: fmt.Sprint("task", i), Slots: 1}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	turn(0)
+	exchange(0)
 	commands = 0
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
-		turn(now)
+		exchange(now)
 	}
 	for _, a := range h.Asks() {
 		if h.May(time.Minute, a, time.Second) != nil {
@@ -366,11 +366,11 @@
 		}
 	}
 	if commands > 20 {
-		t.Errorf("%d commands in a minute of six terms", commands)
+		t.Errorf("%d commands in one minute (six terms), want at most 20", commands)
 	}
 }
 
-func TestALateJoinOfADeadProcessKeepsNobodyOut(t *testing.T) {
+func TestDelayedJoinOfDeadProcessDoesNotBlockBox(t *testing.T) {
 	terms := Terms{Term: time.Second}
 	table := NewTable(terms)
 	h := NewHolder("x", "", 2, terms)
@@ -380,7 +380,7 @@
 	table.Apply(2, Command{Kind: Join, Box: "x", Nonce: 1, Try: 7})
 	h.Saw(2, table, nil)
 	if list, _ := h.Due(time.Minute); h.Phase() != Displaced || len(list) > 0 {
-		t.Fatalf("%v says %v", h.Phase(), list)
+		t.Fatalf("phase %v sends %v, want displaced and no commands", h.Phase(), list)
 	}
 	table.Apply(3, Command{Kind: Expire, Session: 2})
 	h.Saw(time.Minute, table, nil)
@@ -391,7 +391,7 @@
 	}
 }
 
-func TestAnotherProcessOfTheNameIsToldAndStaysOut(t *testing.T) {
+func TestSecondProcessSupersedesFirst(t *testing.T) {
 	terms := Terms{Term: time.Second}
 	table := NewTable(terms)
 	a, b := NewHolder("x", "", 1, terms), NewHolder("x", "", 2, terms)
@@ -408,28 +408,29 @@
 	ask, _ := a.Acquire(0, Request{Task: "t", Slots: 1})
 	step(a, 1)
 	if a.May(2, ask, 0) != nil {
-		t.Fatal("not held")
+		t.Fatal("lease not held")
 	}
 	step(b, 3)
 	a.Saw(4, table, nil)
 	if a.Phase() != Displaced || a.May(4, ask, 0) == nil {
-		t.Errorf("the earlier one is %v after a join that may be a late one", a.Phase())
+		t.Errorf("first process is %v or may act after the second one's join, want displaced", a.Phase())
 	}
 	step(b, terms.Term)
 	a.Saw(terms.Term, table, nil)
 	if a.Phase() != Superseded || a.May(5, ask, 0) == nil || b.Phase() != In {
-		t.Errorf("the earlier one is %v and may act: %v; the later one is %v", a.Phase(), a.May(5, ask, 0) == nil, b.Phase())
+		t.Errorf("first process is %v, may act: %v; second process is %v", a.Phase(), a.May(5, ask, 0) == nil, b.Phase())
 	}
 	if list, _ := a.Due(time.Hour); len(list) != 0 {
-		t.Errorf("it goes on to say %v", list)
+		t.Errorf("superseded process still sends %v", list)
 	}
 	if _, err := a.Acquire(6, Request{Task: "t", Slots: 1}); err != ErrOut {
 		t.Error(err)
 	}
 }
 
-// TestABoxThatIsShutOut is granted nothing, and what it holds is another's only after its session has ended like that of a dead box.
-func TestABoxThatIsShutOut(t *testing.T) {
+// TestBarredBox checks that a barred box is granted nothing and that its slots are granted to others only after its
+// session has expired.
+func TestBarredBox(t *testing.T) {
 	table := NewTable(Terms{Term: time.Second})
 	join := func(index uint64, box string, nonce, try uint64) {
 		if err := table.Apply(index, Command{Kind: Join, Box: box, Nonce: nonce, Try: try}); err != nil {
@@ -452,20 +453,20 @@
 	}
 	table.Bar("a")
 	if err := table.Apply(3, Command{Kind: Renew, Session: 1, Seq: 2}); err != ErrSuperseded || holder() != "a" || table.Check() != nil {
-		t.Errorf("its session renews: %v; the holder is %s, %v", err, holder(), table.Check())
+		t.Errorf("renewal of the barred session returned %v; holder %q, table check: %v", err, holder(), table.Check())
 	}
 	join(4, "a", 7, 2)
 	if err := acquire(4, 1); err != ErrBarred {
-		t.Errorf("it asks: %v", err)
+		t.Errorf("acquire of the barred box returned %v", err)
 	}
 	if err := table.Apply(5, Command{Kind: Stop, Session: 4, Seq: 2}); err != ErrBarred {
-		t.Errorf("it tells another one to stop: %v", err)
+		t.Errorf("stop command of the barred box returned %v", err)
 	}
 	if err := table.Apply(6, Command{Kind: Carry, Session: 4, Seq: 3}); err != nil {
-		t.Errorf("it may say how it stands: %v", err)
+		t.Errorf("report of the barred box returned %v", err)
 	}
 	if err := table.Apply(7, Command{Kind: Expire, Session: 1, Seq: 1}); err != nil || holder() != "b" || table.Check() != nil {
-		t.Errorf("%v, the holder is %s, %v", err, holder(), table.Check())
+		t.Errorf("expire returned %v; holder %q, table check: %v", err, holder(), table.Check())
 	}
 	table.Unbar("a")
 	if err := acquire(4, 4); err != nil {
@@ -473,8 +474,8 @@
 	}
 }
 
-// TestABoxThatHearsNothingActsNoLonger, however often it says that it renews.
-func TestABoxThatHearsNothingActsNoLonger(t *testing.T) {
+// TestDisconnectedBoxStopsActing checks that a box whose commands are not applied stops acting, however often it sends Renew.
+func TestDisconnectedBoxStopsActing(t *testing.T) {
 	table := NewTable(Terms{Term: 10 * time.Second, Drift: 0.01})
 	h := NewHolder("a", "test", 7, table.Terms)
 	apply := func(now time.Duration, list []Command) {
@@ -495,15 +496,15 @@
 		t.Fatal(err)
 	}
 	end := time.Second + table.Terms.Acting()
-	said := 0
+	sent := 0
 	for now := time.Second; now < end+20*time.Second; now += 100 * time.Millisecond {
-		list, _ := h.Due(now) // nobody hears it
-		said += len(list)
+		list, _ := h.Due(now) // the commands are lost
+		sent += len(list)
 		if err := h.May(now, a, 0); (err == nil) != (now < end) {
-			t.Fatalf("at %v, with its time over at %v: %v", now, end, err)
+			t.Fatalf("at %v, deadline %v: %v", now, end, err)
 		}
 	}
-	if said == 0 {
-		t.Error("it has said nothing")
+	if sent == 0 {
+		t.Error("no command was sent")
 	}
 }
