--- a/internal/decide/voters/voters.go
+++ b/internal/decide/voters/voters.go
@@ -1,19 +1,20 @@
-// Package voters decides how the voters of a ledger are changed: one box at a time, each caught up before it votes. A box
-// that has lost its disk comes with another identity and is treated as another box, so that it never votes as what it was.
+// Package voters plans changes to the set of voters of a ledger: one box at a time, and only boxes that have caught up
+// become voters. A box that has lost its disk has a new identity and is treated as a different box, so that it never votes
+// under its previous identity.
 package voters
 
 import "slices"
 
-// Voter is a box that has a part in the ledger's votes, under the identity that its disk holds.
+// Voter is a voter or learner of the ledger, under the identity stored on its disk.
 type Voter struct {
 	ID      uint64 `cbor:"1,keyasint"`
-	Learner bool   `cbor:"2,keyasint"` // it gets all entries and does not vote yet
+	Learner bool   `cbor:"2,keyasint"` // receives all entries but does not vote yet
 }
 
-// Role is what a change makes of a box.
+// Role is the role that a change assigns to a box.
 type Role uint8
 
-// The roles.
+// Roles.
 const (
 	Learner Role = iota + 1
 	Full
@@ -22,26 +23,26 @@
 
 func (r Role) String() string { return [...]string{"", "learner", "voter", "removed"}[r] }
 
-// Change is one step.
+// Change is one change to the set of voters.
 type Change struct {
 	Name string `cbor:"1,keyasint"`
 	ID   uint64 `cbor:"2,keyasint"`
 	Role Role   `cbor:"3,keyasint"`
 }
 
-// Situation is what the leader knows.
+// Situation is the information from which the leader plans the next change.
 type Situation struct {
-	Want   []string         // the boxes that are to vote, as the ledger has it
-	Have   map[string]Voter // as the ledger has it, by "name" for the present identity of a name
-	Old    []uint64         // identities that are still in the votes though their box has another one now
-	Known  map[string]uint64
-	Caught func(id uint64) bool // the box has nearly all entries
-	Self   string
+	Want   []string             // boxes that are to vote, according to the ledger
+	Have   map[string]Voter     // current voters and learners by box name, according to the ledger
+	Old    []uint64             // identities that are still members although their box has a new one
+	Known  map[string]uint64    // identities that the boxes have reported
+	Caught func(id uint64) bool // whether the box has nearly all entries
+	Self   string               // name of the leader
 }
 
-// Next returns the next step, if there is one. The order of steps: a box that is wanted learns; then whatever stands in its
-// place no more goes; then it votes; the last to go are those that are not wanted, and the leader itself only when
-// another one votes.
+// Next returns the next change, if there is one. The order of changes is: wanted boxes become learners; replaced identities
+// are removed; learners that have caught up become voters; boxes that are not wanted are removed last. The only voter and
+// the leader itself are never removed; the leader is removed once another box leads.
 func (s Situation) Next() (Change, bool) {
 	want := slices.Clone(s.Want)
 	slices.Sort(want)
