--- a/internal/decide/straggler/explore_test.go
+++ b/internal/decide/straggler/explore_test.go
@@ -13,178 +13,182 @@
 	"cairnlane/internal/decide/rollout"
 )
 
-// site is three boxes, one of which is behind, with two judges in turn and commands that come late, twice or never.
-type site struct {
-	t      *rollout.Table
-	now    time.Duration
-	living map[string]uint64
-	disk   map[string]uint64
-	judges [2]Judge
-	wire   []rollout.Command
-	index  uint64
-	since  map[string]time.Duration // when a box was first behind in its session, as nobody but the test knows
-	broken error
+// simFleet is a fleet of three boxes, one of which is behind, with two judges that run alternately and commands that arrive late,
+// twice or never.
+type simFleet struct {
+	table       *rollout.Table
+	now         time.Duration
+	living      map[string]uint64
+	disk        map[string]uint64
+	judges      [2]Judge
+	inFlight    []rollout.Command
+	index       uint64
+	behindSince map[string]time.Duration // when a box was first behind in its session; known only to the test
+	violation   error
 }
 
-const known = 3
+const knownBoxes = 3
 
-func (s *site) clone() *site {
+func (s *simFleet) clone() *simFleet {
 	c := *s
-	c.t, c.living, c.disk, c.wire, c.since = s.t.Clone(), maps.Clone(s.living), maps.Clone(s.disk), slices.Clone(s.wire), maps.Clone(s.since)
+	c.table, c.living, c.disk, c.inFlight, c.behindSince = s.table.Clone(), maps.Clone(s.living), maps.Clone(s.disk), slices.Clone(s.inFlight), maps.Clone(s.behindSince)
 	for i := range c.judges {
-		c.judges[i] = Judge{maps.Clone(s.judges[i].since), maps.Clone(s.judges[i].asked)}
+		c.judges[i] = Judge{maps.Clone(s.judges[i].behindSince), maps.Clone(s.judges[i].lastProposed)}
 	}
 	return &c
 }
 
-// watch notes since when boxes are behind.
-func (s *site) watch() {
+// recordBehind records since when boxes are behind.
+func (s *simFleet) recordBehind() {
 	for box, session := range s.living {
-		if !s.t.Behind(box, session) {
-			delete(s.since, box)
-		} else if _, ok := s.since[box]; !ok {
-			s.since[box] = s.now
+		if !s.table.Behind(box, session) {
+			delete(s.behindSince, box)
+		} else if _, ok := s.behindSince[box]; !ok {
+			s.behindSince[box] = s.now
 		}
 	}
-	for box := range s.since {
+	for box := range s.behindSince {
 		if s.living[box] == 0 {
-			delete(s.since, box)
+			delete(s.behindSince, box)
 		}
 	}
 }
 
-func (s *site) apply(c rollout.Command, box string) {
+// apply executes a command and checks that no box is shut out, or let in again, wrongly.
+func (s *simFleet) apply(c rollout.Command, box string) {
 	s.index++
-	was := maps.Clone(s.t.Out)
-	s.t.Apply(c, rollout.Of{Index: s.index, Box: box, Session: s.living[box], Living: s.living, Known: known})
-	for b, o := range s.t.Out {
-		if _, before := was[b]; before {
+	before := maps.Clone(s.table.Out)
+	s.table.Apply(c, rollout.Of{Index: s.index, Box: box, Session: s.living[box], Living: s.living, Known: knownBoxes})
+	for b, o := range s.table.Out {
+		if _, wasOut := before[b]; wasOut {
 			continue
 		}
 		left := 0
 		for l := range s.living {
-			if _, out := s.t.Out[l]; !out {
+			if _, out := s.table.Out[l]; !out {
 				left++
 			}
 		}
 		switch {
-		case float64(left) < 0.5*known:
-			s.broken = fmt.Errorf("%d of %d boxes are left", left, known)
-		case !s.t.Behind(b, s.living[b]) || o.Session != s.living[b]:
-			s.broken = fmt.Errorf("%s is shut out and is not behind: %+v", b, o)
-		case s.now-s.since[b] < LeastGrace(term):
-			s.broken = fmt.Errorf("%s is shut out %v after it fell behind", b, s.now-s.since[b])
+		case float64(left) < 0.5*knownBoxes:
+			s.violation = fmt.Errorf("%d of %d boxes left", left, knownBoxes)
+		case !s.table.Behind(b, s.living[b]) || o.Session != s.living[b]:
+			s.violation = fmt.Errorf("%s is shut out but not behind: %+v", b, o)
+		case s.now-s.behindSince[b] < LeastGrace(term):
+			s.violation = fmt.Errorf("%s was shut out %v after it fell behind", b, s.now-s.behindSince[b])
 		}
 	}
-	for b := range was {
-		if _, out := s.t.Out[b]; !out && s.t.Boxes[b].InForce < s.t.Lowest {
-			s.broken = fmt.Errorf("%s is back in with %d", b, s.t.Boxes[b].InForce)
+	for b := range before {
+		if _, out := s.table.Out[b]; !out && s.table.Boxes[b].InForce < s.table.Lowest {
+			s.violation = fmt.Errorf("%s was let in again with version %d", b, s.table.Boxes[b].InForce)
 		}
 	}
 }
 
-func (s *site) move(m string) bool {
-	what, b, _ := strings.Cut(m, " ")
-	session := s.living[b]
-	switch what {
+// step makes one step and returns false if the step is not possible or changes nothing.
+func (s *simFleet) step(name string) bool {
+	action, box, _ := strings.Cut(name, " ")
+	session := s.living[box]
+	switch action {
 	case "wait":
 		s.now += LeastGrace(term) / 2
 	case "judge":
-		i, _ := strconv.Atoi(b)
-		list, _ := s.judges[i].Due(s.now, s.t, s.living, known, term)
-		s.wire = append(s.wire, list...)
-		return len(list) > 0 || len(s.wire) == 0
+		i, _ := strconv.Atoi(box)
+		list, _ := s.judges[i].Due(s.now, s.table, s.living, knownBoxes, term)
+		s.inFlight = append(s.inFlight, list...)
+		return len(list) > 0 || len(s.inFlight) == 0
 	case "forget":
 		s.judges[0].Forget()
-	case "deliver": // and it may come again
-		if len(s.wire) == 0 {
+	case "deliver": // the command stays in flight, so it may arrive again
+		if len(s.inFlight) == 0 {
 			return false
 		}
-		s.apply(s.wire[0], "c")
+		s.apply(s.inFlight[0], "c")
 	case "lose":
-		if len(s.wire) == 0 {
+		if len(s.inFlight) == 0 {
 			return false
 		}
-		s.wire = s.wire[1:]
-	case "take":
-		if session == 0 || s.disk[b] == 2 {
+		s.inFlight = s.inFlight[1:]
+	case "update":
+		if session == 0 || s.disk[box] == 2 {
 			return false
 		}
-		s.disk[b] = 2
-	case "tell":
-		if told := s.t.Boxes[b]; session == 0 || told.Session == session && told.InForce == s.disk[b] {
+		s.disk[box] = 2
+	case "report":
+		if told := s.table.Boxes[box]; session == 0 || told.Session == session && told.InForce == s.disk[box] {
 			return false
 		}
-		s.apply(rollout.Command{Kind: rollout.Tell, Standing: &rollout.Standing{InForce: s.disk[b]}}, b)
-	case "die":
-		if delete(s.living, b); session == 0 {
+		s.apply(rollout.Command{Kind: rollout.Tell, Standing: &rollout.Standing{InForce: s.disk[box]}}, box)
+	case "toggle": // stops the box, or starts it as a new incarnation
+		if delete(s.living, box); session == 0 {
 			s.index++
-			s.living[b] = s.index
-			delete(s.since, b)
+			s.living[box] = s.index
+			delete(s.behindSince, box)
 		}
-	case "old": // a folder of last week, or an older build
-		if session != 0 || s.disk[b] == 1 {
+	case "revert": // the box comes back with an old data folder or an older build
+		if session != 0 || s.disk[box] == 1 {
 			return false
 		}
-		s.disk[b] = 1
+		s.disk[box] = 1
 	}
 	return true
 }
 
-func (s *site) key() string {
-	k := fmt.Sprint(s.t.Boxes, s.t.Out, s.living, s.disk, s.wire, s.since)
+// fingerprint returns a string that identifies the state.
+func (s *simFleet) fingerprint() string {
+	k := fmt.Sprint(s.table.Boxes, s.table.Out, s.living, s.disk, s.inFlight, s.behindSince)
 	for _, j := range s.judges {
-		for _, b := range slices.Sorted(maps.Keys(j.since)) {
-			k += fmt.Sprint(b, j.since[b].session, s.now-j.since[b].at, s.now-j.asked[b])
+		for _, b := range slices.Sorted(maps.Keys(j.behindSince)) {
+			k += fmt.Sprint(b, j.behindSince[b].session, s.now-j.behindSince[b].firstSeen, s.now-j.lastProposed[b])
 		}
 	}
 	return k
 }
 
-// TestEveryOrderOfAStraggler goes through all orders to the depth of STRAGGLER_DEPTH.
+// TestEveryOrderOfAStraggler runs all orders of steps up to the depth in STRAGGLER_DEPTH.
 func TestEveryOrderOfAStraggler(t *testing.T) {
 	depth := 9
 	if d, err := strconv.Atoi(os.Getenv("STRAGGLER_DEPTH")); err == nil {
 		depth = d
 	}
-	table, living := fleet(0.5, map[string]uint64{"a": 1, "b": 2, "c": 2})
+	table, living := newTable(0.5, map[string]uint64{"a": 1, "b": 2, "c": 2})
 	for i := range table.Versions {
-		table.Versions[i].Rules.Grace = time.Millisecond // the least one counts
+		table.Versions[i].Rules.Grace = time.Millisecond // LeastGrace applies
 	}
-	first := &site{t: table, living: living, disk: map[string]uint64{"a": 1, "b": 2, "c": 2}, since: map[string]time.Duration{}, index: 10}
-	first.watch()
-	moves := []string{"wait", "judge 0", "judge 1", "forget", "deliver", "lose"}
+	first := &simFleet{table: table, living: living, disk: map[string]uint64{"a": 1, "b": 2, "c": 2}, behindSince: map[string]time.Duration{}, index: 10}
+	first.recordBehind()
+	steps := []string{"wait", "judge 0", "judge 1", "forget", "deliver", "lose"}
 	for _, b := range []string{"a", "b"} {
-		for _, m := range []string{"take", "tell", "die", "old"} {
-			moves = append(moves, m+" "+b)
+		for _, m := range []string{"update", "report", "toggle", "revert"} {
+			steps = append(steps, m+" "+b)
 		}
 	}
 	seen, out := map[string]bool{}, 0
-	for level := []*site{first}; depth > 0; depth-- {
-		var next []*site
-		for _, s := range level {
-			for _, m := range moves {
+	for frontier := []*simFleet{first}; depth > 0; depth-- {
+		var next []*simFleet
+		for _, s := range frontier {
+			for _, m := range steps {
 				n := s.clone()
-				if !n.move(m) {
+				if !n.step(m) {
 					continue
 				}
-				n.watch()
-				if n.broken != nil {
-					t.Fatalf("%v, by %s: %+v", n.broken, m, n.t)
+				n.recordBehind()
+				if n.violation != nil {
+					t.Fatalf("%v after %s: %+v", n.violation, m, n.table)
 				}
-				if k := n.key(); !seen[k] {
+				if k := n.fingerprint(); !seen[k] {
 					seen[k] = true
 					next = append(next, n)
-					if len(n.t.Out) > 0 {
+					if len(n.table.Out) > 0 {
 						out++
 					}
 				}
 			}
 		}
-		level = next
+		frontier = next
 	}
-	t.Logf("%d states, %d with a box that is shut out", len(seen), out)
+	t.Logf("%d states, %d with a box shut out", len(seen), out)
 	if out == 0 {
-		t.Error("nobody is shut out: nothing is shown")
+		t.Error("no state with a box shut out: the test checks nothing")
 	}
 }
--- a/internal/decide/straggler/straggler.go
+++ b/internal/decide/straggler/straggler.go
@@ -1,11 +1,13 @@
-// Package straggler decides what becomes of boxes that are below the fleet's lowest allowed version. Two halves: the Judge, which
-// the box that leads has, and the Box, which each box has for itself.
+// Package straggler handles boxes whose configuration version is below the lowest one that the fleet allows. It has two
+// parts: the Judge, which runs on the leader and proposes to shut such boxes out, and Stands, by which each box determines
+// its own state.
 //
-// What it rests on. A box is behind by what it said last in its session, or because it has said nothing in it; the ledger's order
-// says which of the two came later. The grace is measured by the judge's own clock from when it first saw the box behind; another
-// judge begins anew, so a change of judges only makes it longer. Shutting out names the box's session: one that came back
-// meanwhile is another incarnation, and the command does nothing. A box that hears nothing acts no more by its own clock after
-// lease.Terms.Acting, which is shorter than the least grace (LeastGrace), so it has stopped before others may count on it.
+// A box is behind if the version it last reported in its session is too low, or if it has reported none in its session; the
+// order of the ledger decides which report is the latest. The grace period is measured by the judge's clock from when it first
+// saw the box behind. A new judge starts the period again, so a change of judges can only extend it. The command that shuts a
+// box out names the box's session: a box that has rejoined meanwhile is another incarnation, and the command has no effect. A
+// disconnected box stops acting by its own clock after lease.Terms.Acting, which is shorter than the minimum grace period
+// (LeastGrace), so it has stopped before it is shut out.
 package straggler
 
 import (
@@ -16,35 +18,37 @@
 	"cairnlane/internal/decide/rollout"
 )
 
-// LeastGrace is the shortest grace for a lease's term: a box that cannot hear has then stopped acting before it is shut out.
+// LeastGrace returns the minimum grace period for a lease term. It ensures that a disconnected box has stopped acting before
+// it is shut out.
 func LeastGrace(term time.Duration) time.Duration { return term * 2 }
 
-// defaultGrace is for a fleet whose configuration says none.
+// defaultGrace is the grace period if the configuration does not set one.
 const defaultGrace = 30 * time.Second
 
-// Judge proposes who is shut out. It is not safe for use by several goroutines.
+// Judge proposes boxes to shut out. It is not safe for concurrent use.
 type Judge struct {
-	since map[string]seen
-	asked map[string]time.Duration
+	behindSince  map[string]observation   // when each box was first seen behind
+	lastProposed map[string]time.Duration // time of the last proposal for each box
 }
 
-type seen struct {
+// observation records when a box was first seen behind in a session.
+type observation struct {
 	session, lowest uint64
-	at              time.Duration
+	firstSeen       time.Duration
 }
 
-// askEach is how often a proposal is made anew while nothing comes of it.
-const askEach = time.Second
+// proposalInterval is the interval at which a proposal is repeated while the box has not been shut out.
+const proposalInterval = time.Second
 
-// Forget has the judge begin anew, when the box leads no more or its ledger was taken up anew.
-func (j *Judge) Forget() { j.since, j.asked = nil, nil }
+// Forget discards all observations. It is called when the box stops leading or its ledger was reopened.
+func (j *Judge) Forget() { j.behindSince, j.lastProposed = nil, nil }
 
-// Due returns the boxes that are to be shut out now, and when to ask again at the latest. known counts all boxes, the dead
-// included.
-func (j *Judge) Due(now time.Duration, t *rollout.Table, living map[string]uint64, known int, term time.Duration) (list []rollout.Command, next time.Duration) {
+// Due returns the commands that shut out boxes now, and the latest time of the next call. known is the number of all boxes
+// of the fleet, including dead ones.
+func (j *Judge) Due(now time.Duration, t *rollout.Table, living map[string]uint64, known int, term time.Duration) (commands []rollout.Command, next time.Duration) {
 	next = now + time.Minute
-	if j.since == nil {
-		j.since, j.asked = map[string]seen{}, map[string]time.Duration{}
+	if j.behindSince == nil {
+		j.behindSince, j.lastProposed = map[string]observation{}, map[string]time.Duration{}
 	}
 	grace := defaultGrace
 	if v := t.Version(t.Target); v != nil && v.Rules.Grace > 0 {
@@ -56,63 +60,63 @@
 		session := living[box]
 		_, out := t.Out[box]
 		if out || !t.Behind(box, session) {
-			delete(j.since, box)
+			delete(j.behindSince, box)
 			continue
 		}
-		s, ok := j.since[box]
-		if !ok || s.session != session {
-			s = seen{session, t.Lowest, now}
-			j.since[box] = s
+		observed, ok := j.behindSince[box]
+		if !ok || observed.session != session {
+			observed = observation{session, t.Lowest, now}
+			j.behindSince[box] = observed
 		}
-		if due := s.at + grace; now < due {
+		if due := observed.firstSeen + grace; now < due {
 			next = min(next, due)
 			continue
 		}
-		if again := j.asked[box] + askEach; j.asked[box] != 0 && now < again {
-			next = min(next, again)
+		if repeatAt := j.lastProposed[box] + proposalInterval; j.lastProposed[box] != 0 && now < repeatAt {
+			next = min(next, repeatAt)
 			continue
 		}
-		next = min(next, now+askEach)
+		next = min(next, now+proposalInterval)
 		if spare {
-			j.asked[box] = max(now, 1)
-			list = append(list, rollout.Command{Kind: rollout.ShutOut, Box: box, Session: session})
-			spare = false // one at a time: the next one is judged by what came of it
+			j.lastProposed[box] = max(now, 1)
+			commands = append(commands, rollout.Command{Kind: rollout.ShutOut, Box: box, Session: session})
+			spare = false // one at a time: the next proposal depends on the result of this one
 		}
 	}
-	for box := range j.since {
+	for box := range j.behindSince {
 		if _, lives := living[box]; !lives {
-			delete(j.since, box)
-			delete(j.asked, box)
+			delete(j.behindSince, box)
+			delete(j.lastProposed, box)
 		}
 	}
-	return list, next
+	return commands, next
 }
 
-// State is how a box stands to the fleet's lowest allowed version, by what it knows itself.
+// State is the state of a box relative to the lowest allowed version, as known to the box itself.
 type State uint8
 
-// The states of a box.
+// States of a box.
 const (
-	Level  State = iota + 1 // it may act
-	Behind                  // it is told so, and is brought up; until then it begins nothing for the fleet
-	TooOld                  // its build does not understand what it is to take: install a later one
-	Out                     // it is shut out
+	Level  State = iota + 1 // up to date: the box may act
+	Behind                  // below the lowest allowed version: the box is being updated and starts no fleet task until then
+	TooOld                  // the build of the box does not support the wanted version: a later build must be installed
+	Out                     // the box is shut out
 )
 
-var states = [...]string{"", "level", "behind", "too old", "shut out"}
+var stateNames = [...]string{"", "level", "behind", "too old", "shut out"}
 
-func (s State) String() string { return states[s] }
+func (s State) String() string { return stateNames[s] }
 
-// MarshalText has states written by name.
+// MarshalText implements encoding.TextMarshaler. The text is the name of the state.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText implements encoding.TextUnmarshaler. An unknown name gives the zero State.
 func (s *State) UnmarshalText(text []byte) error {
-	*s = State(max(0, slices.Index(states[:], string(text))))
+	*s = State(max(0, slices.Index(stateNames[:], string(text))))
 	return nil
 }
 
-// Stands tells how a box stands, from the table as it has it, its version in force and the number of its build.
+// Stands returns the state of a box, given its copy of the table, its version in force and its build number.
 func Stands(t *rollout.Table, box string, inForce, build uint64) State {
 	if _, out := t.Out[box]; out {
 		return Out
@@ -126,5 +130,5 @@
 	return Behind
 }
 
-// MayBegin tells whether a box may begin an effect for the fleet.
+// MayBegin reports whether a box may start an action for the fleet.
 func (s State) MayBegin() bool { return s == Level }
--- a/internal/decide/straggler/straggler_test.go
+++ b/internal/decide/straggler/straggler_test.go
@@ -11,10 +11,11 @@
 	"cairnlane/internal/decide/rollout"
 )
 
-// fleet is a table with number 2 in force and as the lowest one, and boxes that have told what stands beside their names.
-func fleet(floor float64, told map[string]uint64) (*rollout.Table, map[string]uint64) {
+// newTable returns a table in which version 2 is in force and the lowest allowed one. told holds the version that each box has
+// reported, 0 for no report.
+func newTable(floor float64, reported map[string]uint64) (*rollout.Table, map[string]uint64) {
 	t, living := rollout.NewTable(), map[string]uint64{}
-	for _, b := range slices.Sorted(maps.Keys(told)) {
+	for _, b := range slices.Sorted(maps.Keys(reported)) {
 		living[b] = uint64(len(living) + 1)
 	}
 	of := func(box string) rollout.Of {
@@ -24,7 +25,7 @@
 		t.Apply(rollout.Command{Kind: rollout.Put, Digest: strings.Repeat("a", 64), Rules: &rollout.Rules{Grace: time.Minute, Floor: floor}}, of("a"))
 	}
 	t.Target, t.Lowest = 2, 2
-	for b, n := range told {
+	for b, n := range reported {
 		if n > 0 {
 			t.Apply(rollout.Command{Kind: rollout.Tell, Standing: &rollout.Standing{InForce: n}}, of(b))
 		}
@@ -34,8 +35,9 @@
 
 const term = 2 * time.Second
 
-// TestWhoIsShutOutAndWhen: seconds of the judge's clock, what happens then, and who is shut out.
-func TestWhoIsShutOutAndWhen(t *testing.T) {
+// TestJudgeDue checks which boxes are shut out at which time. Each step has the judge's clock in seconds, an event, and the
+// box that is to be shut out.
+func TestJudgeDue(t *testing.T) {
 	type at struct {
 		sec  int
 		do   func(t *rollout.Table, living map[string]uint64, j *Judge)
@@ -47,21 +49,21 @@
 		known int
 		steps []at
 	}{
-		"after the grace":     {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {59, nil, ""}, {60, nil, "a"}}},
-		"nobody is behind":    {0.5, map[string]uint64{"a": 2, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {600, nil, ""}}},
-		"who says nothing is": {0.5, map[string]uint64{"a": 0, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {60, nil, "a"}}},
-		"one that comes along": {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(t *rollout.Table, l map[string]uint64, _ *Judge) {
+		"after the grace period": {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {59, nil, ""}, {60, nil, "a"}}},
+		"no box is behind":       {0.5, map[string]uint64{"a": 2, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {600, nil, ""}}},
+		"box without a report":   {0.5, map[string]uint64{"a": 0, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {60, nil, "a"}}},
+		"box that is updated in time": {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(t *rollout.Table, l map[string]uint64, _ *Judge) {
 			t.Boxes["a"] = rollout.Standing{Session: l["a"], InForce: 2}
 		}, ""}, {600, nil, ""}}},
-		"another incarnation":     {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(_ *rollout.Table, l map[string]uint64, _ *Judge) { l["a"] = 9 }, ""}, {60, nil, ""}, {110, nil, "a"}}},
-		"another judge":           {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(_ *rollout.Table, _ map[string]uint64, j *Judge) { j.Forget() }, ""}, {100, nil, ""}, {110, nil, "a"}}},
-		"one at a time":           {0.3, map[string]uint64{"a": 1, "b": 1, "c": 2, "d": 2}, 4, []at{{0, nil, ""}, {60, nil, "a"}}},
-		"not below the floor":     {0.9, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {600, nil, ""}}},
-		"the dead do not serve":   {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 5, []at{{0, nil, ""}, {600, nil, ""}}},
-		"never all":               {0, map[string]uint64{"a": 1}, 1, []at{{0, nil, ""}, {600, nil, ""}}},
-		"the dead are not judged": {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(_ *rollout.Table, l map[string]uint64, _ *Judge) { delete(l, "a") }, ""}, {600, nil, ""}}},
+		"new incarnation restarts the grace period": {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(_ *rollout.Table, l map[string]uint64, _ *Judge) { l["a"] = 9 }, ""}, {60, nil, ""}, {110, nil, "a"}}},
+		"new judge restarts the grace period":       {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(_ *rollout.Table, _ map[string]uint64, j *Judge) { j.Forget() }, ""}, {100, nil, ""}, {110, nil, "a"}}},
+		"one at a time":                             {0.3, map[string]uint64{"a": 1, "b": 1, "c": 2, "d": 2}, 4, []at{{0, nil, ""}, {60, nil, "a"}}},
+		"not below the floor":                       {0.9, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {600, nil, ""}}},
+		"dead boxes count against the floor":        {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 5, []at{{0, nil, ""}, {600, nil, ""}}},
+		"never the only box":                        {0, map[string]uint64{"a": 1}, 1, []at{{0, nil, ""}, {600, nil, ""}}},
+		"dead boxes are not shut out":               {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(_ *rollout.Table, l map[string]uint64, _ *Judge) { delete(l, "a") }, ""}, {600, nil, ""}}},
 	} {
-		table, living := fleet(c.floor, c.told)
+		table, living := newTable(c.floor, c.told)
 		j := new(Judge)
 		for _, s := range c.steps {
 			if s.do != nil {
@@ -72,47 +74,48 @@
 			var got []string
 			for _, x := range list {
 				if x.Session != living[x.Box] {
-					t.Errorf("%s: the session of %s is %d", name, x.Box, x.Session)
+					t.Errorf("%s: wrong session of %s: %d", name, x.Box, x.Session)
 				}
 				got = append(got, x.Box)
 			}
 			if strings.Join(got, " ") != s.want || next <= now {
-				t.Errorf("%s: at %d s %v, next %v; %q is wanted", name, s.sec, got, next, s.want)
+				t.Errorf("%s: at %d s: shut out %v, next %v; want %q", name, s.sec, got, next, s.want)
 			}
-			if len(list) > 0 { // asked again only after a while
-				if again, _ := j.Due(now+askEach/2, table, living, c.known, term); slices.ContainsFunc(again, func(x rollout.Command) bool { return x.Box == list[0].Box }) {
-					t.Errorf("%s: asked again at once", name)
+			if len(list) > 0 { // the proposal is repeated only after proposalInterval
+				if again, _ := j.Due(now+proposalInterval/2, table, living, c.known, term); slices.ContainsFunc(again, func(x rollout.Command) bool { return x.Box == list[0].Box }) {
+					t.Errorf("%s: proposal repeated too early", name)
 				}
 			}
 		}
 	}
 }
 
-// TestTheLeastGraceIsLongerThanABoxActs that cannot hear, whatever the configuration says.
-func TestTheLeastGraceIsLongerThanABoxActs(t *testing.T) {
-	table, living := fleet(0.5, map[string]uint64{"a": 1, "b": 2, "c": 2})
+// TestLeastGraceOverridesConfiguredGrace checks that a box is not shut out before LeastGrace, in which a disconnected box may
+// still act, even if the configuration sets a shorter grace period.
+func TestLeastGraceOverridesConfiguredGrace(t *testing.T) {
+	table, living := newTable(0.5, map[string]uint64{"a": 1, "b": 2, "c": 2})
 	for i := range table.Versions {
 		table.Versions[i].Rules.Grace = time.Millisecond
 	}
 	j := new(Judge)
 	j.Due(0, table, living, 3, term)
 	if list, _ := j.Due(LeastGrace(term)-1, table, living, 3, term); len(list) > 0 {
-		t.Error("shut out while it may still act")
+		t.Error("shut out before LeastGrace")
 	}
 	if list, _ := j.Due(LeastGrace(term), table, living, 3, term); len(list) != 1 {
-		t.Error("not shut out")
+		t.Error("not shut out after LeastGrace")
 	}
 }
 
-// TestHowABoxStands, and that it begins nothing unless it is level.
-func TestHowABoxStands(t *testing.T) {
+// TestStands checks the state of a box, and that only a box in state Level may start actions.
+func TestStands(t *testing.T) {
 	for i, c := range []struct {
 		out          bool
 		inForce      uint64
 		needs, build uint64
 		want         State
 	}{{false, 2, 0, 1, Level}, {false, 3, 0, 1, Level}, {false, 1, 0, 1, Behind}, {false, 1, 2, 1, TooOld}, {false, 1, 2, 2, Behind}, {true, 2, 0, 1, Out}, {true, 0, 9, 1, Out}} {
-		table, _ := fleet(0.5, map[string]uint64{"a": 1})
+		table, _ := newTable(0.5, map[string]uint64{"a": 1})
 		for i := range table.Versions {
 			table.Versions[i].Needs = c.needs
 		}
@@ -121,15 +124,15 @@
 		}
 		got := Stands(table, "a", c.inForce, c.build)
 		if got != c.want || got.MayBegin() != (got == Level) || fmt.Sprint(got) == "" {
-			t.Errorf("%d: %v, not %v", i, got, c.want)
+			t.Errorf("case %d: %v, want %v", i, got, c.want)
 		}
 		var again State
 		text, _ := got.MarshalText()
 		if again.UnmarshalText(text); again != got {
-			t.Errorf("%v is read as %v", got, again)
+			t.Errorf("%v decodes as %v", got, again)
 		}
 	}
 	if Stands(rollout.NewTable(), "a", 0, 1) != Level {
-		t.Error("behind in a fleet that allows everything")
+		t.Error("box is behind in a fleet without a lowest version")
 	}
 }
--- a/internal/lab/mutants/audit.go
+++ b/internal/lab/mutants/audit.go
@@ -17,9 +17,9 @@
 	{"index that goes back", "internal/state/audit/log.go", "	e.Index = l.index\n", "", "./internal/state/audit", "TestAnIndexNeverGoesBack"},
 	{"a begin that is cut off", "internal/state/audit/verify.go", "points[0].n >= m.First", "false", "./internal/state/audit", "TestABeginThatIsCutOffIsFound"},
 	{"a clone believed", "internal/decide/rollout/rollout.go", " || of.Living[of.Box] != of.Session {", " {", "./internal/decide/rollout", "TestTheTable"},
-	{"downgrade unnoticed", "internal/decide/straggler/straggler.go", "	if t.Lowest == 0 || inForce >= t.Lowest {", "	if t.Lowest == 0 || inForce > 0 {", "./internal/decide/straggler", "TestHowABoxStands"},
-	{"grace by the wall clock", "internal/decide/straggler/straggler.go", "s = seen{session, t.Lowest, now}", "s = seen{session, t.Lowest, time.Duration(time.Now().UnixNano())}", "./internal/decide", "TestDecisionsDoNoIO"},
-	{"grace that a new judge does not wait for", "internal/decide/straggler/straggler.go", "	grace = max(grace, LeastGrace(term))\n", "", "./internal/decide/straggler", "TestTheLeastGraceIsLongerThanABoxActs"},
+	{"downgrade unnoticed", "internal/decide/straggler/straggler.go", "	if t.Lowest == 0 || inForce >= t.Lowest {", "	if t.Lowest == 0 || inForce > 0 {", "./internal/decide/straggler", "TestStands"},
+	{"grace by the wall clock", "internal/decide/straggler/straggler.go", "observed = observation{session, t.Lowest, now}", "observed = observation{session, t.Lowest, time.Duration(time.Now().UnixNano())}", "./internal/decide", "TestDecisionsDoNoIO"},
+	{"grace that a new judge does not wait for", "internal/decide/straggler/straggler.go", "	grace = max(grace, LeastGrace(term))\n", "", "./internal/decide/straggler", "TestLeastGraceOverridesConfiguredGrace"},
 	{"back to a number that an old log still has", "internal/fleet/versions.go", "at.Fleet != n.ledger.State().Fleet || at.Index <= n.ledger.State().Index", "at.Fleet|1 != 0", "./internal/fleet", "TestABoxDoesNotGoBackWithItsLedger"},
 	{"in force before it is on the disk", "internal/state/configs/configs.go", "	if err := s.write(name, encode(f)); err != nil {", "	s.now = f\n	if err := s.write(name, encode(f)); err != nil {", "./internal/state/configs", "TestWhatTheDiskRefusesIsNotInForce"},
 }
