--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -156,8 +156,8 @@
 // AsksMost is the maximum number of requests of one box at a time.
 const AsksMost = 2048
 
-// maxPendingForRenew is the number of pending commands from which on no Renew is added: the ledger is not responding, and each
-// resend contains all pending commands.
+// maxPendingForRenew is the number of pending commands from which on no Renew is added: the ledger is not responding, and
+// each resend contains all pending commands.
 const maxPendingForRenew = 64
 
 // Errors returned by a Holder.
--- a/internal/decide/rollout/box.go
+++ b/internal/decide/rollout/box.go
@@ -2,81 +2,86 @@
 
 import "time"
 
-// State is how a box stands to the number that is asked of it.
+// State is the state of a box relative to the version that it must have in force.
 type State uint8
 
-// The states of a box.
+// States of a box.
 const (
-	Settled  State = iota + 1 // it has in force what it is to have, or nothing is asked of it
-	Fetching                  // it does not have the body
-	Checking                  // it has the body and checks it against its own build
-	Waiting                   // it was found right; a slot to change in is waited for
-	Changing                  // it is stored; then it is in force
-	Refusing                  // it was turned down
+	Settled  State = iota + 1 // the wanted version is in force, or none is wanted
+	Fetching                  // the body is not available locally
+	Checking                  // the body is being checked against the box's build
+	Waiting                   // the check has passed; the box waits for a slot to change
+	Changing                  // the version is being stored, which puts it in force
+	Refusing                  // the version was rejected
 )
 
-var states = [...]string{"", "settled", "fetching", "checking", "waiting", "changing", "refusing"}
+var stateNames = [...]string{"", "settled", "fetching", "checking", "waiting", "changing", "refusing"}
 
-func (s State) String() string { return states[s] }
+func (s State) String() string { return stateNames[s] }
 
-// Action is what a box is to do next.
+// Action is the next action of a box.
 type Action uint8
 
-// The actions.
+// Actions.
 const (
 	Nothing Action = iota
-	Fetch          // the body of Number, from any peer that has it
-	Verify         // the body against this build: Verified says what came of it
-	GetSlot        // ask for a slot to change in, and say Slotted when it is there
-	Store          // put it on the disk as what is in force: Stored
-	Say            // tell the fleet how the box stands: Told
+	Fetch          // fetch the body of Number from any peer that has it
+	Verify         // check the body against this build, then call Verified
+	GetSlot        // request a slot to change, and call Slotted when it is granted
+	Store          // store the version on disk as the one in force, then call Stored
+	Say            // report the box's Standing to the fleet, then call Told
 )
 
-// Box is one box's side of a change. A version is in force from when it was Stored, at one point in time: before, the old one is.
+// Box is the local state machine by which a box changes its version. The new version is in force from the call of Stored on;
+// until then the old one is.
 type Box struct {
-	state   State
-	number  uint64 // that is dealt with
-	inForce uint64
-	turned  uint64
-	why     string
-	build   uint64 // of the build
-	said    Standing
-	sayAt   time.Duration // again, so that what it serves is known
-	tryAt   time.Duration // Fetch again
+	state        State
+	number       uint64 // version being changed to
+	inForce      uint64
+	rejected     uint64 // last rejected version
+	rejectReason string // reason of the rejection
+	buildNumber  uint64 // build number
+	lastReported Standing
+	reportAt     time.Duration // time of the next report, which is repeated so that the request counts are current
+	fetchAt      time.Duration // time of the next Fetch
 }
 
 const (
-	sayEach   = 2 * time.Second // while a roll-out runs
-	idleEach  = time.Minute
-	fetchEach = time.Second
+	reportInterval     = 2 * time.Second // interval of reports during a roll-out
+	idleReportInterval = time.Minute     // interval of reports otherwise
+	fetchInterval      = time.Second     // interval of attempts to fetch a body
 )
 
-// NewBox begins with what the disk holds as in force, 0 for nothing, and the number of the build.
-func NewBox(inForce, build uint64) *Box {
-	return &Box{state: Settled, inForce: inForce, build: build}
+// NewBox returns the state of a box with the version that its disk holds as in force, 0 for none, and its build number.
+func NewBox(inForce, buildNumber uint64) *Box {
+	return &Box{state: Settled, inForce: inForce, buildNumber: buildNumber}
 }
 
-// State and InForce tell how the box stands. Number is what it deals with.
-func (b *Box) State() State    { return b.state }
+// State returns the state of the box.
+func (b *Box) State() State { return b.state }
+
+// InForce returns the version in force, 0 for none.
 func (b *Box) InForce() uint64 { return b.inForce }
-func (b *Box) Number() uint64  { return b.number }
 
-// Saw takes the fleet's table as the box has it now. It is not to be older than the one that the number in force came from: a box
-// that goes through the ledger anew would go back otherwise.
+// Number returns the version that the box is changing to.
+func (b *Box) Number() uint64 { return b.number }
+
+// Saw updates the state from the box's copy of the table. The copy must not be older than the one that the version in force
+// came from: otherwise a box that replays the ledger would go back to an old version.
 func (b *Box) Saw(t *Table, self string, has func(digest string) bool) {
 	want := t.Wants(self)
 	v := t.Version(want)
 	switch {
 	case want == b.inForce:
 		b.state, b.number = Settled, 0
-	case want == 0: // the first roll-out of the fleet goes back: to nothing
+	case want == 0: // the first roll-out of the fleet is rolled back: no version is in force then
 		b.state, b.number = Changing, 0
 	case v == nil:
 		b.state, b.number = Settled, 0
-	case want == b.turned:
+	case want == b.rejected:
 		b.state = Refusing
-	case want != b.number: // also when the one before was under way: what was stored of it is no harm
-		b.number, b.state, b.tryAt = want, Fetching, 0
+	case want != b.number: // also while changing to another version: parts of it that were stored are harmless
+		b.number, b.state, b.fetchAt = want, Fetching, 0
 		if has(v.Digest) {
 			b.state = Checking
 		}
@@ -85,28 +90,28 @@
 	}
 }
 
-// Due says what is to be done now, and when to ask again at the latest. running tells whether a roll-out runs, session is the
-// box's in the fleet, 0 for none; good and bad are what it has served.
+// Due returns the action to take now and the latest time of the next call. session is the box's session, 0 for none. running
+// reports whether a roll-out is running. good and bad count the requests that the box has served in time and not in time.
 func (b *Box) Due(now time.Duration, session uint64, running bool, good, bad uint64) (Action, time.Duration) {
-	next := now + idleEach
+	next := now + idleReportInterval
 	if running {
-		next = now + sayEach
+		next = now + reportInterval
 	}
 	s := b.Standing(session, good, bad)
 	if session != 0 {
-		changed := s.Session != b.said.Session || s.InForce != b.said.InForce || s.Turned != b.said.Turned
-		if changed || now >= b.sayAt {
+		changed := s.Session != b.lastReported.Session || s.InForce != b.lastReported.InForce || s.Turned != b.lastReported.Turned
+		if changed || now >= b.reportAt {
 			return Say, now
 		}
-		next = min(next, b.sayAt)
+		next = min(next, b.reportAt)
 	}
 	switch b.state {
 	case Fetching:
-		if now >= b.tryAt {
-			b.tryAt = now + fetchEach
-			return Fetch, b.tryAt
+		if now >= b.fetchAt {
+			b.fetchAt = now + fetchInterval
+			return Fetch, b.fetchAt
 		}
-		return Nothing, min(next, b.tryAt)
+		return Nothing, min(next, b.fetchAt)
 	case Checking:
 		return Verify, now
 	case Waiting:
@@ -117,41 +122,41 @@
 	return Nothing, next
 }
 
-// Standing is what the box says of itself.
+// Standing returns the state that the box reports.
 func (b *Box) Standing(session, good, bad uint64) Standing {
-	return Standing{Session: session, InForce: b.inForce, Turned: b.turned, Why: b.why, Number: b.build, Good: good, Bad: bad}
+	return Standing{Session: session, InForce: b.inForce, Turned: b.rejected, Why: b.rejectReason, Number: b.buildNumber, Good: good, Bad: bad}
 }
 
-// Verified says what came of the check of the number that is dealt with; why is empty when it was found right.
+// Verified records the result of the check of version n. why is empty if the check has passed.
 func (b *Box) Verified(n uint64, why string) {
 	if n != b.number || b.state != Checking {
 		return
 	}
 	if why != "" {
-		b.state, b.turned, b.why = Refusing, n, why[:min(len(why), textMost)]
+		b.state, b.rejected, b.rejectReason = Refusing, n, why[:min(len(why), maxTextLen)]
 		return
 	}
 	b.state = Waiting
 }
 
-// Slotted says that the box may change now.
+// Slotted records that the box has a slot to change to version n.
 func (b *Box) Slotted(n uint64) {
 	if n == b.number && b.state == Waiting {
 		b.state = Changing
 	}
 }
 
-// Stored says that the number is on the disk as what is in force. From here on the box acts as it, and not before.
+// Stored records that version n is on disk as the version in force. The box acts on it from this call on, and not earlier.
 func (b *Box) Stored(n uint64) {
 	if n == b.number && b.state == Changing {
 		b.inForce, b.state, b.number = n, Settled, 0
 	}
 }
 
-// Told says that the fleet was told a standing.
+// Told records that s was reported to the fleet.
 func (b *Box) Told(now time.Duration, s Standing, running bool) {
-	b.said, b.sayAt = s, now+idleEach
+	b.lastReported, b.reportAt = s, now+idleReportInterval
 	if running {
-		b.sayAt = now + sayEach
+		b.reportAt = now + reportInterval
 	}
 }
--- a/internal/decide/rollout/conductor.go
+++ b/internal/decide/rollout/conductor.go
@@ -6,31 +6,33 @@
 	"time"
 )
 
-// The stated test of "measurably worse": the boxes on the new version, together, against those on the old one, together. In a
-// reading the new ones are worse when their share of bad requests is above twice the old ones' plus worseMargin, with
-// worseLeast requests on each side. Of the last worseOf readings, worseMost say so.
+// Criterion for halting a roll-out because the new version serves requests worse. In each reading, the boxes on the new version
+// are compared with those on the old one: they are worse if their share of bad requests is above twice that of the old ones
+// plus badShareMargin, with at least minRequests requests on each side. The roll-out is halted if worseThreshold of the last
+// readingWindow readings are worse.
 const (
-	readingEach = 2 * time.Second
-	worseLeast  = 50
-	worseMargin = 0.05
-	worseMost   = 3
-	worseOf     = 5
+	readingInterval = 2 * time.Second
+	minRequests     = 50
+	badShareMargin  = 0.05
+	worseThreshold  = 3
+	readingWindow   = 5
 )
 
-// Conductor says what the fleet's roll-out needs next. Its clock is its box's own, and it forgets with its box: the Table has all
-// that must outlive it. It is not safe for use by several goroutines.
+// Conductor determines the next command of a running roll-out. It uses its box's clock and keeps its state in memory only: the
+// Table holds everything that must survive it. It is not safe for concurrent use.
 type Conductor struct {
-	roll    uint64
-	wave    int
-	phase   Phase
-	began   time.Duration // when this wave was first seen
-	through time.Duration // since when all of it was seen to be through; 0: it is not
-	read    time.Duration // of the last reading
-	last    map[string]Standing
-	worse   []bool
+	roll            uint64
+	wave            int
+	phase           Phase
+	phaseSeen       time.Duration       // when this wave or phase was first seen
+	allChangedSince time.Duration       // since when all boxes of the wave have changed; 0: they have not
+	lastReading     time.Duration       // time of the last reading
+	lastStandings   map[string]Standing // of the last reading
+	worseReadings   []bool              // results of the latest readings
 }
 
-// Due returns the command that is due, if one is, and when to ask again at the latest. living are the boxes that have a session.
+// Due returns the command to send now, or nil, and the latest time of the next call. living holds the current session of each
+// box that has one.
 func (c *Conductor) Due(now time.Duration, t *Table, living map[string]uint64) (cmd *Command, next time.Duration) {
 	r := t.Roll
 	if r == nil {
@@ -38,47 +40,47 @@
 		return nil, now + time.Minute
 	}
 	if c.roll != r.ID {
-		*c = Conductor{roll: r.ID, wave: -1, last: map[string]Standing{}}
+		*c = Conductor{roll: r.ID, wave: -1, lastStandings: map[string]Standing{}}
 	}
 	if c.wave != r.Wave || c.phase != r.Phase {
-		c.wave, c.phase, c.began, c.through = r.Wave, r.Phase, now, 0
+		c.wave, c.phase, c.phaseSeen, c.allChangedSince = r.Wave, r.Phase, now, 0
 	}
 	step := &Command{Kind: Step, Roll: r.ID, Wave: r.Wave}
 	switch r.Phase {
 	case Held:
-		c.began = now // patience does not run out while an operator looks
+		c.phaseSeen = now // the time-out does not run while an operator holds the roll-out
 		return nil, now + time.Minute
 	case Back:
 		for box := range living {
-			// One that had turned the old one down has nowhere to go back to.
+			// A box that has rejected the old version cannot go back and is not waited for.
 			if s := t.Boxes[box]; s.InForce == r.To && s.Session == living[box] && (s.Turned != r.From || r.From == 0) {
-				return nil, now + readingEach
+				return nil, now + readingInterval
 			}
 		}
-		return step, now + readingEach
+		return step, now + readingInterval
 	}
-	if why := c.halt(now, t, living); why != "" {
-		return &Command{Kind: Halt, Roll: r.ID, Why: why}, now + readingEach
+	if why := c.haltReason(now, t, living); why != "" {
+		return &Command{Kind: Halt, Roll: r.ID, Why: why}, now + readingInterval
 	}
-	pending := c.pending(t, living)
+	pending := c.pendingBoxes(t, living)
 	switch {
-	case len(pending) > 0 && now-c.began >= r.Plan.Patience:
-		return &Command{Kind: Halt, Roll: r.ID, Why: fmt.Sprintf("after %v not all of wave %d have it in force: %s", r.Plan.Patience, r.Wave+1, strings.Join(pending, " "))}, now + readingEach
+	case len(pending) > 0 && now-c.phaseSeen >= r.Plan.Patience:
+		return &Command{Kind: Halt, Roll: r.ID, Why: fmt.Sprintf("after %v not all of wave %d have it in force: %s", r.Plan.Patience, r.Wave+1, strings.Join(pending, " "))}, now + readingInterval
 	case len(pending) > 0:
-		c.through = 0
-		return nil, min(now+readingEach, c.began+r.Plan.Patience)
-	case c.through == 0:
-		c.through = max(now, 1)
+		c.allChangedSince = 0
+		return nil, min(now+readingInterval, c.phaseSeen+r.Plan.Patience)
+	case c.allChangedSince == 0:
+		c.allChangedSince = max(now, 1)
 	}
-	if now-c.through < r.Plan.Pace {
-		return nil, min(now+readingEach, c.through+r.Plan.Pace)
+	if now-c.allChangedSince < r.Plan.Pace {
+		return nil, min(now+readingInterval, c.allChangedSince+r.Plan.Pace)
 	}
-	return step, now + readingEach
+	return step, now + readingInterval
 }
 
-// pending lists the boxes of the reached waves that live and do not have the new version in force. A box that turned it down
-// is not waited for; too many of them halt the roll-out.
-func (c *Conductor) pending(t *Table, living map[string]uint64) (list []string) {
+// pendingBoxes returns the living boxes of the waves so far that do not have the new version in force. Boxes that have rejected it
+// are not included; too many of them halt the roll-out.
+func (c *Conductor) pendingBoxes(t *Table, living map[string]uint64) (list []string) {
 	for _, w := range t.Roll.Waves[:t.Roll.Wave+1] {
 		for _, box := range w {
 			session, lives := living[box]
@@ -93,10 +95,10 @@
 	return list
 }
 
-// halt says why a roll-out must go back, if it must.
-func (c *Conductor) halt(now time.Duration, t *Table, living map[string]uint64) string {
+// haltReason returns the reason for which the roll-out must be rolled back, or "".
+func (c *Conductor) haltReason(now time.Duration, t *Table, living map[string]uint64) string {
 	r := t.Roll
-	var turned, died []string
+	var rejected, died []string
 	why := ""
 	for _, w := range r.Waves[:r.Wave+1] {
 		for _, box := range w {
@@ -104,38 +106,38 @@
 			if _, lives := living[box]; !lives {
 				died = append(died, box)
 			} else if s.Turned == r.To {
-				turned, why = append(turned, box), s.Why
+				rejected, why = append(rejected, box), s.Why
 			}
 		}
 	}
 	switch {
-	case len(turned) > r.Plan.Turned:
-		return fmt.Sprintf("turned down by %s: %s", strings.Join(turned, " "), why)
+	case len(rejected) > r.Plan.Turned:
+		return fmt.Sprintf("turned down by %s: %s", strings.Join(rejected, " "), why)
 	case len(died) > r.Plan.Died:
 		return fmt.Sprintf("gone: %s", strings.Join(died, " "))
 	}
-	if now-c.read >= readingEach {
-		c.read = now
-		c.reading(t)
+	if now-c.lastReading >= readingInterval {
+		c.lastReading = now
+		c.compareVersions(t)
 	}
 	n := 0
-	for _, w := range c.worse {
+	for _, w := range c.worseReadings {
 		if w {
 			n++
 		}
 	}
-	if n >= worseMost {
-		return fmt.Sprintf("boxes with %d serve worse than those with %d, in %d of %d readings", r.To, r.From, n, len(c.worse))
+	if n >= worseThreshold {
+		return fmt.Sprintf("boxes with %d serve worse than those with %d, in %d of %d readings", r.To, r.From, n, len(c.worseReadings))
 	}
 	return ""
 }
 
-// reading compares what was served since the last one.
-func (c *Conductor) reading(t *Table) {
-	var good, bad [2]uint64 // on the old version, on the new
+// compareVersions compares the requests served by both versions since the last reading.
+func (c *Conductor) compareVersions(t *Table) {
+	var good, bad [2]uint64 // index 0: old version, 1: new version
 	for box, s := range t.Boxes {
-		was, ok := c.last[box]
-		c.last[box] = s
+		was, ok := c.lastStandings[box]
+		c.lastStandings[box] = s
 		if !ok || was.Session != s.Session || was.InForce != s.InForce || s.Good < was.Good || s.Bad < was.Bad {
 			continue
 		}
@@ -146,10 +148,10 @@
 		good[i] += s.Good - was.Good
 		bad[i] += s.Bad - was.Bad
 	}
-	if good[0]+bad[0] < worseLeast || good[1]+bad[1] < worseLeast {
+	if good[0]+bad[0] < minRequests || good[1]+bad[1] < minRequests {
 		return
 	}
 	share := func(i int) float64 { return float64(bad[i]) / float64(good[i]+bad[i]) }
-	c.worse = append(c.worse, share(1) > 2*share(0)+worseMargin)
-	c.worse = c.worse[max(0, len(c.worse)-worseOf):]
+	c.worseReadings = append(c.worseReadings, share(1) > 2*share(0)+badShareMargin)
+	c.worseReadings = c.worseReadings[max(0, len(c.worseReadings)-readingWindow):]
 }
--- a/internal/decide/rollout/rollout.go
+++ b/internal/decide/rollout/rollout.go
@@ -1,12 +1,13 @@
-// Package rollout decides how a fleet goes from one numbered configuration to the next. Three parts work together: the Table,
-// which all boxes apply from the ledger in the same order; the Conductor, which one box at a time is by lease and which says
-// when the next step is due; and the Box, which each box has for itself and which takes a version, or turns it down.
+// Package rollout rolls numbered configurations out over a fleet. It has three parts: the Table, a replicated state machine that
+// every box applies from the ledger in the same order; the Conductor, which runs on the one box that holds the conductor's
+// lease and determines when the next step is due; and the Box, which each box runs locally to apply or reject a version.
 //
-// What it rests on. Numbers only grow: going back to an older configuration is a new number with the old contents, so that
-// "later" always means a greater number. All of a roll-out that must outlive its conductor stands in the Table, and a step names
-// the wave that it ends: a step said twice, or by a conductor that was stopped and wakes, does nothing the second time. Times
-// are the conductor's own, counted from when it saw a wave begin; the next one counts anew, which makes a wave longer, never
-// shorter. What a box may do for the fleet is bound to the version it has in force; see package straggler for who is behind.
+// Version numbers only increase: returning to an older configuration assigns a new number to the old contents, so a later
+// version always has a greater number. The Table holds all state of a roll-out that must survive its conductor. A Step command
+// names the wave that it ends, so a repeated step, or one of a conductor that resumes after a pause, has no effect. Durations
+// are measured by the conductor's clock from when it first saw a wave; a new conductor starts measuring again, which can only
+// make a wave longer. What a box may do for the fleet depends on the version it has in force; package straggler determines
+// which boxes are behind.
 package rollout
 
 import (
@@ -18,54 +19,54 @@
 	"time"
 )
 
-// Kind is what a command does.
+// Kind is the type of a command.
 type Kind uint8
 
-// The commands. All come in a session of a box, which gives each exactly one effect, in order.
+// Command kinds. All commands belong to a session of a box, in which each is applied exactly once and in order.
 const (
-	Put     Kind = iota + 1 // a configuration gets the next number
-	Start                   // an operator: roll number N out
-	Step                    // the conductor: the wave is through
-	Halt                    // the conductor: go back, because of Why
-	Hold                    // an operator: no further step until Resume
-	Resume                  // an operator
-	Abort                   // an operator: go back
-	Tell                    // a box: how it stands
-	Lowest                  // an operator: the lowest number that is allowed, N
-	ShutOut                 // the judge of stragglers: Box, as its Session
+	Put     Kind = iota + 1 // assigns the next number to a configuration
+	Start                   // sent by an operator: starts the roll-out of version N
+	Step                    // sent by the conductor: ends the wave and starts the next one
+	Halt                    // sent by the conductor: rolls back for the reason in Why
+	Hold                    // sent by an operator: pauses the roll-out until Resume
+	Resume                  // sent by an operator: continues a held roll-out
+	Abort                   // sent by an operator: rolls back
+	Tell                    // sent by a box: reports its Standing
+	Lowest                  // sent by an operator: sets the lowest allowed version to N
+	ShutOut                 // sent by the straggler judge: shuts out Box if its session is Session
 )
 
-var kinds = [...]string{"", "put", "start", "step", "halt", "hold", "resume", "abort", "tell", "lowest", "shut-out"}
+var kindNames = [...]string{"", "put", "start", "step", "halt", "hold", "resume", "abort", "tell", "lowest", "shut-out"}
 
 func (k Kind) String() string {
-	if int(k) < len(kinds) && k > 0 {
-		return kinds[k]
+	if int(k) < len(kindNames) && k > 0 {
+		return kindNames[k]
 	}
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Command is one change of the Table.
+// Command is a command to the Table.
 type Command struct {
 	Kind     Kind      `cbor:"1,keyasint"`
 	N        uint64    `cbor:"2,keyasint,omitempty"`
 	Digest   string    `cbor:"3,keyasint,omitempty"` // of Put: SHA-256 in hexadecimal
 	Size     int       `cbor:"4,keyasint,omitempty"` // bytes
-	Needs    uint64    `cbor:"5,keyasint,omitempty"` // the least number of a build that understands it
+	Needs    uint64    `cbor:"5,keyasint,omitempty"` // lowest build number that supports the configuration
 	Plan     *Plan     `cbor:"6,keyasint,omitempty"`
 	Roll     uint64    `cbor:"7,keyasint,omitempty"`
 	Wave     int       `cbor:"8,keyasint,omitempty"`
 	Why      string    `cbor:"9,keyasint,omitempty"`
-	Caller   string    `cbor:"10,keyasint,omitempty"` // who told the box, as the box knows
+	Caller   string    `cbor:"10,keyasint,omitempty"` // who requested the command, as known to the box
 	Standing *Standing `cbor:"11,keyasint,omitempty"`
 	Box      string    `cbor:"12,keyasint,omitempty"`
 	Session  uint64    `cbor:"13,keyasint,omitempty"`
-	Rules    *Rules    `cbor:"14,keyasint,omitempty"` // of Put: what this configuration says of stragglers
+	Rules    *Rules    `cbor:"14,keyasint,omitempty"` // of Put: the configuration's rules for stragglers
 }
 
-// Rules are what a configuration says of boxes that are behind it.
+// Rules are a configuration's rules for boxes that are behind.
 type Rules struct {
-	Grace time.Duration `cbor:"1,keyasint" json:"grace"` // between being behind and being shut out
-	Floor float64       `cbor:"2,keyasint" json:"floor"` // the share of all known boxes that must be left
+	Grace time.Duration `cbor:"1,keyasint" json:"grace"` // time between falling behind and being shut out
+	Floor float64       `cbor:"2,keyasint" json:"floor"` // share of all known boxes that must not be shut out or dead
 	Leave bool          `cbor:"3,keyasint" json:"leave"` // a box that is shut out takes itself out of service
 }
 
@@ -75,84 +76,84 @@
 	Digest string `cbor:"2,keyasint" json:"digest"`
 	Size   int    `cbor:"3,keyasint" json:"size"`
 	Needs  uint64 `cbor:"4,keyasint" json:"needs"`
-	By     string `cbor:"5,keyasint" json:"by"` // the box that took it
+	By     string `cbor:"5,keyasint" json:"by"` // box that sent the Put
 	Caller string `cbor:"6,keyasint" json:"caller,omitempty"`
-	Index  uint64 `cbor:"7,keyasint" json:"index"` // of the ledger
+	Index  uint64 `cbor:"7,keyasint" json:"index"` // ledger index
 	Rules  Rules  `cbor:"8,keyasint" json:"rules"`
 }
 
-// Plan is how a roll-out goes.
+// Plan holds the parameters of a roll-out.
 type Plan struct {
-	Canaries  int           `cbor:"1,keyasint" json:"canaries"`    // boxes of the first wave
-	Share     float64       `cbor:"2,keyasint" json:"share"`       // of all boxes, in each wave after it
-	Pace      time.Duration `cbor:"3,keyasint" json:"pace_ns"`     // a wave is looked at for so long once all of it is through
-	Patience  time.Duration `cbor:"4,keyasint" json:"patience_ns"` // for boxes that do not come along
-	Turned    int           `cbor:"5,keyasint" json:"turned"`      // boxes that may turn it down
-	Died      int           `cbor:"6,keyasint" json:"died"`        // boxes of the reached waves that may be gone when a wave ends
-	Slots     int           `cbor:"7,keyasint" json:"slots"`       // boxes that change at a time
-	Supersede bool          `cbor:"8,keyasint" json:"supersede"`   // take the place of one that runs
-	Keep      bool          `cbor:"9,keyasint" json:"keep_lowest"` // leave the lowest allowed number as it is
+	Canaries  int           `cbor:"1,keyasint" json:"canaries"`    // number of boxes in the first wave
+	Share     float64       `cbor:"2,keyasint" json:"share"`       // share of all boxes in each later wave
+	Pace      time.Duration `cbor:"3,keyasint" json:"pace_ns"`     // observation time after all boxes of a wave have changed
+	Patience  time.Duration `cbor:"4,keyasint" json:"patience_ns"` // time-out for the boxes of a wave to change
+	Turned    int           `cbor:"5,keyasint" json:"turned"`      // number of boxes that may reject the version
+	Died      int           `cbor:"6,keyasint" json:"died"`        // number of boxes of the waves so far that may be dead
+	Slots     int           `cbor:"7,keyasint" json:"slots"`       // number of boxes that may change at a time
+	Supersede bool          `cbor:"8,keyasint" json:"supersede"`   // replace a running roll-out
+	Keep      bool          `cbor:"9,keyasint" json:"keep_lowest"` // do not raise the lowest allowed version at the end
 	Caller    string        `cbor:"10,keyasint" json:"caller,omitempty"`
 }
 
-// DefaultPlan is a careful one.
+// DefaultPlan is a conservative plan.
 var DefaultPlan = Plan{Canaries: 1, Share: 0.25, Pace: 30 * time.Second, Patience: 2 * time.Minute, Turned: 0, Died: 1, Slots: 1}
 
-// Check tells what is wrong with a plan.
+// Check returns an error if a parameter is invalid.
 func (p Plan) Check() error {
 	switch {
 	case p.Canaries < 1:
-		return errors.New("the first wave needs one box at the least")
+		return fmt.Errorf("canaries must be at least 1, not %d", p.Canaries)
 	case !(p.Share > 0 && p.Share <= 1):
-		return fmt.Errorf("a wave is a share of all boxes above 0 and up to 1, not %v", p.Share)
+		return fmt.Errorf("share of a wave must be above 0 and at most 1, not %v", p.Share)
 	case p.Pace < 0 || p.Patience <= 0:
-		return errors.New("a pace is not below 0, and patience is above")
+		return fmt.Errorf("pace must be at least 0 and patience above 0, not %v and %v", p.Pace, p.Patience)
 	case p.Turned < 0 || p.Died < 0 || p.Slots < 1 || p.Slots > 1000:
-		return errors.New("boxes that may turn it down or die are 0 or more, and 1 to 1000 change at a time")
+		return fmt.Errorf("boxes that may reject (%d) or die (%d) must be at least 0, and slots (%d) from 1 to 1000", p.Turned, p.Died, p.Slots)
 	}
 	return nil
 }
 
-// Phase is how a roll-out stands.
+// Phase is the state of a roll-out.
 type Phase uint8
 
-// The phases. The first three are of one that runs.
+// Phases. In the first three the roll-out is running.
 const (
-	Going      Phase = iota + 1 // wave after wave
-	Held                        // by an operator
-	Back                        // boxes go back to what was in force
-	Done                        // in force on all that live
-	Returned                    // it was halted or aborted, and all are back
-	Superseded                  // another one took its place
+	Going      Phase = iota + 1 // proceeding wave by wave
+	Held                        // paused by an operator
+	Back                        // rolling back to the previous version
+	Done                        // completed
+	Returned                    // halted or aborted, and rolled back
+	Superseded                  // replaced by another roll-out
 )
 
-var phases = [...]string{"", "going", "held", "going back", "done", "returned", "superseded"}
+var phaseNames = [...]string{"", "going", "held", "going back", "done", "returned", "superseded"}
 
-func (p Phase) String() string { return phases[p] }
+func (p Phase) String() string { return phaseNames[p] }
 
-// MarshalText has phases written by name.
+// MarshalText implements encoding.TextMarshaler. The text is the name of the phase.
 func (p Phase) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText implements encoding.TextUnmarshaler. An unknown name gives the zero Phase.
 func (p *Phase) UnmarshalText(text []byte) error {
-	*p = Phase(max(0, slices.Index(phases[:], string(text))))
+	*p = Phase(max(0, slices.Index(phaseNames[:], string(text))))
 	return nil
 }
 
 // Roll is a roll-out.
 type Roll struct {
-	ID    uint64     `cbor:"1,keyasint" json:"id"` // the ledger's index of its start
+	ID    uint64     `cbor:"1,keyasint" json:"id"` // ledger index of the Start command
 	From  uint64     `cbor:"2,keyasint" json:"from"`
 	To    uint64     `cbor:"3,keyasint" json:"to"`
 	Plan  Plan       `cbor:"4,keyasint" json:"plan"`
 	Waves [][]string `cbor:"5,keyasint" json:"waves"`
-	Wave  int        `cbor:"6,keyasint" json:"wave"` // the one under way, from 0
+	Wave  int        `cbor:"6,keyasint" json:"wave"` // current wave, from 0
 	Phase Phase      `cbor:"7,keyasint" json:"phase"`
 	Why   string     `cbor:"8,keyasint" json:"why,omitempty"`
 }
 
-// reached tells whether a box's wave has begun.
-func (r *Roll) reached(box string) bool {
+// hasReached reports whether the box's wave has started.
+func (r *Roll) hasReached(box string) bool {
 	for _, w := range r.Waves[:min(r.Wave+1, len(r.Waves))] {
 		if slices.Contains(w, box) {
 			return true
@@ -161,15 +162,15 @@
 	return false
 }
 
-// Standing is how a box says that it stands.
+// Standing is the state that a box reports.
 type Standing struct {
 	Session uint64 `cbor:"1,keyasint" json:"session"`
-	InForce uint64 `cbor:"2,keyasint" json:"in_force"` // 0: none
-	Turned  uint64 `cbor:"3,keyasint" json:"turned_down,omitempty"`
+	InForce uint64 `cbor:"2,keyasint" json:"in_force"`              // version in force; 0: none
+	Turned  uint64 `cbor:"3,keyasint" json:"turned_down,omitempty"` // last rejected version
 	Why     string `cbor:"4,keyasint" json:"why,omitempty"`
-	Number  uint64 `cbor:"5,keyasint" json:"build_number"` // of its build
-	Good    uint64 `cbor:"6,keyasint" json:"good"`         // requests that were served in time, in this process
-	Bad     uint64 `cbor:"7,keyasint" json:"bad"`          // that were not
+	Number  uint64 `cbor:"5,keyasint" json:"build_number"` // build number
+	Good    uint64 `cbor:"6,keyasint" json:"good"`         // requests of this process that were served in time
+	Bad     uint64 `cbor:"7,keyasint" json:"bad"`          // requests of this process that were not served in time
 }
 
 // Out is a box that is shut out.
@@ -180,35 +181,36 @@
 	Lowest  uint64 `cbor:"4,keyasint" json:"lowest"`
 }
 
-// The bounds of a Table.
+// Bounds of a Table.
 const (
 	VersionsKept = 128
 	PastKept     = 32
 	BoxesMost    = 4096
-	SizeMost     = 256 << 10 // bytes of a configuration
-	textMost     = 400
+	SizeMost     = 256 << 10 // size of a configuration in bytes
+	maxTextLen   = 400       // length of a text in bytes
 )
 
-// Table is what the fleet agrees on. It depends on nothing but the commands, who says them, and their order.
+// Table is the replicated roll-out state. It depends only on the commands, their senders and their order.
 type Table struct {
-	Last     uint64              `cbor:"1,keyasint"` // number given out
+	Last     uint64              `cbor:"1,keyasint"` // last assigned version number
 	Versions []Version           `cbor:"2,keyasint"` // oldest first
-	Target   uint64              `cbor:"3,keyasint"` // in force where no roll-out says otherwise; 0: none
-	Lowest   uint64              `cbor:"4,keyasint"` // that is allowed
-	Roll     *Roll               `cbor:"5,keyasint"` // the one that runs
-	Past     []Roll              `cbor:"6,keyasint"`
-	Boxes    map[string]Standing `cbor:"7,keyasint"`
-	Out      map[string]Out      `cbor:"8,keyasint"`
-	Rises    []Rise              `cbor:"9,keyasint"` // of the lowest number, oldest first
+	Target   uint64              `cbor:"3,keyasint"` // version in force on boxes that no roll-out has reached; 0: none
+	Lowest   uint64              `cbor:"4,keyasint"` // lowest allowed version
+	Roll     *Roll               `cbor:"5,keyasint"` // running roll-out, or nil
+	Past     []Roll              `cbor:"6,keyasint"` // finished roll-outs, oldest first
+	Boxes    map[string]Standing `cbor:"7,keyasint"` // last report of each box
+	Out      map[string]Out      `cbor:"8,keyasint"` // boxes that are shut out
+	Rises    []Rise              `cbor:"9,keyasint"` // of the lowest allowed version, oldest first
 }
 
-// Rise is where the lowest allowed number rose.
+// Rise is an increase of the lowest allowed version.
 type Rise struct {
 	Lowest uint64 `cbor:"1,keyasint" json:"lowest"`
 	Index  uint64 `cbor:"2,keyasint" json:"index"`
 }
 
-// NotFrom is the index from which on a number was allowed no more; 0 if it still is, or if it was too long ago.
+// NotFrom returns the ledger index from which on version n was not allowed any more. It is 0 if the version is still allowed
+// or if the change is too old to be kept.
 func (t *Table) NotFrom(n uint64) uint64 {
 	for _, r := range t.Rises {
 		if r.Lowest > n {
@@ -218,75 +220,76 @@
 	return 0
 }
 
-// rise has no lower number be allowed.
-func (t *Table) rise(lowest, index uint64) {
+// raiseLowest sets the lowest allowed version.
+func (t *Table) raiseLowest(lowest, index uint64) {
 	t.Lowest = lowest
 	t.Rises = append(slices.Clone(t.Rises[max(0, len(t.Rises)+1-VersionsKept):]), Rise{lowest, index})
 }
 
-// NewTable returns an empty one.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{Boxes: map[string]Standing{}, Out: map[string]Out{}} }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares only immutable data with t.
 func (t *Table) Clone() *Table {
 	c := *t
 	c.Versions, c.Past, c.Boxes, c.Out = slices.Clone(t.Versions), slices.Clone(t.Past), maps.Clone(t.Boxes), maps.Clone(t.Out)
 	if t.Roll != nil {
-		r := *t.Roll // its waves never change
+		r := *t.Roll // the waves are immutable
 		c.Roll = &r
 	}
 	return &c
 }
 
-// Of says who a command comes from, and what the ledger knows of the fleet at its place.
+// Of is the context of a command: its sender and the state of the fleet at its ledger index.
 type Of struct {
 	Index    uint64
-	Box      string // whose session it came in
+	Box      string // sender
 	Session  uint64
-	Conducts bool              // its box holds the conductor's lease
-	Living   map[string]uint64 // the newest session of each box that has one
-	Known    int               // boxes, the dead included and those that left excepted
+	Conducts bool              // the sender holds the conductor's lease
+	Living   map[string]uint64 // current session of each box that has one
+	Known    int               // number of boxes, including dead ones, without those that have left
 }
 
-// Why a command was turned down.
+// Reasons for which Apply rejects a command.
 var (
-	ErrBad     = errors.New("not a command that this box knows")
-	ErrUnknown = errors.New("no configuration of this number is kept; 'cairnctl fleet config list' lists them")
-	ErrBusy    = errors.New("a roll-out is under way; hold, abort or supersede it")
-	ErrNone    = errors.New("no roll-out is under way, or another one than is meant")
-	ErrDone    = errors.New("this step was made already")
-	ErrLease   = errors.New("the box does not hold the conductor's lease")
-	ErrFloor   = errors.New("too few boxes would be left")
-	ErrCurrent = errors.New("the box is not behind, or is another incarnation")
-	ErrOlder   = errors.New("the number is not above the lowest, or not in force")
-	ErrSame    = errors.New("this number is in force already")
+	ErrBad     = errors.New("invalid or unknown command")
+	ErrUnknown = errors.New("no configuration with this number is kept; see 'cairnctl fleet config list'")
+	ErrBusy    = errors.New("a roll-out is in progress, or is held; resume, abort or supersede it")
+	ErrNone    = errors.New("the roll-out that the command refers to is not in progress")
+	ErrDone    = errors.New("the command has already taken effect or is not possible in the present phase")
+	ErrLease   = errors.New("the sender does not hold the conductor's lease")
+	ErrFloor   = errors.New("shutting out another box would leave fewer boxes than the floor")
+	ErrCurrent = errors.New("the box is not behind, or has a new session")
+	ErrOlder   = errors.New("the number is not above the lowest allowed version, or is above the version in force")
+	ErrSame    = errors.New("the number is not above the version in force or being rolled out")
 )
 
-// Apply carries out a command.
+// Apply executes a command.
 func (t *Table) Apply(c Command, of Of) error {
 	switch c.Kind {
 	case Put:
-		return t.put(c, of)
+		return t.putVersion(c, of)
 	case Start:
-		return t.start(c, of)
+		return t.startRoll(c, of)
 	case Tell:
-		return t.tell(c, of)
+		return t.storeReport(c, of)
 	case ShutOut:
 		return t.shutOut(c, of)
 	case Lowest:
 		if c.N <= t.Lowest || c.N > t.Target {
 			return ErrOlder
 		}
-		t.rise(c.N, of.Index)
+		t.raiseLowest(c.N, of.Index)
 		return nil
 	case Step, Halt, Hold, Resume, Abort:
-		return t.change(c, of)
+		return t.changeRoll(c, of)
 	}
 	return ErrBad
 }
 
-func (t *Table) put(c Command, of Of) error {
-	if len(c.Digest) != 64 || c.Size < 0 || c.Size > SizeMost || len(c.Caller) > textMost || c.Rules == nil {
+// putVersion stores a new version and drops the oldest ones that are not in use.
+func (t *Table) putVersion(c Command, of Of) error {
+	if len(c.Digest) != 64 || c.Size < 0 || c.Size > SizeMost || len(c.Caller) > maxTextLen || c.Rules == nil {
 		return ErrBad
 	}
 	t.Last++
@@ -301,7 +304,7 @@
 	return nil
 }
 
-// Version returns a configuration by number; nil if it is not kept.
+// Version returns the version with the given number, or nil if it is not kept.
 func (t *Table) Version(n uint64) *Version {
 	for i := range t.Versions {
 		if t.Versions[i].N == n {
@@ -311,28 +314,29 @@
 	return nil
 }
 
-func (t *Table) start(c Command, of Of) error {
+// startRoll starts a roll-out.
+func (t *Table) startRoll(c Command, of Of) error {
 	switch {
 	case t.Version(c.N) == nil:
 		return ErrUnknown
-	case c.Plan == nil || c.Plan.Check() != nil || len(c.Plan.Caller) > textMost:
+	case c.Plan == nil || c.Plan.Check() != nil || len(c.Plan.Caller) > maxTextLen:
 		return ErrBad
 	case t.Roll != nil && !c.Plan.Supersede:
 		return ErrBusy
 	case t.Roll == nil && c.N <= t.Target:
-		return ErrSame // numbers only grow: going back is a new number
+		return ErrSame // version numbers only increase: an older configuration needs a new number
 	case t.Roll != nil && c.N <= t.Roll.To:
 		return ErrSame
 	}
 	if t.Roll != nil {
-		t.end(Superseded)
+		t.endRoll(Superseded)
 	}
-	t.Roll = &Roll{ID: of.Index, From: t.Target, To: c.N, Plan: *c.Plan, Waves: waves(of.Living, t.Out, *c.Plan), Phase: Going}
+	t.Roll = &Roll{ID: of.Index, From: t.Target, To: c.N, Plan: *c.Plan, Waves: splitWaves(of.Living, t.Out, *c.Plan), Phase: Going}
 	return nil
 }
 
-// waves divides the boxes that live and are not shut out, in one order on all boxes.
-func waves(living map[string]uint64, out map[string]Out, p Plan) (list [][]string) {
+// splitWaves divides the living boxes that are not shut out into waves, in the order of their names.
+func splitWaves(living map[string]uint64, out map[string]Out, p Plan) (list [][]string) {
 	var names []string
 	for _, n := range slices.Sorted(maps.Keys(living)) {
 		if _, shut := out[n]; !shut {
@@ -349,10 +353,10 @@
 	return list
 }
 
-// change moves the roll-out that runs.
-func (t *Table) change(c Command, of Of) error {
+// changeRoll applies a command to the running roll-out.
+func (t *Table) changeRoll(c Command, of Of) error {
 	r := t.Roll
-	if r == nil || r.ID != c.Roll || len(c.Why) > textMost {
+	if r == nil || r.ID != c.Roll || len(c.Why) > maxTextLen {
 		return ErrNone
 	}
 	if (c.Kind == Step || c.Kind == Halt) && !of.Conducts {
@@ -366,15 +370,15 @@
 		case c.Wave != r.Wave:
 			return ErrDone
 		case r.Phase == Back:
-			t.end(Returned)
+			t.endRoll(Returned)
 		case r.Wave+1 < len(r.Waves):
 			r.Wave++
 		default:
 			t.Target = r.To
 			if !r.Plan.Keep {
-				t.rise(r.To, of.Index)
+				t.raiseLowest(r.To, of.Index)
 			}
-			t.end(Done)
+			t.endRoll(Done)
 		}
 	case Halt, Abort:
 		if r.Phase == Back {
@@ -395,24 +399,25 @@
 	return nil
 }
 
-func (t *Table) end(p Phase) {
+// endRoll moves the running roll-out to the finished ones.
+func (t *Table) endRoll(p Phase) {
 	t.Roll.Phase = p
 	t.Past = append(slices.Clone(t.Past[max(0, len(t.Past)+1-PastKept):]), *t.Roll)
 	t.Roll = nil
 }
 
-// Wants is the number that a box is to have in force; 0 where nothing is asked of it.
+// Wants returns the version that a box must have in force, 0 for none.
 func (t *Table) Wants(box string) uint64 {
-	if r := t.Roll; r != nil && r.Phase != Back && r.reached(box) {
+	if r := t.Roll; r != nil && r.Phase != Back && r.hasReached(box) {
 		return r.To
 	}
 	return t.Target
 }
 
-// tell keeps what a box says of itself. It is believed of the box's newest session alone.
-func (t *Table) tell(c Command, of Of) error {
+// storeReport stores the report of a box. Reports are accepted only from the box's current session.
+func (t *Table) storeReport(c Command, of Of) error {
 	s := c.Standing
-	if s == nil || len(s.Why) > textMost || s.InForce > t.Last || of.Living[of.Box] != of.Session {
+	if s == nil || len(s.Why) > maxTextLen || s.InForce > t.Last || of.Living[of.Box] != of.Session {
 		return ErrBad
 	}
 	if _, ok := t.Boxes[of.Box]; !ok && len(t.Boxes) >= BoxesMost {
@@ -421,20 +426,20 @@
 	n := *s
 	n.Session = of.Session
 	t.Boxes[of.Box] = n
-	if _, out := t.Out[of.Box]; out && n.InForce >= t.Lowest { // back in by itself, once it is up to date
+	if _, out := t.Out[of.Box]; out && n.InForce >= t.Lowest { // a box that is up to date is let in again
 		delete(t.Out, of.Box)
 	}
 	return nil
 }
 
-// Behind tells whether a box is below the lowest allowed number. One that has told nothing in its session is: nobody knows
-// what it acts on.
+// Behind reports whether a box is below the lowest allowed version. A box that has not reported in its session counts as
+// behind because its version is unknown.
 func (t *Table) Behind(box string, session uint64) bool {
 	s, ok := t.Boxes[box]
 	return t.Lowest > 0 && (!ok || s.Session != session || s.InForce < t.Lowest)
 }
 
-// shutOut shuts a box out, unless it has come along meanwhile or too few would be left.
+// shutOut shuts a box out, unless it is up to date by now or too few boxes would be left.
 func (t *Table) shutOut(c Command, of Of) error {
 	if of.Living[c.Box] != c.Session || c.Session == 0 || !t.Behind(c.Box, c.Session) {
 		return ErrCurrent
@@ -449,7 +454,8 @@
 	return nil
 }
 
-// Spare tells whether one more box may be shut out: of all known boxes, the dead included, the configuration's share is left.
+// Spare reports whether one more box may be shut out: at least one box, and the configured share of all known boxes
+// including dead ones, must be left.
 func (t *Table) Spare(living map[string]uint64, known int) bool {
 	left := len(living) - 1
 	for box := range t.Out {
@@ -464,18 +470,18 @@
 	return left >= 1 && float64(left) >= floor*float64(max(known, len(living)))
 }
 
-// Check tells which invariant does not hold; nil means that all do.
+// Check returns an error if an invariant is violated.
 func (t *Table) Check() error {
 	switch r := t.Roll; {
 	case t.Target > t.Last || t.Lowest > t.Target:
 		return fmt.Errorf("lowest %d, in force %d, last %d", t.Lowest, t.Target, t.Last)
 	case r != nil && (r.From != t.Target || r.To <= r.From || r.Wave < 0 || r.Wave >= len(r.Waves) || r.Phase > Back):
-		return fmt.Errorf("roll-out %+v with %d in force", *r, t.Target)
+		return fmt.Errorf("invalid roll-out %+v with version %d in force", *r, t.Target)
 	case len(t.Versions) > VersionsKept || len(t.Past) > PastKept:
-		return errors.New("more is kept than the bounds say")
+		return fmt.Errorf("%d versions and %d finished roll-outs exceed the bounds", len(t.Versions), len(t.Past))
 	}
 	if t.Target != 0 && t.Version(t.Target) == nil {
-		return fmt.Errorf("%d is in force and not kept", t.Target)
+		return fmt.Errorf("version %d is in force but not kept", t.Target)
 	}
 	return nil
 }
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -18,11 +18,11 @@
 
 var digest = strings.Repeat("a", 64)
 
-func put(needs uint64) Command {
+func putCommand(needs uint64) Command {
 	return Command{Kind: Put, Digest: digest, Needs: needs, Rules: &Rules{Grace: time.Minute, Floor: 0.5}}
 }
 
-func plan(change func(*Plan)) *Plan {
+func testPlan(change func(*Plan)) *Plan {
 	p := Plan{Canaries: 1, Share: 0.5, Pace: 10 * time.Second, Patience: time.Minute, Slots: 1}
 	if change != nil {
 		change(&p)
@@ -30,55 +30,56 @@
 	return &p
 }
 
-func tell(inForce, turned uint64) Command {
+func tellCommand(inForce, turned uint64) Command {
 	return Command{Kind: Tell, Standing: &Standing{InForce: inForce, Turned: turned, Why: "line 3"}}
 }
 
-// TestTheTable goes through commands and what comes of each. A box says them in session 1.
-func TestTheTable(t *testing.T) {
+// TestTableApply checks the results of sequences of commands. Each step names the sending box, whose session is 1. A "!" in
+// front of the name means that the box holds the conductor's lease.
+func TestTableApply(t *testing.T) {
 	all := map[string]uint64{"a": 1, "b": 1, "c": 1}
 	type step struct {
 		box string
 		c   Command
 		err error
 	}
-	started := []step{{"a", put(0), nil}, {"a", Command{Kind: Start, N: 1, Plan: plan(nil)}, nil}}
+	started := []step{{"a", putCommand(0), nil}, {"a", Command{Kind: Start, N: 1, Plan: testPlan(nil)}, nil}}
 	done := slices.Concat(started, []step{{"!a", Command{Kind: Step, Roll: 2}, nil}, {"!a", Command{Kind: Step, Roll: 2, Wave: 1}, nil}})
 	for name, c := range map[string]struct {
 		before []step
 		steps  []step
 		want   func(*Table) bool
 	}{
-		"numbers grow":           {nil, []step{{"a", put(0), nil}, {"b", put(0), nil}}, func(t *Table) bool { return t.Last == 2 && t.Versions[1].By == "b" && t.Target == 0 }},
-		"unknown":                {started, []step{{"a", Command{Kind: Start, N: 9, Plan: plan(nil)}, ErrUnknown}}, nil},
-		"two start":              {started, []step{{"b", put(0), nil}, {"b", Command{Kind: Start, N: 2, Plan: plan(nil)}, ErrBusy}}, func(t *Table) bool { return t.Roll.To == 1 }},
-		"superseded":             {started, []step{{"b", put(0), nil}, {"b", Command{Kind: Start, N: 2, Plan: plan(func(p *Plan) { p.Supersede = true })}, nil}}, func(t *Table) bool { return t.Roll.To == 2 && t.Past[0].Phase == Superseded }},
-		"a canary first":         {started, nil, func(t *Table) bool { return t.Wants("a") == 1 && t.Wants("b") == 0 && len(t.Roll.Waves) == 2 }},
-		"a step by no conductor": {started, []step{{"a", Command{Kind: Step, Roll: 2}, ErrLease}}, nil},
-		"a step twice":           {started, []step{{"!a", Command{Kind: Step, Roll: 2}, nil}, {"!b", Command{Kind: Step, Roll: 2}, ErrDone}}, func(t *Table) bool { return t.Roll.Wave == 1 && t.Wants("c") == 1 }},
-		"a step of another":      {started, []step{{"!a", Command{Kind: Step, Roll: 1}, ErrNone}}, nil},
-		"held":                   {started, []step{{"c", Command{Kind: Hold, Roll: 2}, nil}, {"!a", Command{Kind: Step, Roll: 2}, ErrBusy}, {"c", Command{Kind: Hold, Roll: 2}, ErrDone}, {"c", Command{Kind: Resume, Roll: 2}, nil}, {"!a", Command{Kind: Step, Roll: 2}, nil}}, nil},
+		"numbers increase":                   {nil, []step{{"a", putCommand(0), nil}, {"b", putCommand(0), nil}}, func(t *Table) bool { return t.Last == 2 && t.Versions[1].By == "b" && t.Target == 0 }},
+		"start of an unknown version":        {started, []step{{"a", Command{Kind: Start, N: 9, Plan: testPlan(nil)}, ErrUnknown}}, nil},
+		"second start is rejected":           {started, []step{{"b", putCommand(0), nil}, {"b", Command{Kind: Start, N: 2, Plan: testPlan(nil)}, ErrBusy}}, func(t *Table) bool { return t.Roll.To == 1 }},
+		"roll-out superseded":                {started, []step{{"b", putCommand(0), nil}, {"b", Command{Kind: Start, N: 2, Plan: testPlan(func(p *Plan) { p.Supersede = true })}, nil}}, func(t *Table) bool { return t.Roll.To == 2 && t.Past[0].Phase == Superseded }},
+		"canaries first":                     {started, nil, func(t *Table) bool { return t.Wants("a") == 1 && t.Wants("b") == 0 && len(t.Roll.Waves) == 2 }},
+		"step without the conductor's lease": {started, []step{{"a", Command{Kind: Step, Roll: 2}, ErrLease}}, nil},
+		"repeated step":                      {started, []step{{"!a", Command{Kind: Step, Roll: 2}, nil}, {"!b", Command{Kind: Step, Roll: 2}, ErrDone}}, func(t *Table) bool { return t.Roll.Wave == 1 && t.Wants("c") == 1 }},
+		"step of another roll-out":           {started, []step{{"!a", Command{Kind: Step, Roll: 1}, ErrNone}}, nil},
+		"held and resumed":                   {started, []step{{"c", Command{Kind: Hold, Roll: 2}, nil}, {"!a", Command{Kind: Step, Roll: 2}, ErrBusy}, {"c", Command{Kind: Hold, Roll: 2}, ErrDone}, {"c", Command{Kind: Resume, Roll: 2}, nil}, {"!a", Command{Kind: Step, Roll: 2}, nil}}, nil},
 		"aborted": {started, []step{{"c", Command{Kind: Abort, Roll: 2}, nil}, {"!a", Command{Kind: Halt, Roll: 2}, ErrDone}, {"!a", Command{Kind: Step, Roll: 2}, nil}}, func(t *Table) bool {
 			return t.Roll == nil && t.Past[0].Phase == Returned && t.Target == 0 && t.Lowest == 0
 		}},
-		"nobody goes back alone":  {started, []step{{"c", Command{Kind: Resume, Roll: 2}, ErrDone}}, nil},
-		"done":                    {done, nil, func(t *Table) bool { return t.Target == 1 && t.Lowest == 1 && t.Roll == nil && t.Behind("a", 1) }},
-		"the same again":          {done, []step{{"a", Command{Kind: Start, N: 1, Plan: plan(nil)}, ErrSame}}, nil},
-		"lowest above":            {done, []step{{"a", Command{Kind: Lowest, N: 2}, ErrOlder}, {"a", Command{Kind: Lowest, N: 1}, ErrOlder}}, nil},
-		"up to date":              {done, []step{{"a", tell(1, 0), nil}, {"b", Command{Kind: ShutOut, Box: "a", Session: 1}, ErrCurrent}}, func(t *Table) bool { return !t.Behind("a", 1) && t.Behind("a", 2) }},
-		"shut out and back in":    {done, []step{{"b", Command{Kind: ShutOut, Box: "a", Session: 1}, nil}, {"b", Command{Kind: ShutOut, Box: "a", Session: 1}, ErrDone}, {"a", tell(0, 1), nil}, {"a", tell(1, 0), nil}}, func(t *Table) bool { return len(t.Out) == 0 }},
-		"another incarnation":     {done, []step{{"b", Command{Kind: ShutOut, Box: "a", Session: 2}, ErrCurrent}}, nil},
-		"the floor":               {done, []step{{"b", Command{Kind: ShutOut, Box: "a", Session: 1}, nil}, {"b", Command{Kind: ShutOut, Box: "c", Session: 1}, ErrFloor}}, nil},
-		"a number that is none":   {started, []step{{"a", tell(7, 0), ErrBad}}, nil},
-		"words of an old session": {started, []step{{"z", tell(1, 0), ErrBad}}, nil},
-		"rubbish":                 {nil, []step{{"a", Command{Kind: 99}, ErrBad}, {"a", Command{Kind: Put}, ErrBad}, {"a", Command{Kind: Start, Plan: plan(nil)}, ErrUnknown}, {"a", Command{Kind: Step}, ErrNone}}, nil},
+		"resume without hold":                    {started, []step{{"c", Command{Kind: Resume, Roll: 2}, ErrDone}}, nil},
+		"done":                                   {done, nil, func(t *Table) bool { return t.Target == 1 && t.Lowest == 1 && t.Roll == nil && t.Behind("a", 1) }},
+		"start of the version in force":          {done, []step{{"a", Command{Kind: Start, N: 1, Plan: testPlan(nil)}, ErrSame}}, nil},
+		"invalid lowest versions":                {done, []step{{"a", Command{Kind: Lowest, N: 2}, ErrOlder}, {"a", Command{Kind: Lowest, N: 1}, ErrOlder}}, nil},
+		"box that is up to date is not shut out": {done, []step{{"a", tellCommand(1, 0), nil}, {"b", Command{Kind: ShutOut, Box: "a", Session: 1}, ErrCurrent}}, func(t *Table) bool { return !t.Behind("a", 1) && t.Behind("a", 2) }},
+		"shut out and let in again":              {done, []step{{"b", Command{Kind: ShutOut, Box: "a", Session: 1}, nil}, {"b", Command{Kind: ShutOut, Box: "a", Session: 1}, ErrDone}, {"a", tellCommand(0, 1), nil}, {"a", tellCommand(1, 0), nil}}, func(t *Table) bool { return len(t.Out) == 0 }},
+		"shut out with a wrong session":          {done, []step{{"b", Command{Kind: ShutOut, Box: "a", Session: 2}, ErrCurrent}}, nil},
+		"shut out below the floor":               {done, []step{{"b", Command{Kind: ShutOut, Box: "a", Session: 1}, nil}, {"b", Command{Kind: ShutOut, Box: "c", Session: 1}, ErrFloor}}, nil},
+		"report of an unknown version":           {started, []step{{"a", tellCommand(7, 0), ErrBad}}, nil},
+		"report from a wrong session":            {started, []step{{"z", tellCommand(1, 0), ErrBad}}, nil},
+		"invalid commands":                       {nil, []step{{"a", Command{Kind: 99}, ErrBad}, {"a", Command{Kind: Put}, ErrBad}, {"a", Command{Kind: Start, Plan: testPlan(nil)}, ErrUnknown}, {"a", Command{Kind: Step}, ErrNone}}, nil},
 	} {
 		table := NewTable()
 		for i, s := range slices.Concat(c.before, c.steps) {
 			box, conducts := strings.CutPrefix(s.box, "!")
 			known := 3
 			if err := table.Apply(s.c, Of{Index: uint64(i + 1), Box: box, Session: 1, Conducts: conducts, Living: all, Known: known}); err != s.err {
-				t.Errorf("%s: step %d, %v: %v, not %v", name, i, s.c.Kind, err, s.err)
+				t.Errorf("%s: step %d, %v: %v, want %v", name, i, s.c.Kind, err, s.err)
 			}
 			if err := table.Check(); err != nil {
 				t.Errorf("%s: step %d: %v", name, i, err)
@@ -90,41 +91,42 @@
 	}
 }
 
-// TestAPlanIsChecked, and a floor counts the dead.
-func TestAPlanIsChecked(t *testing.T) {
+// TestPlanCheckAndSpare checks the validation of plans, and that dead boxes count as known boxes for the floor.
+func TestPlanCheckAndSpare(t *testing.T) {
 	for name, change := range map[string]func(*Plan){"canaries": func(p *Plan) { p.Canaries = 0 }, "share": func(p *Plan) { p.Share = 0 }, "share above": func(p *Plan) { p.Share = 1.5 },
 		"pace": func(p *Plan) { p.Pace = -1 }, "patience": func(p *Plan) { p.Patience = 0 }, "turned": func(p *Plan) { p.Turned = -1 }, "slots": func(p *Plan) { p.Slots = 0 }} {
-		if plan(change).Check() == nil {
-			t.Errorf("%s is found right", name)
+		if testPlan(change).Check() == nil {
+			t.Errorf("invalid %s accepted", name)
 		}
 	}
-	if plan(nil).Check() != nil || DefaultPlan.Check() != nil {
-		t.Error("a right plan is found wrong")
+	if testPlan(nil).Check() != nil || DefaultPlan.Check() != nil {
+		t.Error("valid plan rejected")
 	}
 	table := NewTable()
 	living := map[string]uint64{"a": 1, "b": 1, "c": 1}
 	if !table.Spare(living, 3) || table.Spare(living, 5) {
-		t.Error("of three that live one may be shut out, but not where five are known")
+		t.Error("Spare must allow to shut out one of three living boxes if three are known, but not if five are known")
 	}
 }
 
-// play is a small fleet for models: what each box has on its disk and has told, who lives, and two that conduct in turn.
-type play struct {
-	t         *Table
-	now       time.Duration
-	living    map[string]uint64
-	disk      map[string]uint64
-	bad       map[string]uint64 // a number that the box turns down
-	conductor [2]Conductor
-	holds     int
-	index     uint64
-	last      *Command // of a conductor, to be said again
-	steps     map[string]int
-	broken    error
+// simFleet simulates a small fleet with the versions on the disks of its boxes, their reports, and two conductors that hold the
+// lease alternately.
+type simFleet struct {
+	table        *Table
+	now          time.Duration
+	living       map[string]uint64
+	disk         map[string]uint64
+	rejects      map[string]uint64 // version that the box rejects
+	conductors   [2]Conductor
+	leaseHolder  int
+	index        uint64
+	lastCommand  *Command // last command of a conductor, to be repeated
+	appliedSteps map[string]int
+	violation    error
 }
 
-func newPlay(boxes ...string) *play {
-	p := &play{t: NewTable(), living: map[string]uint64{}, disk: map[string]uint64{}, bad: map[string]uint64{}, steps: map[string]int{}}
+func newSimFleet(boxes ...string) *simFleet {
+	p := &simFleet{table: NewTable(), living: map[string]uint64{}, disk: map[string]uint64{}, rejects: map[string]uint64{}, appliedSteps: map[string]int{}}
 	for _, b := range boxes {
 		p.index++
 		p.living[b] = p.index
@@ -132,225 +134,227 @@
 	return p
 }
 
-func (p *play) clone() *play {
+func (p *simFleet) clone() *simFleet {
 	c := *p
-	c.t, c.living, c.disk, c.bad, c.steps = p.t.Clone(), maps.Clone(p.living), maps.Clone(p.disk), maps.Clone(p.bad), maps.Clone(p.steps)
-	for i := range c.conductor {
-		c.conductor[i].last = maps.Clone(p.conductor[i].last)
-		c.conductor[i].worse = slices.Clone(p.conductor[i].worse)
+	c.table, c.living, c.disk, c.rejects, c.appliedSteps = p.table.Clone(), maps.Clone(p.living), maps.Clone(p.disk), maps.Clone(p.rejects), maps.Clone(p.appliedSteps)
+	for i := range c.conductors {
+		c.conductors[i].lastStandings = maps.Clone(p.conductors[i].lastStandings)
+		c.conductors[i].worseReadings = slices.Clone(p.conductors[i].worseReadings)
 	}
 	return &c
 }
 
-// apply says a command and checks what must never be.
-func (p *play) apply(c Command, of Of) error {
+// apply executes a command and checks the invariants.
+func (p *simFleet) apply(c Command, of Of) error {
 	p.index++
 	of.Index, of.Living, of.Known = p.index, maps.Clone(p.living), len(p.disk)
-	was, roll := *p.t, p.t.Roll
+	before, roll := *p.table, p.table.Roll
 	var to, at uint64
 	wave := 0
 	if roll != nil {
 		to, at, wave = roll.To, roll.ID, roll.Wave
 	}
-	out := len(p.t.Out)
-	err := p.t.Apply(c, of)
+	out := len(p.table.Out)
+	err := p.table.Apply(c, of)
 	fail := func(format string, a ...any) {
-		if p.broken == nil {
-			p.broken = fmt.Errorf(format, a...)
+		if p.violation == nil {
+			p.violation = fmt.Errorf(format, a...)
 		}
 	}
-	if cerr := p.t.Check(); cerr != nil {
+	if cerr := p.table.Check(); cerr != nil {
 		fail("after %v: %w", c.Kind, cerr)
 	}
-	if p.t.Last < was.Last || p.t.Target < was.Target || p.t.Lowest < was.Lowest {
-		fail("after %v a number went back", c.Kind)
+	if p.table.Last < before.Last || p.table.Target < before.Target || p.table.Lowest < before.Lowest {
+		fail("after %v a version number decreased", c.Kind)
 	}
 	if c.Kind == Step && err == nil {
 		key := fmt.Sprint(at, "/", wave, "/", roll.Phase == Returned)
-		if p.steps[key]++; p.steps[key] > 1 {
-			fail("step %s was made twice", key)
+		if p.appliedSteps[key]++; p.appliedSteps[key] > 1 {
+			fail("step %s was applied twice", key)
 		}
 	}
-	if p.t.Target != was.Target { // a roll-out is done: all that live and were asked have it, but for those that may turn it down
+	if p.table.Target != before.Target { // a roll-out is done: all living boxes of its waves must have the version, except those that may reject it
 		turned := 0
 		for _, w := range roll.Waves {
 			for _, b := range w {
-				s := p.t.Boxes[b]
-				if _, shut := p.t.Out[b]; p.living[b] == 0 || shut {
+				s := p.table.Boxes[b]
+				if _, shut := p.table.Out[b]; p.living[b] == 0 || shut {
 					continue
 				}
 				switch {
 				case s.Session != p.living[b]:
-					fail("%d is in force, and nobody knows what %s acts on", to, b)
+					fail("version %d is in force, but the version of %s is unknown", to, b)
 				case s.InForce == to:
 				case s.Turned == to:
 					turned++
 				default:
-					fail("%d is in force, and %s has %d", to, b, s.InForce)
+					fail("version %d is in force, but %s has %d", to, b, s.InForce)
 				}
 			}
 		}
 		if turned > roll.Plan.Turned {
-			fail("%d is in force, and %d boxes have turned it down", to, turned)
+			fail("version %d is in force, but %d boxes have rejected it", to, turned)
 		}
 	}
 	left := 0
 	for b := range p.living {
-		if _, shut := p.t.Out[b]; !shut {
+		if _, shut := p.table.Out[b]; !shut {
 			left++
 		}
 	}
-	if len(p.t.Out) > out && float64(left) < 0.5*float64(len(p.disk)) {
-		fail("%d of %d boxes are left", left, len(p.disk))
+	if len(p.table.Out) > out && float64(left) < 0.5*float64(len(p.disk)) {
+		fail("%d of %d boxes left", left, len(p.disk))
 	}
 	return err
 }
 
-// moves are all that may happen next, by name.
-func (p *play) moves(boxes []string) []string {
-	list := []string{"conduct", "other", "repeat", "wait"}
+// stepNames returns the names of all possible next steps.
+func (p *simFleet) stepNames(boxes []string) []string {
+	list := []string{"conduct", "switch", "repeat", "wait"}
 	for _, b := range boxes {
-		list = append(list, "take "+b, "tell "+b, "turn "+b, "die "+b, "shut "+b)
+		list = append(list, "update "+b, "report "+b, "reject "+b, "toggle "+b, "shutout "+b)
 	}
 	return list
 }
 
-func (p *play) move(m string) bool {
-	what, b, _ := strings.Cut(m, " ")
-	session := p.living[b]
-	switch what {
+// step makes one step and returns false if the step is not possible or changes nothing.
+func (p *simFleet) step(name string) bool {
+	action, box, _ := strings.Cut(name, " ")
+	session := p.living[box]
+	switch action {
 	case "wait":
 		p.now += 11 * time.Second
-	case "other": // the lease goes to the other one
-		p.holds = 1 - p.holds
+	case "switch": // the lease goes to the other conductor
+		p.leaseHolder = 1 - p.leaseHolder
 	case "conduct":
-		cmd, _ := p.conductor[p.holds].Due(p.now, p.t, p.living)
+		cmd, _ := p.conductors[p.leaseHolder].Due(p.now, p.table, p.living)
 		if cmd == nil {
 			return false
 		}
-		p.last = cmd
+		p.lastCommand = cmd
 		p.apply(*cmd, Of{Box: "a", Session: p.living["a"], Conducts: true})
-	case "repeat": // what a stopped one says when it wakes: it comes late, after another one's steps
-		if p.last == nil || p.last.Kind != Step {
+	case "repeat": // a conductor that resumes after a pause repeats a command after steps of the other one
+		if p.lastCommand == nil || p.lastCommand.Kind != Step {
 			return false
 		}
-		if p.apply(*p.last, Of{Box: "b", Session: p.living["b"], Conducts: true}) == nil {
-			p.broken = errors.New("a step is made again by who says it again")
+		if p.apply(*p.lastCommand, Of{Box: "b", Session: p.living["b"], Conducts: true}) == nil {
+			p.violation = errors.New("repeated step was applied again")
 		}
-	case "take":
-		w := p.t.Wants(b)
-		if session == 0 || p.disk[b] == w || p.bad[b] == w {
+	case "update":
+		w := p.table.Wants(box)
+		if session == 0 || p.disk[box] == w || p.rejects[box] == w {
 			return false
 		}
-		p.disk[b] = w
-	case "turn":
-		w := p.t.Wants(b)
-		if session == 0 || w == 0 || p.disk[b] == w || p.bad[b] == w {
+		p.disk[box] = w
+	case "reject":
+		w := p.table.Wants(box)
+		if session == 0 || w == 0 || p.disk[box] == w || p.rejects[box] == w {
 			return false
 		}
-		p.bad[b] = w
-		p.apply(tell(p.disk[b], w), Of{Box: b, Session: session})
-	case "tell":
-		s := p.t.Boxes[b]
-		if session == 0 || s.Session == session && s.InForce == p.disk[b] && s.Turned == p.bad[b] {
+		p.rejects[box] = w
+		p.apply(tellCommand(p.disk[box], w), Of{Box: box, Session: session})
+	case "report":
+		s := p.table.Boxes[box]
+		if session == 0 || s.Session == session && s.InForce == p.disk[box] && s.Turned == p.rejects[box] {
 			return false
 		}
-		p.apply(tell(p.disk[b], p.bad[b]), Of{Box: b, Session: session})
-	case "die": // and back, as another incarnation
+		p.apply(tellCommand(p.disk[box], p.rejects[box]), Of{Box: box, Session: session})
+	case "toggle": // stops the box, or starts it as a new incarnation
 		if session != 0 {
-			delete(p.living, b)
+			delete(p.living, box)
 		} else {
 			p.index++
-			p.living[b] = p.index
+			p.living[box] = p.index
 		}
-	case "shut":
+	case "shutout":
 		if session == 0 {
 			return false
 		}
-		p.apply(Command{Kind: ShutOut, Box: b, Session: session}, Of{Box: "a", Session: p.living["a"]})
+		p.apply(Command{Kind: ShutOut, Box: box, Session: session}, Of{Box: "a", Session: p.living["a"]})
 	}
 	return true
 }
 
-func (p *play) key() string {
-	t := p.t
-	s := fmt.Sprint(t.Target, t.Lowest, t.Boxes, p.disk, p.bad, p.holds, len(t.Out), slices.Sorted(maps.Keys(t.Out)), slices.Sorted(maps.Keys(p.living)), len(t.Past))
+// fingerprint returns a string that identifies the state.
+func (p *simFleet) fingerprint() string {
+	t := p.table
+	s := fmt.Sprint(t.Target, t.Lowest, t.Boxes, p.disk, p.rejects, p.leaseHolder, len(t.Out), slices.Sorted(maps.Keys(t.Out)), slices.Sorted(maps.Keys(p.living)), len(t.Past))
 	if t.Roll != nil {
 		s += fmt.Sprint(t.Roll.ID, t.Roll.Wave, t.Roll.Phase)
 	}
-	for _, c := range p.conductor {
-		s += fmt.Sprint(c.roll, c.wave, c.phase, p.now-c.began, c.through != 0, p.now-c.through, c.read == 0)
+	for _, c := range p.conductors {
+		s += fmt.Sprint(c.roll, c.wave, c.phase, p.now-c.phaseSeen, c.allChangedSince != 0, p.now-c.allChangedSince, c.lastReading == 0)
 	}
 	return s
 }
 
-// TestEveryOrderOfSmallRollouts goes through all orders of what may happen to three boxes and the second of two versions, to the
-// depth of ROLLOUT_DEPTH.
+// TestEveryOrderOfSmallRollouts runs all orders of steps of three boxes and the second of two versions, up to the depth in
+// ROLLOUT_DEPTH.
 func TestEveryOrderOfSmallRollouts(t *testing.T) {
 	depth := 9
 	if d, err := strconv.Atoi(os.Getenv("ROLLOUT_DEPTH")); err == nil {
 		depth = d
 	}
 	boxes := []string{"a", "b", "c"}
-	first := newPlay(boxes...)
+	first := newSimFleet(boxes...)
 	for _, b := range boxes {
 		p := first
 		p.disk[b] = 1
 	}
-	first.apply(put(0), Of{Box: "a", Session: 1})
-	first.apply(put(0), Of{Box: "a", Session: 1})
-	first.t.Target, first.t.Lowest = 1, 1
+	first.apply(putCommand(0), Of{Box: "a", Session: 1})
+	first.apply(putCommand(0), Of{Box: "a", Session: 1})
+	first.table.Target, first.table.Lowest = 1, 1
 	for _, b := range boxes {
-		first.apply(tell(1, 0), Of{Box: b, Session: first.living[b]})
+		first.apply(tellCommand(1, 0), Of{Box: b, Session: first.living[b]})
 	}
-	first.apply(Command{Kind: Start, N: 2, Plan: plan(func(p *Plan) { p.Pace, p.Turned, p.Died = 0, 1, 1 })}, Of{Box: "a", Session: 1})
+	first.apply(Command{Kind: Start, N: 2, Plan: testPlan(func(p *Plan) { p.Pace, p.Turned, p.Died = 0, 1, 1 })}, Of{Box: "a", Session: 1})
 	seen := map[string]bool{}
-	level := []*play{first}
+	frontier := []*simFleet{first}
 	done := 0
 	for range depth {
-		var next []*play
-		for _, p := range level {
-			for _, m := range p.moves(boxes) {
+		var next []*simFleet
+		for _, p := range frontier {
+			for _, m := range p.stepNames(boxes) {
 				n := p.clone()
-				if !n.move(m) {
+				if !n.step(m) {
 					continue
 				}
-				if n.broken != nil {
-					t.Fatalf("%v after %s\n%+v", n.broken, m, n.t)
+				if n.violation != nil {
+					t.Fatalf("%v after %s\n%+v", n.violation, m, n.table)
 				}
-				if k := n.key(); !seen[k] {
+				if k := n.fingerprint(); !seen[k] {
 					seen[k] = true
 					next = append(next, n)
-					if n.t.Target == 2 {
+					if n.table.Target == 2 {
 						done++
 					}
 				}
 			}
 		}
-		level = next
+		frontier = next
 	}
-	t.Logf("%d states to depth %d, %d with the second version in force", len(seen), depth, done)
+	t.Logf("%d states up to depth %d, %d with the second version in force", len(seen), depth, done)
 }
 
-// TestRandomRollouts plays long ones with several versions.
+// TestRandomRollouts runs long random sequences of steps with several versions.
 func TestRandomRollouts(t *testing.T) {
 	testkit.Check(t, 400, func(t *rapid.T) {
 		boxes := []string{"a", "b", "c", "d", "e"}
-		p := newPlay(boxes...)
+		p := newSimFleet(boxes...)
 		for _, b := range boxes {
 			p.disk[b] = 0
 		}
-		moves := append(p.moves(boxes), "put", "start", "hold", "resume", "abort")
+		moves := append(p.stepNames(boxes), "put", "start", "hold", "resume", "abort")
 		for range 300 {
 			m := rapid.SampledFrom(moves).Draw(t, "move")
 			of := Of{Box: "c", Session: p.living["c"]}
-			c := Command{N: p.t.Last, Plan: plan(func(q *Plan) { q.Supersede, q.Turned, q.Died = p.index%3 == 0, 1, 2 })}
-			if p.t.Roll != nil {
-				c.Roll = p.t.Roll.ID
+			c := Command{N: p.table.Last, Plan: testPlan(func(q *Plan) { q.Supersede, q.Turned, q.Died = p.index%3 == 0, 1, 2 })}
+			if p.table.Roll != nil {
+				c.Roll = p.table.Roll.ID
 			}
 			switch m {
 			case "put":
-				c = put(0)
+				c = putCommand(0)
 			case "start":
 				c.Kind = Start
 			case "hold":
@@ -360,43 +364,43 @@
 			case "abort":
 				c.Kind = Abort
 			default:
-				p.move(m)
+				p.step(m)
 			}
 			if c.Kind != 0 {
 				p.apply(c, of)
 			}
-			if p.broken != nil {
-				t.Fatal(p.broken)
+			if p.violation != nil {
+				t.Fatal(p.violation)
 			}
 		}
 	})
 }
 
-// TestTheConductor: when a step is due, and when a roll-out goes back.
-func TestTheConductor(t *testing.T) {
+// TestConductorDue checks when a step is due and when a roll-out is halted.
+func TestConductorDue(t *testing.T) {
 	type at struct {
 		sec  int
-		do   func(*play)
-		want Kind // 0: nothing is due
+		do   func(*simFleet)
+		want Kind // 0: no command is due
 		why  string
 	}
-	has := func(n uint64, boxes ...string) func(*play) {
-		return func(p *play) {
+	has := func(n uint64, boxes ...string) func(*simFleet) {
+		return func(p *simFleet) {
 			for _, b := range boxes {
-				p.apply(tell(n, 0), Of{Box: b, Session: p.living[b]})
+				p.apply(tellCommand(n, 0), Of{Box: b, Session: p.living[b]})
 			}
 		}
 	}
-	served := func(inForce uint64, good, bad uint64, boxes ...string) func(*play) {
-		return func(p *play) {
+	served := func(inForce uint64, good, bad uint64, boxes ...string) func(*simFleet) {
+		return func(p *simFleet) {
 			for _, b := range boxes {
-				s := p.t.Boxes[b]
+				s := p.table.Boxes[b]
 				p.apply(Command{Kind: Tell, Standing: &Standing{InForce: inForce, Good: s.Good + good, Bad: s.Bad + bad}}, Of{Box: b, Session: p.living[b]})
 			}
 		}
 	}
-	both := func(list ...func(*play)) func(*play) {
-		return func(p *play) {
+	both := func(list ...func(*simFleet)) func(*simFleet) {
+		return func(p *simFleet) {
 			for _, do := range list {
 				do(p)
 			}
@@ -408,56 +412,56 @@
 		plan  func(*Plan)
 		steps []at
 	}{
-		"pace":                              {nil, []at{{0, nil, 0, ""}, {5, has(1, "a"), 0, ""}, {14, nil, 0, ""}, {15, nil, Step, ""}}},
-		"patience":                          {nil, []at{{0, nil, 0, ""}, {59, nil, 0, ""}, {60, nil, Halt, "not all of wave 1"}}},
-		"turned down":                       {nil, []at{{0, nil, 0, ""}, {1, func(p *play) { p.apply(tell(0, 1), Of{Box: "a", Session: p.living["a"]}) }, Halt, "turned down by a: line 3"}}},
-		"turned down by some":               {func(p *Plan) { p.Turned = 1 }, []at{{0, nil, 0, ""}, {1, func(p *play) { p.apply(tell(0, 1), Of{Box: "a", Session: p.living["a"]}) }, 0, ""}, {11, nil, Step, ""}}},
-		"died":                              {nil, []at{{0, nil, 0, ""}, {1, func(p *play) { delete(p.living, "a") }, Halt, "gone: a"}}},
-		"died, as some may":                 {func(p *Plan) { p.Died = 1 }, []at{{0, nil, 0, ""}, {1, func(p *play) { delete(p.living, "a") }, 0, ""}, {11, nil, Step, ""}}},
-		"another incarnation is waited for": {nil, []at{{0, has(1, "a"), 0, ""}, {9, func(p *play) { p.living["a"] = 99 }, 0, ""}, {12, nil, 0, ""}}},
-		"held":                              {nil, []at{{0, has(1, "a"), 0, ""}, {5, func(p *play) { p.t.Roll.Phase = Held }, 0, ""}, {100, nil, 0, ""}, {101, func(p *play) { p.t.Roll.Phase = Going }, 0, ""}, {111, nil, Step, ""}}},
-		"back":                              {nil, []at{{0, has(1, "a"), 0, ""}, {1, func(p *play) { p.t.Roll.Phase = Back }, 0, ""}, {30, nil, 0, ""}, {31, has(0, "a"), Step, ""}}},
-		"nowhere to go back to": {nil, []at{{0, nil, 0, ""}, {1, func(p *play) {
-			p.t.Roll.Phase, p.t.Roll.From, p.t.Target = Back, 1, 1
-			p.t.Roll.To, p.t.Last = 2, 2
-			p.apply(tell(2, 1), Of{Box: "a", Session: p.living["a"]})
+		"pace":                           {nil, []at{{0, nil, 0, ""}, {5, has(1, "a"), 0, ""}, {14, nil, 0, ""}, {15, nil, Step, ""}}},
+		"patience":                       {nil, []at{{0, nil, 0, ""}, {59, nil, 0, ""}, {60, nil, Halt, "not all of wave 1"}}},
+		"rejected":                       {nil, []at{{0, nil, 0, ""}, {1, func(p *simFleet) { p.apply(tellCommand(0, 1), Of{Box: "a", Session: p.living["a"]}) }, Halt, "turned down by a: line 3"}}},
+		"rejected by as many as allowed": {func(p *Plan) { p.Turned = 1 }, []at{{0, nil, 0, ""}, {1, func(p *simFleet) { p.apply(tellCommand(0, 1), Of{Box: "a", Session: p.living["a"]}) }, 0, ""}, {11, nil, Step, ""}}},
+		"dead box":                       {nil, []at{{0, nil, 0, ""}, {1, func(p *simFleet) { delete(p.living, "a") }, Halt, "gone: a"}}},
+		"as many dead boxes as allowed":  {func(p *Plan) { p.Died = 1 }, []at{{0, nil, 0, ""}, {1, func(p *simFleet) { delete(p.living, "a") }, 0, ""}, {11, nil, Step, ""}}},
+		"waits for a new incarnation":    {nil, []at{{0, has(1, "a"), 0, ""}, {9, func(p *simFleet) { p.living["a"] = 99 }, 0, ""}, {12, nil, 0, ""}}},
+		"held":                           {nil, []at{{0, has(1, "a"), 0, ""}, {5, func(p *simFleet) { p.table.Roll.Phase = Held }, 0, ""}, {100, nil, 0, ""}, {101, func(p *simFleet) { p.table.Roll.Phase = Going }, 0, ""}, {111, nil, Step, ""}}},
+		"rolled back":                    {nil, []at{{0, has(1, "a"), 0, ""}, {1, func(p *simFleet) { p.table.Roll.Phase = Back }, 0, ""}, {30, nil, 0, ""}, {31, has(0, "a"), Step, ""}}},
+		"box that cannot go back": {nil, []at{{0, nil, 0, ""}, {1, func(p *simFleet) {
+			p.table.Roll.Phase, p.table.Roll.From, p.table.Target = Back, 1, 1
+			p.table.Roll.To, p.table.Last = 2, 2
+			p.apply(tellCommand(2, 1), Of{Box: "a", Session: p.living["a"]})
 		}, Step, ""}}},
-		"worse":           {func(p *Plan) { p.Pace = time.Hour }, []at{{0, has(1, "a"), 0, ""}, {3, has(0, "b", "c"), 0, ""}, {6, worse, 0, ""}, {9, worse, 0, ""}, {12, worse, Halt, "serve worse"}}},
-		"one bad reading": {func(p *Plan) { p.Pace = time.Hour }, []at{{0, has(1, "a"), 0, ""}, {3, has(0, "b", "c"), 0, ""}, {6, worse, 0, ""}, {9, same, 0, ""}, {12, same, 0, ""}, {15, worse, 0, ""}, {18, same, 0, ""}, {21, same, 0, ""}, {24, worse, 0, ""}}},
+		"worse in three readings":   {func(p *Plan) { p.Pace = time.Hour }, []at{{0, has(1, "a"), 0, ""}, {3, has(0, "b", "c"), 0, ""}, {6, worse, 0, ""}, {9, worse, 0, ""}, {12, worse, Halt, "serve worse"}}},
+		"worse in too few readings": {func(p *Plan) { p.Pace = time.Hour }, []at{{0, has(1, "a"), 0, ""}, {3, has(0, "b", "c"), 0, ""}, {6, worse, 0, ""}, {9, same, 0, ""}, {12, same, 0, ""}, {15, worse, 0, ""}, {18, same, 0, ""}, {21, same, 0, ""}, {24, worse, 0, ""}}},
 	} {
-		p := newPlay("a", "b", "c")
+		p := newSimFleet("a", "b", "c")
 		for _, b := range []string{"a", "b", "c"} {
 			p.disk[b] = 0
 		}
-		p.apply(put(0), Of{Box: "a", Session: 1})
-		p.apply(Command{Kind: Start, N: 1, Plan: plan(c.plan)}, Of{Box: "a", Session: 1})
+		p.apply(putCommand(0), Of{Box: "a", Session: 1})
+		p.apply(Command{Kind: Start, N: 1, Plan: testPlan(c.plan)}, Of{Box: "a", Session: 1})
 		for _, s := range c.steps {
 			if s.do != nil {
 				s.do(p)
 			}
-			cmd, next := p.conductor[0].Due(time.Duration(s.sec+1)*time.Second, p.t, p.living)
+			cmd, next := p.conductors[0].Due(time.Duration(s.sec+1)*time.Second, p.table, p.living)
 			got := Kind(0)
 			why := ""
 			if cmd != nil {
 				got, why = cmd.Kind, cmd.Why
 			}
 			if got != s.want || !strings.Contains(why, s.why) || next <= time.Duration(s.sec+1)*time.Second {
-				t.Errorf("%s: at %d s %v %q, next %v; %v %q is wanted", name, s.sec, got, why, next, s.want, s.why)
+				t.Errorf("%s: at %d s: %v %q, next %v; want %v %q", name, s.sec, got, why, next, s.want, s.why)
 			}
 		}
-		if p.broken != nil {
-			t.Errorf("%s: %v", name, p.broken)
+		if p.violation != nil {
+			t.Errorf("%s: %v", name, p.violation)
 		}
 	}
 }
 
-// TestABoxChangesAtOnePoint: a number is in force from when it was stored, whatever comes in between.
-func TestABoxChangesAtOnePoint(t *testing.T) {
+// TestBoxSwitchesOnlyWhenStored checks that a version is in force from the call of Stored on, whatever happens before.
+func TestBoxSwitchesOnlyWhenStored(t *testing.T) {
 	testkit.Check(t, 400, func(t *rapid.T) {
 		table := NewTable()
 		living := map[string]uint64{"a": 1}
 		for range 4 {
-			table.Apply(put(0), Of{Box: "a", Session: 1, Living: living, Known: 1})
+			table.Apply(putCommand(0), Of{Box: "a", Session: 1, Living: living, Known: 1})
 		}
 		b, has, now, stored := NewBox(0, 1), false, time.Duration(0), uint64(0)
 		for range 100 {
@@ -471,13 +475,13 @@
 			b.Saw(table, "a", func(string) bool { return has })
 			act, next := b.Due(now, 1, false, 0, 0)
 			if act == Nothing && next <= now {
-				t.Fatalf("nothing is to be done, and at once again")
+				t.Fatalf("no action is due, but the next call is due immediately")
 			}
 			switch act {
 			case Say:
 				s := b.Standing(1, 0, 0)
 				if s.InForce != stored {
-					t.Fatalf("it says %d, and %d is stored", s.InForce, stored)
+					t.Fatalf("box reports version %d, but %d is stored", s.InForce, stored)
 				}
 				b.Told(now, s, false)
 			case Verify:
@@ -492,7 +496,7 @@
 				}
 			case Store:
 				if b.InForce() != stored {
-					t.Fatal("in force before it is stored")
+					t.Fatal("version in force before it is stored")
 				}
 				if rapid.Bool().Draw(t, "disk") {
 					stored = b.Number()
@@ -500,10 +504,10 @@
 				}
 			}
 			if b.InForce() != stored {
-				t.Fatalf("%d is in force, and %d stored", b.InForce(), stored)
+				t.Fatalf("version %d is in force, but %d is stored", b.InForce(), stored)
 			}
-			if b.turned != 0 && stored == b.turned && b.State() == Refusing {
-				t.Fatal("turned down and in force")
+			if b.rejected != 0 && stored == b.rejected && b.State() == Refusing {
+				t.Fatal("version is rejected and in force")
 			}
 		}
 	})
