--- a/internal/fleet/ledger/core.go
+++ b/internal/fleet/ledger/core.go
@@ -16,28 +16,28 @@
 	"cairnlane/internal/decide/voters"
 )
 
-// Timing is how fast a ledger's boxes talk.
+// Timing holds the intervals and time-outs of a ledger.
 type Timing struct {
-	Beat     time.Duration // between two heartbeats of a leader
-	Election time.Duration // a follower that hears no leader for this, and up to twice as long, starts an election
-	Poll     time.Duration // between two questions of a box that follows
-	Gather   time.Duration // how long a leader waits for more commands while an entry is under way
+	Beat     time.Duration // interval of a leader's heartbeats
+	Election time.Duration // minimum election time-out; the time-out is drawn at random from once to twice this value
+	Poll     time.Duration // interval of Follow messages
+	Gather   time.Duration // time for which a leader waits for more commands while an entry is in progress
 }
 
-// DefaultTiming suits boxes of one site.
+// DefaultTiming is suitable for boxes at one site.
 var DefaultTiming = Timing{Beat: 100 * time.Millisecond, Election: time.Second, Poll: time.Second, Gather: 20 * time.Millisecond}
 
 const (
-	// never is for how many ticks the library would wait by itself: elections are started here.
-	never = 1 << 30
-	// keepEntries is how many applied entries are kept for boxes that are a little behind, and compactAfter how many there
-	// may be before the rest is folded into a snapshot.
-	keepEntries, compactAfter = 512, 2048
-	messageMost, flightMost   = 256 << 10, 64
+	// noElectionTicks is the library's election time-out in ticks. It is never reached because core starts the elections itself.
+	noElectionTicks = 1 << 30
+	// keepEntries is the number of applied entries kept for boxes that lag a little. compactAfter is the number of entries
+	// after which the older ones are compacted into a snapshot.
+	keepEntries, compactAfter    = 512, 2048
+	maxMessageBytes, maxInflight = 256 << 10, 64
 )
 
-// core is one voter's or learner's part in the agreement: the library's pure machine, its log in memory, and the timers that
-// the library would draw at random, drawn here from a seeded source.
+// core is the Raft node of a voter or learner: the library's state machine, which does no I/O, its log in memory, and the
+// timers. The library would randomize the timers itself; core uses a seeded source instead, so that simulations are reproducible.
 type core struct {
 	id     uint64
 	timing Timing
@@ -47,37 +47,37 @@
 	log    *raft.MemoryStorage
 	conf   *raftpb.ConfState
 
-	campaign time.Duration // when to start an election, if no leader is heard before
-	beat     time.Duration // when the leader ticks next
-	leader   time.Duration // when one was heard last
-	heard    map[uint64]time.Duration
-	stuck    time.Duration // when to doubt next that snapshots have arrived
-	stale    bool          // the snapshot is from before a change of voters
-	probe    time.Duration // when a leader that hears no majority speaks next
-	loud     bool          // it speaks although it hears none
-	out      []*raftpb.Message
-	applied  uint64
+	electionAt        time.Duration            // when to start an election unless a leader is heard before
+	nextBeat          time.Duration            // time of the leader's next tick
+	leaderHeard       time.Duration            // when a leader was last heard
+	lastHeard         map[uint64]time.Duration // when each identity was last heard
+	nextSnapshotCheck time.Duration            // time of the next check for snapshots that were not acknowledged
+	snapshotStale     bool                     // the snapshot is from before the last change of voters
+	nextProbe         time.Duration            // when a leader without a quorum sends its next heartbeat
+	probing           bool                     // such a heartbeat is being sent
+	outbox            []*raftpb.Message
+	applied           uint64
 }
 
-// silent is the library's log: what matters of it is told by the ledger.
-type silent struct{}
+// silentLogger is the library's logger. It discards messages because Ledger logs the relevant events; it panics on fatal ones.
+type silentLogger struct{}
 
-func (silent) Debug(...any)              {}
-func (silent) Debugf(string, ...any)     {}
-func (silent) Error(...any)              {}
-func (silent) Errorf(string, ...any)     {}
-func (silent) Info(...any)               {}
-func (silent) Infof(string, ...any)      {}
-func (silent) Warning(...any)            {}
-func (silent) Warningf(string, ...any)   {}
-func (silent) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
-func (silent) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (silent) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (silent) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (silentLogger) Debug(...any)              {}
+func (silentLogger) Debugf(string, ...any)     {}
+func (silentLogger) Error(...any)              {}
+func (silentLogger) Errorf(string, ...any)     {}
+func (silentLogger) Info(...any)               {}
+func (silentLogger) Infof(string, ...any)      {}
+func (silentLogger) Warning(...any)            {}
+func (silentLogger) Warningf(string, ...any)   {}
+func (silentLogger) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
+func (silentLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (silentLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (silentLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
-// newCore takes up a part from what the disk holds.
+// newCore returns a Raft node with the state stored on the disk.
 func newCore(now time.Duration, s Saved, disk Disk, t Timing, r *rand.Rand) (*core, error) {
-	c := &core{id: s.ID, timing: t, rand: r, disk: disk, log: raft.NewMemoryStorage(), heard: map[uint64]time.Duration{}, conf: new(raftpb.ConfState)}
+	c := &core{id: s.ID, timing: t, rand: r, disk: disk, log: raft.NewMemoryStorage(), lastHeard: map[uint64]time.Duration{}, conf: new(raftpb.ConfState)}
 	if !raft.IsEmptySnap(s.Snapshot) {
 		if err := c.log.ApplySnapshot(s.Snapshot); err != nil {
 			return nil, err
@@ -94,116 +94,120 @@
 		return nil, err
 	}
 	var err error
-	c.node, err = raft.NewRawNode(&raft.Config{ID: s.ID, ElectionTick: never, HeartbeatTick: 1, Storage: c.log, Applied: c.applied, MaxSizePerMsg: messageMost,
-		MaxInflightMsgs: flightMost, MaxUncommittedEntriesSize: 4 << 20, PreVote: true, StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: silent{}})
+	c.node, err = raft.NewRawNode(&raft.Config{ID: s.ID, ElectionTick: noElectionTicks, HeartbeatTick: 1, Storage: c.log, Applied: c.applied, MaxSizePerMsg: maxMessageBytes,
+		MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: 4 << 20, PreVote: true, StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: silentLogger{}})
 	if err != nil {
 		return nil, err
 	}
-	c.campaign = now + c.election()
+	c.electionAt = now + c.electionTimeout()
 	return c, nil
 }
 
-// election is how long to wait for a leader this time.
-func (c *core) election() time.Duration {
+// electionTimeout returns a random election time-out.
+func (c *core) electionTimeout() time.Duration {
 	return c.timing.Election + time.Duration(c.rand.Int64N(int64(c.timing.Election)))
 }
 
-func (c *core) leads() bool { return c.node.BasicStatus().RaftState == raft.StateLeader }
+// isLeader reports whether this box is the leader.
+func (c *core) isLeader() bool { return c.node.BasicStatus().RaftState == raft.StateLeader }
 
-// lead is the identity of the leader, 0 if none is known.
-func (c *core) lead() uint64 { return c.node.BasicStatus().Lead }
+// leaderID returns the identity of the leader, 0 if none is known.
+func (c *core) leaderID() uint64 { return c.node.BasicStatus().Lead }
 
-func (c *core) votes() bool { return slices.Contains(c.conf.GetVoters(), c.id) }
+// isVoter reports whether this box is a voter.
+func (c *core) isVoter() bool { return slices.Contains(c.conf.GetVoters(), c.id) }
 
-// member tells whether an identity has a part.
-func (c *core) member(id uint64) bool {
+// isMember reports whether an identity is a voter or learner.
+func (c *core) isMember(id uint64) bool {
 	return slices.Contains(c.conf.GetVoters(), id) || slices.Contains(c.conf.GetLearners(), id) || slices.Contains(c.conf.GetVotersOutgoing(), id)
 }
 
-// quorum tells whether a leader has heard from a majority within an election's time. One that has not says nothing more, so
-// that the others elect another one although they still hear it.
-func (c *core) quorum(now time.Duration) bool {
+// hasQuorum reports whether the leader has heard from a majority within Timing.Election. A leader without a quorum stops sending,
+// so that other boxes that can still receive from it elect another leader.
+func (c *core) hasQuorum(now time.Duration) bool {
 	n := 0
 	for _, id := range c.conf.GetVoters() {
-		if at, ok := c.heard[id]; id == c.id || ok && now-at < c.timing.Election {
+		if at, ok := c.lastHeard[id]; id == c.id || ok && now-at < c.timing.Election {
 			n++
 		}
 	}
 	return n > len(c.conf.GetVoters())/2
 }
 
-// lately tells whether an identity was heard within some elections' time.
-func (c *core) lately(now time.Duration, id uint64) bool {
-	at, ok := c.heard[id]
+// heardRecently reports whether an identity was heard within four times Timing.Election.
+func (c *core) heardRecently(now time.Duration, id uint64) bool {
+	at, ok := c.lastHeard[id]
 	return ok && now-at < 4*c.timing.Election
 }
 
-// content tells whether there is a leader that this box has heard lately. It helps nobody to become another one then.
-func (c *core) content(now time.Duration) bool {
-	if c.leads() {
-		return c.quorum(now)
+// hasLiveLeader reports whether this box is a leader with a quorum or has heard the leader within Timing.Election. It ignores
+// requests for votes then.
+func (c *core) hasLiveLeader(now time.Duration) bool {
+	if c.isLeader() {
+		return c.hasQuorum(now)
 	}
-	return c.lead() != 0 && now-c.leader < c.timing.Election
+	return c.leaderID() != 0 && now-c.leaderHeard < c.timing.Election
 }
 
-// step takes a message. What is wrong with it is not this box's trouble.
+// step handles a message. Invalid messages are ignored.
 func (c *core) step(now time.Duration, m *raftpb.Message) {
 	if m.GetTo() != c.id {
-		return // it is for what this box was before it lost its disk
+		return // addressed to a former identity of this box, from before it lost its disk
 	}
 	switch m.GetType() {
 	case raftpb.MsgVote, raftpb.MsgPreVote:
-		if len(c.conf.GetVoters()) > 0 && !c.member(m.GetFrom()) || c.content(now) {
+		if len(c.conf.GetVoters()) > 0 && !c.isMember(m.GetFrom()) || c.hasLiveLeader(now) {
 			return
 		}
 	case raftpb.MsgProp:
 		return
 	}
-	c.node.Step(m) // an error says that the message is of no use any more
-	c.heard[m.GetFrom()] = now
+	c.node.Step(m) // an error means that the message is obsolete
+	c.lastHeard[m.GetFrom()] = now
 	switch m.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
-		if c.lead() == m.GetFrom() {
-			c.leader, c.campaign = now, now+c.election()
+		if c.leaderID() == m.GetFrom() {
+			c.leaderHeard, c.electionAt = now, now+c.electionTimeout()
 		}
 	}
 }
 
-// tick does what is due, and returns when something will be.
+// tick performs the actions that are due and returns the time of the next one.
 func (c *core) tick(now time.Duration) time.Duration {
-	if c.leads() {
-		if now >= c.beat {
-			c.beat = now + c.timing.Beat
-			if c.quorum(now) {
+	if c.isLeader() {
+		if now >= c.nextBeat {
+			c.nextBeat = now + c.timing.Beat
+			if c.hasQuorum(now) {
 				c.node.Tick()
-			} else if now >= c.probe {
-				// It gives way, but must not fall silent: another box may have no right to an election before it hears more.
-				c.probe, c.loud = now+probePause*c.timing.Election, true
+			} else if now >= c.nextProbe {
+				// A leader without a quorum has to let others be elected, but must still send occasionally: a box may not be
+				// entitled to an election before it receives more entries.
+				c.nextProbe, c.probing = now+probeInterval*c.timing.Election, true
 				c.node.Tick()
 			}
-			c.unstick(now)
+			c.retrySnapshots(now)
 		}
-		c.campaign = now + c.election()
-		return c.beat
+		c.electionAt = now + c.electionTimeout()
+		return c.nextBeat
 	}
-	if now >= c.campaign {
-		c.campaign = now + c.election()
-		if c.votes() {
-			if c.node.Campaign() == nil && c.leads() { // the only voter
-				c.beat = now
+	if now >= c.electionAt {
+		c.electionAt = now + c.electionTimeout()
+		if c.isVoter() {
+			if c.node.Campaign() == nil && c.isLeader() { // this box is the only voter
+				c.nextBeat = now
 			}
 		}
 	}
-	return c.campaign
+	return c.electionAt
 }
 
-// unstick has snapshots sent again that were not taken within an election's time: the library waits for word of them, and
-// a link does not say what it has lost.
-func (c *core) unstick(now time.Duration) {
-	if now < c.stuck {
+// retrySnapshots repeats snapshots that were not acknowledged within Timing.Election: the library waits for a report of their
+// delivery, but links do not report lost messages.
+func (c *core) retrySnapshots(now time.Duration) {
+	if now < c.nextSnapshotCheck {
 		return
 	}
-	c.stuck = now + c.timing.Election
+	c.nextSnapshotCheck = now + c.timing.Election
 	progress := c.node.Status().Progress
 	for _, id := range slices.Sorted(maps.Keys(progress)) {
 		if progress[id].State == tracker.StateSnapshot {
@@ -212,11 +216,11 @@
 	}
 }
 
-// propose has the leader add an entry.
+// propose appends an entry to the log. Only the leader may call it.
 func (c *core) propose(data []byte) error { return c.node.Propose(data) }
 
-// change has the leader change the voters.
-func (c *core) change(ch voters.Change) error {
+// proposeChange proposes a change of voters. Only the leader may call it.
+func (c *core) proposeChange(ch voters.Change) error {
 	kind := map[voters.Role]raftpb.ConfChangeType{voters.Learner: raftpb.ConfChangeAddLearnerNode, voters.Full: raftpb.ConfChangeAddNode, voters.Removed: raftpb.ConfChangeRemoveNode}[ch.Role]
 	context, err := encoding.Marshal(ch)
 	if err != nil {
@@ -225,19 +229,19 @@
 	return c.node.ProposeConfChange(&raftpb.ConfChangeV2{Context: context, Changes: []*raftpb.ConfChangeSingle{{Type: kind.Enum(), NodeId: &ch.ID}}})
 }
 
-// caughtUp tells a leader whether a box has nearly all entries.
+// caughtUp reports whether a box has all but at most 64 entries. Only the leader knows this.
 func (c *core) caughtUp(id uint64) bool {
 	last, _ := c.log.LastIndex()
 	p, ok := c.node.Status().Progress[id]
 	return ok && p.Match+64 >= last
 }
 
-// ready carries out what the library asks for: first to the disk, then to the others. install takes a snapshot and apply each
-// entry that is agreed on. After an error the core is of no more use: what is on the disk is not known, and nothing that
-// depends on it was sent.
-func (c *core) ready(now time.Duration, install func(*raftpb.Snapshot) error, apply func(Record) error) error {
+// processReady processes the pending work of the library: it saves to the disk first and queues messages afterwards. It calls install
+// for a snapshot and apply for each committed entry. After an error the core must not be used any more: the content of the disk
+// is unknown, and nothing that depends on it was sent.
+func (c *core) processReady(now time.Duration, install func(*raftpb.Snapshot) error, apply func(Record) error) error {
 	for c.node.HasReady() {
-		led := c.leads()
+		led := c.isLeader()
 		rd := c.node.Ready()
 		w := Write{Hard: rd.HardState, Entries: rd.Entries}
 		if !raft.IsEmptySnap(rd.Snapshot) {
@@ -271,7 +275,7 @@
 				if err := proto.Unmarshal(e.GetData(), &cc); err != nil {
 					return err
 				}
-				c.conf, c.stale = c.node.ApplyConfChange(&cc), true
+				c.conf, c.snapshotStale = c.node.ApplyConfChange(&cc), true
 			}
 			if err := apply(Record{Index: e.GetIndex(), Type: e.GetType(), Data: e.GetData()}); err != nil {
 				return err
@@ -279,20 +283,20 @@
 			c.applied = e.GetIndex()
 		}
 		c.node.Advance(rd)
-		c.loud = c.loud && c.node.HasReady()
-		if !led && c.leads() {
-			c.beat = now + c.timing.Beat
+		c.probing = c.probing && c.node.HasReady()
+		if !led && c.isLeader() {
+			c.nextBeat = now + c.timing.Beat
 			for _, id := range c.conf.GetVoters() {
-				c.heard[id] = now // they have just voted, or have an election's time to answer
+				c.lastHeard[id] = now // they have just voted, or have Timing.Election to respond
 			}
 		}
 	}
 	return nil
 }
 
-// send keeps the messages for the others, but for those of a leader that nobody answers.
+// send queues messages, except those of a leader without a quorum.
 func (c *core) send(now time.Duration, list []*raftpb.Message) {
-	mute := c.leads() && !c.quorum(now) && !c.loud
+	mute := c.isLeader() && !c.hasQuorum(now) && !c.probing
 	for _, m := range list {
 		switch m.GetType() {
 		case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
@@ -303,20 +307,20 @@
 				continue
 			}
 		}
-		c.out = append(c.out, m)
+		c.outbox = append(c.outbox, m)
 	}
 }
 
-// probePause is how many of an election's times lie between two words of a leader that hears no majority; long enough for
-// others to elect another one meanwhile.
-const probePause = 4
+// probeInterval is the interval, in multiples of Timing.Election, between two heartbeats of a leader without a quorum. It is long
+// enough for the other boxes to elect a leader in between.
+const probeInterval = 4
 
-// compact folds the log into a snapshot of the state, once there is much of it. After a change of voters there is a new
-// snapshot at once: a box takes none in which it has no part.
+// compact replaces old log entries by a snapshot of the state once there are compactAfter of them. After a change of voters it
+// makes a new snapshot immediately, because a box does not accept a snapshot in which it is not a member.
 func (c *core) compact(s *State) error {
 	first, _ := c.log.FirstIndex()
 	long := c.applied >= first+compactAfter
-	if s.Index != c.applied || !long && !c.stale {
+	if s.Index != c.applied || !long && !c.snapshotStale {
 		return nil
 	}
 	snap, err := c.log.CreateSnapshot(c.applied, c.conf, s.Encode())
@@ -333,19 +337,19 @@
 	if err := c.disk.Save(w); err != nil {
 		return err
 	}
-	c.stale = false
+	c.snapshotStale = false
 	if !long {
 		return nil
 	}
 	return c.log.Compact(w.Compact)
 }
 
-// records returns entries after an index for a box that follows; ok is false when they are not kept any more.
-func (c *core) records(after uint64, most int) (list []Record, ok bool) {
+// records returns entries after an index for a follower. ok is false if they are no longer in the log.
+func (c *core) records(after uint64, maxBytes int) (list []Record, ok bool) {
 	if after >= c.applied {
 		return nil, true
 	}
-	entries, err := c.log.Entries(after+1, c.applied+1, uint64(most))
+	entries, err := c.log.Entries(after+1, c.applied+1, uint64(maxBytes))
 	if err != nil {
 		return nil, false
 	}
--- a/internal/fleet/ledger/disk.go
+++ b/internal/fleet/ledger/disk.go
@@ -9,52 +9,53 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Saved is what a disk holds for one box.
+// Saved is the content of a box's disk.
 //
-// Promised: a Save that returned nil is there after any stop; one that did not return is there whole or not at all. A box
-// that has lost its disk has lost its identity with it.
+// A Save that returned nil is durable; one that did not return is stored completely or not at all. A box that has lost its
+// disk has lost its identity as well.
 type Saved struct {
-	// ID is this box's identity in the votes. It is 0 when the disk is new, or when it is a copy of another one: only the
-	// snapshot then holds something, which is what was agreed on once.
+	// ID is this box's voting identity. It is 0 if the disk is new or a copy of another one. A copy is only used for its
+	// snapshot, which holds committed state.
 	ID       uint64
 	Hard     *raftpb.HardState
-	Snapshot *raftpb.Snapshot // with an encoded State; nil or of index 0 when there is none
-	Entries  []*raftpb.Entry  // after the snapshot, without a gap
+	Snapshot *raftpb.Snapshot // contains an encoded State; nil or with index 0 if there is none
+	Entries  []*raftpb.Entry  // log entries without gaps; may start before the index of the snapshot
 }
 
-// Write is what is saved at once. What is nil stays as it was.
+// Write holds data that is saved atomically. Nil fields are left unchanged on the disk.
 type Write struct {
-	ID       uint64 // not 0: forget all that was saved, and be this from now on
+	ID       uint64 // if not 0: delete all saved data and use this identity
 	Hard     *raftpb.HardState
 	Snapshot *raftpb.Snapshot
-	// Entries replace all that the disk has from the first of them on.
+	// Entries replace all entries on the disk from the index of the first one on.
 	Entries []*raftpb.Entry
-	// Compact forgets entries up to it.
+	// Compact deletes the entries up to and including this index.
 	Compact uint64
 }
 
-// Disk keeps it. Calls come one at a time.
+// Disk stores the data of a Ledger. Its methods are not called concurrently.
 type Disk interface {
 	Load() (Saved, error)
 	Save(w Write) error
 }
 
-// ErrFull is what a Memory gives that is to fail.
+// ErrFull is returned by a Memory whose Full is set.
 var ErrFull = errors.New("ledger: no space left")
 
-// Memory is a Disk in memory, for tests and for the emulator. What it holds is copied in and out as bytes, as a disk does.
+// Memory is a Disk in memory for tests and simulations. Like a real disk, it stores copies of the data as bytes.
 type Memory struct {
-	Full    bool  // refuse to save
-	Moved   bool  // it is a copy of another disk
-	Saves   int   // that were done
-	Written int64 // bytes of entries
+	Full    bool  // Save returns ErrFull
+	Moved   bool  // the disk is a copy of another one
+	Saves   int   // number of saves
+	Written int64 // total size of the saved entries in bytes
 	id      uint64
 	hard    []byte
 	snap    []byte
-	log     []kept // in order, without a gap
+	log     []storedEntry // in order, without gaps
 }
 
-type kept struct {
+// storedEntry is a stored entry.
+type storedEntry struct {
 	index uint64
 	raw   []byte
 }
@@ -106,35 +107,36 @@
 		m.snap = encode(w.Snapshot)
 	}
 	if len(w.Entries) > 0 {
-		m.log = m.log[:m.find(w.Entries[0].GetIndex())]
+		m.log = m.log[:m.search(w.Entries[0].GetIndex())]
 	}
 	for _, e := range w.Entries {
-		m.log = append(m.log, kept{e.GetIndex(), encode(e)})
+		m.log = append(m.log, storedEntry{e.GetIndex(), encode(e)})
 	}
 	if w.Compact > 0 {
-		m.log = slices.Clone(m.log[m.find(w.Compact+1):])
+		m.log = slices.Clone(m.log[m.search(w.Compact+1):])
 	}
 	return nil
 }
 
-// find is the place of the first entry that is not below an index.
-func (m *Memory) find(index uint64) int {
-	at, _ := slices.BinarySearchFunc(m.log, index, func(k kept, i uint64) int { return cmp.Compare(k.index, i) })
+// search returns the position of the first entry whose index is at least the given one.
+func (m *Memory) search(index uint64) int {
+	at, _ := slices.BinarySearchFunc(m.log, index, func(k storedEntry, i uint64) int { return cmp.Compare(k.index, i) })
 	return at
 }
 
-// Copy returns another disk with the same content, as a folder that is copied or put back from a backup.
+// Copy returns another disk with the same content, like a folder that was copied or restored from a backup.
 func (m *Memory) Copy() *Memory {
-	return &Memory{id: m.id, hard: m.hard, snap: m.snap, log: slices.Clone(m.log), Moved: true} // what was saved is not changed
+	return &Memory{id: m.id, hard: m.hard, snap: m.snap, log: slices.Clone(m.log), Moved: true} // shallow copies are enough: stored bytes are never modified
 }
 
+// encode returns the deterministic encoding of a message of the Raft library.
 func encode(m proto.Message) []byte {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		panic(err) // of the library's own types
+		panic(err) // cannot happen: the library's types can be encoded
 	}
 	return raw
 }
 
-// Lose empties the disk, as one that is replaced.
+// Lose empties the disk, as if it had been replaced.
 func (m *Memory) Lose() { *m = Memory{Full: m.Full} }
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -15,47 +15,47 @@
 	"cairnlane/internal/decide/voters"
 )
 
-// Kind is what a message is.
+// Kind is the type of a message.
 type Kind uint8
 
-// The messages.
+// Message kinds.
 const (
-	Raft    Kind = iota + 1 // of the agreement, between voters
-	Follow                  // a box tells how far it is and asks for what comes next
-	Records                 // what comes next
-	Propose                 // commands for the leader, over any voter
+	Raft    Kind = iota + 1 // Raft message between voters and learners
+	Follow                  // reports the sender's position and requests the entries after it
+	Records                 // entries or a snapshot in response to Follow
+	Propose                 // commands for the leader; forwarded by other boxes
 )
 
-// Message is what ledgers say to each other.
+// Message is a message between the ledgers of two boxes.
 type Message struct {
 	Kind  Kind   `cbor:"1,keyasint"`
 	Fleet uint64 `cbor:"2,keyasint,omitempty"`
 	Era   uint64 `cbor:"3,keyasint,omitempty"`
 	Raft  []byte `cbor:"4,keyasint,omitempty"`
-	// Of Follow.
-	ID       uint64 `cbor:"5,keyasint,omitempty"` // the sender's identity, should it become a voter
-	Index    uint64 `cbor:"6,keyasint,omitempty"` // of the last entry that the sender has applied
+	// Fields of Follow.
+	ID       uint64 `cbor:"5,keyasint,omitempty"` // identity under which the sender would become a voter
+	Index    uint64 `cbor:"6,keyasint,omitempty"` // last entry that the sender has applied
 	DigestAt uint64 `cbor:"7,keyasint,omitempty"`
 	Digest   uint64 `cbor:"8,keyasint,omitempty"`
-	// Of Records.
+	// Fields of Records.
 	Records  []Record `cbor:"9,keyasint,omitempty"`
-	Snapshot []byte   `cbor:"10,keyasint,omitempty"` // a State, where the entries are not kept any more
+	Snapshot []byte   `cbor:"10,keyasint,omitempty"` // encoded State, if the entries are no longer available
 	Leader   string   `cbor:"11,keyasint,omitempty"`
-	Agrees   bool     `cbor:"12,keyasint,omitempty"` // the sender hears a leader that hears a majority
-	Differs  bool     `cbor:"13,keyasint,omitempty"` // the digest is another one than the sender's
-	// Of Propose.
+	Agrees   bool     `cbor:"12,keyasint,omitempty"` // the sender is in contact with a leader that has a quorum
+	Differs  bool     `cbor:"13,keyasint,omitempty"` // the digest in the Follow differs from the sender's
+	// Fields of Propose.
 	Commands []lease.Command `cbor:"14,keyasint,omitempty"`
 	Want     []string        `cbor:"15,keyasint,omitempty"`
 	Hops     int             `cbor:"16,keyasint,omitempty"`
 }
 
-// Envelope is a message for a box.
+// Envelope is a message and its destination.
 type Envelope struct {
 	To string
 	Message
 }
 
-// Applied is an entry's commands and what came of them.
+// Applied holds the commands of an applied entry and their results.
 type Applied struct {
 	Index    uint64
 	Commands []lease.Command
@@ -63,152 +63,155 @@
 }
 
 const (
-	digestEach  = 64   // entries between two digests
-	keepEach    = 4096 // entries between two times at which a box that only follows keeps the state
-	digestsKept = 32
-	recordsMost = 128 << 10 // bytes of entries in one message
-	gatherMost  = 4096      // commands that wait for the leader's next entry
-	hopsMost    = 2
-	followFor   = 3 // polls for which a box that has asked is told of new entries
+	digestInterval = 64   // number of entries between two digests
+	saveInterval   = 4096 // number of entries after which a follower saves the state
+	maxDigests     = 32
+	maxRecordBytes = 128 << 10 // maximum size in bytes of the entries of one message
+	maxQueued      = 4096      // maximum number of commands that wait for the leader's next entry
+	maxHops        = 2         // maximum number of times a Propose is forwarded
+	followPolls    = 3         // number of poll intervals for which new entries are sent to a box after its Follow
 )
 
-// Config is what a ledger is made with.
+// Config holds the parameters of a Ledger.
 type Config struct {
 	Name   string
-	Seeds  []string // boxes to ask for a fleet, as long as none is known
+	Seeds  []string // boxes to contact while no fleet is known
 	Timing Timing
 	Rand   *rand.Rand
 	Disk   Disk
-	Told   func(format string, args ...any) // takes what an operator should read; may be nil
+	Told   func(format string, args ...any) // logs a message for operators; may be nil
 }
 
-// Ledger is one box's part. It is not safe for use by several goroutines; time is the box's own.
+// Ledger is the replica of the ledger on one box. Times are those of the box's own clock. It is not safe for concurrent use.
 type Ledger struct {
-	cfg   Config
-	id    uint64
-	state *State
-	core  *core // nil in a box that only follows
-	seat  bool  // this identity had a part in the votes
-	fail  error // the disk failed: nothing is said or applied until Reopen
-
-	names    map[uint64]string   // of identities, from whom their messages came
-	known    map[string]identity // that each box says it has
-	gather   []lease.Command
-	waiting  map[lease.Command]bool // what is in gather
-	gathered time.Duration
-	digests  map[uint64]uint64
-	newest   uint64 // of digests
-	alarm    error
-
-	asks     map[string]follower // who asks this one
-	source   string              // whom this one asks
-	ahead    string              // a box that knows of a later era
-	answered time.Duration
-	agrees   bool // as the source says
-	leader   string
-	poll     time.Duration
-	review   time.Duration // when to look at the voters next
-	out      []Envelope
-	applied  []Applied
-	moved    bool // the state has changed since Take
-}
-
-// identity is what a box says that it is in the votes. It is believed once the box has said the same for a while, and lately:
-// a word of what it was before may come late.
+	cfg       Config
+	id        uint64
+	state     *State
+	core      *core // nil if the box is only a follower
+	wasMember bool  // this identity has been a voter or learner
+	diskErr   error // disk error; nothing is sent or applied until Reopen
+
+	namesByID       map[uint64]string      // box names by identity, from received messages
+	identities      map[string]identity    // identities reported by the boxes
+	queued          []lease.Command        // commands for the leader's next entry
+	queuedSet       map[lease.Command]bool // the commands in queued
+	queuedSince     time.Duration          // when the first command was added to queued, or the last entry was proposed
+	digests         map[uint64]uint64      // state digests by index
+	lastDigestIndex uint64                 // highest index in digests
+	alarm           error
+
+	followers    map[string]follower // boxes to which new entries are sent
+	source       string              // box to which this one sends Follow
+	laterEraBox  string              // box that knows of a later era
+	lastResponse time.Duration       // time of the last response of the source
+	sourceAgrees bool                // as reported by the source
+	sourceLeader string              // as reported by the source
+	nextPoll     time.Duration       // time of the next Follow
+	nextReview   time.Duration       // time of the next check of the voters
+	outbox       []Envelope
+	applied      []Applied
+	stateChanged bool // whether the state has changed since the last Take
+}
+
+// identity is the voting identity reported by a box. It is used only if the box has reported the same one for a while and
+// recently, because a message with a former identity may be delayed.
 type identity struct {
 	id          uint64
 	since, last time.Duration
 }
 
-// steady is for how many polls.
-const steady = 2
+// identityPolls is the number of poll intervals after which an identity expires that is not reported again. An identity is
+// used once it has been reported for half of that time.
+const identityPolls = 2
 
+// follower is a box to which new entries are sent.
 type follower struct {
 	index uint64
 	until time.Duration
 }
 
-// Errors of a ledger.
+// Errors of a Ledger.
 var (
-	ErrNoFleet = errors.New("this box knows of no fleet yet; begin one with 'cairnctl fleet init' on one box, or let it reach one that has")
-	ErrThere   = errors.New("this box has a fleet already")
-	ErrFailed  = errors.New("the ledger's disk failed")
-	errDiffers = errors.New("this box's state differs from the leader's; it acts for the fleet no more until it is started with an empty folder")
+	ErrNoFleet      = errors.New("this box is not part of a fleet yet; start one with 'cairnctl fleet init' on one box, or connect this box to a box of a fleet")
+	ErrThere        = errors.New("this box is already part of a fleet")
+	ErrFailed       = errors.New("ledger disk failure")
+	errStateDiffers = errors.New("the state of this box differs from the leader's; the box does not act for the fleet until it is started with an empty folder")
 )
 
-// Open takes up what the disk holds.
+// Open returns a Ledger with the state stored on the disk.
 func Open(now time.Duration, cfg Config) (*Ledger, error) {
 	if cfg.Told == nil {
 		cfg.Told = func(string, ...any) {}
 	}
-	l := &Ledger{cfg: cfg, names: map[uint64]string{}, known: map[string]identity{}, asks: map[string]follower{}}
+	l := &Ledger{cfg: cfg, namesByID: map[uint64]string{}, identities: map[string]identity{}, followers: map[string]follower{}}
 	return l, l.load(now)
 }
 
+// load resets the ledger to the state stored on the disk.
 func (l *Ledger) load(now time.Duration) error {
 	saved, err := l.cfg.Disk.Load()
 	if err != nil {
 		return err
 	}
-	l.core, l.fail, l.digests, l.newest, l.gather = nil, nil, map[uint64]uint64{}, 0, nil
+	l.core, l.diskErr, l.digests, l.lastDigestIndex, l.queued = nil, nil, map[uint64]uint64{}, 0, nil
 	l.state = &State{Version: 1, Table: lease.NewTable(lease.Terms{Term: lease.MaxTerm}), Voters: map[string]voters.Voter{}}
 	if data := saved.Snapshot.GetData(); len(data) > 0 {
 		if l.state, err = Decode(data); err != nil {
 			return err
 		}
 	}
-	if l.id = saved.ID; l.id == 0 { // a new disk, or a copy of another one
-		l.id = l.draw()
-		if err := l.keep(); err != nil {
+	if l.id = saved.ID; l.id == 0 { // new disk, or a copy of another one
+		l.id = l.randomID()
+		if err := l.saveState(); err != nil {
 			return err
 		}
 		saved = Saved{ID: l.id}
 	}
-	l.moved = true
-	if l.seat = saved.Hard != nil || len(saved.Entries) > 0; l.seat {
-		return l.join(now, saved)
+	l.stateChanged = true
+	if l.wasMember = saved.Hard != nil || len(saved.Entries) > 0; l.wasMember {
+		return l.startRaft(now, saved)
 	}
 	return nil
 }
 
-// draw returns a new identity, which is never 0.
-func (l *Ledger) draw() uint64 { return l.cfg.Rand.Uint64()>>1 | 1 }
+// randomID returns a random identity, which is never 0.
+func (l *Ledger) randomID() uint64 { return l.cfg.Rand.Uint64()>>1 | 1 }
 
-// join has this box take part in the agreement.
-func (l *Ledger) join(now time.Duration, s Saved) (err error) {
+// startRaft starts Raft on this box.
+func (l *Ledger) startRaft(now time.Duration, s Saved) (err error) {
 	l.core, err = newCore(now, s, l.cfg.Disk, l.cfg.Timing, l.cfg.Rand)
 	return err
 }
 
-// Reopen starts anew from the disk after a failure.
+// Reopen reloads the state from the disk after a failure.
 func (l *Ledger) Reopen(now time.Duration) error { return l.load(now) }
 
-// Failed is not nil when the disk has failed. The ledger then says and does nothing until Reopen.
-func (l *Ledger) Failed() error { return l.fail }
+// Failed returns the error of the disk, if it has failed. The ledger then sends and applies nothing until Reopen.
+func (l *Ledger) Failed() error { return l.diskErr }
 
-// State is what is agreed on, as far as this box knows. It is the ledger's and changes with it.
+// State returns the replicated state as far as this box has applied it. It belongs to the Ledger, which modifies it.
 func (l *Ledger) State() *State { return l.state }
 
-// ID is this box's identity in the votes.
+// ID returns this box's voting identity.
 func (l *Ledger) ID() uint64 { return l.id }
 
-// Alarm is not nil when this box must not act for the fleet.
+// Alarm returns the reason for which this box must not act for the fleet, or nil.
 func (l *Ledger) Alarm() error { return l.alarm }
 
-// Leads tells whether this box is the leader and hears a majority.
+// Leads reports whether this box is the leader and has a quorum.
 func (l *Ledger) Leads(now time.Duration) bool {
-	return l.core != nil && l.core.leads() && l.core.quorum(now)
+	return l.core != nil && l.core.isLeader() && l.core.hasQuorum(now)
 }
 
-// Leader names the leader as far as it is known, and tells whether the fleet can agree on something now.
+// Leader returns the name of the leader, if known, and whether the fleet can commit entries at present.
 func (l *Ledger) Leader(now time.Duration) (name string, agrees bool) {
 	if l.core != nil && l.state.Voters[l.cfg.Name].ID == l.id {
-		return l.nameOf(l.core.lead()), l.core.content(now)
+		return l.nameOf(l.core.leaderID()), l.core.hasLiveLeader(now)
 	}
-	return l.leader, l.agrees && now-l.answered < 3*l.cfg.Timing.Poll
+	return l.sourceLeader, l.sourceAgrees && now-l.lastResponse < 3*l.cfg.Timing.Poll
 }
 
-// Role is this box's in the agreement.
+// Role returns this box's Raft role.
 func (l *Ledger) Role() string {
 	v, ok := l.state.Voters[l.cfg.Name]
 	switch {
@@ -216,23 +219,24 @@
 		return "follower"
 	case v.Learner:
 		return "learner"
-	case l.core.leads():
+	case l.core.isLeader():
 		return "leader"
 	}
 	return "voter"
 }
 
+// nameOf returns the name of the box with an identity, or "".
 func (l *Ledger) nameOf(id uint64) string {
 	for name, v := range l.state.Voters {
 		if v.ID == id {
 			return name
 		}
 	}
-	return l.names[id]
+	return l.namesByID[id]
 }
 
-// begin replaces all that this box has by a ledger of its own that begins with a state.
-func (l *Ledger) begin(now time.Duration, id uint64, s *State) error {
+// startFrom replaces the content of the disk by a new ledger that starts with the given state and has this box as its only voter.
+func (l *Ledger) startFrom(now time.Duration, id uint64, s *State) error {
 	snap := &raftpb.Snapshot{Data: s.Encode(), Metadata: &raftpb.SnapshotMetadata{Index: new(s.Index), Term: new(uint64(1)), ConfState: &raftpb.ConfState{Voters: []uint64{id}}}}
 	hard := &raftpb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(s.Index)}
 	if err := l.cfg.Disk.Save(Write{ID: id, Hard: hard, Snapshot: snap}); err != nil {
@@ -241,11 +245,11 @@
 	if err := l.load(now); err != nil {
 		return err
 	}
-	l.core.campaign = now
+	l.core.electionAt = now
 	return nil
 }
 
-// Init begins a fleet of which this box is the first. Those that are wanted as voters are taken in as they come.
+// Init starts a fleet with this box as its first voter. The boxes in want become voters as they connect.
 func (l *Ledger) Init(now time.Duration, terms lease.Terms, want []string) error {
 	if l.state.Fleet != 0 {
 		return ErrThere
@@ -256,14 +260,14 @@
 	if err := checkWant(want); err != nil {
 		return err
 	}
-	id := l.draw()
-	return l.begin(now, id, Begin(l.draw(), terms, want, l.cfg.Name, id))
+	id := l.randomID()
+	return l.startFrom(now, id, Begin(l.randomID(), terms, want, l.cfg.Name, id))
 }
 
-// checkWant tells what is wrong with a list of voters.
+// checkWant returns an error if a list of voters is invalid.
 func checkWant(want []string) error {
 	if n := len(want); n != 1 && n != 3 && n != 5 {
-		return fmt.Errorf("%d voters are named; 1, 3 or 5 can agree best: an even number bears no more failures than one less", n)
+		return fmt.Errorf("number of voters must be 1, 3 or 5, not %d: an even number tolerates no more failures than one less", n)
 	}
 	for i, name := range want {
 		if name == "" || slices.Contains(want[:i], name) {
@@ -273,18 +277,18 @@
 	return nil
 }
 
-// Recover begins the ledger anew from what this box knows, in a new era, with this box as its only voter. It is for an
-// operator who knows that a majority is lost for good: if it is not, there are two fleets until they meet, and then the new
-// one is what counts.
+// Recover restarts the ledger from this box's state, in a new era, with this box as its only voter. It is for an operator who
+// knows that a majority of the voters is permanently lost. If it is not, there are two fleets until they connect; the new era
+// takes precedence then.
 func (l *Ledger) Recover(now time.Duration) error {
 	if l.state.Fleet == 0 {
 		return ErrNoFleet
 	}
-	id := l.draw()
-	return l.begin(now, id, l.state.Anew(l.cfg.Name, id))
+	id := l.randomID()
+	return l.startFrom(now, id, l.state.Anew(l.cfg.Name, id))
 }
 
-// Want asks for other voters.
+// Want requests another set of voters.
 func (l *Ledger) Want(now time.Duration, want []string) error {
 	if err := checkWant(want); err != nil {
 		return err
@@ -293,7 +297,7 @@
 	return nil
 }
 
-// Ask sends commands to the leader. They may be lost; whoever made them sends them again.
+// Ask sends commands to the leader. They may be lost; the caller has to repeat them.
 func (l *Ledger) Ask(now time.Duration, list []lease.Command) {
 	for len(list) > 0 {
 		n := min(len(list), CommandsMost)
@@ -302,98 +306,102 @@
 	}
 }
 
+// propose queues a Propose if this box leads, and otherwise forwards it towards the leader.
 func (l *Ledger) propose(now time.Duration, m Message) {
-	if l.core != nil && l.core.leads() {
-		l.take(now, m)
+	if l.core != nil && l.core.isLeader() {
+		l.enqueue(now, m)
 		return
 	}
 	to := l.source
-	if l.core != nil && l.core.lead() != 0 {
-		to = l.nameOf(l.core.lead())
+	if l.core != nil && l.core.leaderID() != 0 {
+		to = l.nameOf(l.core.leaderID())
 	}
-	if m.Hops < hopsMost && to != "" && to != l.cfg.Name {
+	if m.Hops < maxHops && to != "" && to != l.cfg.Name {
 		m.Hops++
-		l.say(to, m)
+		l.send(to, m)
 	}
 }
 
-// take has the leader gather commands for its next entry. Those that were applied already are left out.
-func (l *Ledger) take(now time.Duration, m Message) {
+// enqueue adds commands to the leader's next entry. Commands that are already applied are skipped.
+func (l *Ledger) enqueue(now time.Duration, m Message) {
 	if len(m.Want) > 0 && checkWant(m.Want) == nil {
-		l.enter(Entry{Version: 1, Want: m.Want})
+		l.proposeEntry(Entry{Version: 1, Want: m.Want})
 	}
 	for _, c := range m.Commands {
 		if s := l.state.Table.Sessions[c.Session]; c.Session != 0 && c.Kind != lease.Expire && (s == nil || c.Seq <= s.Seq) {
 			continue
 		}
-		if len(l.gather) < gatherMost && !l.waiting[c] {
-			if len(l.gather) == 0 {
-				l.gathered, l.waiting = now, map[lease.Command]bool{}
+		if len(l.queued) < maxQueued && !l.queuedSet[c] {
+			if len(l.queued) == 0 {
+				l.queuedSince, l.queuedSet = now, map[lease.Command]bool{}
 			}
-			l.gather, l.waiting[c] = append(l.gather, c), true
+			l.queued, l.queuedSet[c] = append(l.queued, c), true
 		}
 	}
 }
 
-func (l *Ledger) enter(e Entry) bool {
+// proposeEntry proposes an entry and reports whether Raft has accepted it.
+func (l *Ledger) proposeEntry(e Entry) bool {
 	raw, err := encoding.Marshal(e)
 	return err == nil && l.core.propose(raw) == nil
 }
 
-// flush makes entries of what was gathered: at once when none is under way, else when enough has come or time has passed.
+// flush proposes the queued commands: immediately if no entry is in progress, otherwise when an entry is full or
+// Timing.Gather has passed.
 func (l *Ledger) flush(now time.Duration) {
-	if l.core == nil || !l.core.leads() {
-		l.gather = nil
+	if l.core == nil || !l.core.isLeader() {
+		l.queued = nil
 		return
 	}
 	last, _ := l.core.log.LastIndex()
-	for len(l.gather) > 0 && (last == l.core.applied || len(l.gather) >= CommandsMost || now >= l.gathered+l.cfg.Timing.Gather) {
-		n := min(len(l.gather), CommandsMost)
-		if !l.enter(Entry{Version: versionOf(l.gather[:n]), Commands: l.gather[:n]}) {
-			l.gather = nil // whoever made them sends them again
+	for len(l.queued) > 0 && (last == l.core.applied || len(l.queued) >= CommandsMost || now >= l.queuedSince+l.cfg.Timing.Gather) {
+		n := min(len(l.queued), CommandsMost)
+		if !l.proposeEntry(Entry{Version: versionOf(l.queued[:n]), Commands: l.queued[:n]}) {
+			l.queued = nil // the senders repeat them
 			return
 		}
-		l.gather, l.gathered = slices.Clone(l.gather[n:]), now
+		l.queued, l.queuedSince = slices.Clone(l.queued[n:]), now
 		last = 0
 	}
 }
 
-func (l *Ledger) say(to string, m Message) {
+// send queues a message for sending.
+func (l *Ledger) send(to string, m Message) {
 	m.Fleet, m.Era = l.state.Fleet, l.state.Era
-	l.out = append(l.out, Envelope{to, m})
+	l.outbox = append(l.outbox, Envelope{to, m})
 }
 
-// Receive takes a message from a box.
+// Receive handles a message from a box.
 func (l *Ledger) Receive(now time.Duration, from string, m Message) {
-	if l.fail != nil {
+	if l.diskErr != nil {
 		return
 	}
 	if m.Fleet != 0 && l.state.Fleet != 0 && m.Fleet != l.state.Fleet {
-		l.cfg.Told("%s is of another fleet (%x, this one is %x); what it says is left out", from, m.Fleet, l.state.Fleet)
+		l.cfg.Told("ignoring message from %s: it belongs to fleet %x, this box to fleet %x", from, m.Fleet, l.state.Fleet)
 		return
 	}
 	switch m.Kind {
 	case Raft:
 		if m.Fleet == l.state.Fleet && m.Era == l.state.Era || l.state.Fleet == 0 {
-			l.raft(now, from, m.Raft)
+			l.handleRaft(now, from, m.Raft)
 		}
 	case Follow:
 		if m.Era > l.state.Era {
-			l.ahead, l.poll = from, now
+			l.laterEraBox, l.nextPoll = from, now
 		}
-		l.follow(now, from, m)
+		l.handleFollow(now, from, m)
 	case Records:
-		l.records(now, from, m)
+		l.handleRecords(now, from, m)
 	case Propose:
 		if m.Fleet == l.state.Fleet && m.Era == l.state.Era && l.state.Fleet != 0 {
 			l.propose(now, m)
 		}
 	}
-	l.turn(now)
+	l.process(now)
 }
 
-// raft takes a message of the agreement. A box that was no voter becomes one by it, with nothing in its log.
-func (l *Ledger) raft(now time.Duration, from string, raw []byte) {
+// handleRaft handles a Raft message. On a follower, a message of the leader starts Raft with an empty log.
+func (l *Ledger) handleRaft(now time.Duration, from string, raw []byte) {
 	m := new(raftpb.Message)
 	if proto.Unmarshal(raw, m) != nil || m.GetTo() != l.id {
 		return
@@ -402,22 +410,22 @@
 		if m.GetType() != raftpb.MsgApp && m.GetType() != raftpb.MsgHeartbeat && m.GetType() != raftpb.MsgSnap {
 			return
 		}
-		if l.join(now, Saved{ID: l.id}) != nil {
+		if l.startRaft(now, Saved{ID: l.id}) != nil {
 			return
 		}
 	}
-	l.names[m.GetFrom()] = from
+	l.namesByID[m.GetFrom()] = from
 	l.core.step(now, m)
 }
 
-// follow answers a box that asks.
-func (l *Ledger) follow(now time.Duration, from string, m Message) {
-	if k := l.known[from]; m.ID != 0 {
-		if k.id != m.ID || now > k.last+steady*l.cfg.Timing.Poll {
+// handleFollow handles a Follow message.
+func (l *Ledger) handleFollow(now time.Duration, from string, m Message) {
+	if k := l.identities[from]; m.ID != 0 {
+		if k.id != m.ID || now > k.last+identityPolls*l.cfg.Timing.Poll {
 			k = identity{id: m.ID, since: now}
 		}
 		k.last = now
-		l.known[from] = k
+		l.identities[from] = k
 	}
 	if l.state.Fleet == 0 {
 		return
@@ -432,25 +440,25 @@
 		answer.Differs = d != m.Digest
 	}
 	if l.core == nil && index >= l.state.Index {
-		return // this one only follows and knows no more
+		return // this box is a follower itself and has no newer entries
 	}
-	voter := index != 0 && l.state.Voters[from].ID == m.ID // it gets its entries by the agreement
+	voter := index != 0 && l.state.Voters[from].ID == m.ID // it receives its entries through Raft
 	if !voter {
-		l.fill(&answer, index)
+		l.addRecords(&answer, index)
 	}
-	l.say(from, answer)
+	l.send(from, answer)
 	if l.core != nil && !voter {
-		l.asks[from] = follower{max(index, l.state.Index), now + followFor*l.cfg.Timing.Poll}
+		l.followers[from] = follower{max(index, l.state.Index), now + followPolls*l.cfg.Timing.Poll}
 	}
 }
 
-// fill puts into an answer what comes after an index.
-func (l *Ledger) fill(m *Message, index uint64) {
+// addRecords adds the entries after an index to a response, or a snapshot if they are not available.
+func (l *Ledger) addRecords(m *Message, index uint64) {
 	if index >= l.state.Index {
 		return
 	}
 	if l.core != nil && index != 0 {
-		if list, ok := l.core.records(index, recordsMost); ok && len(list) > 0 && list[0].Index == index+1 {
+		if list, ok := l.core.records(index, maxRecordBytes); ok && len(list) > 0 && list[0].Index == index+1 {
 			m.Records = list
 			return
 		}
@@ -458,15 +466,15 @@
 	m.Snapshot = l.state.Encode()
 }
 
-// tell sends new entries to those that have asked.
-func (l *Ledger) tell(now time.Duration) {
+// sendNewEntries sends new entries to the boxes that have sent a Follow recently.
+func (l *Ledger) sendNewEntries(now time.Duration) {
 	if l.core == nil {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.asks)) {
-		f := l.asks[name]
+	for _, name := range slices.Sorted(maps.Keys(l.followers)) {
+		f := l.followers[name]
 		if now >= f.until {
-			delete(l.asks, name)
+			delete(l.followers, name)
 			continue
 		}
 		if f.index >= l.state.Index {
@@ -474,29 +482,29 @@
 		}
 		leader, agrees := l.Leader(now)
 		m := Message{Kind: Records, Leader: leader, Agrees: agrees}
-		l.fill(&m, f.index)
+		l.addRecords(&m, f.index)
 		f.index = l.state.Index
 		if n := len(m.Records); n > 0 {
 			f.index = m.Records[n-1].Index
 		}
-		l.asks[name] = f
-		l.say(name, m)
+		l.followers[name] = f
+		l.send(name, m)
 	}
 }
 
-// records takes what a box has answered.
-func (l *Ledger) records(now time.Duration, from string, m Message) {
+// handleRecords handles a Records message.
+func (l *Ledger) handleRecords(now time.Duration, from string, m Message) {
 	if m.Fleet == 0 || m.Era < l.state.Era {
 		return
 	}
 	if m.Differs && from == m.Leader && m.Era == l.state.Era {
 		if l.alarm == nil {
-			l.cfg.Told("%v", errDiffers)
+			l.cfg.Told("%v", errStateDiffers)
 		}
-		l.alarm = errDiffers
+		l.alarm = errStateDiffers
 	}
 	if from == l.source {
-		l.answered, l.agrees, l.leader = now, m.Agrees, m.Leader
+		l.lastResponse, l.sourceAgrees, l.sourceLeader = now, m.Agrees, m.Leader
 	}
 	if len(m.Snapshot) > 0 {
 		s, err := Decode(m.Snapshot)
@@ -509,8 +517,8 @@
 		}
 		if l.state.Era == s.Era || l.state.Fleet == 0 && l.core != nil {
 			l.install(s)
-		} else if err := l.adopt(s); err != nil {
-			l.stop(err)
+		} else if err := l.adoptEra(s); err != nil {
+			l.failDisk(err)
 		}
 		return
 	}
@@ -522,35 +530,36 @@
 			continue
 		}
 		if err := l.apply(r); errors.Is(err, ErrFailed) {
-			l.stop(err)
+			l.failDisk(err)
 			return
 		} else if err != nil {
-			return // a gap: the next answer closes it
+			return // gap: the next response fills it
 		}
 	}
 }
 
-// adopt takes up a later era and forgets what this box was in an earlier one: no vote of it counts any more.
-func (l *Ledger) adopt(s *State) error {
+// adoptEra installs the state of a later era and discards the box's identity of the earlier one, whose votes are void.
+func (l *Ledger) adoptEra(s *State) error {
 	if l.state.Fleet != 0 {
-		l.cfg.Told("this box goes over to era %d of the fleet", s.Era)
-		l.id = l.draw()
+		l.cfg.Told("switching to era %d of the fleet", s.Era)
+		l.id = l.randomID()
 	}
-	l.core, l.alarm, l.ahead = nil, nil, ""
+	l.core, l.alarm, l.laterEraBox = nil, nil, ""
 	l.install(s)
-	return l.keep()
+	return l.saveState()
 }
 
-// install replaces the state by a newer one.
+// install replaces the state with a newer one.
 func (l *Ledger) install(s *State) {
-	l.state, l.moved = s, true
+	l.state, l.stateChanged = s, true
 	l.applied = append(l.applied, Applied{Index: s.Index})
-	l.digests, l.newest = map[uint64]uint64{}, 0
+	l.digests, l.lastDigestIndex = map[uint64]uint64{}, 0
 }
 
+// apply applies the next entry to the state.
 func (l *Ledger) apply(r Record) error {
 	if r.Index <= l.state.Index {
-		return nil // it came by another way already
+		return nil // already received by another path
 	}
 	list, why, err := l.state.apply(r)
 	if err != nil {
@@ -560,76 +569,76 @@
 		}
 		return err
 	}
-	l.moved = true
+	l.stateChanged = true
 	l.applied = append(l.applied, Applied{r.Index, list, why})
-	if r.Index%digestEach == 0 {
-		l.digests[r.Index], l.newest = l.state.Digest(), r.Index
-		delete(l.digests, r.Index-digestEach*digestsKept)
+	if r.Index%digestInterval == 0 {
+		l.digests[r.Index], l.lastDigestIndex = l.state.Digest(), r.Index
+		delete(l.digests, r.Index-digestInterval*maxDigests)
 	}
-	if l.core == nil && r.Index%keepEach == 0 {
-		return l.keep()
+	if l.core == nil && r.Index%saveInterval == 0 {
+		return l.saveState()
 	}
 	return nil
 }
 
-// Tick does what is due and returns when to call again, at the latest.
+// Tick performs the actions that are due and returns the latest time of the next call.
 func (l *Ledger) Tick(now time.Duration) time.Duration {
-	if l.fail != nil {
+	if l.diskErr != nil {
 		return now + l.cfg.Timing.Election
 	}
 	next := now + l.cfg.Timing.Poll
 	if l.core != nil {
 		next = min(next, l.core.tick(now))
 	}
-	if now >= l.poll {
-		l.poll = now + l.cfg.Timing.Poll
-		l.ask(now)
+	if now >= l.nextPoll {
+		l.nextPoll = now + l.cfg.Timing.Poll
+		l.sendFollow(now)
 	}
-	if l.core != nil && now >= l.review {
-		l.review = now + l.cfg.Timing.Poll/4
+	if l.core != nil && now >= l.nextReview {
+		l.nextReview = now + l.cfg.Timing.Poll/4
 		l.reconcile(now)
-		next = min(next, l.review)
+		next = min(next, l.nextReview)
 	}
-	l.turn(now)
-	if len(l.gather) > 0 {
-		next = min(next, l.gathered+l.cfg.Timing.Gather)
+	l.process(now)
+	if len(l.queued) > 0 {
+		next = min(next, l.queuedSince+l.cfg.Timing.Gather)
 	}
-	return min(next, l.poll)
+	return min(next, l.nextPoll)
 }
 
-// ask asks a voter for what comes next; a voter asks the leader, so that digests are compared and identities known.
-func (l *Ledger) ask(now time.Duration) {
-	m := Message{Kind: Follow, ID: l.id, Index: l.state.Index, DigestAt: l.newest, Digest: l.digests[l.newest]}
-	if l.ahead != "" {
-		l.say(l.ahead, m)
-		l.ahead = "" // it says so again
+// sendFollow sends a Follow to a voter. A voter sends it to the leader, so that digests are compared and identities are known.
+func (l *Ledger) sendFollow(now time.Duration) {
+	m := Message{Kind: Follow, ID: l.id, Index: l.state.Index, DigestAt: l.lastDigestIndex, Digest: l.digests[l.lastDigestIndex]}
+	if l.laterEraBox != "" {
+		l.send(l.laterEraBox, m)
+		l.laterEraBox = "" // it is set again by the box's next Follow
 	}
 	if l.core != nil && l.state.Voters[l.cfg.Name].ID == l.id {
-		if lead := l.core.lead(); lead != 0 && lead != l.id {
+		if lead := l.core.leaderID(); lead != 0 && lead != l.id {
 			l.source = l.nameOf(lead)
-			l.say(l.source, m)
+			l.send(l.source, m)
 			return
 		}
 	}
-	if now > l.answered+l.cfg.Timing.Poll*3/2 || l.source == "" || l.source == l.cfg.Name || len(l.state.Voters) > 0 && !slices.Contains(l.voters(), l.source) {
-		l.change()
-		l.answered = now
+	if now > l.lastResponse+l.cfg.Timing.Poll*3/2 || l.source == "" || l.source == l.cfg.Name || len(l.state.Voters) > 0 && !slices.Contains(l.voterNames(), l.source) {
+		l.selectSource()
+		l.lastResponse = now
 	}
 	if l.source != "" {
-		l.say(l.source, m)
+		l.send(l.source, m)
 	}
-	if slices.Contains(l.state.Want, l.cfg.Name) && l.leader != "" && l.leader != l.source && l.leader != l.cfg.Name {
-		l.say(l.leader, m) // it is to know of this box's identity
+	if slices.Contains(l.state.Want, l.cfg.Name) && l.sourceLeader != "" && l.sourceLeader != l.source && l.sourceLeader != l.cfg.Name {
+		l.send(l.sourceLeader, m) // the leader must know this box's identity
 	}
 }
 
-// change goes over to another source: one of the voters, or of all that are named as long as no fleet is known. Now and then it
-// is one that is named all the same: it may know of voters, or of an era, that this box has not heard of. A box that only
-// follows is none to stay with: two that follow each other learn nothing.
-func (l *Ledger) change() {
-	l.agrees = false
-	list := l.voters()
-	if len(list) == 0 || l.cfg.Rand.IntN(strayEach) == 0 {
+// selectSource selects another source at random: one of the voters, or one of the seeds if no fleet is known. Occasionally it selects
+// a seed although voters are known, because the seed may know of voters or an era that this box does not. A source that is only
+// a follower is replaced at the next poll: two boxes that follow each other receive nothing new.
+func (l *Ledger) selectSource() {
+	l.sourceAgrees = false
+	list := l.voterNames()
+	if len(list) == 0 || l.cfg.Rand.IntN(seedChoiceInterval) == 0 {
 		list = slices.Clone(l.cfg.Seeds)
 	}
 	slices.Sort(list)
@@ -641,11 +650,11 @@
 	l.source = list[l.cfg.Rand.IntN(len(list))]
 }
 
-// strayEach is how many changes of source lie between two that ask somebody who does not vote, on average.
-const strayEach = 4
+// seedChoiceInterval is the average number of source changes between two that select from the seeds.
+const seedChoiceInterval = 4
 
-// voters are the names of those that vote.
-func (l *Ledger) voters() (list []string) {
+// voterNames returns the names of the voters.
+func (l *Ledger) voterNames() (list []string) {
 	for name, v := range l.state.Voters {
 		if !v.Learner {
 			list = append(list, name)
@@ -654,33 +663,33 @@
 	return list
 }
 
-// reconcile has the leader make the next change of voters.
+// reconcile proposes the next change of voters if this box leads.
 func (l *Ledger) reconcile(now time.Duration) {
 	if !l.Leads(now) {
 		return
 	}
 	known := map[string]uint64{l.cfg.Name: l.id}
-	for name, k := range l.known {
-		// A copy of a box's folder that is started beside it has the name, and no claim to the vote of a box that is there.
-		if v, ok := l.state.Voters[name]; ok && v.ID != k.id && l.core.lately(now, v.ID) {
+	for name, k := range l.identities {
+		// A copy of a box's folder that runs beside the box has the same name, but must not replace a voter that is alive.
+		if v, ok := l.state.Voters[name]; ok && v.ID != k.id && l.core.heardRecently(now, v.ID) {
 			continue
 		}
-		if now >= k.since+steady*l.cfg.Timing.Poll/2 && now <= k.last+steady*l.cfg.Timing.Poll {
+		if now >= k.since+identityPolls*l.cfg.Timing.Poll/2 && now <= k.last+identityPolls*l.cfg.Timing.Poll {
 			known[name] = k.id
 		}
 	}
 	s := voters.Situation{Want: l.state.Want, Have: l.state.Voters, Old: l.state.Old, Known: known, Caught: l.core.caughtUp, Self: l.cfg.Name}
 	if c, ok := s.Next(); ok {
-		l.cfg.Told("voters: %s (%x) becomes %v", c.Name, c.ID, c.Role)
-		l.core.change(c)
+		l.cfg.Told("changing voters: %s (%x) becomes %v", c.Name, c.ID, c.Role)
+		l.core.proposeChange(c)
 	}
 }
 
-// turn carries out what the agreement asks for, and passes on what came of it.
-func (l *Ledger) turn(now time.Duration) {
+// process processes pending Raft work, applies committed entries and queues the resulting messages.
+func (l *Ledger) process(now time.Duration) {
 	l.flush(now)
 	if l.core != nil {
-		err := l.core.ready(now, func(snap *raftpb.Snapshot) error {
+		err := l.core.processReady(now, func(snap *raftpb.Snapshot) error {
 			s, err := Decode(snap.GetData())
 			if err != nil {
 				return err
@@ -694,51 +703,52 @@
 			err = l.core.compact(l.state)
 		}
 		if err != nil {
-			l.stop(err)
+			l.failDisk(err)
 			return
 		}
-		for _, m := range l.core.out {
+		for _, m := range l.core.outbox {
 			if to := l.nameOf(m.GetTo()); to != "" && to != l.cfg.Name {
-				l.say(to, Message{Kind: Raft, Raft: encode(m)})
+				l.send(to, Message{Kind: Raft, Raft: encode(m)})
 			}
 		}
-		l.core.out = nil
+		l.core.outbox = nil
 		l.retire()
 	}
-	l.tell(now)
+	l.sendNewEntries(now)
 }
 
-// stop says and does nothing more: what the disk holds is not known.
-func (l *Ledger) stop(err error) {
-	l.fail = fmt.Errorf("%w: %w", ErrFailed, err)
-	l.out, l.core = nil, nil
-	l.cfg.Told("%v", l.fail)
+// failDisk records a disk failure. Nothing is sent or applied after it because the content of the disk is unknown.
+func (l *Ledger) failDisk(err error) {
+	l.diskErr = fmt.Errorf("%w: %w", ErrFailed, err)
+	l.outbox, l.core = nil, nil
+	l.cfg.Told("%v", l.diskErr)
 }
 
-// retire ends this box's part in the votes once the ledger says that another identity stands in its place, or none. What it
-// was never votes again: should it be wanted anew, it comes with an identity of its own.
+// retire stops Raft on this box once the ledger shows that the box's identity was replaced or removed. The identity never votes
+// again: if the box is to vote later, it does so under a new one.
 func (l *Ledger) retire() {
 	v, ok := l.state.Voters[l.cfg.Name]
 	if ok && v.ID == l.id {
-		l.seat = true
+		l.wasMember = true
 		return
 	}
 	if l.state.Fleet == 0 || l.state.Index < l.core.applied {
 		return
 	}
-	// The agreement may be behind what this box knows by following; or it has just been asked to take part, and neither says so yet.
-	if behind := l.core.member(l.id); behind && l.state.Index == l.core.applied || !behind && !l.seat {
+	// Raft may lag behind the state that this box received as a follower; or the box has just been added and neither the state
+	// nor Raft shows it yet.
+	if behind := l.core.isMember(l.id); behind && l.state.Index == l.core.applied || !behind && !l.wasMember {
 		return
 	}
-	l.cfg.Told("this box votes no more")
-	l.core, l.seat, l.id = nil, false, l.draw()
-	if err := l.keep(); err != nil {
-		l.stop(err)
+	l.cfg.Told("this box is no longer a voter")
+	l.core, l.wasMember, l.id = nil, false, l.randomID()
+	if err := l.saveState(); err != nil {
+		l.failDisk(err)
 	}
 }
 
-// keep has the disk hold the state of a box that only follows, under its present identity.
-func (l *Ledger) keep() error {
+// saveState saves the state of a follower under its present identity.
+func (l *Ledger) saveState() error {
 	snap := &raftpb.Snapshot{Data: l.state.Encode(), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(0)), Term: new(uint64(0)), ConfState: new(raftpb.ConfState)}}
 	if err := l.cfg.Disk.Save(Write{ID: l.id, Snapshot: snap}); err != nil {
 		return fmt.Errorf("%w: %w", ErrFailed, err)
@@ -746,9 +756,9 @@
 	return nil
 }
 
-// Take returns the messages to send and what was applied since the last call, and tells whether the state has changed.
-func (l *Ledger) Take() (out []Envelope, applied []Applied, moved bool) {
-	out, applied, moved = l.out, l.applied, l.moved
-	l.out, l.applied, l.moved = nil, nil, false
-	return out, applied, moved
+// Take returns the messages to send, the entries applied since the last call, and whether the state has changed since then.
+func (l *Ledger) Take() (out []Envelope, applied []Applied, changed bool) {
+	out, applied, changed = l.outbox, l.applied, l.stateChanged
+	l.outbox, l.applied, l.stateChanged = nil, nil, false
+	return out, applied, changed
 }
--- a/internal/fleet/ledger/state.go
+++ b/internal/fleet/ledger/state.go
@@ -1,9 +1,9 @@
-// Package ledger is what a fleet agrees on: a log of entries that a majority of voters has on its disks, and the state that
-// all boxes get by applying it in order. Agreement is etcd's raft library; nothing of that is our own.
+// Package ledger implements the replicated log of a fleet: entries that a majority of voters has stored on disk, and the state
+// that all boxes compute by applying the entries in order. Consensus is provided by etcd's raft library.
 //
-// The package does no I/O by itself: a Ledger takes messages and the time, and gives back messages. What must be on a disk
-// goes through Disk before any message that depends on it. So the same code runs in a process and, a thousand at a time, in
-// lab/fleetsim.
+// The package does no network I/O and reads no clock: a Ledger is given messages and the time, and returns messages. Data that
+// must be durable is saved through Disk before any message that depends on it is returned. The same code therefore runs in a
+// process and, with a thousand instances, in lab/fleetsim.
 package ledger
 
 import (
@@ -22,12 +22,12 @@
 	"cairnlane/internal/decide/voters"
 )
 
-// Version is of the entries that this build understands. A box applies none of a later one: it could not come to the same
-// state as the others. An entry says the least version that it needs, so that builds of several versions are one fleet until
-// something is said that the older ones do not know. Since 2 there are roll-outs.
+// Version is the highest version of entries that this build supports. A box does not apply entries of later versions, because
+// its state would diverge from that of the others. An entry carries the minimum version that it requires, so builds of several
+// versions can form a fleet until a command is used that the older ones do not support. Version 2 added roll-outs.
 const Version = 2
 
-// versionOf is what a box must understand to apply commands.
+// versionOf returns the minimum version that is required to apply the commands.
 func versionOf(list []lease.Command) uint64 {
 	for _, c := range list {
 		if c.Kind == lease.Carry {
@@ -37,34 +37,34 @@
 	return 1
 }
 
-// eraShift leaves each era 2^40 numbers of its own. Indexes and tokens of an era begin above all that earlier ones can have
-// given out, also where the ledger that gave them is lost.
+// eraShift reserves 2^40 numbers for each era. The indexes and tokens of an era start above all that earlier eras can have
+// issued, even if the ledger that issued them is lost.
 const eraShift = 40
 
-// State is what all boxes have the same, byte for byte, after the same index.
+// State is the replicated state. Its encoding is identical on all boxes after the same index.
 type State struct {
 	Version uint64                  `cbor:"1,keyasint"`
-	Fleet   uint64                  `cbor:"2,keyasint"` // drawn when the fleet was begun; 0: there is none
-	Era     uint64                  `cbor:"3,keyasint"` // grows when an operator begins the ledger anew
-	Index   uint64                  `cbor:"4,keyasint"` // of the last entry
+	Fleet   uint64                  `cbor:"2,keyasint"` // random ID of the fleet; 0: no fleet
+	Era     uint64                  `cbor:"3,keyasint"` // increases when an operator restarts the ledger
+	Index   uint64                  `cbor:"4,keyasint"` // last applied entry
 	Table   *lease.Table            `cbor:"5,keyasint"`
-	Want    []string                `cbor:"6,keyasint"` // the boxes that are to vote
+	Want    []string                `cbor:"6,keyasint"` // names of the boxes that are to vote
 	Voters  map[string]voters.Voter `cbor:"7,keyasint"`
-	Old     []uint64                `cbor:"8,keyasint"`           // identities in the votes whose box has another one now
+	Old     []uint64                `cbor:"8,keyasint"`           // identities that are still members although their box has a new one
 	Rollout *rollout.Table          `cbor:"9,keyasint,omitempty"` // nil before the first configuration
 }
 
-// Entry is what one place of the log holds.
+// Entry is the data of one log entry.
 type Entry struct {
 	Version  uint64          `cbor:"1,keyasint"`
 	Commands []lease.Command `cbor:"2,keyasint,omitempty"`
 	Want     []string        `cbor:"3,keyasint,omitempty"`
 }
 
-// ErrVersion says that an entry is of a later build.
-var ErrVersion = errors.New("ledger: an entry is of a later build; install it on this box")
+// ErrVersion is returned for an entry or a state of a later version.
+var ErrVersion = errors.New("ledger: entry or state was written by a later build; install that build on this box")
 
-// encoding is the canonical one, so that equal states are equal bytes.
+// encoding is the deterministic encoding, so that equal states have equal bytes.
 var encoding = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -73,7 +73,7 @@
 	return mode
 }()
 
-// decoding bounds what a message may claim to hold.
+// decoding limits the sizes that a message may declare.
 var decoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 17, MaxNestedLevels: 16}.DecMode()
 	if err != nil {
@@ -82,7 +82,7 @@
 	return mode
 }()
 
-// Begin is the state of a fleet at its beginning.
+// Begin returns the initial state of a fleet.
 func Begin(fleet uint64, terms lease.Terms, want []string, self string, id uint64) *State {
 	s := &State{Version: 1, Fleet: fleet, Era: 1, Index: 1 << eraShift, Table: lease.NewTable(terms), Want: slices.Clone(want),
 		Voters: map[string]voters.Voter{self: {ID: id}}}
@@ -90,8 +90,8 @@
 	return s
 }
 
-// Anew is the state from which an operator begins again after a majority was lost: what this box knows, above every number
-// that was ever given out, and with nothing granted until all who held something have stopped.
+// Anew returns the state from which the ledger is restarted after the loss of a majority: the state of this box, with indexes
+// and tokens above all that were ever issued, and with grants suspended until all former holders have stopped acting.
 func (s *State) Anew(self string, id uint64) *State {
 	n := s.Clone()
 	n.Era++
@@ -102,7 +102,7 @@
 	return n
 }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares only immutable data with s.
 func (s *State) Clone() *State {
 	n := *s
 	n.Table, n.Want, n.Voters, n.Old = s.Table.Clone(), slices.Clone(s.Want), maps.Clone(s.Voters), slices.Clone(s.Old)
@@ -112,26 +112,26 @@
 	return &n
 }
 
-// Encode returns the state's one form in bytes.
+// Encode returns the deterministic encoding of the state.
 func (s *State) Encode() []byte {
 	raw, err := encoding.Marshal(s)
 	if err != nil {
-		panic(err) // a state holds nothing that cannot be encoded
+		panic(err) // cannot happen: all fields can be encoded
 	}
 	return raw
 }
 
-// Decode reads a state.
+// Decode decodes a state.
 func Decode(raw []byte) (*State, error) {
 	s := new(State)
 	if err := decoding.Unmarshal(raw, s); err != nil {
-		return nil, fmt.Errorf("ledger: a state cannot be read: %w", err)
+		return nil, fmt.Errorf("ledger: decode state: %w", err)
 	}
 	if s.Version > Version {
 		return nil, ErrVersion
 	}
 	if s.Table == nil {
-		return nil, errors.New("ledger: a state without a table")
+		return nil, errors.New("ledger: decode state: table missing")
 	}
 	if s.Table.Sessions == nil {
 		s.Table.Sessions = map[uint64]*lease.Session{}
@@ -160,30 +160,30 @@
 	return s, nil
 }
 
-// Digest is equal where states are.
+// Digest returns a hash of the encoded state.
 func (s *State) Digest() uint64 { return xxhash.Sum64(s.Encode()) }
 
-// Record is an entry as it travels to boxes that follow.
+// Record is an entry as it is sent to followers.
 type Record struct {
 	Index uint64           `cbor:"1,keyasint"`
 	Type  raftpb.EntryType `cbor:"2,keyasint,omitempty"`
 	Data  []byte           `cbor:"3,keyasint,omitempty"`
 }
 
-// apply takes the next record. It returns the commands in it, and why each was turned down, nil where it was not.
-func (s *State) apply(r Record) (list []lease.Command, why []error, err error) {
+// apply applies the next record. It returns the commands in it and, for each, the reason of its rejection, or nil.
+func (s *State) apply(r Record) (list []lease.Command, results []error, err error) {
 	switch {
 	case r.Index != s.Index+1:
-		return nil, nil, fmt.Errorf("ledger: entry %d comes after %d", r.Index, s.Index)
+		return nil, nil, fmt.Errorf("ledger: entry %d is out of order after entry %d", r.Index, s.Index)
 	case r.Type != raftpb.EntryNormal:
 		change, ok := confChange(r)
 		if ok {
-			s.change(change)
+			s.changeVoters(change)
 		}
 	case len(r.Data) > 0:
 		var e Entry
 		if err := decoding.Unmarshal(r.Data, &e); err != nil {
-			return nil, nil, fmt.Errorf("ledger: entry %d cannot be read: %w", r.Index, err)
+			return nil, nil, fmt.Errorf("ledger: decode entry %d: %w", r.Index, err)
 		}
 		if e.Version > Version {
 			return nil, nil, ErrVersion
@@ -191,31 +191,31 @@
 		if len(e.Want) > 0 {
 			s.Want = e.Want
 		}
-		list, why = e.Commands, make([]error, len(e.Commands))
+		list, results = e.Commands, make([]error, len(e.Commands))
 		for i, c := range e.Commands {
-			// Each command has a number of its own, so that two sessions begun by one entry differ.
+			// Each command has a unique index, so that two sessions started by one entry have different IDs.
 			at := r.Index<<CommandBits | uint64(i)
-			if why[i] = s.Table.Apply(at, c); why[i] == nil && c.Kind == lease.Carry {
-				why[i] = s.carry(at, c)
+			if results[i] = s.Table.Apply(at, c); results[i] == nil && c.Kind == lease.Carry {
+				results[i] = s.applyPayload(at, c)
 			}
 		}
 	}
 	s.Index = r.Index
-	return list, why, nil
+	return list, results, nil
 }
 
-// Conductor is the task whose holder conducts the fleet's roll-out.
+// Conductor is the task whose holder runs the conductor of the fleet's roll-out.
 const Conductor = "fleet/conductor"
 
-// carry applies what a command of a session carries.
-func (s *State) carry(index uint64, c lease.Command) error {
+// applyPayload applies the payload of a Carry command.
+func (s *State) applyPayload(index uint64, c lease.Command) error {
 	s.Version = max(s.Version, 2)
 	var r rollout.Command
 	if err := decoding.Unmarshal([]byte(c.Payload), &r); err != nil {
 		return rollout.ErrBad
 	}
 	box := s.Table.Sessions[c.Session].Box
-	if s.Table.Barred[box] && r.Kind != rollout.Tell { // its words about the fleet are not believed
+	if s.Table.Barred[box] && r.Kind != rollout.Tell { // a barred box may only report its own state
 		return lease.ErrBarred
 	}
 	if s.Rollout == nil {
@@ -237,7 +237,7 @@
 	return nil
 }
 
-// Known counts the boxes of the fleet, those that died included and those that left in order not.
+// Known returns the number of boxes of the fleet, including dead ones, without those that have left in order.
 func (s *State) Known() int {
 	n := len(s.Table.Names)
 	for _, e := range s.Table.Left {
@@ -248,22 +248,23 @@
 	return n
 }
 
-// Carry makes the payload of a command.
+// Carry encodes a roll-out command as the payload of a Carry command.
 func Carry(c rollout.Command) cbor.ByteString {
 	raw, err := encoding.Marshal(c)
 	if err != nil {
-		panic(err) // of our own types
+		panic(err) // cannot happen: all fields can be encoded
 	}
 	return cbor.ByteString(raw)
 }
 
-// CommandsMost is how many commands one entry holds; see apply.
+// CommandsMost is the maximum number of commands in an entry; see State.apply.
 const CommandsMost = 1 << CommandBits
 
-// CommandBits are the low ones of a command's number: its place in its entry. The rest is the entry's index.
+// CommandBits is the number of low bits of a command's index that hold its position in the entry. The other bits hold the
+// index of the entry.
 const CommandBits = 8
 
-// confChange reads what a change of voters says of a box. Leaving a joint state says nothing.
+// confChange decodes a change of voters. ok is false for an entry that only leaves a joint configuration.
 func confChange(r Record) (c voters.Change, ok bool) {
 	var cc raftpb.ConfChangeV2
 	if r.Type != raftpb.EntryConfChangeV2 || proto.Unmarshal(r.Data, &cc) != nil || len(cc.GetContext()) == 0 {
@@ -272,7 +273,8 @@
 	return c, decoding.Unmarshal(cc.GetContext(), &c) == nil
 }
 
-func (s *State) change(c voters.Change) {
+// changeVoters applies a change of voters.
+func (s *State) changeVoters(c voters.Change) {
 	switch c.Role {
 	case voters.Learner:
 		if v, ok := s.Voters[c.Name]; ok && v.ID != c.ID {
--- a/internal/fleet/ledger/state_test.go
+++ b/internal/fleet/ledger/state_test.go
@@ -10,7 +10,8 @@
 	"cairnlane/internal/decide/voters"
 )
 
-func sample(t *testing.T) *State {
+// sampleState returns a state with sessions, a holder and waiters.
+func sampleState(t *testing.T) *State {
 	t.Helper()
 	s := Begin(5, lease.Terms{Term: time.Second, Drift: 0.01}, []string{"a"}, "a", 9)
 	for i, c := range []lease.Command{{Kind: lease.Join, Box: "a", Nonce: 1, Try: 1}, {Kind: lease.Join, Box: "b", Nonce: 2, Try: 1}} {
@@ -27,27 +28,27 @@
 	return s
 }
 
-func TestAStateIsTheSameBytesHoweverItCame(t *testing.T) {
-	s := sample(t)
+func TestStateEncodingIsDeterministic(t *testing.T) {
+	s := sampleState(t)
 	raw := s.Encode()
 	back, err := Decode(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 20 { // maps are walked in another order each time
+	for range 20 { // the iteration order of maps differs each time
 		if !bytes.Equal(back.Encode(), raw) || !bytes.Equal(back.Clone().Encode(), raw) {
-			t.Fatal("the bytes differ")
+			t.Fatal("encodings differ")
 		}
 	}
 	for cut := range raw {
 		if _, err := Decode(raw[:cut]); err == nil {
-			t.Fatalf("a state that is cut at %d of %d is taken", cut, len(raw))
+			t.Fatalf("state truncated to %d of %d bytes accepted", cut, len(raw))
 		}
 	}
 }
 
-func TestALaterVersionIsNotApplied(t *testing.T) {
-	s := sample(t)
+func TestLaterVersionIsNotApplied(t *testing.T) {
+	s := sampleState(t)
 	raw, _ := encoding.Marshal(Entry{Version: Version + 1})
 	before := s.Digest()
 	if _, _, err := s.apply(Record{Index: s.Index + 1, Data: raw}); !errors.Is(err, ErrVersion) || s.Digest() != before {
@@ -55,12 +56,12 @@
 	}
 	s.Version = Version + 1
 	if _, err := Decode(s.Encode()); !errors.Is(err, ErrVersion) {
-		t.Errorf("a snapshot of a later build: %v", err)
+		t.Errorf("snapshot of a later build: %v", err)
 	}
 }
 
-func TestAnEraBeginsAboveAllNumbers(t *testing.T) {
-	s := sample(t)
+func TestNewEraStartsAboveAllIssuedNumbers(t *testing.T) {
+	s := sampleState(t)
 	n := s.Anew("b", 11)
 	if n.Index <= s.Index+1<<39 || n.Table.Token <= s.Table.Token+1<<39 || n.Table.Closed == 0 {
 		t.Errorf("index %d after %d, token %d after %d, closed at %d", n.Index, s.Index, n.Table.Token, s.Table.Token, n.Table.Closed)
@@ -70,16 +71,17 @@
 	}
 }
 
-// TestAnEntrySaysTheLeastVersionThatItNeeds, so that older builds go along until something is said that they do not know.
-func TestAnEntrySaysTheLeastVersionThatItNeeds(t *testing.T) {
+// TestEntryHasMinimumVersion checks that entries and states carry the minimum version that they require, so that older builds
+// can apply them as long as they support all commands.
+func TestEntryHasMinimumVersion(t *testing.T) {
 	if v := versionOf([]lease.Command{{Kind: lease.Renew}, {Kind: lease.Report}}); v != 1 {
-		t.Errorf("what builds of version 1 know needs %d", v)
+		t.Errorf("commands of version 1 require version %d", v)
 	}
 	if v := versionOf([]lease.Command{{Kind: lease.Renew}, {Kind: lease.Carry}}); v != 2 {
-		t.Errorf("a roll-out needs %d", v)
+		t.Errorf("roll-out command requires version %d, want 2", v)
 	}
-	s := sample(t)
+	s := sampleState(t)
 	if again, err := Decode(s.Encode()); err != nil || again.Version != 1 || again.Rollout != nil {
-		t.Errorf("a state without roll-outs is of version %d: %v", again.Version, err)
+		t.Errorf("state without roll-outs has version %d: %v", again.Version, err)
 	}
 }
--- a/internal/fleet/ledger/store.go
+++ b/internal/fleet/ledger/store.go
@@ -14,33 +14,33 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Store is a Disk in one bbolt file. Its two buckets: "meta" with the keys id (8 bytes, big endian), hard and snapshot
-// (protobuf), place (see place), and "log" with an entry (protobuf) under each index (8 bytes, big endian). A Save is one
-// transaction, which bbolt syncs before it returns.
+// Store is a Disk in one bbolt file. It has two buckets: "meta" with the keys id (8 bytes, big endian), hard and snapshot
+// (protobuf) and place (see fileIdentity), and "log" with an entry (protobuf) under each index (8 bytes, big endian). A Save
+// is one transaction, which bbolt syncs to disk before it returns.
 type Store struct {
-	db   *bbolt.DB
-	at   string      // the file's place
-	full func() bool // a trial's switch; nil in a release build
+	db           *bbolt.DB
+	fileID       string      // see fileIdentity
+	simulateFull func() bool // simulates a full disk in trials; nil in a release build
 }
 
 var (
 	metaBucket, logBucket                 = []byte("meta"), []byte("log")
 	idKey, hardKey, snapshotKey, placeKey = []byte("id"), []byte("hard"), []byte("snapshot"), []byte("place")
-	openTime                              = 2 * time.Second // for another process to let go of the file
-	errNoBucket                           = errors.New("ledger: the store has not the buckets that it should; it is not ours or it is damaged")
-	errOtherProcess                       = errors.New("another process has it open")
+	lockTimeout                           = 2 * time.Second // maximum wait for another process to close the file
+	errBucketsMissing                     = errors.New("ledger: buckets missing: the file is damaged or not a ledger store")
+	errOtherProcess                       = errors.New("file is open in another process")
 )
 
-// FileName is the store's in its folder.
+// FileName is the name of the store's file in its folder.
 const FileName = "ledger.db"
 
-// OpenStore opens or makes the store in a folder. Only one process may have it open.
+// OpenStore opens the store in a folder and creates it if necessary. Only one process can have a store open.
 func OpenStore(dir string) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
 	path := filepath.Join(dir, FileName)
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTime, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true})
 	if errors.Is(err, bbolt.ErrTimeout) {
 		err = errOtherProcess
 	}
@@ -59,18 +59,18 @@
 		db.Close()
 		return nil, fmt.Errorf("ledger: %s: %w", path, err)
 	}
-	at, err := place(path)
+	fileID, err := fileIdentity(path)
 	if err != nil {
 		db.Close()
 		return nil, fmt.Errorf("ledger: %s: %w", path, err)
 	}
-	return &Store{db: db, at: at, full: trialFull(dir)}, nil
+	return &Store{db: db, fileID: fileID, simulateFull: trialFull(dir)}, nil
 }
 
-// place tells a file from a copy of it. A folder that was copied to a second process, or put back from a backup, must not
-// vote as what it was: the first would vote twice, the second may have voted since. What is overwritten in place is not found
-// out by this.
-func place(path string) (string, error) {
+// fileIdentity returns a string that distinguishes a file from its copies. A folder that was copied for a second process, or restored
+// from a backup, must not vote under its old identity: a copy would vote twice, and the original of a backup may have voted
+// since. A file that was overwritten in place is not detected.
+func fileIdentity(path string) (string, error) {
 	var st unix.Statx_t
 	if err := unix.Statx(unix.AT_FDCWD, path, 0, unix.STATX_INO|unix.STATX_BTIME, &st); err != nil {
 		return "", err
@@ -81,12 +81,13 @@
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Size is the file's, in bytes.
+// Size returns the size of the file in bytes.
 func (s *Store) Size() (n int64) {
 	s.db.View(func(tx *bbolt.Tx) error { n = tx.Size(); return nil })
 	return n
 }
 
+// key returns the key of an entry in the log bucket.
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // Load implements Disk.
@@ -94,12 +95,12 @@
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 		if meta == nil || log == nil {
-			return errNoBucket
+			return errBucketsMissing
 		}
 		if raw := meta.Get(idKey); len(raw) == 8 {
 			out.ID = binary.BigEndian.Uint64(raw)
 		}
-		copied := string(meta.Get(placeKey)) != s.at
+		copied := string(meta.Get(placeKey)) != s.fileID
 		if raw := meta.Get(hardKey); raw != nil {
 			out.Hard = new(raftpb.HardState)
 			if err := proto.Unmarshal(raw, out.Hard); err != nil {
@@ -123,15 +124,15 @@
 		})
 	})
 	if err != nil {
-		return out, fmt.Errorf("ledger: the store cannot be read: %w", err)
+		return out, fmt.Errorf("ledger: read store: %w", err)
 	}
 	return out, nil
 }
 
-// Save implements Disk. After an error the caller must take the disk's content as unknown and Load it.
+// Save implements Disk. After an error the content of the disk is unknown and the caller must Load it.
 func (s *Store) Save(w Write) error {
-	if s.full != nil && s.full() {
-		return fmt.Errorf("ledger: the store cannot be written: %w", errTrialFull)
+	if s.simulateFull != nil && s.simulateFull() {
+		return fmt.Errorf("ledger: write store: %w", errTrialFull)
 	}
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		if w.ID != 0 {
@@ -143,7 +144,7 @@
 					return err
 				}
 			}
-			if err := errors.Join(tx.Bucket(metaBucket).Put(idKey, key(w.ID)), tx.Bucket(metaBucket).Put(placeKey, []byte(s.at))); err != nil {
+			if err := errors.Join(tx.Bucket(metaBucket).Put(idKey, key(w.ID)), tx.Bucket(metaBucket).Put(placeKey, []byte(s.fileID))); err != nil {
 				return err
 			}
 		}
@@ -167,7 +168,7 @@
 				}
 			}
 		}
-		log.FillPercent = 1 // entries come in order
+		log.FillPercent = 1 // entries are written in order, so pages can be filled completely
 		for _, e := range w.Entries {
 			if err := log.Put(key(e.GetIndex()), encode(e)); err != nil {
 				return err
@@ -184,7 +185,7 @@
 		return nil
 	})
 	if err != nil {
-		return fmt.Errorf("ledger: the store cannot be written: %w", err)
+		return fmt.Errorf("ledger: write store: %w", err)
 	}
 	return nil
 }
--- a/internal/fleet/ledger/store_release.go
+++ b/internal/fleet/ledger/store_release.go
@@ -6,5 +6,5 @@
 
 var errTrialFull = errors.New("no space left")
 
-// trialFull is no switch at all in a release build.
+// trialFull returns nil: a release build cannot simulate a full disk.
 func trialFull(string) func() bool { return nil }
--- a/internal/fleet/ledger/store_test.go
+++ b/internal/fleet/ledger/store_test.go
@@ -18,41 +18,42 @@
 	return &raftpb.Snapshot{Data: []byte(data), Metadata: &raftpb.SnapshotMetadata{Index: &index, Term: new(uint64(1)), ConfState: &raftpb.ConfState{Voters: []uint64{7}}}}
 }
 
-// plain is what is saved, to be compared.
-type plain struct {
+// content is the content of a disk in comparable form.
+type content struct {
 	id, vote, snap uint64
 	entries        []string
 }
 
-func flat(t *testing.T, d Disk) plain {
+// loadContent loads a disk and returns its content.
+func loadContent(t *testing.T, d Disk) content {
 	t.Helper()
 	s, err := d.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := plain{id: s.ID, vote: s.Hard.GetVote(), snap: s.Snapshot.GetMetadata().GetIndex()}
+	p := content{id: s.ID, vote: s.Hard.GetVote(), snap: s.Snapshot.GetMetadata().GetIndex()}
 	for _, e := range s.Entries {
 		p.entries = append(p.entries, string(e.GetData()))
 	}
 	return p
 }
 
-// TestADiskKeepsWhatWasSaved plays the same writes on the file, which is opened anew after each, and in memory.
-func TestADiskKeepsWhatWasSaved(t *testing.T) {
+// TestDiskKeepsSavedData applies the same writes to a Store, which is reopened after each one, and to a Memory.
+func TestDiskKeepsSavedData(t *testing.T) {
 	dir := t.TempDir()
 	memory := new(Memory)
 	for i, c := range []struct {
 		w    Write
-		want plain
+		want content
 	}{
-		{Write{ID: 7}, plain{id: 7}},
-		{Write{Hard: &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(7))}}, plain{id: 7, vote: 7}},
-		{Write{Entries: []*raftpb.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}}, plain{7, 7, 0, []string{"a", "b", "c"}}},
-		{Write{Entries: []*raftpb.Entry{entry(2, 2, "B")}}, plain{7, 7, 0, []string{"a", "B"}}},
-		{Write{Entries: []*raftpb.Entry{entry(3, 2, "C"), entry(4, 2, "D")}, Hard: &raftpb.HardState{Vote: new(uint64(9))}}, plain{7, 9, 0, []string{"a", "B", "C", "D"}}},
-		{Write{Snapshot: snapshot(3, "s"), Compact: 2}, plain{7, 9, 3, []string{"C", "D"}}},
-		{Write{Compact: 9}, plain{7, 9, 3, nil}},
-		{Write{ID: 8}, plain{id: 8}},
+		{Write{ID: 7}, content{id: 7}},
+		{Write{Hard: &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(7))}}, content{id: 7, vote: 7}},
+		{Write{Entries: []*raftpb.Entry{entry(1, 1, "a"), entry(2, 1, "b"), entry(3, 1, "c")}}, content{7, 7, 0, []string{"a", "b", "c"}}},
+		{Write{Entries: []*raftpb.Entry{entry(2, 2, "B")}}, content{7, 7, 0, []string{"a", "B"}}},
+		{Write{Entries: []*raftpb.Entry{entry(3, 2, "C"), entry(4, 2, "D")}, Hard: &raftpb.HardState{Vote: new(uint64(9))}}, content{7, 9, 0, []string{"a", "B", "C", "D"}}},
+		{Write{Snapshot: snapshot(3, "s"), Compact: 2}, content{7, 9, 3, []string{"C", "D"}}},
+		{Write{Compact: 9}, content{7, 9, 3, nil}},
+		{Write{ID: 8}, content{id: 8}},
 	} {
 		store, err := OpenStore(dir)
 		if err != nil {
@@ -62,7 +63,7 @@
 			if err := d.Save(c.w); err != nil {
 				t.Fatal(err)
 			}
-			if got := flat(t, d); !reflect.DeepEqual(got, c.want) {
+			if got := loadContent(t, d); !reflect.DeepEqual(got, c.want) {
 				t.Errorf("write %d, %s: %+v, want %+v", i, name, got, c.want)
 			}
 		}
@@ -70,14 +71,14 @@
 		if store, err = OpenStore(dir); err != nil {
 			t.Fatal(err)
 		}
-		if got := flat(t, store); !reflect.DeepEqual(got, c.want) {
-			t.Errorf("write %d, opened anew: %+v, want %+v", i, got, c.want)
+		if got := loadContent(t, store); !reflect.DeepEqual(got, c.want) {
+			t.Errorf("write %d, reopened: %+v, want %+v", i, got, c.want)
 		}
 		store.Close()
 	}
 }
 
-func TestACopyOfAFolderIsNoVoter(t *testing.T) {
+func TestCopiedStoreLosesVotingIdentity(t *testing.T) {
 	dir := t.TempDir()
 	from, to := filepath.Join(dir, "a"), filepath.Join(dir, "b")
 	store, err := OpenStore(from)
@@ -96,15 +97,15 @@
 	defer copied.Close()
 	s, err := copied.Load()
 	if err != nil || s.ID != 0 || s.Hard != nil || len(s.Entries) > 0 || string(s.Snapshot.GetData()) != "s" {
-		t.Errorf("a copy gives %+v, %v; it may keep what was agreed on and nothing else", s, err)
+		t.Errorf("copy holds %+v, error %v; want only the snapshot", s, err)
 	}
 	if err := copied.Save(Write{ID: 8}); err != nil {
 		t.Fatal(err)
 	}
-	if got := flat(t, copied); got.id != 8 {
+	if got := loadContent(t, copied); got.id != 8 {
 		t.Errorf("%+v", got)
 	}
-	moved := filepath.Join(dir, "c") // a folder that is moved is the same disk
+	moved := filepath.Join(dir, "c") // a moved folder is still the same disk
 	if err := os.Rename(from, moved); err != nil {
 		t.Fatal(err)
 	}
@@ -113,13 +114,13 @@
 		t.Fatal(err)
 	}
 	defer store.Close()
-	if got := flat(t, store); got.id != 7 {
-		t.Errorf("a moved folder gives %+v", got)
+	if got := loadContent(t, store); got.id != 7 {
+		t.Errorf("moved folder holds %+v", got)
 	}
 }
 
-func TestOneProcessHasTheStore(t *testing.T) {
-	openTime = 50e6
+func TestStoreIsOpenedByOneProcessOnly(t *testing.T) {
+	lockTimeout = 50e6
 	dir := t.TempDir()
 	store, err := OpenStore(dir)
 	if err != nil {
@@ -127,17 +128,17 @@
 	}
 	defer store.Close()
 	if _, err := OpenStore(dir); !errors.Is(err, errOtherProcess) {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("second OpenStore returned %v", err)
 	}
 }
 
-func TestTheStoreStaysSmall(t *testing.T) {
+func TestStoreSizeIsBounded(t *testing.T) {
 	store, err := OpenStore(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer store.Close()
-	store.db.NoSync = true // the test is about room
+	store.db.NoSync = true // only the size matters here
 	store.Save(Write{ID: 7})
 	data := string(make([]byte, 200))
 	for i := uint64(1); i <= 40_000; i += 100 {
@@ -154,6 +155,6 @@
 		}
 	}
 	if n := store.Size(); n > 4<<20 {
-		t.Errorf("40,000 entries of 200 bytes, of which %d are kept, take %d bytes", keepEntries, n)
+		t.Errorf("store of 40,000 entries of 200 bytes, of which %d are kept, has %d bytes", keepEntries, n)
 	}
 }
--- a/internal/fleet/ledger/store_trial.go
+++ b/internal/fleet/ledger/store_trial.go
@@ -10,8 +10,8 @@
 
 var errTrialFull error = syscall.ENOSPC
 
-// trialFull has the disk be full while a file of the name "full" stands in the folder. For trials alone: filling a disk
-// takes rights that a trial does not have.
+// trialFull returns a function that reports a full disk while the folder contains a file named "full". Trials use it because
+// they lack the privileges to fill a real disk.
 func trialFull(dir string) func() bool {
 	return func() bool {
 		_, err := os.Stat(filepath.Join(dir, "full"))
