--- a/internal/decide/straggler/explore_test.go
+++ b/internal/decide/straggler/explore_test.go
@@ -115,7 +115,7 @@
 		}
 		s.disk[box] = 2
 	case "report":
-		if told := s.table.Boxes[box]; session == 0 || told.Session == session && told.InForce == s.disk[box] {
+		if last := s.table.Boxes[box]; session == 0 || last.Session == session && last.InForce == s.disk[box] {
 			return false
 		}
 		s.apply(rollout.Command{Kind: rollout.Tell, Standing: &rollout.Standing{InForce: s.disk[box]}}, box)
--- a/internal/decide/straggler/straggler_test.go
+++ b/internal/decide/straggler/straggler_test.go
@@ -11,7 +11,7 @@
 	"cairnlane/internal/decide/rollout"
 )
 
-// newTable returns a table in which version 2 is in force and the lowest allowed one. told holds the version that each box has
+// newTable returns a table in which version 2 is in force and the lowest allowed one. reported holds the version that each box has
 // reported, 0 for no report.
 func newTable(floor float64, reported map[string]uint64) (*rollout.Table, map[string]uint64) {
 	t, living := rollout.NewTable(), map[string]uint64{}
--- a/internal/fleet/ledger/core.go
+++ b/internal/fleet/ledger/core.go
@@ -122,8 +122,8 @@
 	return slices.Contains(c.conf.GetVoters(), id) || slices.Contains(c.conf.GetLearners(), id) || slices.Contains(c.conf.GetVotersOutgoing(), id)
 }
 
-// hasQuorum reports whether the leader has heard from a majority within Timing.Election. A leader without a quorum stops sending,
-// so that other boxes that can still receive from it elect another leader.
+// hasQuorum reports whether the leader has heard from a majority within Timing.Election. A leader without a quorum stops
+// sending, so that other boxes that can still receive from it elect another leader.
 func (c *core) hasQuorum(now time.Duration) bool {
 	n := 0
 	for _, id := range c.conf.GetVoters() {
@@ -236,9 +236,9 @@
 	return ok && p.Match+64 >= last
 }
 
-// processReady processes the pending work of the library: it saves to the disk first and queues messages afterwards. It calls install
-// for a snapshot and apply for each committed entry. After an error the core must not be used any more: the content of the disk
-// is unknown, and nothing that depends on it was sent.
+// processReady processes the pending work of the library: it saves to the disk first and queues messages afterwards. It calls
+// install for a snapshot and apply for each committed entry. After an error the core must not be used any more: the content of
+// the disk is unknown, and nothing that depends on it was sent.
 func (c *core) processReady(now time.Duration, install func(*raftpb.Snapshot) error, apply func(Record) error) error {
 	for c.node.HasReady() {
 		led := c.isLeader()
--- a/internal/fleet/ledger/store.go
+++ b/internal/fleet/ledger/store.go
@@ -67,9 +67,9 @@
 	return &Store{db: db, fileID: fileID, simulateFull: trialFull(dir)}, nil
 }
 
-// fileIdentity returns a string that distinguishes a file from its copies. A folder that was copied for a second process, or restored
-// from a backup, must not vote under its old identity: a copy would vote twice, and the original of a backup may have voted
-// since. A file that was overwritten in place is not detected.
+// fileIdentity returns a string that distinguishes a file from its copies. A folder that was copied for a second process, or
+// restored from a backup, must not vote under its old identity: the copy would give a second vote, and the identity may have
+// voted since the backup was made. A file that was overwritten in place is not detected.
 func fileIdentity(path string) (string, error) {
 	var st unix.Statx_t
 	if err := unix.Statx(unix.AT_FDCWD, path, 0, unix.STATX_INO|unix.STATX_BTIME, &st); err != nil {
