--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -17,24 +17,27 @@
 
 // recorder takes the events of a link.
 type recorder struct {
-	told []string
-	up   time.Duration
+	events       []string
+	engineUptime time.Duration
 }
 
 func (r *recorder) Done(id string, end policy.Outcome, took time.Duration, result []byte) {
-	r.told = append(r.told, fmt.Sprintf("%s %d %v %q", id, end, took, result))
+	r.events = append(r.events, fmt.Sprintf("%s %d %v %q", id, end, took, result))
 }
-func (r *recorder) Rejected(id string) { r.told = append(r.told, "no "+id) }
+func (r *recorder) Rejected(id string) { r.events = append(r.events, "no "+id) }
 func (r *recorder) Need(id string, number int64, body []byte) {
-	r.told = append(r.told, fmt.Sprintf("need %s %d %q", id, number, body))
+	r.events = append(r.events, fmt.Sprintf("need %s %d %q", id, number, body))
 }
-func (r *recorder) Gauges(v []float64)        { r.told = append(r.told, fmt.Sprint("gauges ", v)) }
-func (r *recorder) Started(ago time.Duration) { r.up = ago }
+func (r *recorder) Gauges(v []float64)        { r.events = append(r.events, fmt.Sprint("gauges ", v)) }
+func (r *recorder) Started(ago time.Duration) { r.engineUptime = ago }
 func (r *recorder) Attached(_ time.Duration, open func()) {
-	r.told = append(r.told, "attached")
+	r.events = append(r.events, "attached")
 	open()
 }
-func (r *recorder) want(t *testing.T, w string) { t.Helper(); equal(t, strings.Join(r.told, "; "), w) }
+func (r *recorder) want(t *testing.T, w string) {
+	t.Helper()
+	equal(t, strings.Join(r.events, "; "), w)
+}
 
 func equal(t *testing.T, got, want string) {
 	t.Helper()
@@ -43,56 +46,56 @@
 	}
 }
 
-// link is a session whose output is kept.
-func link(mem *memory) (*session, *recorder, *bytes.Buffer) {
+// newTestSession is a session whose output is kept.
+func newTestSession(mem *linkMemory) (*session, *recorder, *bytes.Buffer) {
 	rec, out := new(recorder), new(bytes.Buffer)
 	s := &session{memory: mem, events: rec, now: testkit.NewClock().Now, send: func(encode func([]byte) []byte) { out.Write(encode(nil)) }}
-	s.begin()
+	s.sendAttach()
 	return s, rec, out
 }
 
-func TestRunCarriesTheBodyAsItCame(t *testing.T) {
+func TestRunCarriesBodyUnchanged(t *testing.T) {
 	equal(t, string(appendRun(nil, "0a", "note-save", []byte("a\r\n\x00b"))), "RUN 0a note-save 5\r\na\r\n\x00b\r\n")
 }
 
-func TestReplayedNoticesAreSettledBeforeRunsAreSentAgain(t *testing.T) {
-	mem := &memory{last: 3}
-	s, rec, out := link(mem)
+func TestMissedNoticesAreDeliveredBeforeAttached(t *testing.T) {
+	mem := &linkMemory{lastNotice: 3}
+	s, rec, out := newTestSession(mem)
 	in := "HELLO running 10\r\nDONE 3 aa fine 1 0\r\n\r\nDONE 4 bb fine 2.5 4\r\n\r\n\r\n\r\nNOTE 5 any words\r\nSTATS g1 0.5 3 0.1 9\r\n"
 	if err := s.feed([]byte(in)); err != nil {
 		t.Fatal(err)
 	}
 	equal(t, out.String(), "ATTACH 3\r\nSTAT g1\r\n")
 	rec.want(t, `bb 0 2.5ms "\r\n\r\n"; attached; gauges [0.5 3 0.1 9]`)
-	if mem.last != 5 || s.state.Load() != ready || rec.up != 10*time.Millisecond {
-		t.Errorf("last %d, state %v, up for %v", mem.last, s.state.Load(), rec.up)
+	if mem.lastNotice != 5 || s.state.Load() != ready || rec.engineUptime != 10*time.Millisecond {
+		t.Errorf("last %d, state %v, up for %v", mem.lastNotice, s.state.Load(), rec.engineUptime)
 	}
 }
 
 // A refused FEED or SKIP used to be taken for a refused RUN: a run that had begun ended as one that never ran.
-func TestRefusedCommands(t *testing.T) {
-	s, rec, _ := link(&memory{})
+func TestRejectedCommands(t *testing.T) {
+	s, rec, _ := newTestSession(&linkMemory{})
 	if err := s.feed([]byte("HELLO starting 0\r\nNO STAT g1\r\nNO RUN 7f\r\nNO FEED 7e\r\nNO SKIP 7d\r\n")); err != nil {
 		t.Fatal(err)
 	}
 	rec.want(t, "attached; no 7f")
 }
 
-func TestCallsAreAskedForAndAnsweredUnchanged(t *testing.T) {
+func TestCallBodiesAndRepliesAreUnchanged(t *testing.T) {
 	equal(t, string(appendFeed(nil, "0a", []byte("a\r\n\x00b"))), "FEED 0a 5\r\na\r\n\x00b\r\n")
 	equal(t, string(appendSkip(nil, "0a", 12)), "SKIP 0a 12\r\n")
-	mem := &memory{}
-	s, rec, _ := link(mem)
+	mem := &linkMemory{}
+	s, rec, _ := newTestSession(mem)
 	in := "HELLO running 1\r\nNEED 1 0a 4\r\n\r\nx\x00\r\nNEED 1 0a 4\r\n\r\nx\x00\r\nDONE 2 0a fine 1 0\r\n\r\nNEED 3 0b 0\r\n\r\n"
 	if err := s.feed([]byte(in)); err != nil {
 		t.Fatal(err)
 	}
 	rec.want(t, `need 0a 1 "\r\nx\x00"; 0a 0 1ms ""; need 0b 3 ""`) // the NEED told twice is told once
-	if mem.last != 3 {
-		t.Errorf("last %d", mem.last)
+	if mem.lastNotice != 3 {
+		t.Errorf("last %d", mem.lastNotice)
 	}
 	for _, in := range []string{"HELLO running 1\r\nNEED 1 0a\r\n", "HELLO running 1\r\nNEED 1 0a 99999999\r\n"} {
-		s, _, _ := link(&memory{})
+		s, _, _ := newTestSession(&linkMemory{})
 		if err := s.feed([]byte(in)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%.40q: error %v", in, err)
 		}
@@ -100,11 +103,11 @@
 }
 
 // An unknown end used to count as a success, as the zero value of the module's outcome.
-func TestGarbageEndsTheLink(t *testing.T) {
+func TestMalformedInputEndsLink(t *testing.T) {
 	for _, in := range []string{"DONE 1 a fine 1 0\r\n\r\n", "HELLO x\r\n", "HELLO running 1\r\nDONE 1 a odd 1 0\r\n\r\n",
 		"HELLO running 1\r\nDONE x a fine 1 0\r\n\r\n", "HELLO running 1\r\nDONE 1 a fine 1 99999999\r\n",
 		"HELLO running 1\r\nDONE 1 a fine 1 1\r\nabc", "HELLO running 1\r\nWHAT\r\n", "\r\n", strings.Repeat("x", maxLine+1)} {
-		s, _, _ := link(&memory{})
+		s, _, _ := newTestSession(&linkMemory{})
 		if err := s.feed([]byte(in)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%.40q: error %v", in, err)
 		}
@@ -113,20 +116,20 @@
 
 // A notice that came ahead of one that was still missing used to have the latter dropped as told already, and its run never
 // ended. A new link is told it; what the engine no longer knows is passed over.
-func TestANoticeThatIsMissingIsAskedForOnce(t *testing.T) {
-	mem := &memory{}
-	s, rec, _ := link(mem)
-	if err := s.feed([]byte("HELLO running 5\r\nDONE 1 a fine 1 0\r\n\r\nDONE 3 c fine 1 0\r\n\r\n")); !errors.Is(err, ErrMalformed) || mem.last != 1 {
-		t.Fatalf("error %v, last %d", err, mem.last)
+func TestMissingNoticeIsRequestedOnce(t *testing.T) {
+	mem := &linkMemory{}
+	s, rec, _ := newTestSession(mem)
+	if err := s.feed([]byte("HELLO running 5\r\nDONE 1 a fine 1 0\r\n\r\nDONE 3 c fine 1 0\r\n\r\n")); !errors.Is(err, ErrMalformed) || mem.lastNotice != 1 {
+		t.Fatalf("error %v, last %d", err, mem.lastNotice)
 	}
-	s, again, _ := link(mem)
+	s, again, _ := newTestSession(mem)
 	if err := s.feed([]byte("HELLO running 5\r\nDONE 2 b fine 1 0\r\n\r\nDONE 3 c fine 1 0\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
 	rec.want(t, `a 0 1ms ""`)
 	again.want(t, `b 0 1ms ""; c 0 1ms ""`)
 	for _, fails := range []bool{true, false} { // 4 to 6 are gone
-		s, rec, _ = link(mem)
+		s, rec, _ = newTestSession(mem)
 		if err := s.feed([]byte("HELLO running 5\r\nDONE 7 g fine 1 0\r\n\r\n")); (err != nil) != fails {
 			t.Fatalf("error %v", err)
 		}
@@ -134,10 +137,10 @@
 	rec.want(t, `g 0 1ms ""`)
 }
 
-// TestEveryNoticeIsToldOnceOverAnyBreaks breaks the link at random places of the stream.
-func TestEveryNoticeIsToldOnceOverAnyBreaks(t *testing.T) {
+// TestNoticesAreDeliveredOnceAcrossBreaks breaks the link at random places of the stream.
+func TestNoticesAreDeliveredOnceAcrossBreaks(t *testing.T) {
 	testkit.Steps(t, func(*rapid.T) map[string]func(*rapid.T) {
-		mem := &memory{}
+		mem := &linkMemory{}
 		var notices []string // what the engine has said, by number
 		var told []string
 		var s *session
@@ -145,11 +148,11 @@
 		var wire []byte
 		attach := func(*rapid.T) {
 			if rec != nil {
-				told = append(told, rec.told...)
+				told = append(told, rec.events...)
 			}
-			s, rec, _ = link(mem)
+			s, rec, _ = newTestSession(mem)
 			wire = []byte("HELLO running 5\r\n")
-			for _, n := range notices[mem.last:] {
+			for _, n := range notices[mem.lastNotice:] {
 				wire = append(wire, n...)
 			}
 		}
@@ -170,14 +173,14 @@
 				wire = wire[n:]
 			},
 			"": func(rt *rapid.T) {
-				all := slices.Concat(told, rec.told)
+				all := slices.Concat(told, rec.events)
 				for i, told := range all {
 					if !strings.HasPrefix(told, fmt.Sprintf("id%d ", i+1)) {
 						rt.Fatalf("told as number %d: %s", i+1, told)
 					}
 				}
-				if int64(len(all)) != mem.last {
-					rt.Fatalf("%d told, last %d", len(all), mem.last)
+				if int64(len(all)) != mem.lastNotice {
+					rt.Fatalf("%d told, last %d", len(all), mem.lastNotice)
 				}
 			},
 		}
--- a/internal/engine/lines.go
+++ b/internal/engine/lines.go
@@ -21,8 +21,8 @@
 // ErrMalformed is wrapped by the errors of the codec.
 var ErrMalformed = errors.New("malformed engine line")
 
-// ends translates how a run ended to the module's terms. A word that is not listed is garbage.
-var ends = map[string]policy.Outcome{
+// runOutcomes translates how a run ended to the module's terms. A word that is not listed is garbage.
+var runOutcomes = map[string]policy.Outcome{
 	"fine":       policy.Succeeded, // with the result
 	"fault":      policy.Failed,
 	"broken_off": policy.Cancelled,
@@ -31,15 +31,15 @@
 
 // notice is one line from the engine. Kind tells which fields are set.
 type notice struct {
-	kind    string
-	number  int64
-	id      string
-	end     policy.Outcome
-	took    time.Duration // of a run, or HELLO: since the start of the engine
-	result  []byte        // borrowed from the input
-	tag     string
-	gauges  []float64
-	command string
+	kind     string
+	number   int64
+	id       string
+	outcome  policy.Outcome
+	duration time.Duration // of a run, or HELLO: since the start of the engine
+	result   []byte        // borrowed from the input
+	tag      string
+	gauges   []float64
+	command  string
 }
 
 // nextNotice cuts the first notice off buf; done is false while it is not all there.
@@ -74,7 +74,7 @@
 	return n, rest[2:], true, nil
 }
 
-var errWords = errors.New("wrong number of words")
+var errWordCount = errors.New("wrong number of words")
 
 // parse reads the words behind the kind. It returns the length of what follows the line, or -1.
 func (n *notice) parse(words [][]byte) (int, error) {
@@ -96,19 +96,19 @@
 	switch n.kind {
 	case "HELLO":
 		if len(words) != 2 {
-			return -1, errWords
+			return -1, errWordCount
 		}
-		n.took = span(1)
+		n.duration = span(1)
 	case "DONE":
 		if len(words) != 5 {
-			return -1, errWords
+			return -1, errWordCount
 		}
-		n.number, n.id, n.took = number(0), string(words[1]), span(3)
-		end, known := ends[string(words[2])]
+		n.number, n.id, n.duration = number(0), string(words[1]), span(3)
+		end, known := runOutcomes[string(words[2])]
 		if !known {
 			return -1, fmt.Errorf("unknown end %q", words[2])
 		}
-		n.end = end
+		n.outcome = end
 		length := number(4)
 		if length > maxResult {
 			return -1, fmt.Errorf("result of %d bytes", length)
@@ -116,7 +116,7 @@
 		return int(length), err
 	case "NEED":
 		if len(words) != 3 {
-			return -1, errWords
+			return -1, errWordCount
 		}
 		n.number, n.id = number(0), string(words[1])
 		length := number(2)
@@ -126,7 +126,7 @@
 		return int(length), err
 	case "STATS":
 		if len(words) < 1 {
-			return -1, errWords
+			return -1, errWordCount
 		}
 		n.tag = string(words[0])
 		for _, w := range words[1:] {
@@ -138,7 +138,7 @@
 		}
 	case "NO":
 		if len(words) < 1 {
-			return -1, errWords
+			return -1, errWordCount
 		}
 		n.command = string(words[0])
 		if len(words) > 1 {
@@ -146,7 +146,7 @@
 		}
 	case "NOTE":
 		if len(words) < 1 {
-			return -1, errWords
+			return -1, errWordCount
 		}
 		n.number = number(0)
 	default:
--- a/internal/engine/link.go
+++ b/internal/engine/link.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	dialTimeout = time.Second
-	firstPause  = 10 * time.Millisecond  // before the first try to reconnect; doubles up to lastPause
-	lastPause   = 100 * time.Millisecond // runs wait for the link, so an engine that comes up is found soon
-	outputMost  = 4 << 20
-	statsOpen   = 2                      // STATs open at a time: an engine that is slow to answer is asked less
-	retireTime  = 100 * time.Millisecond // see Link
-	retirePoll  = time.Millisecond
+	dialTimeout        = time.Second
+	minBackoff         = 10 * time.Millisecond  // before the first try to reconnect; doubles up to lastPause
+	maxBackoff         = 100 * time.Millisecond // runs wait for the link, so an engine that comes up is found soon
+	maxOutput          = 4 << 20
+	maxOpenStats       = 2                      // STATs open at a time: an engine that is slow to answer is asked less
+	retireTimeout      = 100 * time.Millisecond // see Link
+	retirePollInterval = time.Millisecond
 )
 
 // Link keeps a connection to the engine open.
 type Link struct {
-	events Events
-	now    func() time.Duration
-	runs   *counters.Counter
-	lost   *counters.Counter
-	moves  *counters.Counter
-	quiet  *counters.Counter
-	moved  chan struct{} // the address is another one now
-	// retireTime is how long a link that is replaced may take to end by itself.
-	retireTime time.Duration
+	events      Events
+	now         func() time.Duration
+	runsSent    *counters.Counter
+	linksLost   *counters.Counter
+	linksMoved  *counters.Counter
+	silentLinks *counters.Counter
+	moved       chan struct{} // the address is another one now
+	// retireTimeout is how long a link that is replaced may take to end by itself.
+	retireTimeout time.Duration
 
-	pauses atomic.Pointer[func(try int) time.Duration]
-	output atomic.Int64 // bound on what waits to be written
+	backoff     atomic.Pointer[func(try int) time.Duration]
+	outputLimit atomic.Int64 // bound on what waits to be written
 
 	reading sync.Mutex // held while notices are told: an old link never tells beside a new one
-	mem     memory
+	memory  linkMemory
 
 	mu   sync.Mutex // guards addr and sess; never held while events are told
 	addr string
@@ -51,15 +51,15 @@
 
 // NewLink returns a link to addr that is not open yet.
 func NewLink(addr string, now func() time.Duration, set *counters.Set) *Link {
-	l := &Link{addr: addr, now: now, moved: make(chan struct{}, 1), retireTime: retireTime, runs: set.Get("engine_runs_sent"),
-		lost: set.Get("engine_links_lost"), moves: set.Get("engine_links_moved"),
-		quiet: set.Get("engine_links_silent")}
-	l.output.Store(outputMost)
+	l := &Link{addr: addr, now: now, moved: make(chan struct{}, 1), retireTimeout: retireTimeout, runsSent: set.Get("engine_runs_sent"),
+		linksLost: set.Get("engine_links_lost"), linksMoved: set.Get("engine_links_moved"),
+		silentLinks: set.Get("engine_links_silent")}
+	l.outputLimit.Store(maxOutput)
 	return l
 }
 
 // BoundOutput sets how many bytes may wait to be written to a link, from the next one on; outputMost at most.
-func (l *Link) BoundOutput(most int) { l.output.Store(int64(min(most, outputMost))) }
+func (l *Link) BoundOutput(limit int) { l.outputLimit.Store(int64(min(limit, maxOutput))) }
 
 // Move has the link go on at addr. The present one is used until the new one is accepted.
 func (l *Link) Move(addr string) {
@@ -69,7 +69,7 @@
 		return
 	}
 	l.addr = addr
-	l.moves.Inc()
+	l.linksMoved.Inc()
 	select {
 	case l.moved <- struct{}{}:
 	default: // a move that was not begun yet goes to the newest address
@@ -84,34 +84,34 @@
 
 // Pauses has pause say how long to wait before a try to reconnect, counted from 0; it must not wait itself. Without it the time doubles
 // from 10 to 100 ms.
-func (l *Link) Pauses(pause func(try int) time.Duration) { l.pauses.Store(&pause) }
+func (l *Link) Pauses(pause func(try int) time.Duration) { l.backoff.Store(&pause) }
 
-func (l *Link) pause(try int) time.Duration {
-	if p := l.pauses.Load(); p != nil {
-		return (*p)(try)
+func (l *Link) nextBackoff(attempt int) time.Duration {
+	if p := l.backoff.Load(); p != nil {
+		return (*p)(attempt)
 	}
-	return Pause(try)
+	return Pause(attempt)
 }
 
 // Pause is how long a lone box waits before a try to reconnect.
-func Pause(try int) time.Duration { return min(firstPause<<min(try, 10), lastPause) }
+func Pause(try int) time.Duration { return min(minBackoff<<min(try, 10), maxBackoff) }
 
 // Keep opens the link, opens it again whenever it breaks and moves it, until ctx ends. Events come from
 // the connection's callbacks and never before Keep is called.
 func (l *Link) Keep(ctx context.Context, events Events) {
 	l.events = events
 	var open *connection
-	for try := 0; ctx.Err() == nil; try++ {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
 		began := time.Now()
 		if conn, err := netpoll.DialConnection("tcp", l.address(), dialTimeout); err == nil {
 			l.retire(open)
 			open = l.begin(conn)
 			select {
 			case <-open.broken:
-				l.lost.Inc()
+				l.linksLost.Inc()
 				open = nil
 			case <-l.moved:
-				try = -1
+				attempt = -1
 				continue
 			case <-ctx.Done(): // closed here, as the end of a process may take its time
 				open.Close()
@@ -119,11 +119,11 @@
 				return
 			}
 		}
-		if time.Since(began) > lastPause {
-			try = 0
+		if time.Since(began) > maxBackoff {
+			attempt = 0
 		}
 		select {
-		case <-time.After(l.pause(try)):
+		case <-time.After(l.nextBackoff(attempt)):
 		case <-l.moved:
 		case <-ctx.Done():
 		}
@@ -136,34 +136,34 @@
 	sess   *session
 	out    *outbox.Box
 	broken chan struct{} // closes when the link has ended
-	ended  bool          // its descriptor is about to be closed, or is another's; guarded by the link's mu
+	closed bool          // its descriptor is about to be closed, or is another's; guarded by the link's mu
 }
 
 // begin attaches a link that was accepted.
 func (l *Link) begin(conn netpoll.Connection) *connection {
 	c := &connection{Connection: conn, broken: make(chan struct{})}
-	c.out = outbox.New(conn, int(l.output.Load()), new(outbox.Account), func(error) { conn.Close() })
-	c.sess = &session{memory: &l.mem, events: l.events, now: l.now, giveUp: func() { go conn.Close() }, send: func(encode func([]byte) []byte) {
+	c.out = outbox.New(conn, int(l.outputLimit.Load()), new(outbox.Account), func(error) { conn.Close() })
+	c.sess = &session{memory: &l.memory, events: l.events, now: l.now, closeLink: func() { go conn.Close() }, send: func(encode func([]byte) []byte) {
 		if c.out.Put(encode) != nil {
 			go conn.Close() // its callbacks take locks that the sender may hold
 		}
 	}}
 	l.attach(c.sess)
-	leave := sync.OnceFunc(func() {
+	onClose := sync.OnceFunc(func() {
 		l.detach(c)
 		c.out.Close()
 		close(c.broken)
 	})
 	conn.AddCloseCallback(func(netpoll.Connection) error { // before the descriptor is closed, see front.Server.prepare
-		leave()
+		onClose()
 		return nil
 	})
 	conn.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error { return l.read(c.sess, nc) })
 	l.reading.Lock()
-	c.sess.begin()
+	c.sess.sendAttach()
 	l.reading.Unlock()
 	if !conn.IsActive() { // it closed before the callback was in place
-		leave()
+		onClose()
 	}
 	return c
 }
@@ -178,13 +178,13 @@
 	}
 	l.mu.Lock()
 	c.sess.state.Store(retired)
-	c.sess.stat()
+	c.sess.sendStat()
 	l.mu.Unlock()
-	end := time.Now().Add(l.retireTime)
+	end := time.Now().Add(l.retireTimeout)
 	for !c.out.Empty() && time.Now().Before(end) {
-		time.Sleep(retirePoll)
+		time.Sleep(retirePollInterval)
 	}
-	l.endOurs(c)
+	l.shutdownWrite(c)
 	select {
 	case <-c.broken:
 	case <-time.After(time.Until(end)):
@@ -193,13 +193,13 @@
 	}
 }
 
-// endOurs ends our side of a link. Its descriptor stays its own while l.mu is held: without that, a link that closed at
+// shutdownWrite ends our side of a link. Its descriptor stays its own while l.mu is held: without that, a link that closed at
 // this very moment had another connection's side ended.
-func (l *Link) endOurs(c *connection) {
+func (l *Link) shutdownWrite(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	fd, ok := c.Connection.(interface{ Fd() int })
-	if !ok || c.ended {
+	if !ok || c.closed {
 		return
 	}
 	if err := syscall.Shutdown(fd.Fd(), syscall.SHUT_WR); err != nil && !errors.Is(err, syscall.ENOTCONN) {
@@ -239,7 +239,7 @@
 func (l *Link) detach(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.ended = true
+	c.closed = true
 	if l.sess == c.sess {
 		l.sess = nil
 	}
@@ -256,7 +256,7 @@
 func (l *Link) Run(id, class string, body []byte) bool {
 	sent := l.write(func(dst []byte) []byte { return appendRun(dst, id, class, body) })
 	if sent {
-		l.runs.Inc()
+		l.runsSent.Inc()
 	}
 	return sent
 }
@@ -291,14 +291,14 @@
 	defer l.mu.Unlock()
 	s := l.sess
 	if s != nil && s.state.Load() != retired && s.silent() {
-		l.quiet.Inc()
-		s.quiet.Store(0) // once is enough
-		s.giveUp()
+		l.silentLinks.Inc()
+		s.silentSince.Store(0) // once is enough
+		s.closeLink()
 		return false
 	}
-	if s == nil || s.state.Load() != ready || s.open() >= statsOpen {
+	if s == nil || s.state.Load() != ready || s.openStatCount() >= maxOpenStats {
 		return false
 	}
-	s.stat()
+	s.sendStat()
 	return true
 }
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -29,15 +29,15 @@
 	Attached(since time.Duration, open func())
 }
 
-// memory is what outlives a link. The reader of the present one alone uses it.
-type memory struct {
-	last int64 // number of the last notice read
-	// reached is when the newest question was written that was answered: an engine reads in order, so all that was
+// linkMemory is what outlives a link. The reader of the present one alone uses it.
+type linkMemory struct {
+	lastNotice int64 // number of the last notice read
+	// confirmedAt is when the newest question was written that was answered: an engine reads in order, so all that was
 	// written before it on that link, or on an earlier one and was not sent again since, is with the engine.
-	reached time.Duration
-	greeted bool  // the engine has said HELLO to this process
-	unheard int   // links in a row without HELLO
-	gap     int64 // the notice that was missing when a link was taken up anew for it
+	confirmedAt       time.Duration
+	helloSeen         bool  // the engine has said HELLO to this process
+	linksWithoutHello int   // links in a row without HELLO
+	missingNotice     int64 // the notice that was missing when a link was taken up anew for it
 }
 
 // The states of a link.
@@ -50,61 +50,61 @@
 // session is the state of one link, from ATTACH on, with no I/O of its own. Only state, quiet, most and
 // what asking guards may be used from elsewhere than the reader.
 type session struct {
-	memory *memory
-	events Events
-	now    func() time.Duration
-	send   func(encode func([]byte) []byte)
-	in     []byte
-	hello  bool
-	sync   string
-	since  time.Duration // commands written before it have reached the engine
-	state  atomic.Int32
-	quiet  atomic.Int64 // since when an answer is waited for and nothing is heard; 0 while none is
-	most   atomic.Int64 // how long that may last
-	giveUp func()       // ends the link
-
-	asking sync.Mutex // guards what follows
-	tags   int64
-	asked  map[string]time.Duration // STATs that are open: when each was written
+	memory       *linkMemory
+	events       Events
+	now          func() time.Duration
+	send         func(encode func([]byte) []byte)
+	input        []byte
+	hello        bool
+	syncTag      string
+	lossSince    time.Duration // commands written before it have reached the engine
+	state        atomic.Int32
+	silentSince  atomic.Int64 // since when an answer is waited for and nothing is heard; 0 while none is
+	silenceLimit atomic.Int64 // how long that may last
+	closeLink    func()       // ends the link
+
+	statMu    sync.Mutex // guards what follows
+	lastTag   int64
+	openStats map[string]time.Duration // STATs that are open: when each was written
 }
 
-// quietMost is how long an engine that was asked for its gauges may say nothing at all. It is asked at every tick and
+// maxSilence is how long an engine that was asked for its gauges may say nothing at all. It is asked at every tick and
 // has little to do for the answer. A link that is open and silent for longer is given up: whatever hangs behind it,
 // a new link is told what was missed.
-const quietMost = time.Second
+const maxSilence = time.Second
 
 // An engine may start long after this process, and says HELLO only then; one that has said it before has nothing to wait
 // for. Either way the wait doubles from link to link, so that an engine that is slow to answer is not kept from it.
 const (
-	lateStart  = 2 // doublings for an engine that has not been heard of at all
-	waitsTwice = 4 // most doublings
+	firstHelloDoublings = 2 // doublings for an engine that has not been heard of at all
+	maxDoublings        = 4 // most doublings
 )
 
 // silent tells whether the link has gone silent.
 func (s *session) silent() bool {
-	since := s.quiet.Load()
-	return since != 0 && s.now()-time.Duration(since) > time.Duration(s.most.Load())
+	since := s.silentSince.Load()
+	return since != 0 && s.now()-time.Duration(since) > time.Duration(s.silenceLimit.Load())
 }
 
-func (s *session) begin() {
-	s.since = s.memory.reached
-	doublings := s.memory.unheard
-	if !s.memory.greeted {
-		doublings += lateStart
+func (s *session) sendAttach() {
+	s.lossSince = s.memory.confirmedAt
+	doublings := s.memory.linksWithoutHello
+	if !s.memory.helloSeen {
+		doublings += firstHelloDoublings
 	}
-	s.memory.unheard++
-	s.most.Store(int64(quietMost << min(doublings, waitsTwice)))
-	s.quiet.Store(int64(s.now()))
-	s.send(func(dst []byte) []byte { return appendAttach(dst, s.memory.last) })
+	s.memory.linksWithoutHello++
+	s.silenceLimit.Store(int64(maxSilence << min(doublings, maxDoublings)))
+	s.silentSince.Store(int64(s.now()))
+	s.send(func(dst []byte) []byte { return appendAttach(dst, s.memory.lastNotice) })
 }
 
 // feed reads what has come in and tells events of it.
 func (s *session) feed(p []byte) error {
-	if s.quiet.Load() != 0 {
-		s.quiet.Store(int64(s.now()))
+	if s.silentSince.Load() != 0 {
+		s.silentSince.Store(int64(s.now()))
 	}
-	s.in = append(s.in, p...)
-	buf := s.in
+	s.input = append(s.input, p...)
+	buf := s.input
 	for {
 		n, rest, done, err := nextNotice(buf)
 		if err != nil {
@@ -113,47 +113,47 @@
 		if !done {
 			break
 		}
-		if err := s.take(n); err != nil {
+		if err := s.handle(n); err != nil {
 			return err
 		}
 		buf = rest
 	}
-	s.in = append(s.in[:0], buf...)
+	s.input = append(s.input[:0], buf...)
 	return nil
 }
 
-func (s *session) take(n notice) error {
+func (s *session) handle(n notice) error {
 	if !s.hello && n.kind != "HELLO" {
 		return fmt.Errorf("%w: %s before HELLO", ErrMalformed, n.kind)
 	}
 	switch n.kind {
 	case "HELLO":
-		s.hello, s.memory.greeted, s.memory.unheard = true, true, 0
-		s.most.Store(int64(quietMost))
-		s.events.Started(n.took)
-		s.sync = s.stat() // what was missed stands between HELLO and the answer to this
+		s.hello, s.memory.helloSeen, s.memory.linksWithoutHello = true, true, 0
+		s.silenceLimit.Store(int64(maxSilence))
+		s.events.Started(n.duration)
+		s.syncTag = s.sendStat() // what was missed stands between HELLO and the answer to this
 	case "DONE", "NEED", "NOTE":
-		if n.number <= s.memory.last { // told on an earlier link
+		if n.number <= s.memory.lastNotice { // told on an earlier link
 			return nil
 		}
-		if next := s.memory.last + 1; n.number > next && s.memory.gap != next {
-			s.memory.gap = next // a new link is told it, if the engine still knows; else it is passed over
+		if next := s.memory.lastNotice + 1; n.number > next && s.memory.missingNotice != next {
+			s.memory.missingNotice = next // a new link is told it, if the engine still knows; else it is passed over
 			return fmt.Errorf("%w: notice %d where %d is due", ErrMalformed, n.number, next)
 		}
-		s.memory.last = n.number
+		s.memory.lastNotice = n.number
 		switch n.kind {
 		case "DONE":
-			s.events.Done(n.id, n.end, n.took, n.result)
+			s.events.Done(n.id, n.outcome, n.duration, n.result)
 		case "NEED":
 			s.events.Need(n.id, n.number, n.result)
 		}
 	case "STATS":
-		s.answered(n.tag)
+		s.statAnswered(n.tag)
 		s.events.Gauges(n.gauges)
 	case "NO":
 		switch n.command {
 		case "STAT":
-			s.answered(n.id)
+			s.statAnswered(n.id)
 		case "RUN":
 			s.events.Rejected(n.id)
 		default: // a FEED or SKIP for a run that no longer waits: its end is told by DONE
@@ -162,44 +162,44 @@
 	return nil
 }
 
-// answered takes the answer to a question, and with it that all that was written before the question was read.
-func (s *session) answered(tag string) {
-	s.asking.Lock()
-	written, known := s.asked[tag]
-	delete(s.asked, tag)
-	if len(s.asked) == 0 {
-		s.quiet.Store(0)
+// statAnswered takes the answer to a question, and with it that all that was written before the question was read.
+func (s *session) statAnswered(tag string) {
+	s.statMu.Lock()
+	written, known := s.openStats[tag]
+	delete(s.openStats, tag)
+	if len(s.openStats) == 0 {
+		s.silentSince.Store(0)
 	}
-	s.asking.Unlock()
+	s.statMu.Unlock()
 	if known {
-		s.memory.reached = max(s.memory.reached, written)
+		s.memory.confirmedAt = max(s.memory.confirmedAt, written)
 	}
-	if tag == s.sync && s.state.Load() == attaching {
-		s.events.Attached(s.since, func() { s.state.CompareAndSwap(attaching, ready) })
+	if tag == s.syncTag && s.state.Load() == attaching {
+		s.events.Attached(s.lossSince, func() { s.state.CompareAndSwap(attaching, ready) })
 	}
 }
 
-// open tells how many questions have no answer.
-func (s *session) open() int {
-	s.asking.Lock()
-	defer s.asking.Unlock()
-	return len(s.asked)
+// openStatCount tells how many questions have no answer.
+func (s *session) openStatCount() int {
+	s.statMu.Lock()
+	defer s.statMu.Unlock()
+	return len(s.openStats)
 }
 
-// stat asks for the gauges under a new tag.
-func (s *session) stat() string {
-	s.asking.Lock()
-	defer s.asking.Unlock() // also while it is put: questions are written in the order of their times
-	if s.asked == nil {
-		s.asked = map[string]time.Duration{}
+// sendStat asks for the gauges under a new tag.
+func (s *session) sendStat() string {
+	s.statMu.Lock()
+	defer s.statMu.Unlock() // also while it is put: questions are written in the order of their times
+	if s.openStats == nil {
+		s.openStats = map[string]time.Duration{}
 	}
 	now := s.now()
-	if len(s.asked) == 0 {
-		s.quiet.Store(int64(now))
+	if len(s.openStats) == 0 {
+		s.silentSince.Store(int64(now))
 	}
-	s.tags++
-	tag := "g" + strconv.FormatInt(s.tags, 10)
-	s.asked[tag] = now
+	s.lastTag++
+	tag := "g" + strconv.FormatInt(s.lastTag, 10)
+	s.openStats[tag] = now
 	s.send(func(dst []byte) []byte { return appendStat(dst, tag) })
 	return tag
 }
--- a/internal/index/fake_test.go
+++ b/internal/index/fake_test.go
@@ -16,11 +16,11 @@
 	"cairnlane/policy"
 )
 
-// guard bounds every wait of a test, so that a fault fails the test instead of hanging it. It orders nothing.
-const guard = 10 * time.Second
+// testTimeout bounds every wait of a test, so that a fault fails the test instead of hanging it. It orders nothing.
+const testTimeout = 10 * time.Second
 
-// fake is an index on loopback that the test drives line by line.
-type fake struct {
+// fakeIndex is an index on loopback that the test drives line by line.
+type fakeIndex struct {
 	t        *testing.T
 	listener net.Listener
 	accepted chan *peer
@@ -43,13 +43,13 @@
 	body     []byte
 }
 
-func newFake(t *testing.T) *fake {
+func newFakeIndex(t *testing.T) *fakeIndex {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fake{t: t, listener: listener, accepted: make(chan *peer, 16)}
+	f := &fakeIndex{t: t, listener: listener, accepted: make(chan *peer, 16)}
 	t.Cleanup(func() {
 		listener.Close()
 		f.mu.Lock()
@@ -73,15 +73,15 @@
 	return f
 }
 
-func (f *fake) addr() string { return f.listener.Addr().String() }
+func (f *fakeIndex) addr() string { return f.listener.Addr().String() }
 
 // next waits for the next connection.
-func (f *fake) next() *peer {
+func (f *fakeIndex) next() *peer {
 	f.t.Helper()
 	select {
 	case p := <-f.accepted:
 		return p
-	case <-time.After(guard):
+	case <-time.After(testTimeout):
 		f.t.Fatal("no connection came")
 		return nil
 	}
@@ -90,7 +90,7 @@
 // read reads one GET or STOP.
 func (p *peer) read() line {
 	p.t.Helper()
-	p.socket.SetReadDeadline(time.Now().Add(guard))
+	p.socket.SetReadDeadline(time.Now().Add(testTimeout))
 	text, err := p.r.ReadString('\n')
 	if err != nil {
 		p.t.Fatalf("fake index: read %q: %v", text, err)
@@ -151,7 +151,7 @@
 // recorder keeps every Reply in order.
 type recorder struct{ got chan reply }
 
-func newRecorder() *recorder { return &recorder{got: make(chan reply, 4*callsMost)} }
+func newRecorder() *recorder { return &recorder{got: make(chan reply, 4*maxOpenCalls)} }
 
 func (r *recorder) Reply(id string, outcome policy.Outcome, took time.Duration, result []byte) {
 	r.got <- reply{id: id, outcome: outcome, took: took, result: bytes.Clone(result)}
@@ -163,7 +163,7 @@
 	select {
 	case got := <-r.got:
 		return got
-	case <-time.After(guard):
+	case <-time.After(testTimeout):
 		t.Fatal("no Reply came")
 		return reply{}
 	}
@@ -179,8 +179,8 @@
 	return got
 }
 
-// none checks that no Reply waits.
-func (r *recorder) none(t *testing.T) {
+// expectNone checks that no Reply waits.
+func (r *recorder) expectNone(t *testing.T) {
 	t.Helper()
 	select {
 	case got := <-r.got:
@@ -189,23 +189,23 @@
 	}
 }
 
-// start makes a client of f that has one connection, and a recorder; the client is closed at the end of the test.
-func start(t *testing.T, addr string) (*Client, *recorder, *counters.Set) {
-	return startWith(t, addr, 1)
+// newTestClient makes a client of f that has one connection, and a recorder; the client is closed at the end of the test.
+func newTestClient(t *testing.T, addr string) (*Client, *recorder, *counters.Set) {
+	return newTestClientWithLinks(t, addr, 1)
 }
 
-// startWith makes a client that has up to links connections.
-func startWith(t *testing.T, addr string, links int) (*Client, *recorder, *counters.Set) {
+// newTestClientWithLinks makes a client that has up to links connections.
+func newTestClientWithLinks(t *testing.T, addr string, links int) (*Client, *recorder, *counters.Set) {
 	set := new(counters.Set)
 	r := newRecorder()
 	c := New(addr, r, set)
-	c.linksMost = links
+	c.maxLinks = links
 	t.Cleanup(c.Close)
 	return c, r, set
 }
 
-// id makes the id of call n.
-func id(n int) string { return fmt.Sprintf("%016x", 0x9b1f03aa00000000+uint64(n)) }
+// callID makes the id of call n.
+func callID(n int) string { return fmt.Sprintf("%016x", 0x9b1f03aa00000000+uint64(n)) }
 
-// long is a wait that no test reaches.
-const long = time.Minute
+// longWait is a wait that no test reaches.
+const longWait = time.Minute
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	dialTimeout  = time.Second            // longest wait for the index to accept a connection
-	writeTimeout = 5 * time.Second        // longest wait for one batch of lines to be written; past it the connection ends
-	idleClose    = 9 * time.Second        // a connection with no call out is closed after so long, before the index does at 10 s
-	linksMost    = 4                      // connections at once; calls beyond one for each of them share
-	silentAfter  = 200 * time.Millisecond // shortest time without an answer after which a connection is taken for silent
-	passedMost   = 16                     // later calls answered on other connections before it is
-	callsMost    = 1024                   // calls open at once, from Get until their Reply; past it a Get is turned away
-	outputMost   = 4 << 20                // bytes that wait to be written; a Get that would pass it is turned away
-	idDigits     = 16                     // an id is 16 hex digits
+	dialTimeout     = time.Second            // longest wait for the index to accept a connection
+	writeTimeout    = 5 * time.Second        // longest wait for one batch of lines to be written; past it the connection ends
+	idleTimeout     = 9 * time.Second        // a connection with no call out is closed after so long, before the index does at 10 s
+	maxLinks        = 4                      // connections at once; calls beyond one for each of them share
+	silenceLimit    = 200 * time.Millisecond // shortest time without an answer after which a connection is taken for silent
+	maxPassed       = 16                     // later calls answered on other connections before it is
+	maxOpenCalls    = 1024                   // calls open at once, from Get until their Reply; past it a Get is turned away
+	maxPendingBytes = 4 << 20                // bytes that wait to be written; a Get that would pass it is turned away
+	idDigits        = 16                     // an id is 16 hex digits
 )
 
 // Replies is told how calls end.
@@ -41,49 +41,49 @@
 
 // Client makes calls to the index. Its methods do not block and may be called while the caller holds its own lock.
 type Client struct {
-	replies                        Replies
-	calls, turned, timedOut, stops *counters.Counter
-	unknown, dials, refused        *counters.Counter
-	lost, garbage, interrupted     *counters.Counter
-	linkEnded                      func() // tests only: told after a connection ended by itself
-	silent                         *counters.Counter
-	linksMost                      int
-	silentAfter                    time.Duration
+	replies                                              Replies
+	callsMade, callsTurnedAway, callsTimedOut, stopsSent *counters.Counter
+	repliesUnknown, dials, dialsFailed                   *counters.Counter
+	linksLost, linksGarbage, callsInterrupted            *counters.Counter
+	onLinkEnded                                          func() // tests only: told after a connection ended by itself
+	linksSilent                                          *counters.Counter
+	maxLinks                                             int
+	silenceLimit                                         time.Duration
 
-	deliver sync.Mutex // held while Replies is told, so that replies come one at a time
+	replyMu sync.Mutex // held while Replies is told, so that replies come one at a time
 
 	mu       sync.Mutex // guards the fields below; never held during I/O or while Replies is told
 	addr     string
 	links    []*link          // the connections that are up or being made, oldest first
 	open     map[string]*call // calls not handed yet, by id
-	ready    []*call          // calls with an outcome that drain hands on
+	finished []*call          // calls with an outcome that drain hands on
 	draining bool             // a drain goroutine runs
 	closed   bool
 }
 
 // call is one Get.
 type call struct {
-	id      string
-	start   time.Time
-	link    *link // nil where the call was never to be written
-	timer   *time.Timer
-	sent    bool // the GET was handed to the socket, so the call may have run
-	done    bool // outcome and took are set
-	gone    bool // no Reply is to come any more: it was handed, stopped or replaced
-	outcome policy.Outcome
-	took    time.Duration
+	id        string
+	start     time.Time
+	link      *link // nil where the call was never to be written
+	timer     *time.Timer
+	sent      bool // the GET was handed to the socket, so the call may have run
+	done      bool // outcome and took are set
+	discarded bool // no Reply is to come any more: it was handed, stopped or replaced
+	outcome   policy.Outcome
+	took      time.Duration
 }
 
 // New returns a client of the index at addr (host:port) that tells replies to replies. It dials only when a call is
 // made. Its counters, named index_..., are taken from set.
 func New(addr string, replies Replies, set *counters.Set) *Client {
 	return &Client{replies: replies, addr: addr, open: map[string]*call{},
-		linksMost: linksMost, silentAfter: silentAfter, silent: set.Get("index_links_silent"),
-		calls: set.Get("index_calls"), turned: set.Get("index_calls_turned_away"),
-		timedOut: set.Get("index_calls_timed_out"), stops: set.Get("index_stops"),
-		unknown: set.Get("index_replies_unknown"), dials: set.Get("index_dials"),
-		refused: set.Get("index_dials_failed"), lost: set.Get("index_links_lost"),
-		garbage: set.Get("index_links_garbage"), interrupted: set.Get("index_calls_interrupted")}
+		maxLinks: maxLinks, silenceLimit: silenceLimit, linksSilent: set.Get("index_links_silent"),
+		callsMade: set.Get("index_calls"), callsTurnedAway: set.Get("index_calls_turned_away"),
+		callsTimedOut: set.Get("index_calls_timed_out"), stopsSent: set.Get("index_stops"),
+		repliesUnknown: set.Get("index_replies_unknown"), dials: set.Get("index_dials"),
+		dialsFailed: set.Get("index_dials_failed"), linksLost: set.Get("index_links_lost"),
+		linksGarbage: set.Get("index_links_garbage"), callsInterrupted: set.Get("index_calls_interrupted")}
 }
 
 // Get calls the index for the request id (16 hex digits) with body, waiting at most wait for the reply; the index is
@@ -95,30 +95,30 @@
 	defer c.mu.Unlock()
 	old := c.open[id]
 	if old != nil {
-		c.give(old)
+		c.discard(old)
 		if old.link != nil && !old.done {
-			old.link.gaveUp(id)
+			old.link.rememberStopped(id)
 		}
 	}
 	k := &call{id: id, start: time.Now()}
 	c.open[id] = k
 	head := fmt.Appendf(nil, "GET %s %d %d\r\n", id, (wait+time.Millisecond-1)/time.Millisecond, len(body))
-	if c.closed || !validID(id) || wait <= 0 || len(c.open) > callsMost ||
-		c.pending()+len(head)+len(body)+2 > outputMost {
+	if c.closed || !validID(id) || wait <= 0 || len(c.open) > maxOpenCalls ||
+		c.pending()+len(head)+len(body)+2 > maxPendingBytes {
 		if old != nil && !old.done {
 			c.stop(old) // the index would not learn that it was replaced
 		}
-		c.turned.Inc()
+		c.callsTurnedAway.Inc()
 		c.finish(k, policy.TurnedAway)
 		return
 	}
-	l := c.connect(id)
+	l := c.linkFor(id)
 	l.out = append(append(append(l.out, head...), body...), "\r\n"...)
 	l.queued = append(l.queued, k)
 	k.link = l
 	k.timer = time.AfterFunc(wait, func() { c.expire(k) })
-	c.calls.Inc()
-	l.signal()
+	c.callsMade.Inc()
+	l.wakeWriter()
 }
 
 // Stop gives up the call for id: STOP is written if the call is out, and no Reply follows for it. A Reply that was
@@ -131,7 +131,7 @@
 	if k == nil {
 		return
 	}
-	c.give(k)
+	c.discard(k)
 	if !k.done {
 		c.stop(k)
 	}
@@ -151,7 +151,7 @@
 	c.closed = true
 	var sockets []net.Conn
 	for _, l := range slices.Clone(c.links) {
-		if socket, _ := c.end(l, policy.Interrupted, policy.Interrupted); socket != nil {
+		if socket, _ := c.endLink(l, policy.Interrupted, policy.Interrupted); socket != nil {
 			sockets = append(sockets, socket)
 		}
 	}
@@ -161,9 +161,9 @@
 	}
 }
 
-// give drops k: no Reply is to come for it. c.mu is held.
-func (c *Client) give(k *call) {
-	k.gone = true
+// discard drops k: no Reply is to come for it. c.mu is held.
+func (c *Client) discard(k *call) {
+	k.discarded = true
 	if c.open[k.id] == k {
 		delete(c.open, k.id)
 	}
@@ -179,20 +179,20 @@
 		return
 	}
 	k.link.out = append(k.link.out, "STOP "+k.id+"\r\n"...)
-	k.link.gaveUp(k.id)
-	c.stops.Inc()
-	k.link.signal()
+	k.link.rememberStopped(k.id)
+	c.stopsSent.Inc()
+	k.link.wakeWriter()
 }
 
 // expire ends k when its wait is over without a reply, and writes STOP.
 func (c *Client) expire(k *call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if k.done || k.gone {
+	if k.done || k.discarded {
 		return
 	}
 	c.stop(k)
-	c.timedOut.Inc()
+	c.callsTimedOut.Inc()
 	c.finish(k, policy.TimedOut)
 }
 
@@ -202,7 +202,7 @@
 	if k.timer != nil {
 		k.timer.Stop()
 	}
-	c.ready = append(c.ready, k)
+	c.finished = append(c.finished, k)
 	if !c.draining {
 		c.draining = true
 		go c.drain()
@@ -213,26 +213,26 @@
 func (c *Client) drain() {
 	for {
 		c.mu.Lock()
-		if len(c.ready) == 0 {
-			c.ready, c.draining = nil, false
+		if len(c.finished) == 0 {
+			c.finished, c.draining = nil, false
 			c.mu.Unlock()
 			return
 		}
-		k := c.ready[0]
-		c.ready = c.ready[1:]
+		k := c.finished[0]
+		c.finished = c.finished[1:]
 		c.mu.Unlock()
-		c.hand(k, nil)
+		c.deliverReply(k, nil)
 	}
 }
 
-// hand tells Replies how k ended, unless it was given up. result is lent for the call.
-func (c *Client) hand(k *call, result []byte) {
-	c.deliver.Lock()
-	defer c.deliver.Unlock()
+// deliverReply tells Replies how k ended, unless it was given up. result is lent for the call.
+func (c *Client) deliverReply(k *call, result []byte) {
+	c.replyMu.Lock()
+	defer c.replyMu.Unlock()
 	c.mu.Lock()
-	live := !k.gone
+	live := !k.discarded
 	if live {
-		c.give(k)
+		c.discard(k)
 	}
 	c.mu.Unlock()
 	if live {
--- a/internal/index/link.go
+++ b/internal/index/link.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	readSize   = 64 << 10 // buffer of the reader
-	lineMost   = 64       // longest reply line, CR LF included; a longer one is garbage
-	resultMost = 4 << 20  // longest result of a HIT, in bytes; a longer one is garbage
-	givenMost  = 64       // ids that a link remembers to have given up
+	readSize      = 64 << 10 // buffer of the reader
+	maxLine       = 64       // longest reply line, CR LF included; a longer one is garbage
+	maxResult     = 4 << 20  // longest result of a HIT, in bytes; a longer one is garbage
+	maxStoppedIDs = 64       // ids that a link remembers to have given up
 )
 
 // errGarbage marks what the index sent that the protocol does not allow.
@@ -35,54 +35,54 @@
 // link is one connection to the index. It has one goroutine that dials and writes and one that reads. Its fields
 // are guarded by Client.mu.
 type link struct {
-	addr    string
-	socket  net.Conn      // nil while dialing
-	out     []byte        // lines waiting to be written
-	queued  []*call       // calls whose GET is in out
-	writing int           // bytes taken by the writer and not written yet
-	wake    chan struct{} // has a value while out may have bytes
-	quit    chan struct{} // closed when the link ends
-	given   []string      // ids of calls that were given up on it of late
-	passed  int           // later calls on other links that were answered since it last answered one
-	ended   bool
+	addr              string
+	socket            net.Conn      // nil while dialing
+	out               []byte        // lines waiting to be written
+	queued            []*call       // calls whose GET is in out
+	writing           int           // bytes taken by the writer and not written yet
+	wake              chan struct{} // has a value while out may have bytes
+	quit              chan struct{} // closed when the link ends
+	stoppedIDs        []string      // ids of calls that were given up on it of late
+	answeredElsewhere int           // later calls on other links that were answered since it last answered one
+	ended             bool
 }
 
-// gaveUp remembers that a call was given up on l.
-func (l *link) gaveUp(id string) {
-	if len(l.given) >= givenMost {
-		l.given = slices.Delete(l.given, 0, 1)
+// rememberStopped remembers that a call was given up on l.
+func (l *link) rememberStopped(id string) {
+	if len(l.stoppedIDs) >= maxStoppedIDs {
+		l.stoppedIDs = slices.Delete(l.stoppedIDs, 0, 1)
 	}
-	l.given = append(l.given, id)
+	l.stoppedIDs = append(l.stoppedIDs, id)
 }
 
-// signal wakes the writer.
-func (l *link) signal() {
+// wakeWriter wakes the writer.
+func (l *link) wakeWriter() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// connect returns the link for a call. It is the one on which an earlier call for id was given up, as the index might
+// linkFor returns the link for a call. It is the one on which an earlier call for id was given up, as the index might
 // take a STOP on another link for the new call; else the one with the fewest calls out, or a new one before any is shared
 // while there are under linksMost. Of those that are alike the oldest is taken, so that the others are closed as idle
 // when there is little to do. Links to an earlier address take no new calls. c.mu is held.
-func (c *Client) connect(id string) *link {
+func (c *Client) linkFor(id string) *link {
 	var best *link
 	least, current := 0, 0
 	for _, l := range c.links {
-		if slices.Contains(l.given, id) {
+		if slices.Contains(l.stoppedIDs, id) {
 			return l
 		}
 		if l.addr != c.addr {
 			continue
 		}
 		current++
-		if n := c.out(l); best == nil || n < least {
+		if n := c.openOn(l); best == nil || n < least {
 			best, least = l, n
 		}
 	}
-	if best != nil && (least == 0 || current >= c.linksMost) {
+	if best != nil && (least == 0 || current >= c.maxLinks) {
 		return best
 	}
 	l := &link{addr: c.addr, wake: make(chan struct{}, 1), quit: make(chan struct{})}
@@ -92,8 +92,8 @@
 	return l
 }
 
-// out counts the calls on l that have no outcome. c.mu is held.
-func (c *Client) out(l *link) (calls int) {
+// openOn counts the calls on l that have no outcome. c.mu is held.
+func (c *Client) openOn(l *link) (calls int) {
 	for _, k := range c.open {
 		if k.link == l && !k.done {
 			calls++
@@ -107,10 +107,10 @@
 	socket, err := net.DialTimeout("tcp", l.addr, dialTimeout)
 	c.mu.Lock()
 	if err != nil {
-		c.refused.Inc()
-		c.end(l, policy.Unreachable, policy.Unreachable) // nothing was written: proven never ran
+		c.dialsFailed.Inc()
+		c.endLink(l, policy.Unreachable, policy.Unreachable) // nothing was written: proven never ran
 		c.mu.Unlock()
-		c.told()
+		c.notifyLinkEnded()
 		return
 	}
 	if l.ended { // closed while dialing
@@ -126,10 +126,10 @@
 
 // write writes what l is given until l ends. A link with no call out is closed after idleClose without writes.
 func (c *Client) write(l *link, socket net.Conn) {
-	idle := time.NewTimer(idleClose)
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
-		batch, up := c.take(l)
+		batch, up := c.takeBatch(l)
 		if !up {
 			return
 		}
@@ -139,11 +139,11 @@
 			case <-l.quit:
 				return
 			case <-idle.C:
-				if c.idle(l) {
+				if c.closeIfIdle(l) {
 					socket.Close()
 					return
 				}
-				idle.Reset(idleClose)
+				idle.Reset(idleTimeout)
 			}
 			continue
 		}
@@ -153,15 +153,15 @@
 		l.writing = 0
 		c.mu.Unlock()
 		if err != nil {
-			c.lose(l, socket, err)
+			c.failLink(l, socket, err)
 			return
 		}
-		idle.Reset(idleClose)
+		idle.Reset(idleTimeout)
 	}
 }
 
-// take hands the writer what waits in l and marks its calls sent; up is false once l has ended.
-func (c *Client) take(l *link) (batch []byte, up bool) {
+// takeBatch hands the writer what waits in l and marks its calls sent; up is false once l has ended.
+func (c *Client) takeBatch(l *link) (batch []byte, up bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l.ended {
@@ -175,14 +175,14 @@
 	return batch, true
 }
 
-// idle ends l if no call is out on it and nothing waits, and tells whether it did.
-func (c *Client) idle(l *link) bool {
+// closeIfIdle ends l if no call is out on it and nothing waits, and tells whether it did.
+func (c *Client) closeIfIdle(l *link) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(l.out) > 0 || c.out(l) > 0 {
+	if len(l.out) > 0 || c.openOn(l) > 0 {
 		return false
 	}
-	c.end(l, policy.Interrupted, policy.Unreachable)
+	c.endLink(l, policy.Interrupted, policy.Unreachable)
 	return true
 }
 
@@ -198,22 +198,22 @@
 			result = buffer
 		}
 		if errors.Is(err, errGarbage) { // logged before the calls on l are told
-			c.garbage.Inc()
+			c.linksGarbage.Inc()
 			log.Printf("index: %v; the connection ends", err)
 		}
 		if err != nil {
-			c.lose(l, socket, err)
+			c.failLink(l, socket, err)
 			return
 		}
-		c.answer(l, id, outcome, result)
+		c.handleReply(l, id, outcome, result)
 	}
 }
 
 // readHead reads one reply line: the id, its outcome and, for HIT, the length of the result.
 func readHead(r *bufio.Reader) (id string, outcome policy.Outcome, size int, err error) {
 	line, err := r.ReadSlice('\n')
-	if len(line) > lineMost || errors.Is(err, bufio.ErrBufferFull) {
-		return "", 0, 0, fmt.Errorf("%w: a line of over %d bytes", errGarbage, lineMost)
+	if len(line) > maxLine || errors.Is(err, bufio.ErrBufferFull) {
+		return "", 0, 0, fmt.Errorf("%w: a line of over %d bytes", errGarbage, maxLine)
 	}
 	if err != nil {
 		return "", 0, 0, err
@@ -230,8 +230,8 @@
 	}
 	if hit {
 		n, err := strconv.ParseUint(words[2], 10, 32)
-		if err != nil || n > resultMost {
-			return "", 0, 0, fmt.Errorf("%w: length in %q; %d bytes at most", errGarbage, line, resultMost)
+		if err != nil || n > maxResult {
+			return "", 0, 0, fmt.Errorf("%w: length in %q; %d bytes at most", errGarbage, line, maxResult)
 		}
 		size = int(n)
 	}
@@ -250,8 +250,8 @@
 	return buffer[:size], nil
 }
 
-// answer hands on a reply read on l. A reply for no call that is out on l is ignored and counted.
-func (c *Client) answer(l *link, id string, outcome policy.Outcome, result []byte) {
+// handleReply hands on a reply read on l. A reply for no call that is out on l is ignored and counted.
+func (c *Client) handleReply(l *link, id string, outcome policy.Outcome, result []byte) {
 	c.mu.Lock()
 	k := c.open[id]
 	fits := k != nil && k.link == l && k.sent && !k.done
@@ -268,35 +268,35 @@
 		socket.Close()
 	}
 	if !fits {
-		c.unknown.Inc()
+		c.repliesUnknown.Inc()
 		return
 	}
-	c.hand(k, result)
+	c.deliverReply(k, result)
 }
 
 // endSilent ends the links that have answered nothing while passedMost calls made later than theirs were answered on
 // others, and returns their sockets to close. It guards against a connection that takes calls and answers none of them
 // any more: its calls would hold their places until they are given up. c.mu is held.
 func (c *Client) endSilent(answered *call) (sockets []net.Conn) {
-	answered.link.passed = 0
+	answered.link.answeredElsewhere = 0
 	for _, l := range slices.Clone(c.links) {
-		oldest := c.oldest(l)
+		oldest := c.oldestSent(l)
 		if l == answered.link || oldest == nil || !oldest.start.Before(answered.start) {
 			continue
 		}
-		if l.passed++; l.passed < passedMost || time.Since(oldest.start) <= c.silentAfter {
+		if l.answeredElsewhere++; l.answeredElsewhere < maxPassed || time.Since(oldest.start) <= c.silenceLimit {
 			continue
 		}
-		c.silent.Inc()
-		if socket, _ := c.end(l, policy.Interrupted, policy.Unreachable); socket != nil {
+		c.linksSilent.Inc()
+		if socket, _ := c.endLink(l, policy.Interrupted, policy.Unreachable); socket != nil {
 			sockets = append(sockets, socket)
 		}
 	}
 	return sockets
 }
 
-// oldest is the call that has been out on l for the longest, nil if none is. c.mu is held.
-func (c *Client) oldest(l *link) (oldest *call) {
+// oldestSent is the call that has been out on l for the longest, nil if none is. c.mu is held.
+func (c *Client) oldestSent(l *link) (oldest *call) {
 	for _, k := range c.open {
 		if k.link == l && k.sent && !k.done && (oldest == nil || k.start.Before(oldest.start)) {
 			oldest = k
@@ -305,23 +305,23 @@
 	return oldest
 }
 
-// lose ends l after err and closes its socket. A link that was still up and did not end by garbage is counted lost.
-func (c *Client) lose(l *link, socket net.Conn, err error) {
+// failLink ends l after err and closes its socket. A link that was still up and did not end by garbage is counted lost.
+func (c *Client) failLink(l *link, socket net.Conn, err error) {
 	c.mu.Lock()
 	if !l.ended && !errors.Is(err, errGarbage) {
-		c.lost.Inc() // before the calls on l are told
+		c.linksLost.Inc() // before the calls on l are told
 	}
-	_, first := c.end(l, policy.Interrupted, policy.Unreachable)
+	_, first := c.endLink(l, policy.Interrupted, policy.Unreachable)
 	c.mu.Unlock()
 	socket.Close()
 	if first {
-		c.told()
+		c.notifyLinkEnded()
 	}
 }
 
-// end ends l: each call on it that has no outcome gets sent if its GET was handed to the socket, else unsent. It
+// endLink ends l: each call on it that has no outcome gets sent if its GET was handed to the socket, else unsent. It
 // returns the socket to close, and whether l was up. c.mu is held.
-func (c *Client) end(l *link, sent, unsent policy.Outcome) (net.Conn, bool) {
+func (c *Client) endLink(l *link, sent, unsent policy.Outcome) (net.Conn, bool) {
 	if l.ended {
 		return nil, false
 	}
@@ -333,7 +333,7 @@
 			continue
 		}
 		if k.sent {
-			c.interrupted.Inc()
+			c.callsInterrupted.Inc()
 			c.finish(k, sent)
 		} else {
 			c.finish(k, unsent)
@@ -343,9 +343,9 @@
 	return l.socket, true
 }
 
-// told tells the test hook that a link ended by itself.
-func (c *Client) told() {
-	if c.linkEnded != nil {
-		c.linkEnded()
+// notifyLinkEnded tells the test hook that a link ended by itself.
+func (c *Client) notifyLinkEnded() {
+	if c.onLinkEnded != nil {
+		c.onLinkEnded()
 	}
 }
--- a/internal/lab/mutants/overload.go
+++ b/internal/lab/mutants/overload.go
@@ -17,8 +17,8 @@
 	{"a box that is shut out believed", "internal/fleet/view/exchange.go", "	case p.Member != nil && !p.Member(from):\n", "	case false:\n", "./internal/fleet/view", "TestWhatARelayMayNotSay"},
 	{"fallback forgotten", "internal/decide/shed/shed.go", "	if a.Trust == 0 {\n		return w\n	}\n", "", "./internal/decide/shed", "TestWordsOfAnAdvice"},
 	{"what the fleet refuses taken for a full box", "internal/fleet/view/meter.go", "	own, served := rate(t.Refused, was.Refused), ", "	own, served := rate(t.Refused, was.Refused)+rate(t.Advised, was.Advised), ", "./internal/fleet/view", "TestCapacityIsMeasuredWhereItShows"},
-	{"callers that heed nothing refused first", "internal/replica/replica.go", "	if r.manners.Saw(req.Caller, req.Rank) {", "	if r.manners.Saw(req.Caller, req.Rank) && false {", "./internal/lab/model", "TestAFleetIsBetterThanEachAlone"},
+	{"callers that heed nothing refused first", "internal/replica/replica.go", "	if r.compliance.Saw(req.Caller, req.Rank) {", "	if r.compliance.Saw(req.Caller, req.Rank) && false {", "./internal/lab/model", "TestAFleetIsBetterThanEachAlone"},
 	{"each box asks for its own", "policy/signals.go", "*(max(c.mean, own-levelApart)-own)", "*(max(c.mean, own-levelApart)-own)*0", "./policy", "TestServersAskForTheSame"},
-	{"judged by the newest version", "policy/answers.go", "Version: r.Others.Version}", "Version: r.Others.Version + 1}", "./internal/replica", "TestARequestIsJudgedByTheVersionThatItWasReadUnder"},
+	{"judged by the newest version", "policy/answers.go", "Version: r.Others.Version}", "Version: r.Others.Version + 1}", "./internal/replica", "TestRequestKeepsAdviceVersionItWasReadUnder"},
 	{"give up though others have room", "policy/answers.go", "		crowded = o.Full\n", "		crowded = true\n", "./policy", "TestOthersDecideWhatARefusedCallerIsTold"},
 }
--- a/internal/replica/advice_test.go
+++ b/internal/replica/advice_test.go
@@ -9,19 +9,20 @@
 	"cairnlane/internal/testkit"
 )
 
-// advice of a version that asks to come back after that long.
-func adviceOf(version uint64, after time.Duration) *shed.Advice {
+// adviceWithDelay returns advice of a version that tells rejected callers to come back after that delay.
+func adviceWithDelay(version uint64, after time.Duration) *shed.Advice {
 	return &shed.Advice{Version: version, Trust: 1, Later: [2]time.Duration{after, after}}
 }
 
-// TestARequestIsJudgedByTheVersionThatItWasReadUnder: another one comes into force, or none, while it is held.
-func TestARequestIsJudgedByTheVersionThatItWasReadUnder(t *testing.T) {
-	for name, next := range map[string]*shed.Advice{"another": adviceOf(8, 900*ms), "the fleet sheds nothing any more": nil, "one that is not trusted": {Version: 9, Later: [2]time.Duration{ms, ms}}} {
+// TestRequestKeepsAdviceVersionItWasReadUnder checks that a held request is rejected under the advice it was read
+// under, although other advice, or none, comes into force meanwhile.
+func TestRequestKeepsAdviceVersionItWasReadUnder(t *testing.T) {
+	for name, next := range map[string]*shed.Advice{"another": adviceWithDelay(8, 900*ms), "the fleet sheds nothing any more": nil, "one that is not trusted": {Version: 9, Later: [2]time.Duration{ms, ms}}} {
 		broken := assert.Failures()
-		b := newBench(t)
-		b.Gauges([]float64{0, 2}) // the cores are busy, so the pool does not climb
-		b.Advise(adviceOf(7, 70*ms))
-		for range 6 { // they take the pool, and more than it grows by
+		b := newHarness(t)
+		b.Gauges([]float64{0, 2}) // the cores are busy, so the module does not raise its concurrency
+		b.Advise(adviceWithDelay(7, 70*ms))
+		for range 6 { // enough to fill the slots, and more than they grow by
 			b.arrive("", 0, 3*time.Second)
 		}
 		held := b.arrive("", 0, 3*time.Second)
@@ -32,26 +33,27 @@
 			b.clock.Advance(20 * ms)
 		}
 		if len(held.answers) != 1 || held.answers[0].Kind != Refused || held.answers[0].Later != 70*ms {
-			t.Errorf("%s: what was read under 7 is answered %+v", name, held.answers)
+			t.Errorf("%s: the request read under version 7 was answered %+v", name, held.answers)
 		}
 		if len(after.answers) != 1 || after.answers[0].Kind != Refused || after.answers[0].Later == 70*ms {
-			t.Errorf("%s: what was read after 7 is answered %+v", name, after.answers)
+			t.Errorf("%s: the request read after version 7 was answered %+v", name, after.answers)
 		}
-		if n := assert.Failures() - broken; n != 0 || len(b.faults) > 0 {
-			t.Errorf("%s: %d invariants broken, %v", name, n, b.faults)
+		if n := assert.Failures() - broken; n != 0 || len(b.violations) > 0 {
+			t.Errorf("%s: %d invariants broken, violations %v", name, n, b.violations)
 		}
 	}
 }
 
-// TestWhatTheFleetHasRefusedIsCounted by its reason, and a repeat of what may have run is never refused by it.
-func TestWhatTheFleetHasRefusedIsCounted(t *testing.T) {
-	b := newBench(t)
+// TestFleetRejectionsAreCounted checks that rejections by the fleet's advice are counted by reason, and that a
+// repeat of a request that may have run is never rejected.
+func TestFleetRejectionsAreCounted(t *testing.T) {
+	b := newHarness(t)
 	b.Advise(&shed.Advice{Version: 7, Trust: 1, Further: 1})
 	first := b.arrive("k", 0, 3*time.Second)
-	again := &try{b: b, txn: "00000000000000aa", unique: "k", door: b.clock.Now(), due: b.clock.Now() + time.Second}
-	further := &try{b: b, txn: "00000000000000ab", door: b.clock.Now(), due: b.clock.Now() + time.Second}
-	b.tries[again.txn], b.tries[further.txn] = again, further
-	for q, class := range map[*try]string{again: "save", further: "read"} {
+	again := &attempt{b: b, txn: "00000000000000aa", unique: "k", door: b.clock.Now(), due: b.clock.Now() + time.Second}
+	further := &attempt{b: b, txn: "00000000000000ab", door: b.clock.Now(), due: b.clock.Now() + time.Second}
+	b.attempts[again.txn], b.attempts[further.txn] = again, further
+	for q, class := range map[*attempt]string{again: "save", further: "read"} {
 		body := "body of k"
 		if err := b.Arrive(Request{Txn: q.txn, Class: class, Body: []byte(body), KB: 10, Door: time.Unix(0, int64(q.door)), Limit: time.Second, Unique: q.unique, Retry: true, Reply: q}); err != nil {
 			t.Fatal(err)
@@ -59,53 +61,53 @@
 	}
 	b.end(first.txn, 0)
 	if len(again.answers) != 1 || again.answers[0].Kind != Served {
-		t.Errorf("the repeat of a save that ran is answered %+v", again.answers)
+		t.Errorf("the repeat of a keyed request that ran was answered %+v", again.answers)
 	}
-	if len(further.answers) != 1 || further.answers[0].Kind != Refused || b.count.beyond.Load() != 1 {
-		t.Errorf("a try beyond the budget is answered %+v; %d are counted", further.answers, b.count.beyond.Load())
+	if len(further.answers) != 1 || further.answers[0].Kind != Refused || b.count.overBudget.Load() != 1 {
+		t.Errorf("an attempt over the retry budget was answered %+v; %d counted", further.answers, b.count.overBudget.Load())
 	}
 	f := b.Figures()
 	if f.Classes[1].First != 1 || f.Classes[0].First != 0 || f.Tenants[""] != 1 || f.Tenants["uni"] != 0 {
-		t.Errorf("first tries: %+v, %v", f.Classes, f.Tenants)
+		t.Errorf("first attempts: by class %+v, by tenant %v", f.Classes, f.Tenants)
 	}
-	if len(b.faults) > 0 {
-		t.Error(b.faults)
+	if len(b.violations) > 0 {
+		t.Error(b.violations)
 	}
 }
 
-// TestLateAnswersAreCounted: those served after the aim of their class.
+// TestLateAnswersAreCounted checks that answers served after the aim of their class count as late.
 func TestLateAnswersAreCounted(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	soon, late := b.arrive("", 0, 3*time.Second), b.arrive("", 0, 3*time.Second)
 	b.clock.Advance(900 * ms)
 	b.end(soon.txn, 0)
 	b.clock.Advance(200 * ms)
 	b.end(late.txn, 0)
 	if f := b.Figures().Classes[0]; f.Served != 2 || f.Late != 1 {
-		t.Errorf("%+v", f)
+		t.Errorf("figures %+v, want 2 served and 1 of them late", f)
 	}
 }
 
-// BenchmarkRead is the whole way of a request from its read to its answer, alone and with what a fleet advises.
+// BenchmarkRead measures a request from its read to its answer, without and with a fleet's advice.
 func BenchmarkRead(b *testing.B) {
 	full := &shed.Advice{Version: 7, Trust: 1, Tenants: map[string]float64{"uni": 0}, Low: []bool{false, false}, Later: [2]time.Duration{ms, time.Second}}
 	for name, a := range map[string]*shed.Advice{"alone": nil, "advised": full} {
 		b.Run(name, func(b *testing.B) {
-			r := newBench(b)
+			r := newHarness(b)
 			r.Advise(a)
 			b.ReportAllocs()
 			for b.Loop() {
-				ReadOnce(r.Replica, r.clock, r)
+				serveOneRequest(r.Replica, r.clock, r)
 			}
 		})
 	}
 }
 
-// ReadOnce has one request read, run and served.
-func ReadOnce(r *Replica, clock *testkit.Clock, b *bench) {
+// serveOneRequest has one request read, run and served.
+func serveOneRequest(r *Replica, clock *testkit.Clock, b *harness) {
 	const txn = "00000000000000ff"
-	q := &try{b: b, txn: txn, door: clock.Now(), due: clock.Now() + time.Second}
-	b.tries[txn] = q
+	q := &attempt{b: b, txn: txn, door: clock.Now(), due: clock.Now() + time.Second}
+	b.attempts[txn] = q
 	r.Arrive(Request{Txn: txn, Class: "read", Tenant: "uni", KB: 10, Door: time.Unix(0, int64(q.door)), Limit: time.Second, Reply: q})
 	b.runs = b.runs[:0]
 	r.Done(txn, 0, ms, nil)
--- a/internal/replica/calls.go
+++ b/internal/replica/calls.go
@@ -7,56 +7,57 @@
 	"cairnlane/policy"
 )
 
-// indexCall is what a run that waits for a call to the index needs: the notice that asked for it, its body, whether it is
-// out, and the command for the engine that ends the wait, until a link has taken it.
+// indexCall is the state of a run's call to the index: the notice that requested it, its body, whether it is
+// outstanding, and the command that ends the engine's wait until a link has taken it.
 type indexCall struct {
-	notice  int64  // number of the engine's NEED; a SKIP names it
-	body    []byte // what the engine gave for the call
-	out     bool   // a Get is out and its end not told
-	owed    bool   // reply or skip is to be written to the engine once there is a link
-	skip    bool   // the command owed is a SKIP, else a FEED of reply
-	reply   []byte // the index's reply, unchanged
-	written time.Duration
+	notice      int64  // number of the engine's NEED notice; SKIP refers to it
+	body        []byte // body of the call, as sent by the engine
+	outstanding bool   // a Get was made and its end was not reported yet
+	unsent      bool   // FEED or SKIP is to be written to the engine once there is a link
+	skip        bool   // the command to write is SKIP; otherwise FEED with reply
+	reply       []byte // the index's reply, unchanged
+	writtenAt   time.Duration
 }
 
-// Need takes word from the engine that a run waits for a call with this body.
+// Need handles the engine's notice that a run waits for an index call with this body.
 func (r *Replica) Need(txn string, notice int64, body []byte) {
-	r.enter(func(now time.Duration) {
+	r.locked(func(now time.Duration) {
 		req := r.txns[txn]
 		if req == nil || !req.running {
-			r.count.stray.Inc()
+			r.count.noticesUnmatched.Inc()
 			return
 		}
 		req.call = indexCall{notice: notice, body: append([]byte(nil), body...)}
-		r.call(func() { r.ctl.NeedsCall(now, req.id) })
+		r.callModule(func() { r.ctl.NeedsCall(now, req.id) })
 	})
 }
 
-// Called takes the end of a call to the index: a reply is handed to the run unchanged, and the module is told.
+// Called handles the end of a call to the index: a reply is passed to the run unchanged, and the module is
+// informed.
 func (r *Replica) Called(txn string, outcome policy.Outcome, took time.Duration, reply []byte) {
-	r.enter(func(now time.Duration) {
+	r.locked(func(now time.Duration) {
 		req := r.txns[txn]
-		if req == nil || !req.call.out {
-			r.count.callsStray.Inc()
+		if req == nil || !req.call.outstanding {
+			r.count.callsUnmatched.Inc()
 			return
 		}
-		req.call.out = false
+		req.call.outstanding = false
 		if outcome == policy.Succeeded {
 			req.call.reply = append([]byte(nil), reply...)
 			req.call.skip = false
-			r.endWait(req)
+			r.sendCallOutcome(req)
 		}
-		r.call(func() { r.ctl.Called(now, req.id, outcome, took) })
+		r.callModule(func() { r.ctl.Called(now, req.id, outcome, took) })
 	})
 }
 
 // Call implements policy.Host.
 func (r *Replica) Call(id policy.RequestID, maxWait time.Duration) {
 	req := r.live[id]
-	if !assert.That(req != nil && req.running && r.cfg.Index != nil, "a call is made for a run that waits for it") {
+	if !assert.That(req != nil && req.running && r.cfg.Index != nil, "an index call is made only for a run that waits for it") {
 		return
 	}
-	req.call.out = true
+	req.call.outstanding = true
 	r.count.calls.Inc()
 	r.cfg.Index.Get(req.Txn, maxWait, req.call.body)
 }
@@ -64,15 +65,15 @@
 // Skip implements policy.Host.
 func (r *Replica) Skip(id policy.RequestID) {
 	req := r.live[id]
-	if !assert.That(req != nil && req.running, "a call is skipped for a run that waits for it") {
+	if !assert.That(req != nil && req.running, "an index call is skipped only for a run that waits for it") {
 		return
 	}
 	req.call.skip = true
-	r.endWait(req)
+	r.sendCallOutcome(req)
 }
 
-// endWait writes what ends the wait of a run for its call, or keeps it for the next link.
-func (r *Replica) endWait(req *request) {
+// sendCallOutcome writes the FEED or SKIP that ends a run's wait for its call, or marks it for the next link.
+func (r *Replica) sendCallOutcome(req *request) {
 	c := &req.call
 	var sent bool
 	if c.skip {
@@ -80,13 +81,13 @@
 	} else {
 		sent = r.engine.Feed(req.Txn, c.reply)
 	}
-	c.owed, c.written = !sent, r.clock.Now()
+	c.unsent, c.writtenAt = !sent, r.clock.Now()
 }
 
-// resendWait writes again, on a link that is new, what ends the wait of a run: what was not written, or may have been
-// lost with the link before. A command for a run that no longer waits is turned down by the engine and harms nothing.
-func (r *Replica) resendWait(req *request, since time.Duration) {
-	if c := &req.call; c.owed || (c.notice > 0 && !c.out && c.written >= since) {
-		r.endWait(req)
+// resendCallOutcome writes the FEED or SKIP of a run on a new link if it was not written or may have been lost
+// with the previous link. The engine rejects such a command for a run that no longer waits, without any effect.
+func (r *Replica) resendCallOutcome(req *request, since time.Duration) {
+	if c := &req.call; c.unsent || (c.notice > 0 && !c.outstanding && c.writtenAt >= since) {
+		r.sendCallOutcome(req)
 	}
 }
--- a/internal/replica/figures.go
+++ b/internal/replica/figures.go
@@ -7,35 +7,37 @@
 	"cairnlane/policy"
 )
 
-// figures are what operators read of the requests, kept apart from the lock: whoever reads them waits for nobody.
-// A request is counted in open once it is taken, and moves from there to the one outcome of its answer, in the step
-// that commits the answer. So outcomes and open always add up to the requests taken, but for one that is on its way.
+// requestFigures are the request counts shown to operators. They are atomics outside the replica's lock, so that
+// reading them never blocks. A request is counted in open when it is accepted, and moves from there to the one
+// outcome of its answer in the step that commits the answer. Outcomes and open therefore always add up to the
+// accepted requests, except for one that is being moved.
 //
-// What counts where: a repeat that is answered from a key counts by its answer, and as no try; a refusal at read is a
-// refusal; a run whose request has its answer already, or is sent again after a break of the link, counts no second
-// time; what could not be taken as a request counts nowhere here (counter requests_malformed); a request that its
-// caller has given up on counts by the answer that it gets all the same.
-type figures struct {
-	names []string
-	ends  [][kinds]atomic.Int64
-	tries atomic.Int64             // runs that were handed to the engine
-	open  atomic.Int64             // requests without their answer
-	words [][words]atomic.Int64    // refused by the fleet's word, by class
-	late  []atomic.Int64           // served after the aim, by class
-	first []atomic.Int64           // first tries that were taken, by class
-	teams map[string]*atomic.Int64 // and by tenant
-	// wanted and wants are first tries as their callers would send them if nothing were held back, in parts of wantedUnit.
-	wanted []atomic.Int64
-	wants  map[string]*atomic.Int64
-	busy   atomic.Uint64 // bits of the share of the cores that was wanted of late
+// Counting rules: a repeat that is answered from a key counts by its answer, and not as a run. A rejection at read
+// counts as a rejection. A run counts once, even if its request already has its answer or the run is sent again
+// after a link loss. Malformed requests are not counted here (see counter requests_malformed). A request that its
+// caller has abandoned counts by the answer that it still gets.
+type requestFigures struct {
+	names           []string
+	outcomes        [][kindCount]atomic.Int64
+	runs            atomic.Int64                     // runs that were sent to the engine
+	open            atomic.Int64                     // requests that have no answer yet
+	fleetRejections [][fleetReasonCount]atomic.Int64 // rejections that follow the fleet's advice, by class and reason
+	lateByClass     []atomic.Int64                   // served after the aim, by class
+	firstAttempts   []atomic.Int64                   // accepted first attempts, by class
+	firstByTenant   map[string]*atomic.Int64         // accepted first attempts, by tenant
+	// wantedByClass and wantedByTenant estimate the first attempts that callers would send if they held nothing
+	// back, in units of 1/wantedUnit.
+	wantedByClass  []atomic.Int64
+	wantedByTenant map[string]*atomic.Int64
+	coreDemand     atomic.Uint64 // recent demand for cores as a share of them, as float64 bits
 }
 
-func newFigures(classes []policy.Class, tenants []string) *figures {
+func newRequestFigures(classes []policy.Class, tenants []string) *requestFigures {
 	n := len(classes)
-	f := &figures{ends: make([][kinds]atomic.Int64, n), words: make([][words]atomic.Int64, n), late: make([]atomic.Int64, n), first: make([]atomic.Int64, n), teams: make(map[string]*atomic.Int64, len(tenants)),
-		wanted: make([]atomic.Int64, n), wants: make(map[string]*atomic.Int64, len(tenants))}
+	f := &requestFigures{outcomes: make([][kindCount]atomic.Int64, n), fleetRejections: make([][fleetReasonCount]atomic.Int64, n), lateByClass: make([]atomic.Int64, n), firstAttempts: make([]atomic.Int64, n), firstByTenant: make(map[string]*atomic.Int64, len(tenants)),
+		wantedByClass: make([]atomic.Int64, n), wantedByTenant: make(map[string]*atomic.Int64, len(tenants))}
 	for _, t := range tenants {
-		f.teams[t], f.wants[t] = new(atomic.Int64), new(atomic.Int64)
+		f.firstByTenant[t], f.wantedByTenant[t] = new(atomic.Int64), new(atomic.Int64)
 	}
 	for _, c := range classes {
 		f.names = append(f.names, c.Name)
@@ -43,92 +45,94 @@
 	return f
 }
 
-// came counts a request that is taken.
-func (f *figures) came(req *request) {
+// countAccepted counts an accepted request.
+func (f *requestFigures) countAccepted(req *request) {
 	f.open.Add(1)
 	if req.Retry {
 		return
 	}
-	f.first[req.place].Add(1)
-	if t := f.teams[req.Tenant]; t != nil {
+	f.firstAttempts[req.classIndex].Add(1)
+	if t := f.firstByTenant[req.Tenant]; t != nil {
 		t.Add(1)
 	}
 }
 
 const wantedUnit = 1024
 
-// want counts a first try for all those of its kind that callers hold back below a floor: ranks are even, so of those that are wanted the
-// part above it is sent.
-func (f *figures) want(req *request, floor float64) {
+// countWanted counts a first attempt with a weight that accounts for the attempts that callers hold back because
+// their rank is below floor. Ranks are evenly distributed, so the attempts sent are the share 1 - floor of those
+// wanted.
+func (f *requestFigures) countWanted(req *request, floor float64) {
 	if req.Retry || req.Rank < floor {
 		return
 	}
-	n := int64(wantedUnit / (1 - min(floor, floorMost)))
-	f.wanted[req.place].Add(n)
-	if t := f.wants[req.Tenant]; t != nil {
+	n := int64(wantedUnit / (1 - min(floor, maxFloor)))
+	f.wantedByClass[req.classIndex].Add(n)
+	if t := f.wantedByTenant[req.Tenant]; t != nil {
 		t.Add(n)
 	}
 }
 
-// floorMost bounds what one request stands for.
-const floorMost = 0.9
+// maxFloor limits the weight of one request in countWanted.
+const maxFloor = 0.9
 
-// demand takes a reading of the demand for cores, as a share of them; it is averaged over some 30 readings. One caller at a time.
-func (f *figures) demand(share float64) {
-	was := math.Float64frombits(f.busy.Load())
-	f.busy.Store(math.Float64bits(was + (min(share, 1)-was)/demandReadings))
+// recordDemand adds a reading of the demand for cores, as a share of them, to a moving average over about 30
+// readings. It must not be called concurrently.
+func (f *requestFigures) recordDemand(share float64) {
+	was := math.Float64frombits(f.coreDemand.Load())
+	f.coreDemand.Store(math.Float64bits(was + (min(share, 1)-was)/demandReadings))
 }
 
 const demandReadings = 32
 
-// The words of the fleet by which a request may be refused.
+// The reasons in the fleet's advice for which a request may be rejected.
 const (
-	wordShare = iota
-	wordLow
-	wordBeyond
-	words
+	reasonOverShare = iota
+	reasonLowClass
+	reasonOverBudget
+	fleetReasonCount
 )
 
-func (f *figures) ended(class int, k Kind) {
-	f.ends[class][k].Add(1)
+func (f *requestFigures) countAnswer(class int, k Kind) {
+	f.outcomes[class][k].Add(1)
 	f.open.Add(-1)
 }
 
-// ClassFigures are those of one class, from the start of the process on.
+// ClassFigures are the request counts of one class since the start of the process.
 type ClassFigures struct {
 	Name                    string
 	Served, Refused, Failed int64
 	Late                    int64 // served after the aim
-	Share, Low, Beyond      int64 // of Refused, by the fleet's word: over a share, of a low class, beyond the budget of tries
-	First                   int64 // first tries that were taken
-	Wanted                  int64 // what they would be if callers held nothing back, while a fleet advises
+	Share, Low, Beyond      int64 // of Refused, by the reason in the fleet's advice: tenant over its share, low class, beyond the retry budget
+	First                   int64 // accepted first attempts
+	Wanted                  int64 // estimated first attempts if callers held nothing back; counted while a fleet advises
 }
 
-// Figures are what operators read of the requests.
+// Figures are the request counts and the demand for cores shown to operators.
 type Figures struct {
 	Classes []ClassFigures
-	Tries   int64            // runs that were handed to the engine
-	Open    int64            // requests that were taken and have not ended
-	Read    int64            // tries that were taken
-	Further int64            // those of them that were marked as further ones
-	Beyond  int64            // refused as they were beyond the fleet's budget of further tries
-	Tenants map[string]int64 // first tries that were taken
-	Wanted  map[string]int64 // what they would be if callers held nothing back, while a fleet advises
-	Busy    float64          // share of the cores that was wanted of late, 0 to 1
+	Tries   int64            // runs that were sent to the engine
+	Open    int64            // accepted requests that have no answer yet
+	Read    int64            // accepted attempts
+	Further int64            // accepted attempts that were marked as retries
+	Beyond  int64            // rejected because they exceeded the fleet's retry budget
+	Tenants map[string]int64 // accepted first attempts, by tenant
+	Wanted  map[string]int64 // estimated first attempts by tenant if callers held nothing back; counted while a fleet advises
+	Busy    float64          // recent demand for cores as a share of them, 0 to 1
 }
 
-// Figures reads them. It takes no lock.
+// Figures returns the current figures without taking a lock.
 func (r *Replica) Figures() Figures {
-	f := Figures{Tries: r.figures.tries.Load(), Open: r.figures.open.Load(),
-		Read: r.count.read.Load(), Further: r.count.retries.Load(), Beyond: r.count.beyond.Load(), Tenants: make(map[string]int64, len(r.figures.teams)), Busy: math.Float64frombits(r.figures.busy.Load())}
-	f.Wanted = make(map[string]int64, len(r.figures.wants))
-	for name, n := range r.figures.teams {
-		f.Tenants[name], f.Wanted[name] = n.Load(), r.figures.wants[name].Load()/wantedUnit
+	f := Figures{Tries: r.figures.runs.Load(), Open: r.figures.open.Load(),
+		Read: r.count.read.Load(), Further: r.count.retries.Load(), Beyond: r.count.overBudget.Load(), Tenants: make(map[string]int64, len(r.figures.firstByTenant)), Busy: math.Float64frombits(r.figures.coreDemand.Load())}
+	f.Wanted = make(map[string]int64, len(r.figures.wantedByTenant))
+	for name, n := range r.figures.firstByTenant {
+		f.Tenants[name], f.Wanted[name] = n.Load(), r.figures.wantedByTenant[name].Load()/wantedUnit
 	}
 	for i, name := range r.figures.names {
-		e := &r.figures.ends[i]
-		f.Classes = append(f.Classes, ClassFigures{Name: name, Served: e[Served].Load(), Refused: e[Refused].Load(), Failed: e[Failed].Load(), Late: r.figures.late[i].Load(),
-			Share: r.figures.words[i][wordShare].Load(), Low: r.figures.words[i][wordLow].Load(), Beyond: r.figures.words[i][wordBeyond].Load(), First: r.figures.first[i].Load(), Wanted: r.figures.wanted[i].Load() / wantedUnit})
+		e := &r.figures.outcomes[i]
+		f.Classes = append(f.Classes, ClassFigures{Name: name, Served: e[Served].Load(), Refused: e[Refused].Load(), Failed: e[Failed].Load(), Late: r.figures.lateByClass[i].Load(),
+			Share: r.figures.fleetRejections[i][reasonOverShare].Load(), Low: r.figures.fleetRejections[i][reasonLowClass].Load(), Beyond: r.figures.fleetRejections[i][reasonOverBudget].Load(), First: r.figures.firstAttempts[i].Load(), Wanted: r.figures.wantedByClass[i].Load() / wantedUnit})
 	}
 	return f
 }
--- a/internal/replica/keys.go
+++ b/internal/replica/keys.go
@@ -8,26 +8,26 @@
 	"cairnlane/policy"
 )
 
-// key is an entry of the key table: it links the tries of one keyed request, from the moment the
-// first of them is held until the window of the one that ran is over.
+// key is an entry of the key table: it links the attempts of one keyed request, or the reads that share one
+// result, from the moment the first of them is held until the window of the one that ran has ended.
 type key struct {
-	name    string
-	holder  policy.RequestID
-	content handover.Digest // of class and body, which all tries of a request share
-	until   time.Duration   // tries that came to the machine before it are linked
-	dropAt  time.Duration   // later than until: a try that came inside the window may be read long after it
-	ran     bool            // the holder was given to the engine
-	over    bool            // its run has ended
-	ok      bool            // with a result
-	result  []byte          // nil once dropped for room
-	stored  bool            // result is there
-	waiting []*request
-	remote  bool   // the other process of a replacement has the run
-	claim   uint64 // under which this process got it from there
-	refusal Answer // what its holder was refused with
+	name      string
+	holder    policy.RequestID
+	digest    handover.Digest // of class and body, which all attempts of a keyed request share
+	windowEnd time.Duration   // attempts that arrived at the machine by then are linked
+	dropAt    time.Duration   // after windowEnd: an attempt that arrived inside the window may be read long after it
+	ran       bool            // the module decided to run the holder
+	ended     bool            // the run has ended
+	succeeded bool            // the run succeeded
+	result    []byte          // nil once evicted
+	stored    bool            // result is stored
+	waiting   []*request
+	remote    bool   // the run belongs to the peer process
+	claimSeq  uint64 // number of the claim by which the peer process granted the key
+	rejection Answer // the answer with which the holder was rejected
 }
 
-func (k *key) leave(req *request) {
+func (k *key) removeWaiting(req *request) {
 	for i, w := range k.waiting {
 		if w == req {
 			k.waiting = append(k.waiting[:i], k.waiting[i+1:]...)
@@ -36,20 +36,20 @@
 	}
 }
 
-// expireMost bounds the entries that are looked at in one tick.
-const expireMost = 64
+// maxExpirePerTick limits the number of entries that one tick examines.
+const maxExpirePerTick = 64
 
 type keyTable struct {
-	byName   map[string]*key
-	byHolder map[policy.RequestID]*key
-	order    []*key // by the time they were made
-	results  []*key // with a stored result, oldest first
-	bytes    int    // of stored results
-	bound    int
+	byName         map[string]*key
+	byHolder       map[policy.RequestID]*key
+	byAge          []*key // in order of creation
+	results        []*key // entries with a stored result, oldest first
+	resultBytes    int    // total size of the stored results
+	maxResultBytes int
 }
 
-// name is how the entry of a request is called.
-func name(req *request) string {
+// keyName returns the name of a request's entry in the key table, or "" if it has none.
+func keyName(req *request) string {
 	switch {
 	case req.class.Semantics == policy.Keyed:
 		return "u " + req.Unique
@@ -59,9 +59,9 @@
 	return ""
 }
 
-// content digests what all tries of one keyed request have in common. Nobody can make two bodies that share one, and
-// it is the same in both processes of a replacement.
-func content(q *Request) (d handover.Digest) {
+// contentDigest returns the digest of what all attempts of one keyed request have in common. It is collision
+// resistant and the same in both processes of a replacement.
+func contentDigest(q *Request) (d handover.Digest) {
 	h := sha256.New()
 	h.Write([]byte(q.Class))
 	h.Write([]byte{0})
@@ -70,22 +70,22 @@
 	return d
 }
 
-// find returns the entry that a new try repeats. What counts is when the try came to the machine,
-// however late it is read.
+// find returns the entry that a new attempt repeats. The arrival time of the attempt counts, however late it is
+// read.
 func (t *keyTable) find(req *request) *key {
-	k := t.byName[name(req)]
-	if k == nil || k.ran && k.over && req.door > k.until {
+	k := t.byName[keyName(req)]
+	if k == nil || k.ran && k.ended && req.arrivedAt > k.windowEnd {
 		return nil
 	}
-	if k.over && !k.ok && req.class.Semantics != policy.Keyed {
-		return nil // a read that failed serves no other
+	if k.ended && !k.succeeded && req.class.Semantics != policy.Keyed {
+		return nil // the result of a failed read is not shared
 	}
 	return k
 }
 
-// keep enters a request, in place of an entry whose time is over.
+// keep adds an entry for a request; it replaces one whose window has ended.
 func (t *keyTable) keep(req *request, until time.Duration) *key {
-	k := &key{name: name(req), holder: req.id, content: req.content, until: until, dropAt: until + req.class.Deadline, claim: req.claim}
+	k := &key{name: keyName(req), holder: req.id, digest: req.digest, windowEnd: until, dropAt: until + req.class.Deadline, claimSeq: req.claimSeq}
 	if k.name == "" {
 		return nil
 	}
@@ -93,13 +93,13 @@
 	return k
 }
 
-// enter adds an entry in place of the one that has its name.
+// enter adds an entry and replaces the one of the same name.
 func (t *keyTable) enter(k *key) {
 	if old := t.byName[k.name]; old != nil {
 		t.drop(old)
 	}
 	t.byName[k.name], t.byHolder[k.holder] = k, k
-	t.order = append(t.order, k)
+	t.byAge = append(t.byAge, k)
 }
 
 func (t *keyTable) drop(k *key) {
@@ -111,40 +111,40 @@
 }
 
 func (t *keyTable) unstore(k *key) {
-	t.bytes -= len(k.result)
+	t.resultBytes -= len(k.result)
 	k.result, k.stored = nil, false
 }
 
-// store remembers the result for repeats, within the bound on all results: the oldest go first.
+// store keeps the result for repeats. If the stored results exceed maxResultBytes, the oldest are evicted.
 func (t *keyTable) store(k *key, result []byte) {
 	k.result, k.stored = append([]byte{}, result...), true
-	t.bytes += len(result)
+	t.resultBytes += len(result)
 	t.results = append(t.results, k)
-	for len(t.results) > 0 && (t.bytes > t.bound || !t.results[0].stored) {
+	for len(t.results) > 0 && (t.resultBytes > t.maxResultBytes || !t.results[0].stored) {
 		t.unstore(t.results[0])
 		t.results = t.results[1:]
 	}
 }
 
-// expire drops entries whose window is over. One whose run has not ended stays, as a repeat may wait for
-// it, but is looked at again later: at the head of the order it must not hold back all that came after it.
-// One that has not run goes when the module forgets it.
+// expire drops entries whose window has ended. An entry whose run has not ended stays, because a repeat may wait
+// for it, but moves to the end of the list: at the head it would block the expiry of all later entries. An entry
+// that has not run is dropped when the module forgets it.
 func (t *keyTable) expire(now time.Duration) {
-	for n := min(len(t.order), expireMost); n > 0; n-- {
-		k := t.order[0]
+	for n := min(len(t.byAge), maxExpirePerTick); n > 0; n-- {
+		k := t.byAge[0]
 		kept := t.byHolder[k.holder] == k
 		if kept && now <= k.dropAt {
 			return
 		}
-		t.order[0] = nil
-		t.order = t.order[1:]
+		t.byAge[0] = nil
+		t.byAge = t.byAge[1:]
 		switch {
 		case !kept: // dropped before
-		case k.over:
+		case k.ended:
 			t.drop(k)
 		default:
 			k.dropAt = now + keyMargin
-			t.order = append(t.order, k)
+			t.byAge = append(t.byAge, k)
 		}
 	}
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -18,78 +18,78 @@
 
 const ms = time.Millisecond
 
-// bench is a replica with an engine and routers that are played by the test.
-type bench struct {
+// harness is a replica whose engine and routers are simulated by the test.
+type harness struct {
 	*Replica
-	clock  *testkit.Clock
-	up     bool     // the link to the engine
-	runs   []string // RUNs written, by txn
-	waits  []string // FEEDs and SKIPs written
-	tries  map[string]*try
-	faults []string
-	asked  int
-	dead   bool // killed: nothing that it does is seen
+	clock         *testkit.Clock
+	linkUp        bool     // the link to the engine is up
+	runs          []string // txns of the RUNs written
+	callCommands  []string // FEEDs and SKIPs written
+	attempts      map[string]*attempt
+	violations    []string
+	gaugeRequests int
+	killed        bool // the process was killed: its actions have no effect
 }
 
-// try is what the test knows of a try; it is the Reply of its request.
-type try struct {
-	b       *bench
+// attempt is what the test knows of an attempt; it is the Reply of its request.
+type attempt struct {
+	b       *harness
 	txn     string
 	unique  string
 	door    time.Duration
 	due     time.Duration
 	started bool
-	over    bool
+	ended   bool
 	answers []Answer
 }
 
-func (t *try) Answer(a Answer) {
-	if t.b.dead {
+func (t *attempt) Answer(a Answer) {
+	if t.b.killed {
 		return
 	}
 	a.Body = slices.Clone(a.Body)
 	if t.answers = append(t.answers, a); len(t.answers) > 1 {
-		t.b.faults = append(t.b.faults, t.txn+" is answered twice")
+		t.b.violations = append(t.b.violations, t.txn+" was answered twice")
 	}
-	for _, other := range t.b.tries {
+	for _, other := range t.b.attempts {
 		if a.Kind == Refused && other.started && t.unique != "" && other.unique == t.unique && t.door < other.door+window {
-			t.b.faults = append(t.b.faults, t.txn+" is refused though its request ran")
+			t.b.violations = append(t.b.violations, t.txn+" was rejected although its request ran")
 		}
 	}
 	if late := t.b.clock.Now() - t.due; late > 60*ms {
-		t.b.faults = append(t.b.faults, fmt.Sprintf("%s is answered %v late", t.txn, late))
+		t.b.violations = append(t.b.violations, fmt.Sprintf("%s was answered %v late", t.txn, late))
 	}
 }
 
-func (b *bench) AskGauges() bool { b.asked++; return b.up }
+func (b *harness) AskGauges() bool { b.gaugeRequests++; return b.linkUp }
 
-func (b *bench) Feed(txn string, reply []byte) bool {
-	if b.up {
-		b.waits = append(b.waits, "FEED "+txn+" "+string(reply))
+func (b *harness) Feed(txn string, reply []byte) bool {
+	if b.linkUp {
+		b.callCommands = append(b.callCommands, "FEED "+txn+" "+string(reply))
 	}
-	return b.up
+	return b.linkUp
 }
 
-func (b *bench) Skip(txn string, notice int64) bool {
-	if b.up {
-		b.waits = append(b.waits, fmt.Sprint("SKIP ", txn, " ", notice))
+func (b *harness) Skip(txn string, notice int64) bool {
+	if b.linkUp {
+		b.callCommands = append(b.callCommands, fmt.Sprint("SKIP ", txn, " ", notice))
 	}
-	return b.up
+	return b.linkUp
 }
 
-func (b *bench) Run(txn, class string, body []byte) bool {
-	if !b.up {
+func (b *harness) Run(txn, class string, body []byte) bool {
+	if !b.linkUp {
 		return false
 	}
 	b.runs = append(b.runs, txn)
-	me := b.tries[txn]
-	for _, other := range b.tries {
+	me := b.attempts[txn]
+	for _, other := range b.attempts {
 		if other != me && me.unique != "" && other.unique == me.unique && other.started && me.door < other.door+window {
-			b.faults = append(b.faults, fmt.Sprintf("%s runs after %s", txn, other.txn))
+			b.violations = append(b.violations, fmt.Sprintf("%s was run after %s with the same key", txn, other.txn))
 		}
 	}
 	if me.started && me.unique != "" {
-		b.faults = append(b.faults, txn+" is sent twice")
+		b.violations = append(b.violations, txn+" was sent twice")
 	}
 	me.started = true
 	return true
@@ -97,18 +97,18 @@
 
 const window = 5 * time.Second
 
-func newBench(t interface{ Fatal(...any) }) *bench {
-	return newBenchBeside(t, &bench{clock: testkit.NewClock(), tries: map[string]*try{}}, false)
+func newHarness(t interface{ Fatal(...any) }) *harness {
+	return newPeerHarness(t, &harness{clock: testkit.NewClock(), attempts: map[string]*attempt{}}, false)
 }
 
-// newBenchBeside shares clock and tries with another one.
-func newBenchBeside(t interface{ Fatal(...any) }, other *bench, replaceable bool) *bench {
-	return newBenchOf(t, other, Config{Replaceable: replaceable}, func(*policy.Config) {})
+// newPeerHarness returns a harness that shares the clock and the attempts of another one.
+func newPeerHarness(t interface{ Fatal(...any) }, other *harness, replaceable bool) *harness {
+	return newHarnessWith(t, other, Config{Replaceable: replaceable}, func(*policy.Config) {})
 }
 
-// newBenchOf completes a configuration, of whose module's part the test edits what it wants.
-func newBenchOf(t interface{ Fatal(...any) }, other *bench, c Config, edit func(*policy.Config)) *bench {
-	b := &bench{clock: other.clock, tries: other.tries}
+// newHarnessWith completes configuration c; edit may change the module's part of it.
+func newHarnessWith(t interface{ Fatal(...any) }, other *harness, c Config, edit func(*policy.Config)) *harness {
+	b := &harness{clock: other.clock, attempts: other.attempts}
 	cfg := policy.Config{Seed: 1, Cores: 2, MemoryKB: 10000, RunFactor: 8, KeyKB: 10, FallFactor: 6, AnswerSlack: 60 * ms,
 		DrainGrace: time.Second, Signal: policy.RankFloor, MaxHoldOff: time.Second, Classes: []policy.Class{
 			{Name: "read", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1},
@@ -124,44 +124,45 @@
 	return b
 }
 
-// attach takes up the link; all that was written may be lost.
-func (b *bench) attach() { b.Attached(0, func() { b.up = true }) }
+// attach brings a new link up; everything written so far may be lost.
+func (b *harness) attach() { b.Attached(0, func() { b.linkUp = true }) }
 
-// arrive has a try read now that came to the machine a while ago; unique makes it a keyed one.
-func (b *bench) arrive(unique string, ago, limit time.Duration) *try {
-	t := &try{b: b, txn: fmt.Sprintf("%016x", len(b.tries)+1), unique: unique, door: b.clock.Now() - ago}
+// arrive has an attempt read now that arrived at the machine ago earlier; it is a keyed one if unique is not
+// empty.
+func (b *harness) arrive(unique string, ago, limit time.Duration) *attempt {
+	t := &attempt{b: b, txn: fmt.Sprintf("%016x", len(b.attempts)+1), unique: unique, door: b.clock.Now() - ago}
 	t.due = max(t.door+limit, b.clock.Now())
-	b.tries[t.txn] = t
+	b.attempts[t.txn] = t
 	class, body := "read", t.txn
 	if unique != "" {
 		class, body = "save", "body of "+unique
 	}
 	if err := b.Arrive(Request{Txn: t.txn, Class: class, Body: []byte(body), KB: 10, Door: time.Unix(0, int64(t.door)),
 		Limit: limit, Unique: unique, Reply: t}); err != nil {
-		b.faults = append(b.faults, err.Error())
+		b.violations = append(b.violations, err.Error())
 	}
 	return t
 }
 
 // end has the engine end a run.
-func (b *bench) end(txn string, end policy.Outcome) {
-	b.tries[txn].over = true
+func (b *harness) end(txn string, end policy.Outcome) {
+	b.attempts[txn].ended = true
 	b.Done(txn, end, 50*ms, []byte("result of "+txn))
 }
 
-func (t *try) want(tt *testing.T, kind Kind, body string) {
+func (t *attempt) want(tt *testing.T, kind Kind, body string) {
 	tt.Helper()
 	if len(t.answers) != 1 || t.answers[0].Kind != kind || string(t.answers[0].Body) != body {
-		tt.Errorf("%s: answers %+v, want one of kind %d with %q", t.txn, t.answers, kind, body)
+		tt.Errorf("%s: answers %+v, want one of kind %d with body %q", t.txn, t.answers, kind, body)
 	}
 }
 
-func TestRepeatsShareTheOneRun(t *testing.T) {
-	b := newBench(t)
+func TestRepeatedAttemptsShareOneRun(t *testing.T) {
+	b := newHarness(t)
 	first, second := b.arrive("k", 0, time.Second), b.arrive("k", 0, time.Second)
 	b.end(first.txn, policy.Succeeded)
-	third := b.arrive("k", 0, time.Second) // over already: its end is told to the module after Arrive returned
-	for _, x := range []*try{first, second, third} {
+	third := b.arrive("k", 0, time.Second) // the run has already ended: the module is told the end of the repeat after Arrive returned
+	for _, x := range []*attempt{first, second, third} {
 		x.want(t, Served, "result of "+first.txn)
 	}
 	if len(b.runs) != 1 || len(b.live) != 0 {
@@ -169,50 +170,50 @@
 	}
 }
 
-func TestARunThatFailsFailsItsRepeats(t *testing.T) {
-	b := newBench(t)
+func TestFailedRunFailsItsRepeats(t *testing.T) {
+	b := newHarness(t)
 	first, second := b.arrive("k", 0, time.Second), b.arrive("k", 0, time.Second)
 	b.Rejected(first.txn)
-	for _, x := range []*try{first, second} {
+	for _, x := range []*attempt{first, second} {
 		x.want(t, Failed, "")
 	}
 }
 
-// A bad client used to be served the stored result of the request whose key it had taken, and one whose
-// call the engine did not know used to fail the tries of the request that came after it.
-func TestAKeyIsNoUseWithAnotherBody(t *testing.T) {
-	b := newBench(t)
+// A client must not get the stored result of another client's request by using its key. An attempt whose call the
+// engine does not know must not fail later attempts under the same key.
+func TestKeyWithDifferentBodyIsRejected(t *testing.T) {
+	b := newHarness(t)
 	stranger := func(txn string) error {
 		return b.Arrive(Request{Txn: txn, Class: "save", Body: []byte("other"), KB: 10, Door: b.clock.Unix(), Limit: time.Second,
-			Unique: "k", Reply: &try{b: b, txn: txn}})
+			Unique: "k", Reply: &attempt{b: b, txn: txn}})
 	}
 	first := b.arrive("k", 0, time.Second)
 	if stranger("a") == nil {
-		t.Error("another body joins the run")
+		t.Error("a different body joined the run")
 	}
 	b.end(first.txn, policy.Succeeded)
 	if stranger("b") == nil {
-		t.Error("another body gets the stored result")
+		t.Error("a different body got the stored result")
 	}
 	b.arrive("k", 0, time.Second).want(t, Served, "result of "+first.txn)
 	unknown := b.arrive("j", 0, time.Second)
-	b.Rejected(unknown.txn) // it never ran: the next try under its key is new
+	b.Rejected(unknown.txn) // it never ran: the next attempt under its key is a new request
 	if len(b.keys.byName) != 1 {
-		t.Errorf("%d entries kept, want that of k", len(b.keys.byName))
+		t.Errorf("%d entries kept, want only that of k", len(b.keys.byName))
 	}
 	next := b.arrive("j", 0, time.Second)
 	b.end(next.txn, policy.Succeeded)
 	next.want(t, Served, "result of "+next.txn)
 }
 
-func TestTheWindowCountsFromTheDoorOfTheTryThatRan(t *testing.T) {
-	b := newBench(t)
+func TestKeyWindowStartsAtArrivalOfRunningAttempt(t *testing.T) {
+	b := newHarness(t)
 	first := b.arrive("k", 500*ms, 2*time.Second)
 	b.end(first.txn, policy.Succeeded)
 	b.clock.Advance(window - 501*ms)
 	inside := b.arrive("k", 0, time.Second)
 	b.clock.Advance(3 * time.Second)
-	late := b.arrive("k", 3*time.Second, 4*time.Second) // came inside it, read long after
+	late := b.arrive("k", 3*time.Second, 4*time.Second) // arrived inside the window, read long after it
 	outside := b.arrive("k", 0, time.Second)
 	inside.want(t, Served, "result of "+first.txn)
 	late.want(t, Served, "result of "+first.txn)
@@ -221,84 +222,85 @@
 	}
 }
 
-// An entry whose run never ends used to hold back all that were made after it, so the table grew for good.
-func TestAKeyThatNeverEndsHoldsBackNoOther(t *testing.T) {
-	b := newBench(t)
+// An entry whose run never ends must not block the expiry of the entries made after it, or the table grows without
+// bound.
+func TestUnfinishedKeyDoesNotBlockExpiryOfOthers(t *testing.T) {
+	b := newHarness(t)
 	stuck := b.arrive("stuck", 0, time.Second)
 	for i := range 20 {
 		b.end(b.arrive(fmt.Sprint("k", i), 0, time.Second).txn, policy.Succeeded)
 	}
 	b.clock.Advance(window + 10*time.Second)
-	if len(b.keys.byName) != 1 || len(b.keys.order) != 1 {
-		t.Errorf("%d entries and %d in order, want the one that runs", len(b.keys.byName), len(b.keys.order))
+	if len(b.keys.byName) != 1 || len(b.keys.byAge) != 1 {
+		t.Errorf("%d entries and %d in byAge, want only the one that runs", len(b.keys.byName), len(b.keys.byAge))
 	}
 	b.end(stuck.txn, policy.Succeeded)
 	b.clock.Advance(2 * time.Second)
-	if len(b.keys.byName)+len(b.keys.byHolder)+len(b.keys.order) != 0 {
-		t.Error("an entry stays for good")
+	if len(b.keys.byName)+len(b.keys.byHolder)+len(b.keys.byAge) != 0 {
+		t.Error("an entry was never dropped")
 	}
 }
 
-func TestStoredResultsStayInTheirBound(t *testing.T) {
-	b := newBench(t)
+func TestStoredResultsStayWithinByteLimit(t *testing.T) {
+	b := newHarness(t)
 	for i := range 10 {
 		b.end(b.arrive(fmt.Sprint("k", i), 0, time.Second).txn, policy.Succeeded)
 	}
-	if b.keys.bytes > 64 {
-		t.Errorf("%d bytes of results kept, bound 64", b.keys.bytes)
+	if b.keys.resultBytes > 64 {
+		t.Errorf("%d bytes of results kept, limit 64", b.keys.resultBytes)
 	}
-	b.arrive("k0", 0, time.Second).want(t, Failed, "") // ran, its result is gone: neither refused nor run again
+	b.arrive("k0", 0, time.Second).want(t, Failed, "") // it ran, but its result was evicted: it is neither rejected nor run again
 }
 
-func TestAFailedRunIsOnlyEndedByItsNotice(t *testing.T) {
-	b := newBench(t)
+func TestTimedOutRunStaysLiveUntilEngineNotice(t *testing.T) {
+	b := newHarness(t)
 	x := b.arrive("", 0, 300*ms)
 	b.clock.Advance(time.Second)
 	x.want(t, Failed, "")
 	b.end(x.txn, policy.Succeeded)
 	x.want(t, Failed, "")
 	if len(b.live) != 0 {
-		t.Error("still live")
+		t.Error("request is still live after the end of its run")
 	}
 }
 
-// Every run that was on used to be sent again after a break, later those of the last 150 ms. One whose end is told as
-// it is sent would run twice, and one that stood in our buffers for longer than that was never run, and its place in the
-// pool lost. Now what was written before since has reached the engine; the rest runs again only if that does no harm.
-func TestAfterABreakOnlyWhatMayRunTwiceIsSentAgain(t *testing.T) {
+// After a link loss, a run whose end is being reported at that moment would execute twice if it were sent again,
+// and one that was still in the output buffer never executes if it is not. What was written before since has
+// reached the engine; of the rest only runs of safe classes are sent again.
+func TestOnlySafeRunsAreResentAfterLinkLoss(t *testing.T) {
 	for name, c := range map[string]struct {
 		unique string
-		end    func(b *bench, x *try) // after the break
+		end    func(b *harness, x *attempt) // called after the link loss
 		sent   int
 		kind   Kind
 	}{
-		"safe, lost with its link":    {"", func(b *bench, x *try) { b.end(x.txn, policy.Succeeded) }, 2, Served},
+		"safe, lost with its link":    {"", func(b *harness, x *attempt) { b.end(x.txn, policy.Succeeded) }, 2, Served},
 		"safe, told as missed":        {"", nil, 1, Served},
 		"keyed, told as missed":       {"k", nil, 1, Served},
-		"keyed, told after the break": {"k", func(b *bench, x *try) { b.end(x.txn, policy.Succeeded) }, 1, Served},
-		"keyed, lost with its link":   {"k", func(b *bench, _ *try) { b.clock.Advance(2 * time.Second) }, 1, Failed},
-		"keyed, lost, two breaks": {"k", func(b *bench, _ *try) {
-			b.up = false
+		"keyed, told after the break": {"k", func(b *harness, x *attempt) { b.end(x.txn, policy.Succeeded) }, 1, Served},
+		"keyed, lost with its link":   {"k", func(b *harness, _ *attempt) { b.clock.Advance(2 * time.Second) }, 1, Failed},
+		"keyed, lost, two breaks": {"k", func(b *harness, _ *attempt) {
+			b.linkUp = false
 			b.attach()
 			b.clock.Advance(2 * time.Second)
 		}, 1, Failed},
-		"keyed, lost, answered before the link is back": {"k", func(b *bench, _ *try) {
+		"keyed, lost, answered before the link is back": {"k", func(b *harness, _ *attempt) {
 			b.clock.Advance(2 * time.Second)
 			b.attach()
 		}, 1, Failed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			b := newHarness(t)
 			reached := b.arrive(c.unique, 0, 2*time.Second)
 			b.clock.Advance(200 * ms)
 			x, since := b.arrive(c.unique+c.unique, 0, 2*time.Second), b.clock.Now()
-			b.up = false
+			b.linkUp = false
 			waiting := b.arrive("w", 0, 2*time.Second) // decided to run while there was no link
 			if c.end == nil {
 				b.end(x.txn, policy.Succeeded)
 			}
 			if !strings.Contains(name, "before the link") {
-				b.Attached(since, func() { b.up = true })
+				b.Attached(since, func() { b.linkUp = true })
 			}
 			if c.end != nil {
 				c.end(b, x)
@@ -313,59 +315,58 @@
 			if len(x.answers) != 1 || x.answers[0].Kind != c.kind {
 				t.Errorf("answers %+v, want kind %d", x.answers, c.kind)
 			}
-			if b.txns[x.txn] != nil { // its place in the pool is free
-				t.Error("the run is never over")
+			if b.txns[x.txn] != nil { // a live run occupies a slot
+				t.Error("the run was not ended")
 			}
-			if c.kind == Failed { // it may have run: neither refused nor run, and its end is dropped if it comes yet
+			if c.kind == Failed { // it may have run: a repeat is neither rejected nor run, and a late end is dropped
 				b.arrive(c.unique+c.unique, 0, 2*time.Second).want(t, Failed, "")
 				b.end(x.txn, policy.Succeeded)
-				if b.count.stray.Load() != 1 || b.count.doubted.Load() == 0 {
-					t.Errorf("%d stray, %d in doubt", b.count.stray.Load(), b.count.doubted.Load())
+				if b.count.noticesUnmatched.Load() != 1 || b.count.inDoubt.Load() == 0 {
+					t.Errorf("%d unmatched notices, %d runs in doubt", b.count.noticesUnmatched.Load(), b.count.inDoubt.Load())
 				}
 			}
 		})
 	}
 }
 
-// A RUN that could not be written as the link broke once more counted as written before the break.
-func TestARunThatIsOwedToANewLinkIsNotForgotten(t *testing.T) {
-	b := newBench(t)
+// A RUN that could not be written because the new link broke again must not count as written before the break.
+func TestUnwrittenRunIsSentOnNextLink(t *testing.T) {
+	b := newHarness(t)
 	x := b.arrive("", 0, 2*time.Second)
-	b.up = false
+	b.linkUp = false
 	b.Attached(b.clock.Now(), func() {}) // broken again before anything is written
 	b.clock.Advance(50 * ms)
-	b.Attached(b.clock.Now(), func() { b.up = true })
+	b.Attached(b.clock.Now(), func() { b.linkUp = true })
 	if want := []string{x.txn, x.txn}; !slices.Equal(b.runs, want) {
 		t.Errorf("runs %v, want %v", b.runs, want)
 	}
 }
 
-// The module used to get the gauges of the tick before, which cost share on days with a lost node.
-func TestATickGoesOnWithTheGaugesItAskedFor(t *testing.T) {
-	b := newBench(t)
+// With the gauges of the previous tick the module served a smaller share of requests on days with a lost node.
+func TestTickUsesTheGaugesItRequested(t *testing.T) {
+	b := newHarness(t)
 	b.clock.Advance(15 * ms)
-	if b.asked != 1 || !b.asking {
-		t.Fatalf("asked %d times, asking %v", b.asked, b.asking)
+	if b.gaugeRequests != 1 || !b.awaitingGauges {
+		t.Fatalf("gauges requested %d times, awaiting %v", b.gaugeRequests, b.awaitingGauges)
 	}
-	if b.Gauges([]float64{0, 3}); b.asking || b.gauges.OnCores != 3 {
-		t.Errorf("still asking %v, gauges %+v", b.asking, b.gauges)
+	if b.Gauges([]float64{0, 3}); b.awaitingGauges || b.gauges.OnCores != 3 {
+		t.Errorf("still awaiting gauges %v, gauges %+v", b.awaitingGauges, b.gauges)
 	}
-	b.clock.Advance(15*ms + gaugeWait) // the second is not answered
+	b.clock.Advance(15*ms + gaugeWait) // the second request is not answered
 	if b.gauges.Age < 15*ms {
-		t.Errorf("gauges of the tick before have the age %v", b.gauges.Age)
+		t.Errorf("gauges of the previous tick have age %v, want at least 15 ms", b.gauges.Age)
 	}
-	if b.asked != 2 || b.asking {
-		t.Errorf("asked %d times, asking %v: the tick waits for an answer that does not come", b.asked, b.asking)
+	if b.gaugeRequests != 2 || b.awaitingGauges {
+		t.Errorf("gauges requested %d times, awaiting %v: the tick still waits for a missing answer", b.gaugeRequests, b.awaitingGauges)
 	}
 }
 
-// The answer to a read used to be handed to others for as long as its caller could have waited and a second more, however
-// short a time the settings give it.
-func TestAReadIsSharedForAsLongAsTheSettingsSay(t *testing.T) {
-	b := newBenchOf(t, &bench{clock: testkit.NewClock(), tries: map[string]*try{}}, Config{}, func(c *policy.Config) { c.ShareFor = 300 * ms })
-	read := func() *try {
-		x := &try{b: b, txn: fmt.Sprintf("%016x", len(b.tries)+1), door: b.clock.Now()}
-		b.tries[x.txn] = x
+// The result of a read must not be shared for longer than ShareFor, even if its caller could have waited longer.
+func TestReadResultIsSharedForConfiguredTime(t *testing.T) {
+	b := newHarnessWith(t, &harness{clock: testkit.NewClock(), attempts: map[string]*attempt{}}, Config{}, func(c *policy.Config) { c.ShareFor = 300 * ms })
+	read := func() *attempt {
+		x := &attempt{b: b, txn: fmt.Sprintf("%016x", len(b.attempts)+1), door: b.clock.Now()}
+		b.attempts[x.txn] = x
 		if err := b.Arrive(Request{Txn: x.txn, Class: "read", KB: 10, Door: b.clock.Unix(), Limit: 2 * time.Second, Item: "i", Reply: x}); err != nil {
 			t.Fatal(err)
 		}
@@ -379,36 +380,36 @@
 	fresh := read()
 	b.clock.Advance(ms)
 	stale := read()
-	for _, x := range []*try{first, beside, fresh} {
+	for _, x := range []*attempt{first, beside, fresh} {
 		x.want(t, Served, "result of "+first.txn)
 	}
 	if len(stale.answers) != 0 || !slices.Equal(b.runs, []string{first.txn, stale.txn}) {
-		t.Errorf("after its time: answers %+v, runs %v", stale.answers, b.runs)
+		t.Errorf("after ShareFor: answers %+v, runs %v", stale.answers, b.runs)
 	}
 }
 
-// Requests hold the settings' names, of which there is one each, and none where the settings have no tenants.
-func TestRequestsHoldTheSettingsNames(t *testing.T) {
-	b := newBench(t)
+// Requests must hold the strings of the settings instead of copies, and no tenant if the settings have none.
+func TestRequestsUseInternedSettingsNames(t *testing.T) {
+	b := newHarness(t)
 	for tenant, want := range map[string]string{"uni": b.cfg.Tenants[1], "": ""} {
-		txn := fmt.Sprintf("%016x", len(b.tries)+1)
-		b.tries[txn] = &try{b: b, txn: txn}
-		if err := b.Arrive(Request{Txn: txn, Class: strings.Clone("read"), Tenant: strings.Clone(tenant), KB: 10, Door: b.clock.Unix(), Limit: time.Second, Reply: b.tries[txn]}); err != nil {
+		txn := fmt.Sprintf("%016x", len(b.attempts)+1)
+		b.attempts[txn] = &attempt{b: b, txn: txn}
+		if err := b.Arrive(Request{Txn: txn, Class: strings.Clone("read"), Tenant: strings.Clone(tenant), KB: 10, Door: b.clock.Unix(), Limit: time.Second, Reply: b.attempts[txn]}); err != nil {
 			t.Fatal(err)
 		}
 		q := b.txns[txn]
 		if q.Tenant != want || unsafe.StringData(q.Class) != unsafe.StringData(b.cfg.Policy.Classes[0].Name) || want != "" && unsafe.StringData(q.Tenant) != unsafe.StringData(want) {
-			t.Errorf("class %q, tenant %q are held as they came", q.Class, q.Tenant)
+			t.Errorf("class %q, tenant %q are not the strings of the settings", q.Class, q.Tenant)
 		}
 	}
 	b.cfg.Tenants = nil
-	if err := b.Arrive(Request{Txn: "z", Class: "read", Tenant: "anybody", KB: 10, Door: b.clock.Unix(), Limit: time.Second, Reply: &try{b: b}}); err != nil || b.txns["z"].Tenant != "" {
-		t.Errorf("error %v where there are no tenants", err)
+	if err := b.Arrive(Request{Txn: "z", Class: "read", Tenant: "anybody", KB: 10, Door: b.clock.Unix(), Limit: time.Second, Reply: &attempt{b: b}}); err != nil || b.txns["z"].Tenant != "" {
+		t.Errorf("without tenants: error %v, or the tenant was kept", err)
 	}
 }
 
-func TestBadRequestsAreTurnedDown(t *testing.T) {
-	b := newBench(t)
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	b := newHarness(t)
 	b.arrive("", 0, time.Second)
 	now := b.clock.Unix()
 	for name, q := range map[string]Request{
@@ -421,15 +422,16 @@
 		"tenant":  {Txn: "a", Class: "read", Tenant: "nobody", Door: now},
 	} {
 		if err := b.Arrive(q); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: request was accepted", name)
 		}
 	}
 }
 
-// TestRulesHoldOverRandomSteps plays routers and an engine whose link breaks, and checks the rules.
-func TestRulesHoldOverRandomSteps(t *testing.T) {
+// TestInvariantsHoldOverRandomSteps simulates routers and an engine whose link breaks, and checks the invariants
+// after each step.
+func TestInvariantsHoldOverRandomSteps(t *testing.T) {
 	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
-		b, broken := newBench(rt), assert.Failures()
+		b, broken := newHarness(rt), assert.Failures()
 		drained := false
 		return map[string]func(*rapid.T){
 			"arrive": func(rt *rapid.T) {
@@ -439,14 +441,14 @@
 			},
 			"end": func(rt *rapid.T) {
 				for _, txn := range b.runs {
-					if !b.tries[txn].over && b.up {
+					if !b.attempts[txn].ended && b.linkUp {
 						b.end(txn, rapid.SampledFrom([]policy.Outcome{policy.Succeeded, policy.Succeeded, policy.Failed, policy.Moot}).Draw(rt, "end"))
 						return
 					}
 				}
 			},
 			"gauges": func(rt *rapid.T) { b.Gauges([]float64{0, rapid.Float64Range(0, 4).Draw(rt, "on_cores")}) },
-			"break":  func(*rapid.T) { b.up = false },
+			"break":  func(*rapid.T) { b.linkUp = false },
 			"attach": func(*rapid.T) { b.attach() },
 			"wait":   func(rt *rapid.T) { b.clock.Advance(time.Duration(rapid.IntRange(1, 800).Draw(rt, "ms")) * ms) },
 			"drain": func(rt *rapid.T) {
@@ -456,22 +458,23 @@
 				}
 			},
 			"": func(rt *rapid.T) {
-				b.addUp(rt)
-				for _, x := range b.tries {
+				b.checkFigures(rt)
+				for _, x := range b.attempts {
 					if len(x.answers) == 0 && b.clock.Now() > x.due+60*ms {
-						b.faults = append(b.faults, x.txn+" has no answer")
+						b.violations = append(b.violations, x.txn+" was not answered in time")
 					}
 				}
-				if len(b.faults) > 0 || assert.Failures() != broken {
-					rt.Fatalf("faults %v, %d invariants broken", b.faults, assert.Failures()-broken)
+				if len(b.violations) > 0 || assert.Failures() != broken {
+					rt.Fatalf("violations %v, %d invariants broken", b.violations, assert.Failures()-broken)
 				}
 			},
 		}
 	})
 }
 
-// addUp checks that the figures add up to the requests taken, each counted once, and runs as often as RUN was first sent.
-func (b *bench) addUp(t interface{ Fatalf(string, ...any) }) {
+// checkFigures checks that the figures add up to the accepted requests, each counted once, and that runs are
+// counted as often as RUN was sent for the first time.
+func (b *harness) checkFigures(t interface{ Fatalf(string, ...any) }) {
 	f := b.Figures()
 	sum, runs := f.Open, map[string]bool{}
 	for _, c := range f.Classes {
@@ -481,12 +484,12 @@
 		runs[txn] = true
 	}
 	if taken := b.count.read.Load(); sum != taken || f.Tries != int64(len(runs)) {
-		t.Fatalf("figures %+v, %d requests taken, %d runs", f, taken, len(runs))
+		t.Fatalf("figures %+v, %d requests accepted, %d runs", f, taken, len(runs))
 	}
 }
 
-func TestSettingsOfTheModuleAreChecked(t *testing.T) {
+func TestNewRejectsEmptyConfig(t *testing.T) {
 	if _, err := New(Config{}, testkit.NewClock(), nil, new(counters.Set)); err == nil {
-		t.Error("no error without settings")
+		t.Error("New returned no error for an empty configuration")
 	}
 }
--- a/internal/replica/shared_test.go
+++ b/internal/replica/shared_test.go
@@ -14,24 +14,23 @@
 	"cairnlane/policy"
 )
 
-// pair is two processes of one replica, whose link is played by the test: messages stay on their way until they are
-// delivered.
+// pair is two processes of one replica with a simulated link: messages are in transit until they are delivered.
 type pair struct {
-	old, new *bench
-	toOld    wire
-	toNew    wire
-	heard    bool // the new one was told all that is owed, on this link
+	old, new *harness
+	toOld    peerLink
+	toNew    peerLink
+	synced   bool // the new process received the Synced message on this link
 }
 
-// wire is one direction of the link.
-type wire struct {
+// peerLink is one direction of the link.
+type peerLink struct {
 	messages []*handover.Message
 	cut      bool
-	from     *bench
+	from     *harness
 }
 
-func (w *wire) Send(m *handover.Message) {
-	if w.cut || w.from.dead {
+func (w *peerLink) Send(m *handover.Message) {
+	if w.cut || w.from.killed {
 		return
 	}
 	c := *m
@@ -40,21 +39,21 @@
 }
 
 func newPair(t interface{ Fatal(...any) }) *pair {
-	p := &pair{old: newBenchBeside(t, &bench{clock: testkit.NewClock(), tries: map[string]*try{}}, true)}
+	p := &pair{old: newPeerHarness(t, &harness{clock: testkit.NewClock(), attempts: map[string]*attempt{}}, true)}
 	p.start(t)
 	return p
 }
 
 // start starts a new process beside the old one.
 func (p *pair) start(t interface{ Fatal(...any) }) {
-	p.new = newBenchBeside(t, p.old, true)
+	p.new = newPeerHarness(t, p.old, true)
 	p.new.Follow()
 	p.link()
 }
 
 func (p *pair) link() {
-	p.heard = false
-	p.toOld, p.toNew = wire{from: p.new}, wire{from: p.old}
+	p.synced = false
+	p.toOld, p.toNew = peerLink{from: p.new}, peerLink{from: p.old}
 	p.new.Joined(&p.toOld)
 	p.old.Joined(&p.toNew)
 }
@@ -63,8 +62,8 @@
 	p.toOld.cut, p.toNew.cut = true, true
 }
 
-// deliver hands over one message, or all with n below 0.
-func (p *pair) deliver(w *wire, n int) {
+// deliver delivers n messages, or all if n is negative.
+func (p *pair) deliver(w *peerLink, n int) {
 	to := p.old
 	if w == &p.toNew {
 		to = p.new
@@ -73,9 +72,9 @@
 		m := w.messages[0]
 		w.messages = w.messages[1:]
 		if m.Kind == handover.Synced {
-			p.heard = true
+			p.synced = true
 		}
-		if !to.dead {
+		if !to.killed {
 			to.Told(m)
 		}
 	}
@@ -88,31 +87,33 @@
 	}
 }
 
-// killOld has the old process end in this moment; the new one reads what is on its way and takes over.
+// killOld kills the old process; the new one reads the messages in transit and takes over.
 func (p *pair) killOld() {
-	p.old.dead, p.old.up = true, false
+	p.old.killed, p.old.linkUp = true, false
 	p.deliver(&p.toNew, -1)
 	p.new.Parted()
-	p.new.TookOver(p.heard && !p.toNew.cut)
+	p.new.TookOver(p.synced && !p.toNew.cut)
 }
 
 func (p *pair) killNew() {
-	p.new.dead, p.new.up = true, false
+	p.new.killed, p.new.linkUp = true, false
 	p.deliver(&p.toOld, -1)
 	p.old.Parted()
 }
 
-func (p *pair) faults() []string { return append(slices.Clone(p.old.faults), p.new.faults...) }
+func (p *pair) violations() []string {
+	return append(slices.Clone(p.old.violations), p.new.violations...)
+}
 
-func (p *pair) check(t *testing.T, runs ...*try) {
+func (p *pair) check(t *testing.T, runs ...*attempt) {
 	t.Helper()
 	ran := len(p.old.runs) + len(p.new.runs)
-	if ran != len(runs) || len(p.faults()) > 0 {
-		t.Errorf("%d runs, want %d; faults %v", ran, len(runs), p.faults())
+	if ran != len(runs) || len(p.violations()) > 0 {
+		t.Errorf("%d runs, want %d; violations %v", ran, len(runs), p.violations())
 	}
 }
 
-func TestASaveRunsInOneProcessAndServesBoth(t *testing.T) {
+func TestKeyedRequestRunsInOneProcessAndServesBoth(t *testing.T) {
 	for _, way := range []string{"old first", "new first"} {
 		p := newPair(t)
 		p.settle()
@@ -128,19 +129,19 @@
 		p.settle()
 		c := second.arrive("k", 0, time.Second)
 		p.settle()
-		for _, x := range []*try{a, b, c} {
+		for _, x := range []*attempt{a, b, c} {
 			x.want(t, Served, "result of "+a.txn)
 		}
 		p.check(t, a)
 	}
 }
 
-// Both get the same save in one instant, in every order of what is on its way.
-func TestOneSaveAtBothInOneInstant(t *testing.T) {
+// Both processes receive the same keyed request at the same time, for each order of the messages in transit.
+func TestSimultaneousAttemptsInBothProcessesRunOnce(t *testing.T) {
 	for order := range 4 {
 		p := newPair(t)
 		p.settle()
-		var a, b *try
+		var a, b *attempt
 		if order&1 == 0 {
 			a, b = p.old.arrive("k", 0, time.Second), p.new.arrive("k", 0, time.Second)
 		} else {
@@ -158,8 +159,8 @@
 	}
 }
 
-// What the old process ran before the new one came is owed by the new one.
-func TestASuccessorKnowsWhatRanBeforeIt(t *testing.T) {
+// The results of runs from before the new process started are available in the new process.
+func TestSuccessorKnowsRunsFromBeforeItsStart(t *testing.T) {
 	p := newPair(t)
 	p.cut()
 	p.killNew()
@@ -173,21 +174,21 @@
 	p.check(t, a)
 }
 
-func TestARunWhoseProcessWasKilledFailsItsRepeats(t *testing.T) {
+func TestRunOfKilledProcessFailsItsRepeats(t *testing.T) {
 	p := newPair(t)
 	p.settle()
-	a := p.old.arrive("k", 0, 2*time.Second) // its entry is on its way when the old process is killed
+	a := p.old.arrive("k", 0, 2*time.Second) // its entry is in transit when the old process is killed
 	b := p.new.arrive("k", 0, 2*time.Second)
 	p.killOld()
 	b.want(t, Failed, "")
-	p.new.arrive("k", 0, time.Second).want(t, Failed, "") // neither run again nor refused
-	other := p.new.arrive("j", 0, time.Second)            // never heard of: it did not run
+	p.new.arrive("k", 0, time.Second).want(t, Failed, "") // neither run again nor rejected
+	other := p.new.arrive("j", 0, time.Second)            // unknown to the new process, which was told all: it did not run
 	p.new.end(other.txn, policy.Succeeded)
 	other.want(t, Served, "result of "+other.txn)
 	p.check(t, a, other)
 }
 
-func TestAProcessThatWasNotToldAllRunsNothingThatMayHaveRun(t *testing.T) {
+func TestUnsyncedSuccessorFailsKeysUntilWindowEnds(t *testing.T) {
 	p := newPair(t) // nothing is delivered
 	p.toNew.messages = nil
 	a := p.new.arrive("k", 0, time.Second)
@@ -200,12 +201,12 @@
 	p.check(t, b)
 }
 
-// A result that was dropped for room before the new process came is not there to be told: the repeat fails.
-func TestAResultThatWasDroppedForRoomIsNotRunAgain(t *testing.T) {
+// A result that was evicted before the new process started cannot be sent to it: the repeat fails.
+func TestEvictedResultIsNotRunAgain(t *testing.T) {
 	p := newPair(t)
 	p.cut()
 	p.killNew()
-	var ran []*try
+	var ran []*attempt
 	for i := range 10 { // 64 bytes hold three results
 		ran = append(ran, p.old.arrive(fmt.Sprint("k", i), 0, time.Second))
 		p.old.end(ran[i].txn, policy.Succeeded)
@@ -219,38 +220,39 @@
 	p.check(t, ran...)
 }
 
-// The other process hangs: a claim is not answered. The try ends unrun and well in time, and stalls nobody.
-func TestAPeerThatGoesQuietStallsNothing(t *testing.T) {
+// The other process hangs and does not answer a claim. The attempt fails without running, well before it is due,
+// and other requests are not delayed.
+func TestUnansweredClaimTimesOut(t *testing.T) {
 	p := newPair(t)
 	p.settle()
 	a := p.new.arrive("k", 0, 2*time.Second)
 	read := p.new.arrive("", 0, 2*time.Second)
 	p.new.end(read.txn, policy.Succeeded)
 	read.want(t, Served, "result of "+read.txn)
-	p.new.clock.Advance(claimTime + 20*ms)
+	p.new.clock.Advance(claimTimeout + 20*ms)
 	a.want(t, Failed, "")
-	p.settle() // the grant comes after all and is given back
+	p.settle() // the late grant is given back
 	b := p.old.arrive("k", 0, time.Second)
 	p.old.end(b.txn, policy.Succeeded)
 	b.want(t, Served, "result of "+b.txn)
 	p.check(t, read, b)
 }
 
-// A claim that was given up on is granted late, while the same key is claimed once more. Without numbers the new
-// process would take the late grant for the second claim's, after it has given the key back.
-func TestALateGrantIsNoLeaveForAnotherClaim(t *testing.T) {
+// The grant of an abandoned claim arrives while the same key is claimed again. Without claim numbers the new
+// process would take the late grant for that of the second claim, after it has given the key back.
+func TestLateGrantDoesNotSatisfyNewClaim(t *testing.T) {
 	p := newPair(t)
 	p.settle()
 	p.new.arrive("k", 0, 2*time.Second)
 	p.deliver(&p.toOld, -1) // granted
-	p.new.clock.Advance(claimTime + 20*ms)
+	p.new.clock.Advance(claimTimeout + 20*ms)
 	grant := p.toNew.messages
 	p.toNew.messages = nil
-	b := p.new.arrive("k", 0, 2*time.Second) // claims anew
+	b := p.new.arrive("k", 0, 2*time.Second) // claims again
 	p.toNew.messages = grant
-	p.deliver(&p.toNew, -1) // the first grant: given back
+	p.deliver(&p.toNew, -1) // the first grant is given back
 	if len(p.new.runs) != 0 {
-		t.Fatal("the late grant is taken for the new claim's")
+		t.Fatal("the late grant was taken for that of the new claim")
 	}
 	p.settle()
 	p.new.end(b.txn, policy.Succeeded)
@@ -258,11 +260,11 @@
 	p.check(t, b)
 }
 
-func TestAnotherBodyIsNoTryOfTheRequest(t *testing.T) {
+func TestDifferentBodyInOtherProcessFails(t *testing.T) {
 	p := newPair(t)
 	p.settle()
 	a := p.old.arrive("k", 0, time.Second)
-	stranger := &try{b: p.new, txn: "a", due: p.new.clock.Now() + time.Second}
+	stranger := &attempt{b: p.new, txn: "a", due: p.new.clock.Now() + time.Second}
 	if err := p.new.Arrive(Request{Txn: "a", Class: "save", Body: []byte("other"), KB: 10, Door: p.new.clock.Unix(), Limit: time.Second,
 		Unique: "k", Reply: stranger}); err != nil {
 		t.Fatal(err)
@@ -272,15 +274,15 @@
 	p.check(t, a)
 }
 
-// TestRulesHoldOverTwoProcesses plays random steps on two replicas of the real module, their link, kills of either
-// and a third process after them, and checks the rules over both.
-func TestRulesHoldOverTwoProcesses(t *testing.T) {
+// TestInvariantsHoldOverTwoProcesses plays random steps on two replicas with the real module and their link, kills
+// either of them, starts successors, and checks the invariants over both processes.
+func TestInvariantsHoldOverTwoProcesses(t *testing.T) {
 	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		p, broken := newPair(rt), assert.Failures()
 		linked := true
-		either := func(rt *rapid.T) *bench { return rapid.SampledFrom([]*bench{p.old, p.new}).Draw(rt, "process") }
+		either := func(rt *rapid.T) *harness { return rapid.SampledFrom([]*harness{p.old, p.new}).Draw(rt, "process") }
 		arrive := func(rt *rapid.T) {
-			if b := either(rt); !b.dead {
+			if b := either(rt); !b.killed {
 				unique := rapid.SampledFrom([]string{"a", "a", "b", ""}).Draw(rt, "unique")
 				b.arrive(unique, time.Duration(rapid.IntRange(0, 400).Draw(rt, "ago"))*ms, time.Duration(rapid.IntRange(0, 3000).Draw(rt, "limit"))*ms)
 			}
@@ -290,7 +292,7 @@
 			"end": func(rt *rapid.T) {
 				b := either(rt)
 				for _, txn := range b.runs {
-					if !b.tries[txn].over && b.up {
+					if !b.attempts[txn].ended && b.linkUp {
 						b.end(txn, rapid.SampledFrom([]policy.Outcome{policy.Succeeded, policy.Succeeded, policy.Failed}).Draw(rt, "end"))
 						return
 					}
@@ -334,16 +336,16 @@
 				p.start(rt)
 			},
 			"": func(rt *rapid.T) {
-				for _, x := range p.old.tries {
-					if !x.b.dead && len(x.answers) == 0 && x.b.clock.Now() > x.due+60*ms {
-						x.b.faults = append(x.b.faults, fmt.Sprint(x.txn, " has no answer"))
+				for _, x := range p.old.attempts {
+					if !x.b.killed && len(x.answers) == 0 && x.b.clock.Now() > x.due+60*ms {
+						x.b.violations = append(x.b.violations, fmt.Sprint(x.txn, " was not answered in time"))
 					}
 				}
-				for _, b := range []*bench{p.old, p.new} {
-					b.addUp(rt)
+				for _, b := range []*harness{p.old, p.new} {
+					b.checkFigures(rt)
 				}
-				if f := p.faults(); len(f) > 0 || assert.Failures() != broken {
-					rt.Fatalf("faults %v, %d invariants broken", f, assert.Failures()-broken)
+				if f := p.violations(); len(f) > 0 || assert.Failures() != broken {
+					rt.Fatalf("violations %v, %d invariants broken", f, assert.Failures()-broken)
 				}
 			},
 		}
