--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -15,7 +15,7 @@
 	"cairnlane/policy"
 )
 
-// recorder takes the events of a link.
+// recorder records the events of a link.
 type recorder struct {
 	events       []string
 	engineUptime time.Duration
@@ -46,7 +46,7 @@
 	}
 }
 
-// newTestSession is a session whose output is kept.
+// newTestSession returns a session whose events and output are recorded.
 func newTestSession(mem *linkMemory) (*session, *recorder, *bytes.Buffer) {
 	rec, out := new(recorder), new(bytes.Buffer)
 	s := &session{memory: mem, events: rec, now: testkit.NewClock().Now, send: func(encode func([]byte) []byte) { out.Write(encode(nil)) }}
@@ -68,11 +68,12 @@
 	equal(t, out.String(), "ATTACH 3\r\nSTAT g1\r\n")
 	rec.want(t, `bb 0 2.5ms "\r\n\r\n"; attached; gauges [0.5 3 0.1 9]`)
 	if mem.lastNotice != 5 || s.state.Load() != ready || rec.engineUptime != 10*time.Millisecond {
-		t.Errorf("last %d, state %v, up for %v", mem.lastNotice, s.state.Load(), rec.engineUptime)
+		t.Errorf("last notice %d, state %v, engine uptime %v", mem.lastNotice, s.state.Load(), rec.engineUptime)
 	}
 }
 
-// A refused FEED or SKIP used to be taken for a refused RUN: a run that had begun ended as one that never ran.
+// The rejection of a FEED or SKIP must not be taken for that of a RUN: a run that has started would end as one
+// that never ran.
 func TestRejectedCommands(t *testing.T) {
 	s, rec, _ := newTestSession(&linkMemory{})
 	if err := s.feed([]byte("HELLO starting 0\r\nNO STAT g1\r\nNO RUN 7f\r\nNO FEED 7e\r\nNO SKIP 7d\r\n")); err != nil {
@@ -90,9 +91,9 @@
 	if err := s.feed([]byte(in)); err != nil {
 		t.Fatal(err)
 	}
-	rec.want(t, `need 0a 1 "\r\nx\x00"; 0a 0 1ms ""; need 0b 3 ""`) // the NEED told twice is told once
+	rec.want(t, `need 0a 1 "\r\nx\x00"; 0a 0 1ms ""; need 0b 3 ""`) // the NEED that is sent twice is reported once
 	if mem.lastNotice != 3 {
-		t.Errorf("last %d", mem.lastNotice)
+		t.Errorf("last notice %d, want 3", mem.lastNotice)
 	}
 	for _, in := range []string{"HELLO running 1\r\nNEED 1 0a\r\n", "HELLO running 1\r\nNEED 1 0a 99999999\r\n"} {
 		s, _, _ := newTestSession(&linkMemory{})
@@ -102,7 +103,7 @@
 	}
 }
 
-// An unknown end used to count as a success, as the zero value of the module's outcome.
+// An unknown outcome must not count as success, which is the zero value of policy.Outcome.
 func TestMalformedInputEndsLink(t *testing.T) {
 	for _, in := range []string{"DONE 1 a fine 1 0\r\n\r\n", "HELLO x\r\n", "HELLO running 1\r\nDONE 1 a odd 1 0\r\n\r\n",
 		"HELLO running 1\r\nDONE x a fine 1 0\r\n\r\n", "HELLO running 1\r\nDONE 1 a fine 1 99999999\r\n",
@@ -114,13 +115,14 @@
 	}
 }
 
-// A notice that came ahead of one that was still missing used to have the latter dropped as told already, and its run never
-// ended. A new link is told it; what the engine no longer knows is passed over.
+// When a notice arrives ahead of a missing one, the missing one must not be dropped later as already delivered:
+// its run would never end. The link is re-established so that the engine sends it again; if the engine no longer
+// has it, it is skipped.
 func TestMissingNoticeIsRequestedOnce(t *testing.T) {
 	mem := &linkMemory{}
 	s, rec, _ := newTestSession(mem)
 	if err := s.feed([]byte("HELLO running 5\r\nDONE 1 a fine 1 0\r\n\r\nDONE 3 c fine 1 0\r\n\r\n")); !errors.Is(err, ErrMalformed) || mem.lastNotice != 1 {
-		t.Fatalf("error %v, last %d", err, mem.lastNotice)
+		t.Fatalf("error %v, last notice %d", err, mem.lastNotice)
 	}
 	s, again, _ := newTestSession(mem)
 	if err := s.feed([]byte("HELLO running 5\r\nDONE 2 b fine 1 0\r\n\r\nDONE 3 c fine 1 0\r\n\r\n")); err != nil {
@@ -128,7 +130,7 @@
 	}
 	rec.want(t, `a 0 1ms ""`)
 	again.want(t, `b 0 1ms ""; c 0 1ms ""`)
-	for _, fails := range []bool{true, false} { // 4 to 6 are gone
+	for _, fails := range []bool{true, false} { // notices 4 to 6 are lost
 		s, rec, _ = newTestSession(mem)
 		if err := s.feed([]byte("HELLO running 5\r\nDONE 7 g fine 1 0\r\n\r\n")); (err != nil) != fails {
 			t.Fatalf("error %v", err)
@@ -137,11 +139,11 @@
 	rec.want(t, `g 0 1ms ""`)
 }
 
-// TestNoticesAreDeliveredOnceAcrossBreaks breaks the link at random places of the stream.
+// TestNoticesAreDeliveredOnceAcrossBreaks breaks the link at random positions of the stream.
 func TestNoticesAreDeliveredOnceAcrossBreaks(t *testing.T) {
 	testkit.Steps(t, func(*rapid.T) map[string]func(*rapid.T) {
 		mem := &linkMemory{}
-		var notices []string // what the engine has said, by number
+		var notices []string // notices of the engine, in the order of their numbers
 		var told []string
 		var s *session
 		var rec *recorder
@@ -176,11 +178,11 @@
 				all := slices.Concat(told, rec.events)
 				for i, told := range all {
 					if !strings.HasPrefix(told, fmt.Sprintf("id%d ", i+1)) {
-						rt.Fatalf("told as number %d: %s", i+1, told)
+						rt.Fatalf("event %d is %s", i+1, told)
 					}
 				}
 				if int64(len(all)) != mem.lastNotice {
-					rt.Fatalf("%d told, last %d", len(all), mem.lastNotice)
+					rt.Fatalf("%d events, last notice %d", len(all), mem.lastNotice)
 				}
 			},
 		}
--- a/internal/engine/lines.go
+++ b/internal/engine/lines.go
@@ -1,5 +1,5 @@
-// Package engine speaks with the engine on the same machine: a line codec over bytes, and a link
-// that is kept open and taken up again where it broke.
+// Package engine is the client of the engine on the same machine: a codec for its line protocol, and a link that
+// is kept open and re-established after a failure.
 package engine
 
 import (
@@ -12,7 +12,7 @@
 	"cairnlane/policy"
 )
 
-// Bounds on what is read. Results may hold 4 KiB by the protocol.
+// Limits on input. The protocol allows results of up to 4 KiB.
 const (
 	maxLine   = 4 << 10
 	maxResult = 64 << 10
@@ -21,40 +21,40 @@
 // ErrMalformed is wrapped by the errors of the codec.
 var ErrMalformed = errors.New("malformed engine line")
 
-// runOutcomes translates how a run ended to the module's terms. A word that is not listed is garbage.
+// runOutcomes maps the engine's words for the end of a run to outcomes. Any other word is malformed.
 var runOutcomes = map[string]policy.Outcome{
 	"fine":       policy.Succeeded, // with the result
 	"fault":      policy.Failed,
 	"broken_off": policy.Cancelled,
-	"late":       policy.Moot, // nothing was started, the request was over
+	"late":       policy.Moot, // nothing was started because the request was over
 }
 
-// notice is one line from the engine. Kind tells which fields are set.
+// notice is one line from the engine. kind determines which fields are set.
 type notice struct {
 	kind     string
 	number   int64
 	id       string
 	outcome  policy.Outcome
-	duration time.Duration // of a run, or HELLO: since the start of the engine
-	result   []byte        // borrowed from the input
+	duration time.Duration // of the run, or for HELLO the time since the engine started
+	result   []byte        // refers to the input buffer
 	tag      string
 	gauges   []float64
 	command  string
 }
 
-// nextNotice cuts the first notice off buf; done is false while it is not all there.
+// nextNotice cuts the first notice off buf; done is false while the notice is incomplete.
 func nextNotice(buf []byte) (n notice, rest []byte, done bool, err error) {
-	at := bytes.IndexByte(buf, '\n')
-	if at < 0 {
+	lineEnd := bytes.IndexByte(buf, '\n')
+	if lineEnd < 0 {
 		if len(buf) > maxLine {
-			return n, buf, false, fmt.Errorf("%w: no end after %d bytes", ErrMalformed, len(buf))
+			return n, buf, false, fmt.Errorf("%w: no line end after %d bytes", ErrMalformed, len(buf))
 		}
 		return n, buf, false, nil
 	}
-	line, rest := bytes.TrimSuffix(buf[:at], []byte("\r")), buf[at+1:]
+	line, rest := bytes.TrimSuffix(buf[:lineEnd], []byte("\r")), buf[lineEnd+1:]
 	words := bytes.Fields(line)
 	if len(words) == 0 {
-		return n, buf, false, fmt.Errorf("%w: empty", ErrMalformed)
+		return n, buf, false, fmt.Errorf("%w: empty line", ErrMalformed)
 	}
 	n.kind = string(words[0])
 	length, err := n.parse(words[1:])
@@ -69,14 +69,15 @@
 	}
 	n.result, rest = rest[:length], rest[length:]
 	if rest[0] != '\r' || rest[1] != '\n' {
-		return n, buf, false, fmt.Errorf("%w: result of %s runs on", ErrMalformed, n.id)
+		return n, buf, false, fmt.Errorf("%w: body of %d bytes for %q is not followed by CR LF", ErrMalformed, length, n.id)
 	}
 	return n, rest[2:], true, nil
 }
 
 var errWordCount = errors.New("wrong number of words")
 
-// parse reads the words behind the kind. It returns the length of what follows the line, or -1.
+// parse reads the words after the kind. It returns the length of the body that follows the line, or -1 if there is
+// none.
 func (n *notice) parse(words [][]byte) (int, error) {
 	var err error
 	number := func(i int) int64 {
@@ -86,7 +87,7 @@
 		}
 		return v
 	}
-	span := func(i int) time.Duration {
+	milliseconds := func(i int) time.Duration {
 		v, e := strconv.ParseFloat(string(words[i]), 64)
 		if err == nil && (e != nil || !(v >= 0 && v < 1e12)) {
 			err = fmt.Errorf("word %d is no time", i+1)
@@ -98,20 +99,20 @@
 		if len(words) != 2 {
 			return -1, errWordCount
 		}
-		n.duration = span(1)
+		n.duration = milliseconds(1)
 	case "DONE":
 		if len(words) != 5 {
 			return -1, errWordCount
 		}
-		n.number, n.id, n.duration = number(0), string(words[1]), span(3)
+		n.number, n.id, n.duration = number(0), string(words[1]), milliseconds(3)
 		end, known := runOutcomes[string(words[2])]
 		if !known {
-			return -1, fmt.Errorf("unknown end %q", words[2])
+			return -1, fmt.Errorf("unknown outcome %q", words[2])
 		}
 		n.outcome = end
 		length := number(4)
 		if length > maxResult {
-			return -1, fmt.Errorf("result of %d bytes", length)
+			return -1, fmt.Errorf("result of %d bytes exceeds %d", length, maxResult)
 		}
 		return int(length), err
 	case "NEED":
@@ -121,7 +122,7 @@
 		n.number, n.id = number(0), string(words[1])
 		length := number(2)
 		if length > maxResult {
-			return -1, fmt.Errorf("call of %d bytes", length)
+			return -1, fmt.Errorf("call of %d bytes exceeds %d", length, maxResult)
 		}
 		return int(length), err
 	case "STATS":
@@ -150,7 +151,7 @@
 		}
 		n.number = number(0)
 	default:
-		return -1, errors.New("unknown notice")
+		return -1, fmt.Errorf("unknown notice %.80q", n.kind)
 	}
 	return -1, err
 }
@@ -169,14 +170,14 @@
 	return append(append(dst, body...), "\r\n"...)
 }
 
-// appendFeed writes the reply to the call that a run waits for, unchanged.
+// appendFeed appends a FEED with the reply to the call that a run waits for. The reply is not altered.
 func appendFeed(dst []byte, id string, reply []byte) []byte {
 	dst = append(append(append(dst, "FEED "...), id...), ' ')
 	dst = append(strconv.AppendInt(dst, int64(len(reply)), 10), "\r\n"...)
 	return append(append(dst, reply...), "\r\n"...)
 }
 
-// appendSkip writes that a run goes on without the call that notice number asked for.
+// appendSkip appends a SKIP: the run continues without the call requested by notice number.
 func appendSkip(dst []byte, id string, number int64) []byte {
 	dst = append(append(append(dst, "SKIP "...), id...), ' ')
 	return append(strconv.AppendInt(dst, number, 10), "\r\n"...)
--- a/internal/engine/link.go
+++ b/internal/engine/link.go
@@ -18,10 +18,10 @@
 
 const (
 	dialTimeout        = time.Second
-	minBackoff         = 10 * time.Millisecond  // before the first try to reconnect; doubles up to lastPause
-	maxBackoff         = 100 * time.Millisecond // runs wait for the link, so an engine that comes up is found soon
+	minBackoff         = 10 * time.Millisecond  // wait before the first reconnection attempt; doubles up to maxBackoff
+	maxBackoff         = 100 * time.Millisecond // runs wait for the link, so an engine that starts must be found soon
 	maxOutput          = 4 << 20
-	maxOpenStats       = 2                      // STATs open at a time: an engine that is slow to answer is asked less
+	maxOpenStats       = 2                      // unanswered STATs at a time: a slow engine gets fewer requests
 	retireTimeout      = 100 * time.Millisecond // see Link
 	retirePollInterval = time.Millisecond
 )
@@ -34,17 +34,17 @@
 	linksLost   *counters.Counter
 	linksMoved  *counters.Counter
 	silentLinks *counters.Counter
-	moved       chan struct{} // the address is another one now
-	// retireTimeout is how long a link that is replaced may take to end by itself.
+	moved       chan struct{} // signals that the address has changed
+	// retireTimeout is how long a replaced link may take to close by itself.
 	retireTimeout time.Duration
 
-	backoff     atomic.Pointer[func(try int) time.Duration]
-	outputLimit atomic.Int64 // bound on what waits to be written
+	backoff     atomic.Pointer[func(attempt int) time.Duration]
+	outputLimit atomic.Int64 // limit on the bytes that wait to be written
 
-	reading sync.Mutex // held while notices are told: an old link never tells beside a new one
+	reading sync.Mutex // held while notices are delivered, so that an old and a new link never deliver at the same time
 	memory  linkMemory
 
-	mu   sync.Mutex // guards addr and sess; never held while events are told
+	mu   sync.Mutex // guards addr and sess; never held while Events is called
 	addr string
 	sess *session // nil while there is no link
 }
@@ -58,10 +58,11 @@
 	return l
 }
 
-// BoundOutput sets how many bytes may wait to be written to a link, from the next one on; outputMost at most.
+// BoundOutput limits the bytes that may wait to be written to a link to limit, or maxOutput if that is less. It
+// takes effect with the next link.
 func (l *Link) BoundOutput(limit int) { l.outputLimit.Store(int64(min(limit, maxOutput))) }
 
-// Move has the link go on at addr. The present one is used until the new one is accepted.
+// Move makes the link reconnect to addr. The present connection is used until the new one is accepted.
 func (l *Link) Move(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +73,7 @@
 	l.linksMoved.Inc()
 	select {
 	case l.moved <- struct{}{}:
-	default: // a move that was not begun yet goes to the newest address
+	default: // a pending move will use the newest address
 	}
 }
 
@@ -82,9 +83,9 @@
 	return l.addr
 }
 
-// Pauses has pause say how long to wait before a try to reconnect, counted from 0; it must not wait itself. Without it the time doubles
-// from 10 to 100 ms.
-func (l *Link) Pauses(pause func(try int) time.Duration) { l.backoff.Store(&pause) }
+// Pauses sets the function that returns the wait before a reconnection attempt, counted from 0; the function
+// itself must not block. Without it the wait doubles from 10 to 100 ms.
+func (l *Link) Pauses(pause func(attempt int) time.Duration) { l.backoff.Store(&pause) }
 
 func (l *Link) nextBackoff(attempt int) time.Duration {
 	if p := l.backoff.Load(); p != nil {
@@ -93,11 +94,11 @@
 	return Pause(attempt)
 }
 
-// Pause is how long a lone box waits before a try to reconnect.
-func Pause(try int) time.Duration { return min(minBackoff<<min(try, 10), maxBackoff) }
+// Pause returns the default wait before a reconnection attempt, for a box without a fleet.
+func Pause(attempt int) time.Duration { return min(minBackoff<<min(attempt, 10), maxBackoff) }
 
-// Keep opens the link, opens it again whenever it breaks and moves it, until ctx ends. Events come from
-// the connection's callbacks and never before Keep is called.
+// Keep opens the link, reopens it whenever it breaks and moves it, until ctx ends. Events are called from the
+// connection's callbacks, and never before Keep is called.
 func (l *Link) Keep(ctx context.Context, events Events) {
 	l.events = events
 	var open *connection
@@ -113,7 +114,7 @@
 			case <-l.moved:
 				attempt = -1
 				continue
-			case <-ctx.Done(): // closed here, as the end of a process may take its time
+			case <-ctx.Done(): // closed here, because the process may take time to exit
 				open.Close()
 				<-open.broken
 				return
@@ -135,17 +136,17 @@
 	netpoll.Connection
 	sess   *session
 	out    *outbox.Box
-	broken chan struct{} // closes when the link has ended
-	closed bool          // its descriptor is about to be closed, or is another's; guarded by the link's mu
+	broken chan struct{} // closed when the link has ended
+	closed bool          // its descriptor is about to be closed or has been reused; guarded by the link's mu
 }
 
-// begin attaches a link that was accepted.
+// begin sets up a session on a connection that was accepted.
 func (l *Link) begin(conn netpoll.Connection) *connection {
 	c := &connection{Connection: conn, broken: make(chan struct{})}
 	c.out = outbox.New(conn, int(l.outputLimit.Load()), new(outbox.Account), func(error) { conn.Close() })
 	c.sess = &session{memory: &l.memory, events: l.events, now: l.now, closeLink: func() { go conn.Close() }, send: func(encode func([]byte) []byte) {
 		if c.out.Put(encode) != nil {
-			go conn.Close() // its callbacks take locks that the sender may hold
+			go conn.Close() // in a goroutine: the close callbacks take locks that the sender may hold
 		}
 	}}
 	l.attach(c.sess)
@@ -154,7 +155,7 @@
 		c.out.Close()
 		close(c.broken)
 	})
-	conn.AddCloseCallback(func(netpoll.Connection) error { // before the descriptor is closed, see front.Server.prepare
+	conn.AddCloseCallback(func(netpoll.Connection) error { // called before the descriptor is closed, see front.Server.prepare
 		onClose()
 		return nil
 	})
@@ -162,16 +163,16 @@
 	l.reading.Lock()
 	c.sess.sendAttach()
 	l.reading.Unlock()
-	if !conn.IsActive() { // it closed before the callback was in place
+	if !conn.IsActive() { // it closed before the callback was set
 		onClose()
 	}
 	return c
 }
 
-// retire ends a link that another one is about to replace. It guards against runs that are lost or
-// doubled by the move: nothing new is written on it, all that was is flushed and followed by a question and the end of
-// our side, and what the engine still tells is read until it closes, or for a moment. The answer to the question says that
-// all was read.
+// retire ends a link that is about to be replaced, without losing or duplicating runs. Nothing new is written on
+// it. What was written is flushed, followed by a STAT and the shutdown of the write side; the answer to the STAT
+// confirms that everything was read. Notices are still read until the engine closes the connection or
+// retireTimeout has passed.
 func (l *Link) retire(c *connection) {
 	if c == nil {
 		return
@@ -193,8 +194,9 @@
 	}
 }
 
-// shutdownWrite ends our side of a link. Its descriptor stays its own while l.mu is held: without that, a link that closed at
-// this very moment had another connection's side ended.
+// shutdownWrite shuts down the write side of a link. While l.mu is held its descriptor cannot be closed and
+// reused: without the lock, a link that closes at this moment could have another connection's write side shut
+// down.
 func (l *Link) shutdownWrite(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -203,11 +205,11 @@
 		return
 	}
 	if err := syscall.Shutdown(fd.Fd(), syscall.SHUT_WR); err != nil && !errors.Is(err, syscall.ENOTCONN) {
-		log.Print("engine link: end the old one: ", err)
+		log.Print("engine link: shut down the write side of the replaced link: ", err)
 	}
 }
 
-// read takes all that has come in. Garbage from the engine ends the link, which is then taken up anew.
+// read handles all input that has arrived. Malformed input closes the link, which is then re-established.
 func (l *Link) read(sess *session, c netpoll.Connection) error {
 	defer func() {
 		if p := recover(); p != nil {
@@ -223,7 +225,7 @@
 		err = sess.feed(p)
 	}
 	if err != nil {
-		log.Print("engine link: ", err)
+		log.Print("engine link: closed after a read error: ", err)
 		c.Close()
 		return err
 	}
@@ -251,8 +253,8 @@
 	return l.sess
 }
 
-// Run sends the request to the engine. It tells whether there is a link that could take it; if not,
-// the caller sends it after Attached.
+// Run sends a request to the engine. It reports whether there is a link that accepts it; if not, the caller sends
+// it after Attached.
 func (l *Link) Run(id, class string, body []byte) bool {
 	sent := l.write(func(dst []byte) []byte { return appendRun(dst, id, class, body) })
 	if sent {
@@ -261,21 +263,21 @@
 	return sent
 }
 
-// Feed hands a run the reply to the call that it waits for. It tells whether there is a link that could take it; if
+// Feed sends a run the reply to the call that it waits for. It reports whether there is a link that accepts it; if
 // not, the caller sends it after Attached.
 func (l *Link) Feed(id string, reply []byte) bool {
 	return l.write(func(dst []byte) []byte { return appendFeed(dst, id, reply) })
 }
 
-// Skip has a run go on without the call that notice number asked for. It tells whether there is a link that could take
-// it; if not, the caller sends it after Attached.
+// Skip makes a run continue without the call requested by notice number. It reports whether there is a link that
+// accepts it; if not, the caller sends it after Attached.
 func (l *Link) Skip(id string, number int64) bool {
 	return l.write(func(dst []byte) []byte { return appendSkip(dst, id, number) })
 }
 
-// write puts a command on a link that is ready, and tells whether there was one.
+// write writes a command to a link that is ready, and reports whether there was one.
 func (l *Link) write(encode func([]byte) []byte) bool {
-	l.mu.Lock() // also while it is put: nothing may be put behind the flush of a link that retires
+	l.mu.Lock() // held during the write: nothing may follow the flush of a retired link
 	defer l.mu.Unlock()
 	s := l.sess
 	if s == nil || s.state.Load() != ready {
@@ -285,14 +287,14 @@
 	return true
 }
 
-// AskGauges asks for the gauges unless enough questions are open. It tells whether it has asked.
+// AskGauges requests the gauges unless too many requests are unanswered. It reports whether it sent a request.
 func (l *Link) AskGauges() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.sess
 	if s != nil && s.state.Load() != retired && s.silent() {
 		l.silentLinks.Inc()
-		s.silentSince.Store(0) // once is enough
+		s.silentSince.Store(0) // the link is closed only once
 		s.closeLink()
 		return false
 	}
--- a/internal/engine/link_test.go
+++ b/internal/engine/link_test.go
@@ -15,9 +15,9 @@
 	"cairnlane/policy"
 )
 
-// eventChannels passes what a link tells to the test.
+// eventChannels passes the events of a link to the test.
 type eventChannels struct {
-	attached chan time.Duration // since when what was written may be lost
+	attached chan time.Duration // the since argument of Attached
 	done     chan string
 }
 
@@ -33,7 +33,7 @@
 	e.attached <- since
 }
 
-// linkHarness is a link with the engine that the test is.
+// linkHarness is a link to an engine that the test simulates.
 type linkHarness struct {
 	*Link
 	*eventChannels
@@ -42,10 +42,10 @@
 	clock        *testkit.Clock
 	counters     *counters.Set
 	cancel       context.CancelFunc
-	keepReturned chan struct{} // closes when Keep has returned
+	keepReturned chan struct{} // closed when Keep has returned
 }
 
-// newLinkHarness has a link kept up; edit may change it before.
+// newLinkHarness returns a harness whose link is kept open; edit may change the link first.
 func newLinkHarness(t *testing.T, edit func(*Link)) *linkHarness {
 	t.Helper()
 	w := &linkHarness{eventChannels: &eventChannels{make(chan time.Duration, 4), make(chan string, 4)}, t: t, ln: testkit.Listen(t), clock: testkit.NewClock(),
@@ -63,14 +63,15 @@
 
 func unchanged(*Link) {}
 
-// stop ends the link, before its peers do: under the race detector netpoll finds a connection by its descriptor alone, and
-// what a peer's end and ours leave in its hands together may reach the next that has the number.
+// stop closes the link before its peers close it. Under the race detector netpoll identifies a connection by its
+// descriptor alone, so that state left when both sides close at once could reach the next connection with the same
+// descriptor.
 func (w *linkHarness) stop() {
 	w.cancel()
 	<-w.keepReturned
 }
 
-// accept takes the next link at a listener, checks its ATTACH and answers HELLO, then reads the STAT.
+// accept accepts the next link at a listener, checks its ATTACH, answers HELLO, and reads the STAT.
 func accept(t *testing.T, ln net.Listener, last int) *testkit.Peer {
 	t.Helper()
 	c := testkit.Accept(t, ln)
@@ -80,7 +81,7 @@
 	return c
 }
 
-// attach has the next link taken up to where runs are taken, and gives since when what was written may be lost.
+// attach accepts the next link until it takes runs, and returns the since argument of Attached.
 func (w *linkHarness) attach(ln net.Listener, last int) (*testkit.Peer, time.Duration) {
 	w.t.Helper()
 	c := accept(w.t, ln, last)
@@ -88,11 +89,11 @@
 	return c, <-w.attached
 }
 
-// wantDone demands the end of a run next.
+// wantDone checks the next end of a run that is reported.
 func (w *linkHarness) wantDone(end string) {
 	w.t.Helper()
 	if got := <-w.done; got != end {
-		w.t.Errorf("told %q, want %q", got, end)
+		w.t.Errorf("got end %q, want %q", got, end)
 	}
 }
 
@@ -100,11 +101,11 @@
 	w := newLinkHarness(t, unchanged)
 	defer w.stop()
 	if w.Run("a", "x", nil) {
-		t.Error("a run is taken with no link")
+		t.Error("a run was accepted without a link")
 	}
 	c, _ := w.attach(w.ln, 0)
 	if !w.Run("aa", "x", []byte("b")) {
-		t.Fatal("the link takes no run")
+		t.Fatal("the link did not accept a run")
 	}
 	c.Reads("RUN aa x 1\r\nb\r\n")
 	c.Says("DONE 1 aa fine 3 2\r\nok\r\n")
@@ -112,7 +113,7 @@
 	c.Close()
 	c = accept(t, w.ln, 1)
 	if w.Run("bb", "x", nil) {
-		t.Error("a run is taken before what was missed was told")
+		t.Error("a run was accepted before the missed notices were delivered")
 	}
 	c.Says("DONE 2 cc fine 3 0\r\n\r\nSTATS g1 0 0 0 0\r\n")
 	w.wantDone("cc ")
@@ -122,68 +123,68 @@
 	}
 }
 
-// A link used to have one address for good. A move flushes and ends the old link, takes what it still
-// tells, and goes on at the new address with the last notice read.
+// A move flushes and ends the old link, reads the notices it still sends, and continues at the new address after
+// the last notice read.
 func TestMoveNeitherLosesNorDuplicatesRuns(t *testing.T) {
-	w := newLinkHarness(t, func(l *Link) { l.retireTimeout = time.Minute }) // the old link ends by itself, however slow this machine is
+	w := newLinkHarness(t, func(l *Link) { l.retireTimeout = time.Minute }) // the old link closes by itself, however slow the machine is
 	defer w.stop()
 	next := testkit.Listen(t)
 	c, _ := w.attach(w.ln, 0)
 	w.Run("aa", "x", nil)
 	w.clock.Advance(time.Minute)
 	w.Move(next.Addr().String())
-	c.Reads("RUN aa x 0\r\n\r\nSTAT g2\r\n") // what was written is not cut off, and the answer to the last says that it was read
+	c.Reads("RUN aa x 0\r\n\r\nSTAT g2\r\n") // the write is not cut off, and the answer to the last STAT confirms that it was read
 	c.Ends()
 	if w.Run("bb", "x", nil) {
-		t.Error("a run is taken by the link that retires")
+		t.Error("the retired link accepted a run")
 	}
 	w.clock.Advance(time.Second)
 	c.Says("DONE 1 aa fine 3 2\r\nok\r\nSTATS g2 0 0 0 0\r\n")
 	w.wantDone("aa ok")
 	c.Close()
 	if _, since := w.attach(next, 1); since != testkit.Start+time.Minute {
-		t.Errorf("what was written before %v has reached the engine, want up to the move", since-testkit.Start)
+		t.Errorf("writes before %v are confirmed, want those up to the move", since-testkit.Start)
 	}
 	if !w.Run("bb", "x", nil) {
 		t.Error("the new link takes no run")
 	}
 }
 
-// A link that stays open and tells nothing used to be kept for good, and runs with it.
+// A link that stays open but delivers nothing must be closed, or its runs wait without end.
 func TestSilentLinkIsClosed(t *testing.T) {
 	w := newLinkHarness(t, unchanged)
 	defer w.stop()
 	c := accept(t, w.ln, 0)
-	w.clock.Advance(time.Minute) // the engine takes its time to say what was missed: the answer is still waited for
+	w.clock.Advance(time.Minute) // the engine takes long to send the missed notices: the answer is still awaited
 	c.Says("STATS g1 0 0 0 0\r\n")
 	<-w.attached
 	if !w.AskGauges() {
-		t.Fatal("the gauges are not asked for")
+		t.Fatal("the gauges were not requested")
 	}
 	c.Reads("STAT g2\r\n")
 	w.clock.Advance(maxSilence)
-	c.Says("DONE 1 aa fine 3 2\r\nok\r\n") // it says something, if not the gauges
+	c.Says("DONE 1 aa fine 3 2\r\nok\r\n") // any input counts, not only the gauges
 	w.wantDone("aa ok")
 	if w.clock.Advance(maxSilence); !w.AskGauges() {
-		t.Fatal("an engine that talks is given up")
+		t.Fatal("the link was closed although the engine sends notices")
 	}
 	c.Reads("STAT g3\r\n")
 	if w.clock.Advance(time.Millisecond); w.AskGauges() {
-		t.Error("a silent engine is asked once more")
+		t.Error("a silent engine was sent another request")
 	}
 	c.Ends()
-	c = accept(t, w.ln, 1) // and once more, before all that was missed has been told
+	c = accept(t, w.ln, 1) // silent again, before all missed notices have been delivered
 	w.clock.Advance(maxSilence + time.Millisecond)
 	w.AskGauges()
 	c.Ends()
 	accept(t, w.ln, 1)
 	if n := w.counters.Get("engine_links_silent").Load(); n != 2 {
-		t.Errorf("%d links were given up", n)
+		t.Errorf("%d links closed as silent, want 2", n)
 	}
 }
 
-// A link that was taken up anew and got no HELLO used to be kept for good: nothing was asked on it, so that nothing was
-// missed, and no run was sent any more. An engine that has not been heard of at all may take its time.
+// A re-established link that gets no HELLO must be closed: no STAT is sent on it, so no answer would be missed,
+// and no runs would be sent any more. An engine that has never sent HELLO is given more time.
 func TestHelloTimeoutDoublesWithEachLink(t *testing.T) {
 	w := newLinkHarness(t, unchanged)
 	defer w.stop()
@@ -210,8 +211,8 @@
 	accept(t, w.ln, 1)
 }
 
-// RUNs of the last 150 ms before the engine was last heard used to count as lost, and older ones as read: one that stood in
-// our buffers for longer never ran. What tells is the answer to a question that was written behind them.
+// The age of a RUN does not tell whether the engine has read it, because it may have stayed in the output buffer
+// for any time. The answer to a STAT that was written after it confirms it.
 func TestAnsweredStatConfirmsEarlierWrites(t *testing.T) {
 	w := newLinkHarness(t, unchanged)
 	defer w.stop()
@@ -221,19 +222,20 @@
 	w.AskGauges()
 	c.Reads("STAT g2\r\n")
 	w.clock.Advance(time.Second)
-	w.AskGauges() // which the engine does not read
+	w.AskGauges() // the engine does not read this request
 	c.Says("STATS g2 0 0 0 0\r\nDONE 1 aa fine 3 0\r\n\r\n")
 	w.wantDone("aa ")
-	w.clock.Advance(time.Second) // it is heard long after
+	w.clock.Advance(time.Second) // the engine is heard again long after
 	c.Says("DONE 2 bb fine 3 0\r\n\r\n")
 	w.wantDone("bb ")
 	c.Close()
 	if _, since := w.attach(w.ln, 2); since != asked {
-		t.Errorf("since %v, want %v: when the last question was written that has its answer", since, asked)
+		t.Errorf("since %v, want %v, when the last answered STAT was written", since, asked)
 	}
 }
 
-// staleConnection is a connection that ended between two looks: it says that it is open, and its descriptor is another's by now.
+// staleConnection is a connection that closed between two checks: it reports itself as open, but its descriptor
+// now belongs to another connection.
 type staleConnection struct {
 	netpoll.Connection
 	fd int
@@ -242,7 +244,8 @@
 func (l staleConnection) IsActive() bool { return true }
 func (l staleConnection) Fd() int        { return l.fd }
 
-// The side of whatever had got the descriptor of a link that closed at this moment was ended.
+// If a link closes while its write side is being shut down, its descriptor may have been reused; the shutdown must
+// not hit the connection that has it now.
 func TestShutdownSparesReusedDescriptor(t *testing.T) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -255,11 +258,12 @@
 	l.detach(c)
 	l.shutdownWrite(c)
 	if _, err := unix.Write(pair[0], []byte("x")); err != nil {
-		t.Errorf("another connection's side is ended: %v", err)
+		t.Errorf("the write side of another connection was shut down: %v", err)
 	}
 }
 
-// The link used to end with the process, which may take its time over that; its engine knew of nothing until then.
+// The link must close when its context ends, not when the process exits: the exit may take time, and the engine
+// would not notice the end until then.
 func TestLinkClosesWhenContextEnds(t *testing.T) {
 	w := newLinkHarness(t, unchanged)
 	c := accept(t, w.ln, 0)
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -10,45 +10,46 @@
 	"cairnlane/policy"
 )
 
-// Events takes what the engine tells. The calls come one at a time, in the order of the notices.
+// Events receives the notices of the engine. It is called sequentially, in the order of the notices.
 type Events interface {
-	// Started says that the engine came up that long ago. It may come up long after this process.
+	// Started reports that the engine started ago earlier. It may start long after this process.
 	Started(ago time.Duration)
-	// Done ends a run. The result is only lent for the call.
+	// Done reports the end of a run. result is valid only during the call.
 	Done(id string, end policy.Outcome, took time.Duration, result []byte)
-	// Rejected says that the engine did not carry out the RUN of this request.
+	// Rejected reports that the engine did not execute the RUN of this request.
 	Rejected(id string)
-	// Need says that a run waits for a call, which has this body; the body is only lent for the call. number names
-	// the notice, which a SKIP of that call gives back.
+	// Need reports that a run waits for a call with this body; the body is valid only during the call. number is
+	// that of the notice, and a SKIP of the call refers to it.
 	Need(id string, number int64, body []byte)
-	// Gauges brings the gauges, in the order of the settings.
+	// Gauges delivers the gauges, in the order of the settings.
 	Gauges(values []float64)
-	// Attached says that the link is up and all that was missed has been told: whatever runs by our
-	// books, was written at since or later and was not told of may have been lost with an earlier link. Run
-	// takes requests once open was called.
+	// Attached reports that the link is up and that all missed notices have been delivered. A run that is still
+	// considered running and was written at since or later may have been lost with an earlier link. Run accepts
+	// requests once open was called.
 	Attached(since time.Duration, open func())
 }
 
-// linkMemory is what outlives a link. The reader of the present one alone uses it.
+// linkMemory is the state that outlives a link. Only the reader of the present link uses it.
 type linkMemory struct {
 	lastNotice int64 // number of the last notice read
-	// confirmedAt is when the newest question was written that was answered: an engine reads in order, so all that was
-	// written before it on that link, or on an earlier one and was not sent again since, is with the engine.
+	// confirmedAt is when the newest answered STAT was written. The engine reads in order, so it has received
+	// everything that was written before on the same link, and everything written on an earlier link and not sent
+	// again since.
 	confirmedAt       time.Duration
-	helloSeen         bool  // the engine has said HELLO to this process
-	linksWithoutHello int   // links in a row without HELLO
-	missingNotice     int64 // the notice that was missing when a link was taken up anew for it
+	helloSeen         bool  // the engine has sent HELLO to this process
+	linksWithoutHello int   // consecutive links without HELLO
+	missingNotice     int64 // number of the missing notice for which a link was re-established
 }
 
-// The states of a link.
+// States of a link.
 const (
 	attaching int32 = iota
-	ready           // all that was missed has been read; commands may be written
+	ready           // all missed notices have been read; commands may be written
 	retired         // another link is about to replace this one
 )
 
-// session is the state of one link, from ATTACH on, with no I/O of its own. Only state, quiet, most and
-// what asking guards may be used from elsewhere than the reader.
+// session is the state of one link from ATTACH on; it does no I/O itself. Only the reader may use it, except for
+// state, silentSince, silenceLimit and the fields guarded by statMu.
 type session struct {
 	memory       *linkMemory
 	events       Events
@@ -59,28 +60,28 @@
 	syncTag      string
 	lossSince    time.Duration // commands written before it have reached the engine
 	state        atomic.Int32
-	silentSince  atomic.Int64 // since when an answer is waited for and nothing is heard; 0 while none is
-	silenceLimit atomic.Int64 // how long that may last
-	closeLink    func()       // ends the link
+	silentSince  atomic.Int64 // time of the last input or request while an answer is awaited; 0 while none is
+	silenceLimit atomic.Int64 // how long the link may be silent
+	closeLink    func()       // closes the link
 
-	statMu    sync.Mutex // guards what follows
+	statMu    sync.Mutex // guards the fields below
 	lastTag   int64
-	openStats map[string]time.Duration // STATs that are open: when each was written
+	openStats map[string]time.Duration // time at which each unanswered STAT was written, by tag
 }
 
-// maxSilence is how long an engine that was asked for its gauges may say nothing at all. It is asked at every tick and
-// has little to do for the answer. A link that is open and silent for longer is given up: whatever hangs behind it,
-// a new link is told what was missed.
+// maxSilence is how long an engine may send nothing at all while the answer to a STAT is awaited. The gauges are
+// requested at every tick and cost the engine little. A link that is silent for longer is closed: whatever blocks
+// it, the missed notices are delivered on a new link.
 const maxSilence = time.Second
 
-// An engine may start long after this process, and says HELLO only then; one that has said it before has nothing to wait
-// for. Either way the wait doubles from link to link, so that an engine that is slow to answer is not kept from it.
+// An engine may start long after this process and sends HELLO only then, so the first HELLO is given more time. The limit
+// doubles with each link in a row without HELLO, so that an engine that is slow to answer gets the time it needs.
 const (
-	firstHelloDoublings = 2 // doublings for an engine that has not been heard of at all
-	maxDoublings        = 4 // most doublings
+	firstHelloDoublings = 2 // initial doublings for an engine that has not sent HELLO yet
+	maxDoublings        = 4 // limit on the doublings
 )
 
-// silent tells whether the link has gone silent.
+// silent reports whether the link has been silent for too long.
 func (s *session) silent() bool {
 	since := s.silentSince.Load()
 	return since != 0 && s.now()-time.Duration(since) > time.Duration(s.silenceLimit.Load())
@@ -98,7 +99,7 @@
 	s.send(func(dst []byte) []byte { return appendAttach(dst, s.memory.lastNotice) })
 }
 
-// feed reads what has come in and tells events of it.
+// feed parses input and passes its notices to events.
 func (s *session) feed(p []byte) error {
 	if s.silentSince.Load() != 0 {
 		s.silentSince.Store(int64(s.now()))
@@ -131,14 +132,14 @@
 		s.hello, s.memory.helloSeen, s.memory.linksWithoutHello = true, true, 0
 		s.silenceLimit.Store(int64(maxSilence))
 		s.events.Started(n.duration)
-		s.syncTag = s.sendStat() // what was missed stands between HELLO and the answer to this
+		s.syncTag = s.sendStat() // missed notices arrive between HELLO and the answer to this STAT
 	case "DONE", "NEED", "NOTE":
-		if n.number <= s.memory.lastNotice { // told on an earlier link
+		if n.number <= s.memory.lastNotice { // already delivered on an earlier link
 			return nil
 		}
 		if next := s.memory.lastNotice + 1; n.number > next && s.memory.missingNotice != next {
-			s.memory.missingNotice = next // a new link is told it, if the engine still knows; else it is passed over
-			return fmt.Errorf("%w: notice %d where %d is due", ErrMalformed, n.number, next)
+			s.memory.missingNotice = next // a new link is sent it if the engine still has it; otherwise it is skipped
+			return fmt.Errorf("%w: notice %d received, expected %d", ErrMalformed, n.number, next)
 		}
 		s.memory.lastNotice = n.number
 		switch n.kind {
@@ -156,13 +157,13 @@
 			s.statAnswered(n.id)
 		case "RUN":
 			s.events.Rejected(n.id)
-		default: // a FEED or SKIP for a run that no longer waits: its end is told by DONE
+		default: // a FEED or SKIP for a run that no longer waits: its end is reported by DONE
 		}
 	}
 	return nil
 }
 
-// statAnswered takes the answer to a question, and with it that all that was written before the question was read.
+// statAnswered handles the answer to a STAT, which confirms that everything written before the STAT was read.
 func (s *session) statAnswered(tag string) {
 	s.statMu.Lock()
 	written, known := s.openStats[tag]
@@ -179,17 +180,17 @@
 	}
 }
 
-// openStatCount tells how many questions have no answer.
+// openStatCount returns the number of unanswered STATs.
 func (s *session) openStatCount() int {
 	s.statMu.Lock()
 	defer s.statMu.Unlock()
 	return len(s.openStats)
 }
 
-// sendStat asks for the gauges under a new tag.
+// sendStat requests the gauges under a new tag and returns the tag.
 func (s *session) sendStat() string {
 	s.statMu.Lock()
-	defer s.statMu.Unlock() // also while it is put: questions are written in the order of their times
+	defer s.statMu.Unlock() // held during the write: STATs are written in the order of their times
 	if s.openStats == nil {
 		s.openStats = map[string]time.Duration{}
 	}
