--- a/internal/index/fake_test.go
+++ b/internal/index/fake_test.go
@@ -16,10 +16,10 @@
 	"cairnlane/policy"
 )
 
-// testTimeout bounds every wait of a test, so that a fault fails the test instead of hanging it. It orders nothing.
+// testTimeout limits every wait of a test, so that a fault fails the test instead of blocking it. It does not order events.
 const testTimeout = 10 * time.Second
 
-// fakeIndex is an index on loopback that the test drives line by line.
+// fakeIndex is an index on loopback that the test controls line by line.
 type fakeIndex struct {
 	t        *testing.T
 	listener net.Listener
@@ -29,14 +29,14 @@
 	sockets []net.Conn // closed with the listener
 }
 
-// peer is one connection that the fake accepted.
+// peer is one connection that the fake index accepted.
 type peer struct {
 	t      *testing.T
 	socket net.Conn
 	r      *bufio.Reader
 }
 
-// line is one line that a peer read: GET with its id, milliseconds and body, or STOP with its id.
+// line is one line read by a peer: GET with its id, milliseconds and body, or STOP with its id.
 type line struct {
 	word, id string
 	ms       int
@@ -82,7 +82,7 @@
 	case p := <-f.accepted:
 		return p
 	case <-time.After(testTimeout):
-		f.t.Fatal("no connection came")
+		f.t.Fatalf("no connection within %v", testTimeout)
 		return nil
 	}
 }
@@ -140,7 +140,7 @@
 	p.send(fmt.Sprintf("%s HIT %d\r\n%s\r\n", id, len(result), result))
 }
 
-// reply is what Reply was told.
+// reply is one call of Reply.
 type reply struct {
 	id      string
 	outcome policy.Outcome
@@ -148,7 +148,7 @@
 	result  []byte
 }
 
-// recorder keeps every Reply in order.
+// recorder records the calls of Reply in order.
 type recorder struct{ got chan reply }
 
 func newRecorder() *recorder { return &recorder{got: make(chan reply, 4*maxOpenCalls)} }
@@ -164,7 +164,7 @@
 	case got := <-r.got:
 		return got
 	case <-time.After(testTimeout):
-		t.Fatal("no Reply came")
+		t.Fatalf("no Reply within %v", testTimeout)
 		return reply{}
 	}
 }
@@ -179,22 +179,23 @@
 	return got
 }
 
-// expectNone checks that no Reply waits.
+// expectNone checks that no Reply is pending.
 func (r *recorder) expectNone(t *testing.T) {
 	t.Helper()
 	select {
 	case got := <-r.got:
-		t.Fatalf("unwanted Reply(%s, %v)", got.id, got.outcome)
+		t.Fatalf("unexpected Reply(%s, %v)", got.id, got.outcome)
 	default:
 	}
 }
 
-// newTestClient makes a client of f that has one connection, and a recorder; the client is closed at the end of the test.
+// newTestClient returns a client with at most one connection to addr, and a recorder; the client is closed at the
+// end of the test.
 func newTestClient(t *testing.T, addr string) (*Client, *recorder, *counters.Set) {
 	return newTestClientWithLinks(t, addr, 1)
 }
 
-// newTestClientWithLinks makes a client that has up to links connections.
+// newTestClientWithLinks returns a client with at most links connections.
 func newTestClientWithLinks(t *testing.T, addr string, links int) (*Client, *recorder, *counters.Set) {
 	set := new(counters.Set)
 	r := newRecorder()
@@ -204,7 +205,7 @@
 	return c, r, set
 }
 
-// callID makes the id of call n.
+// callID returns the id of call n.
 func callID(n int) string { return fmt.Sprintf("%016x", 0x9b1f03aa00000000+uint64(n)) }
 
 // longWait is a wait that no test reaches.
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -1,8 +1,8 @@
-// Package index is the client of the shared index, the store that every replica calls while a request runs. Calls go
-// out over a few TCP connections in the line protocol of the index (PROTOCOL.md, "The index") and their replies come
-// back in any order. A connection that breaks takes all calls on it with it, so calls share one only when linksMost
-// are open. Each Get ends in exactly one Reply, told from a goroutine of the client, unless Stop or a later Get for the
-// same id gave it up first.
+// Package index is the client of the shared index, the store that every replica calls while a request runs. Calls
+// go out over a few TCP connections in the line protocol of the index (PROTOCOL.md, "The index"), and their
+// replies come back in any order. A connection that breaks fails all calls on it, so calls share a connection only
+// when maxLinks are open. Each Get ends in exactly one Reply, made from a goroutine of the client, unless Stop or
+// a later Get for the same id abandoned the call first.
 package index
 
 import (
@@ -17,25 +17,25 @@
 )
 
 const (
-	dialTimeout     = time.Second            // longest wait for the index to accept a connection
-	writeTimeout    = 5 * time.Second        // longest wait for one batch of lines to be written; past it the connection ends
-	idleTimeout     = 9 * time.Second        // a connection with no call out is closed after so long, before the index does at 10 s
-	maxLinks        = 4                      // connections at once; calls beyond one for each of them share
-	silenceLimit    = 200 * time.Millisecond // shortest time without an answer after which a connection is taken for silent
-	maxPassed       = 16                     // later calls answered on other connections before it is
-	maxOpenCalls    = 1024                   // calls open at once, from Get until their Reply; past it a Get is turned away
-	maxPendingBytes = 4 << 20                // bytes that wait to be written; a Get that would pass it is turned away
+	dialTimeout     = time.Second            // limit on the time the index takes to accept a connection
+	writeTimeout    = 5 * time.Second        // limit on the time to write one batch of lines; the connection is closed after it
+	idleTimeout     = 9 * time.Second        // a connection without open calls is closed after this time, before the index closes it at 10 s
+	maxLinks        = 4                      // limit on connections; further calls share them
+	silenceLimit    = 200 * time.Millisecond // a connection is not taken for silent before this time without an answer
+	maxPassed       = 16                     // number of later calls answered on other connections after which a connection is silent
+	maxOpenCalls    = 1024                   // limit on open calls, from Get to their Reply; a Get above it is turned away
+	maxPendingBytes = 4 << 20                // limit on the bytes that wait to be written; a Get that would exceed it is turned away
 	idDigits        = 16                     // an id is 16 hex digits
 )
 
-// Replies is told how calls end.
+// Replies receives the outcomes of calls.
 type Replies interface {
-	// Reply ends one call. outcome is policy.Succeeded for HIT, with the index's result; TurnedAway for SHED, NOBODY
-	// and calls that the client did not send; Failed for BROKEN; TimedOut for SLOW and for calls that had no reply
-	// within their wait; Unreachable where no connection could be made or the call was never written; Interrupted
-	// where the connection ended while the call was out. took is the time from Get to the outcome. result is only
-	// lent for the call and is nil unless the outcome is Succeeded. Calls come one at a time, never while the client
-	// holds a lock, and at most once per Get.
+	// Reply reports the end of one call. outcome is policy.Succeeded for HIT, with the index's result; TurnedAway
+	// for SHED, NOBODY and calls that the client did not send; Failed for BROKEN; TimedOut for SLOW and for calls
+	// without a reply within their wait; Unreachable if no connection could be made or the call was never written;
+	// Interrupted if the connection ended while the call was outstanding. took is the time from Get to the
+	// outcome. result is valid only during the call and nil unless the outcome is Succeeded. Reply is called
+	// sequentially, never while the client holds mu, and at most once per Get.
 	Reply(id string, outcome policy.Outcome, took time.Duration, result []byte)
 }
 
@@ -45,19 +45,19 @@
 	callsMade, callsTurnedAway, callsTimedOut, stopsSent *counters.Counter
 	repliesUnknown, dials, dialsFailed                   *counters.Counter
 	linksLost, linksGarbage, callsInterrupted            *counters.Counter
-	onLinkEnded                                          func() // tests only: told after a connection ended by itself
+	onLinkEnded                                          func() // for tests only: called after a connection ended by itself
 	linksSilent                                          *counters.Counter
 	maxLinks                                             int
 	silenceLimit                                         time.Duration
 
-	replyMu sync.Mutex // held while Replies is told, so that replies come one at a time
+	replyMu sync.Mutex // held while Reply is called, so that replies are sequential
 
-	mu       sync.Mutex // guards the fields below; never held during I/O or while Replies is told
+	mu       sync.Mutex // guards the fields below; never held during I/O or while Reply is called
 	addr     string
-	links    []*link          // the connections that are up or being made, oldest first
-	open     map[string]*call // calls not handed yet, by id
-	finished []*call          // calls with an outcome that drain hands on
-	draining bool             // a drain goroutine runs
+	links    []*link          // connections that are open or being dialed, oldest first
+	open     map[string]*call // calls without a delivered Reply, by id
+	finished []*call          // calls whose outcome drain has to deliver
+	draining bool             // a drain goroutine is running
 	closed   bool
 }
 
@@ -65,17 +65,17 @@
 type call struct {
 	id        string
 	start     time.Time
-	link      *link // nil where the call was never to be written
+	link      *link // nil if the call was turned away
 	timer     *time.Timer
-	sent      bool // the GET was handed to the socket, so the call may have run
+	sent      bool // the GET was passed to the socket, so the call may have run
 	done      bool // outcome and took are set
-	discarded bool // no Reply is to come any more: it was handed, stopped or replaced
+	discarded bool // no further Reply is due: it was delivered, or the call was stopped or replaced
 	outcome   policy.Outcome
 	took      time.Duration
 }
 
-// New returns a client of the index at addr (host:port) that tells replies to replies. It dials only when a call is
-// made. Its counters, named index_..., are taken from set.
+// New returns a client of the index at addr (host:port) that reports outcomes to replies. It dials only when a
+// call is made. Its counters, whose names begin with index_, are taken from set.
 func New(addr string, replies Replies, set *counters.Set) *Client {
 	return &Client{replies: replies, addr: addr, open: map[string]*call{},
 		maxLinks: maxLinks, silenceLimit: silenceLimit, linksSilent: set.Get("index_links_silent"),
@@ -86,10 +86,11 @@
 		linksGarbage: set.Get("index_links_garbage"), callsInterrupted: set.Get("index_calls_interrupted")}
 }
 
-// Get calls the index for the request id (16 hex digits) with body, waiting at most wait for the reply; the index is
-// told wait in whole milliseconds, rounded up. body is copied. A call with the id of one still open replaces it: the
-// replaced one gets no Reply. A call is turned away (Reply with policy.TurnedAway, from a goroutine) if the client is
-// closed, id is not 16 hex digits, wait is not positive, callsMost calls are open, or its bytes would pass outputMost.
+// Get calls the index for the request id (16 hex digits) with body, and waits at most wait for the reply; the
+// index is sent wait in whole milliseconds, rounded up. body is copied. A call with the id of an open one replaces
+// it: the replaced call gets no Reply. A call is turned away (Reply with policy.TurnedAway, from a goroutine) if
+// the client is closed, id is not 16 hex digits, wait is not positive, maxOpenCalls calls are open, or its bytes
+// would exceed maxPendingBytes.
 func (c *Client) Get(id string, wait time.Duration, body []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +107,7 @@
 	if c.closed || !validID(id) || wait <= 0 || len(c.open) > maxOpenCalls ||
 		c.pending()+len(head)+len(body)+2 > maxPendingBytes {
 		if old != nil && !old.done {
-			c.stop(old) // the index would not learn that it was replaced
+			c.stop(old) // otherwise the index would not learn that the call was replaced
 		}
 		c.callsTurnedAway.Inc()
 		c.finish(k, policy.TurnedAway)
@@ -121,9 +122,9 @@
 	l.wakeWriter()
 }
 
-// Stop gives up the call for id: STOP is written if the call is out, and no Reply follows for it. A Reply that was
-// being told as Stop was called may still come; callers that hold their own lock in both see it after Stop returns.
-// Stop of an id with no open call does nothing.
+// Stop abandons the call for id: STOP is written if the call is outstanding, and no Reply follows. A Reply that
+// was in progress when Stop was called may still arrive; callers that hold their own lock in both see it after
+// Stop returns. Stop does nothing if id has no open call.
 func (c *Client) Stop(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,15 +138,15 @@
 	}
 }
 
-// Move has later calls go to the index at addr (host:port). The calls that are out end on the connections they are on.
+// Move sends later calls to the index at addr (host:port). Outstanding calls end on the connections they are on.
 func (c *Client) Move(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addr = addr
 }
 
-// Close ends all connections; each call still out gets Reply with policy.Interrupted, once. Later calls are turned
-// away. Close does not wait for the client's goroutines.
+// Close closes all connections; each outstanding call gets Reply with policy.Interrupted, once. Later calls are
+// turned away. Close does not wait for the client's goroutines.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -161,7 +162,7 @@
 	}
 }
 
-// discard drops k: no Reply is to come for it. c.mu is held.
+// discard removes k from the open calls: no Reply is to be delivered for it. c.mu is held.
 func (c *Client) discard(k *call) {
 	k.discarded = true
 	if c.open[k.id] == k {
@@ -172,8 +173,8 @@
 	}
 }
 
-// stop writes STOP for k on its connection, if that is still up. STOP lines are not bound by outputMost: there are
-// callsMost of them at most. c.mu is held.
+// stop writes STOP for k on its connection if that is still open. STOP lines are not limited by maxPendingBytes,
+// as there are maxOpenCalls of them at most. c.mu is held.
 func (c *Client) stop(k *call) {
 	if k.link == nil || k.link.ended {
 		return
@@ -184,7 +185,7 @@
 	k.link.wakeWriter()
 }
 
-// expire ends k when its wait is over without a reply, and writes STOP.
+// expire ends k when its wait has passed without a reply, and writes STOP.
 func (c *Client) expire(k *call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,7 +197,7 @@
 	c.finish(k, policy.TimedOut)
 }
 
-// finish sets k's outcome and has a drain goroutine hand it on. c.mu is held.
+// finish sets the outcome of k and has a drain goroutine deliver it. c.mu is held.
 func (c *Client) finish(k *call, outcome policy.Outcome) {
 	k.done, k.outcome, k.took = true, outcome, time.Since(k.start)
 	if k.timer != nil {
@@ -209,7 +210,7 @@
 	}
 }
 
-// drain hands on the calls in c.ready, in order, and ends when there are none.
+// drain delivers the calls in c.finished in order, and returns when there are none.
 func (c *Client) drain() {
 	for {
 		c.mu.Lock()
@@ -225,7 +226,7 @@
 	}
 }
 
-// deliverReply tells Replies how k ended, unless it was given up. result is lent for the call.
+// deliverReply reports the outcome of k unless the call was abandoned. result is valid only during the call.
 func (c *Client) deliverReply(k *call, result []byte) {
 	c.replyMu.Lock()
 	defer c.replyMu.Unlock()
@@ -240,7 +241,7 @@
 	}
 }
 
-// pending tells how many bytes wait to be written. c.mu is held.
+// pending returns the number of bytes that wait to be written. c.mu is held.
 func (c *Client) pending() (bytes int) {
 	for _, l := range c.links {
 		bytes += len(l.out) + l.writing
@@ -248,7 +249,7 @@
 	return bytes
 }
 
-// validID tells whether id is 16 hex digits.
+// validID reports whether id is 16 hex digits.
 func validID(id string) bool {
 	if len(id) != idDigits {
 		return false
--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -61,7 +61,7 @@
 	for n, body := range bodies {
 		sent := bytes.Clone(body)
 		c.Get(callID(n), longWait+time.Microsecond, body)
-		clear(body) // the body is the caller's again once Get returns
+		clear(body) // the body belongs to the caller again once Get returns
 		if p == nil {
 			p = f.next()
 		}
@@ -103,16 +103,16 @@
 	p.expect("GET", callID(0))
 	c.Stop(callID(0))
 	p.expect("STOP", callID(0))
-	p.hit(callID(0), []byte("late")) // an index that answered before it read STOP
+	p.hit(callID(0), []byte("late")) // the index answered before it read STOP
 	c.Get(callID(1), longWait, nil)
 	p.expect("GET", callID(1))
 	p.send(callID(1) + " SHED\r\n")
-	r.expect(t, callID(1), policy.TurnedAway) // replies are read in order: the late one came first
+	r.expect(t, callID(1), policy.TurnedAway) // replies are read in order, so the late one was read before
 	r.expectNone(t)
 	if n := set.Get("index_replies_unknown").Load(); n != 1 {
 		t.Fatalf("%d unknown replies counted, want 1", n)
 	}
-	c.Stop(callID(7)) // no such call: nothing happens
+	c.Stop(callID(7)) // no such call: Stop does nothing
 }
 
 func TestSecondGetReplacesTheFirst(t *testing.T) {
@@ -131,7 +131,7 @@
 	p.expect("GET", callID(1))
 	p.send(callID(1) + " NOBODY\r\n")
 	r.expect(t, callID(1), policy.TurnedAway)
-	r.expectNone(t) // the replaced call got no Reply
+	r.expectNone(t) // the replaced call gets no Reply
 }
 
 func TestRefusedDialIsUnreachable(t *testing.T) {
@@ -149,11 +149,11 @@
 			t.Fatalf("Reply(%s, %v), want Unreachable", got.id, got.outcome)
 		}
 	}
-	// Both calls wait for one dial unless it failed between them; either way every dial failed.
+	// Both calls share one dial unless it failed between them; either way every dial failed.
 	if dials, failed := set.Get("index_dials").Load(), set.Get("index_dials_failed").Load(); failed != dials || dials < 1 {
 		t.Fatalf("%d of %d dials failed, want all", failed, dials)
 	}
-	f := newFakeIndex(t) // the index comes up elsewhere
+	f := newFakeIndex(t) // the index is available at another address
 	c.Move(f.addr())
 	c.Get(callID(2), longWait, nil)
 	p := f.next()
@@ -192,7 +192,7 @@
 	if got := p.expect("GET", callID(0)); got.ms != 20 {
 		t.Fatalf("GET told %d ms, want 20", got.ms)
 	}
-	p.expect("STOP", callID(0)) // written when the client's own timer ran out
+	p.expect("STOP", callID(0)) // written when the client's own timer expired
 	if got := r.expect(t, callID(0), policy.TimedOut); got.took < 20*time.Millisecond {
 		t.Fatalf("timed out after %v, before the wait of 20 ms", got.took)
 	}
@@ -214,16 +214,16 @@
 		c.Get(callID(n), longWait, nil)
 	}
 	c.Get(callID(maxOpenCalls), longWait, nil)
-	r.expect(t, callID(maxOpenCalls), policy.TurnedAway) // at once, with no word from the index
+	r.expect(t, callID(maxOpenCalls), policy.TurnedAway) // at once, without asking the index
 	p := f.next()
 	for n := range maxOpenCalls {
 		p.expect("GET", callID(n))
 	}
-	c.Get(callID(0), longWait, []byte("again")) // replaces an open call: no more are open
+	c.Get(callID(0), longWait, []byte("again")) // replaces an open call, so their number does not grow
 	p.expect("GET", callID(0))
 	p.send(callID(5) + " SHED\r\n")
 	r.expect(t, callID(5), policy.TurnedAway)
-	c.Get(callID(maxOpenCalls+1), longWait, nil) // a place is free again
+	c.Get(callID(maxOpenCalls+1), longWait, nil) // the number of open calls is below the limit again
 	p.expect("GET", callID(maxOpenCalls+1))
 	c.Close()
 	seen := map[string]bool{}
@@ -247,7 +247,7 @@
 	r.expect(t, callID(0), policy.TurnedAway)
 	c.Get(callID(1), longWait, []byte("fits"))
 	p := f.next()
-	p.expect("GET", callID(1)) // nothing of the call turned away was written
+	p.expect("GET", callID(1)) // nothing of the call that was turned away was written
 }
 
 func TestInvalidCallsAreTurnedAway(t *testing.T) {
@@ -269,7 +269,7 @@
 	}
 }
 
-// lockingCaller stands for a replica: it holds its own lock while it calls Get, and Reply takes that lock.
+// lockingCaller simulates a replica: it holds its own lock while it calls Get, and Reply takes that lock.
 type lockingCaller struct {
 	mu      sync.Mutex
 	inside  atomic.Bool
@@ -287,21 +287,21 @@
 }
 
 func TestGetDoesNotReplySynchronously(t *testing.T) {
-	k := &lockingCaller{replies: make(chan struct{}, 1)}
-	c := New("127.0.0.1:1", k, new(counters.Set))
+	caller := &lockingCaller{replies: make(chan struct{}, 1)}
+	c := New("127.0.0.1:1", caller, new(counters.Set))
 	c.Close()
-	k.mu.Lock()
-	k.inside.Store(true)
-	c.Get(callID(0), longWait, nil) // turned away; a Reply told from Get itself would deadlock here
-	k.inside.Store(false)
-	k.mu.Unlock()
+	caller.mu.Lock()
+	caller.inside.Store(true)
+	c.Get(callID(0), longWait, nil) // turned away; a Reply made by Get itself would deadlock here
+	caller.inside.Store(false)
+	caller.mu.Unlock()
 	select {
-	case <-k.replies:
+	case <-caller.replies:
 	case <-time.After(testTimeout):
-		t.Fatal("no Reply came")
+		t.Fatalf("no Reply within %v", testTimeout)
 	}
-	if k.wrong.Load() {
-		t.Fatal("Reply was told from within Get")
+	if caller.wrong.Load() {
+		t.Fatal("Reply was called from within Get")
 	}
 }
 
@@ -310,7 +310,7 @@
 	before := log.Writer()
 	log.SetOutput(&logged)
 	defer log.SetOutput(before)
-	garbage := []string{
+	malformed := []string{
 		"junk\r\n",
 		callID(0) + " WHAT\r\n",
 		callID(0) + " SHED\n",
@@ -321,7 +321,7 @@
 		callID(0) + " HIT 3\r\nabcXY",
 		strings.Repeat("x", 200) + "\r\n",
 	}
-	for _, text := range garbage {
+	for _, text := range malformed {
 		logged.Reset()
 		f := newFakeIndex(t)
 		c, r, set := newTestClient(t, f.addr())
@@ -331,9 +331,9 @@
 		p.send(text)
 		r.expect(t, callID(0), policy.Interrupted)
 		if n := set.Get("index_links_garbage").Load(); n != 1 {
-			t.Fatalf("after %q: %d links ended by garbage, want 1", text, n)
+			t.Fatalf("after %q: %d links ended by malformed replies, want 1", text, n)
 		}
-		if lines := strings.Count(logged.String(), "garbage"); lines != 1 {
+		if lines := strings.Count(logged.String(), "malformed reply"); lines != 1 {
 			t.Fatalf("after %q: %d lines logged, want 1: %s", text, lines, logged.String())
 		}
 		c.Close()
@@ -350,13 +350,13 @@
 	p.expect("GET", callID(0))
 	p.send(callID(0) + " SHED\r\n")
 	r.expect(t, callID(0), policy.TurnedAway)
-	p.socket.Close() // the index closes the connection that is idle now
+	p.socket.Close() // the index closes the connection, which is idle now
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
 		t.Fatal("the client did not see the connection end")
 	}
-	r.expectNone(t) // no call was out: nothing to tell
+	r.expectNone(t) // no call was outstanding
 	c.Get(callID(1), longWait, nil)
 	q := f.next()
 	q.expect("GET", callID(1))
--- a/internal/index/link.go
+++ b/internal/index/link.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	readSize      = 64 << 10 // buffer of the reader
-	maxLine       = 64       // longest reply line, CR LF included; a longer one is garbage
-	maxResult     = 4 << 20  // longest result of a HIT, in bytes; a longer one is garbage
-	maxStoppedIDs = 64       // ids that a link remembers to have given up
+	readSize      = 64 << 10 // size of the read buffer
+	maxLine       = 64       // limit on a reply line, CR LF included; a longer one is malformed
+	maxResult     = 4 << 20  // limit on the bytes of a HIT's result; a longer one is malformed
+	maxStoppedIDs = 64       // number of abandoned call ids that a link remembers
 )
 
-// errGarbage marks what the index sent that the protocol does not allow.
-var errGarbage = errors.New("garbage from the index")
+// errMalformed is wrapped by errors about input that the protocol does not allow.
+var errMalformed = errors.New("malformed reply from the index")
 
 // outcomes maps the words of replies to outcomes.
 var outcomes = map[string]policy.Outcome{
@@ -32,22 +32,22 @@
 	"BROKEN": policy.Failed, "SLOW": policy.TimedOut,
 }
 
-// link is one connection to the index. It has one goroutine that dials and writes and one that reads. Its fields
-// are guarded by Client.mu.
+// link is one connection to the index. One goroutine dials and writes, another one reads. Its fields are guarded
+// by Client.mu.
 type link struct {
 	addr              string
 	socket            net.Conn      // nil while dialing
 	out               []byte        // lines waiting to be written
 	queued            []*call       // calls whose GET is in out
 	writing           int           // bytes taken by the writer and not written yet
-	wake              chan struct{} // has a value while out may have bytes
+	wake              chan struct{} // has a value while out may contain bytes
 	quit              chan struct{} // closed when the link ends
-	stoppedIDs        []string      // ids of calls that were given up on it of late
-	answeredElsewhere int           // later calls on other links that were answered since it last answered one
+	stoppedIDs        []string      // ids of calls recently abandoned on the link
+	answeredElsewhere int           // later calls answered on other links since this one last answered
 	ended             bool
 }
 
-// rememberStopped remembers that a call was given up on l.
+// rememberStopped records that a call was abandoned on l.
 func (l *link) rememberStopped(id string) {
 	if len(l.stoppedIDs) >= maxStoppedIDs {
 		l.stoppedIDs = slices.Delete(l.stoppedIDs, 0, 1)
@@ -63,10 +63,11 @@
 	}
 }
 
-// linkFor returns the link for a call. It is the one on which an earlier call for id was given up, as the index might
-// take a STOP on another link for the new call; else the one with the fewest calls out, or a new one before any is shared
-// while there are under linksMost. Of those that are alike the oldest is taken, so that the others are closed as idle
-// when there is little to do. Links to an earlier address take no new calls. c.mu is held.
+// linkFor returns the link for a call. A call whose id was abandoned on a link uses that link, because the index
+// could take the STOP on another link for the new call. Otherwise it is the link with the fewest open calls, or a
+// new one if all links have open calls and there are fewer than maxLinks. Of equal links the oldest is used, so
+// that the others become idle and are closed under low load. Links to an earlier address get no new calls. c.mu is
+// held.
 func (c *Client) linkFor(id string) *link {
 	var best *link
 	least, current := 0, 0
@@ -92,7 +93,7 @@
 	return l
 }
 
-// openOn counts the calls on l that have no outcome. c.mu is held.
+// openOn returns the number of calls on l without an outcome. c.mu is held.
 func (c *Client) openOn(l *link) (calls int) {
 	for _, k := range c.open {
 		if k.link == l && !k.done {
@@ -102,13 +103,13 @@
 	return calls
 }
 
-// run dials l, then writes what l is given until it ends.
+// run dials l, then writes its output until it ends.
 func (c *Client) run(l *link) {
 	socket, err := net.DialTimeout("tcp", l.addr, dialTimeout)
 	c.mu.Lock()
 	if err != nil {
 		c.dialsFailed.Inc()
-		c.endLink(l, policy.Unreachable, policy.Unreachable) // nothing was written: proven never ran
+		c.endLink(l, policy.Unreachable, policy.Unreachable) // nothing was written, so no call has run
 		c.mu.Unlock()
 		c.notifyLinkEnded()
 		return
@@ -124,7 +125,7 @@
 	c.write(l, socket)
 }
 
-// write writes what l is given until l ends. A link with no call out is closed after idleClose without writes.
+// write writes the output of l until l ends. A link without open calls is closed after idleTimeout without writes.
 func (c *Client) write(l *link, socket net.Conn) {
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
@@ -160,7 +161,7 @@
 	}
 }
 
-// takeBatch hands the writer what waits in l and marks its calls sent; up is false once l has ended.
+// takeBatch returns the output that waits in l and marks its calls as sent; up is false if l has ended.
 func (c *Client) takeBatch(l *link) (batch []byte, up bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,7 +176,7 @@
 	return batch, true
 }
 
-// closeIfIdle ends l if no call is out on it and nothing waits, and tells whether it did.
+// closeIfIdle ends l if it has neither open calls nor output, and reports whether it did.
 func (c *Client) closeIfIdle(l *link) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,7 +187,7 @@
 	return true
 }
 
-// read reads replies on l and hands them on until l ends. The result of a HIT is lent from one buffer.
+// read reads replies on l and delivers them until l ends. All results of HITs share one buffer.
 func (c *Client) read(l *link, socket net.Conn) {
 	r := bufio.NewReaderSize(socket, readSize)
 	var buffer []byte
@@ -197,9 +198,9 @@
 			buffer, err = readBody(r, buffer, size)
 			result = buffer
 		}
-		if errors.Is(err, errGarbage) { // logged before the calls on l are told
+		if errors.Is(err, errMalformed) { // logged before the calls on l get their outcome
 			c.linksGarbage.Inc()
-			log.Printf("index: %v; the connection ends", err)
+			log.Printf("index %s: %v; closing the connection", l.addr, err)
 		}
 		if err != nil {
 			c.failLink(l, socket, err)
@@ -213,7 +214,7 @@
 func readHead(r *bufio.Reader) (id string, outcome policy.Outcome, size int, err error) {
 	line, err := r.ReadSlice('\n')
 	if len(line) > maxLine || errors.Is(err, bufio.ErrBufferFull) {
-		return "", 0, 0, fmt.Errorf("%w: a line of over %d bytes", errGarbage, maxLine)
+		return "", 0, 0, fmt.Errorf("%w: line longer than %d bytes", errMalformed, maxLine)
 	}
 	if err != nil {
 		return "", 0, 0, err
@@ -226,12 +227,12 @@
 	}
 	hit := known && outcome == policy.Succeeded
 	if !crlf || !known || hit != (len(words) == 3) || !hit && len(words) != 2 {
-		return "", 0, 0, fmt.Errorf("%w: line %q", errGarbage, line)
+		return "", 0, 0, fmt.Errorf("%w: line %q", errMalformed, line)
 	}
 	if hit {
 		n, err := strconv.ParseUint(words[2], 10, 32)
 		if err != nil || n > maxResult {
-			return "", 0, 0, fmt.Errorf("%w: length in %q; %d bytes at most", errGarbage, line, maxResult)
+			return "", 0, 0, fmt.Errorf("%w: result length in %q is not a number from 0 to %d", errMalformed, line, maxResult)
 		}
 		size = int(n)
 	}
@@ -245,12 +246,12 @@
 		return buffer, err
 	}
 	if !bytes.HasSuffix(buffer, []byte("\r\n")) {
-		return buffer, fmt.Errorf("%w: a result of %d bytes not followed by CR LF", errGarbage, size)
+		return buffer, fmt.Errorf("%w: result of %d bytes is not followed by CR LF", errMalformed, size)
 	}
 	return buffer[:size], nil
 }
 
-// handleReply hands on a reply read on l. A reply for no call that is out on l is ignored and counted.
+// handleReply delivers a reply read on l. A reply that matches no outstanding call on l is counted and ignored.
 func (c *Client) handleReply(l *link, id string, outcome policy.Outcome, result []byte) {
 	c.mu.Lock()
 	k := c.open[id]
@@ -274,9 +275,9 @@
 	c.deliverReply(k, result)
 }
 
-// endSilent ends the links that have answered nothing while passedMost calls made later than theirs were answered on
-// others, and returns their sockets to close. It guards against a connection that takes calls and answers none of them
-// any more: its calls would hold their places until they are given up. c.mu is held.
+// endSilent ends the links that answered nothing while maxPassed later calls were answered on other links, and
+// returns their sockets to close. It guards against a connection that accepts calls but no longer answers them:
+// such calls would be held until their wait has passed. c.mu is held.
 func (c *Client) endSilent(answered *call) (sockets []net.Conn) {
 	answered.link.answeredElsewhere = 0
 	for _, l := range slices.Clone(c.links) {
@@ -295,7 +296,7 @@
 	return sockets
 }
 
-// oldestSent is the call that has been out on l for the longest, nil if none is. c.mu is held.
+// oldestSent returns the call that has been outstanding on l the longest, or nil. c.mu is held.
 func (c *Client) oldestSent(l *link) (oldest *call) {
 	for _, k := range c.open {
 		if k.link == l && k.sent && !k.done && (oldest == nil || k.start.Before(oldest.start)) {
@@ -305,11 +306,12 @@
 	return oldest
 }
 
-// failLink ends l after err and closes its socket. A link that was still up and did not end by garbage is counted lost.
+// failLink ends l after err and closes its socket. An open link that did not end by malformed input is counted as
+// lost.
 func (c *Client) failLink(l *link, socket net.Conn, err error) {
 	c.mu.Lock()
-	if !l.ended && !errors.Is(err, errGarbage) {
-		c.linksLost.Inc() // before the calls on l are told
+	if !l.ended && !errors.Is(err, errMalformed) {
+		c.linksLost.Inc() // before the calls on l get their outcome
 	}
 	_, first := c.endLink(l, policy.Interrupted, policy.Unreachable)
 	c.mu.Unlock()
@@ -319,8 +321,8 @@
 	}
 }
 
-// endLink ends l: each call on it that has no outcome gets sent if its GET was handed to the socket, else unsent. It
-// returns the socket to close, and whether l was up. c.mu is held.
+// endLink ends l: each call on it without an outcome gets the outcome sent if its GET was passed to the socket, or
+// else unsent. It returns the socket to close, and whether l was open. c.mu is held.
 func (c *Client) endLink(l *link, sent, unsent policy.Outcome) (net.Conn, bool) {
 	if l.ended {
 		return nil, false
@@ -343,7 +345,7 @@
 	return l.socket, true
 }
 
-// notifyLinkEnded tells the test hook that a link ended by itself.
+// notifyLinkEnded calls the test hook after a link ended by itself.
 func (c *Client) notifyLinkEnded() {
 	if c.onLinkEnded != nil {
 		c.onLinkEnded()
--- a/internal/index/links_test.go
+++ b/internal/index/links_test.go
@@ -9,8 +9,8 @@
 	"cairnlane/policy"
 )
 
-// All calls used to share one connection, and each that broke under one call or one spoilt reply took the other calls out
-// with it. Writes among them failed, as nobody knows whether they ran.
+// A malformed reply on one connection must not interrupt calls on another one: nobody knows whether interrupted
+// writes ran, so they fail.
 func TestBrokenConnectionInterruptsOnlyItsCalls(t *testing.T) {
 	f := newFakeIndex(t)
 	c, r, set := newTestClientWithLinks(t, f.addr(), maxLinks)
@@ -29,8 +29,8 @@
 	}
 }
 
-// A connection with no call out is used again before another one is made, and the oldest first: with few calls out, few
-// connections stay.
+// A connection without open calls is used before a new one is made, the oldest first, so that few connections stay
+// open under low load.
 func TestIdleConnectionIsReused(t *testing.T) {
 	f := newFakeIndex(t)
 	c, r, set := newTestClientWithLinks(t, f.addr(), maxLinks)
@@ -40,14 +40,14 @@
 		p := f.next()
 		p.expect("GET", callID(n))
 		peers = append(peers, p)
-		if n == 0 { // free again, it takes the next call too
+		if n == 0 { // without open calls, it takes the next call too
 			p.hit(callID(0), nil)
 			r.expect(t, callID(0), policy.Succeeded)
 			c.Get(callID(0), longWait, nil)
 			p.expect("GET", callID(0))
 		}
 	}
-	c.Get(callID(maxLinks), longWait, nil) // shares, as no more may be made
+	c.Get(callID(maxLinks), longWait, nil) // shares a connection, as there are maxLinks
 	peers[0].expect("GET", callID(maxLinks))
 	for _, n := range []int{2, 1} {
 		peers[n].hit(callID(n), nil)
@@ -60,7 +60,8 @@
 	}
 }
 
-// Lines on two connections may be read in any order: a call made again must not be taken for the one that was given up.
+// The index may read lines on two connections in any order: the STOP of an abandoned call must not hit a new call
+// with the same id.
 func TestRepeatedCallUsesConnectionOfStoppedCall(t *testing.T) {
 	f := newFakeIndex(t)
 	c, r, _ := newTestClientWithLinks(t, f.addr(), maxLinks)
@@ -73,17 +74,17 @@
 	c.Stop(callID(1))
 	second.expect("STOP", callID(1))
 	first.hit(callID(0), nil)
-	r.expect(t, callID(0), policy.Succeeded) // the oldest connection is free, and would be taken for any other call
+	r.expect(t, callID(0), policy.Succeeded) // the oldest connection has no open calls, and any other call would use it
 	c.Get(callID(1), longWait, nil)
 	second.expect("GET", callID(1))
-	c.Get(callID(1), longWait, []byte("again")) // given up without a word
+	c.Get(callID(1), longWait, []byte("again")) // replaces the call without a STOP
 	second.expect("GET", callID(1))
 	second.hit(callID(1), nil)
 	r.expect(t, callID(1), policy.Succeeded)
 	r.expectNone(t)
 }
 
-// After a move calls used to go on to the old address for as long as its connection lasted, and were lost as it ended.
+// After a move, calls must not continue to use the connection to the old address: they would be lost when it ends.
 func TestCallsAfterMoveUseNewAddress(t *testing.T) {
 	old, moved := newFakeIndex(t), newFakeIndex(t)
 	c, r, _ := newTestClientWithLinks(t, old.addr(), 1)
@@ -102,8 +103,8 @@
 	r.expectNone(t)
 }
 
-// A connection that takes calls and answers none of them used to keep them, and each that was made again went to it too,
-// until all had waited for as long as they might.
+// A connection that accepts calls but answers none must be closed: its calls, and their retries, would otherwise
+// wait for as long as they may.
 func TestSilentConnectionIsClosed(t *testing.T) {
 	f := newFakeIndex(t)
 	c, r, set := newTestClientWithLinks(t, f.addr(), 2)
@@ -111,21 +112,21 @@
 	c.Get(callID(0), longWait, nil)
 	silent := f.next()
 	silent.expect("GET", callID(0))
-	var well *peer
+	var answering *peer
 	for n := 1; n <= maxPassed; n++ {
 		r.expectNone(t)
 		c.Get(callID(n), longWait, nil)
 		if n == 1 {
-			well = f.next()
+			answering = f.next()
 		}
-		well.expect("GET", callID(n))
-		well.hit(callID(n), nil)
+		answering.expect("GET", callID(n))
+		answering.hit(callID(n), nil)
 		if n < maxPassed {
 			r.expect(t, callID(n), policy.Succeeded)
 		}
 	}
 	got := map[string]policy.Outcome{}
-	for range 2 { // in either order: one is told by the reader, one by the client's own goroutine
+	for range 2 { // in either order: the reader delivers one, the drain goroutine the other
 		reply := r.next(t)
 		got[reply.id] = reply.outcome
 	}
@@ -134,14 +135,14 @@
 	}
 	silent.socket.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := silent.r.ReadByte(); err != io.EOF {
-		t.Fatalf("the silent connection: %v, want its end", err)
+		t.Fatalf("read on the silent connection: %v, want EOF", err)
 	}
 	if n := set.Get("index_links_silent").Load(); n != 1 {
-		t.Fatalf("%d silent links are counted, want 1", n)
+		t.Fatalf("%d silent links counted, want 1", n)
 	}
 }
 
-// A slow call on a connection that answers others is no reason to end it.
+// A slow call must not end a connection that answers other calls.
 func TestConnectionWithOneSlowCallStaysOpen(t *testing.T) {
 	f := newFakeIndex(t)
 	c, r, set := newTestClientWithLinks(t, f.addr(), 1)
@@ -158,6 +159,6 @@
 	p.hit(callID(0), nil)
 	r.expect(t, callID(0), policy.Succeeded)
 	if n := set.Get("index_links_silent").Load(); n != 0 {
-		t.Fatalf("%d silent links are counted", n)
+		t.Fatalf("%d silent links counted, want 0", n)
 	}
 }
