--- a/internal/replica/advice_test.go
+++ b/internal/replica/advice_test.go
@@ -17,7 +17,7 @@
 // TestRequestKeepsAdviceVersionItWasReadUnder checks that a held request is rejected under the advice it was read
 // under, although other advice, or none, comes into force meanwhile.
 func TestRequestKeepsAdviceVersionItWasReadUnder(t *testing.T) {
-	for name, next := range map[string]*shed.Advice{"another": adviceWithDelay(8, 900*ms), "the fleet sheds nothing any more": nil, "one that is not trusted": {Version: 9, Later: [2]time.Duration{ms, ms}}} {
+	for name, next := range map[string]*shed.Advice{"another version": adviceWithDelay(8, 900*ms), "no advice": nil, "untrusted advice": {Version: 9, Later: [2]time.Duration{ms, ms}}} {
 		broken := assert.Failures()
 		b := newHarness(t)
 		b.Gauges([]float64{0, 2}) // the cores are busy, so the module does not raise its concurrency
@@ -50,12 +50,12 @@
 	b := newHarness(t)
 	b.Advise(&shed.Advice{Version: 7, Trust: 1, Further: 1})
 	first := b.arrive("k", 0, 3*time.Second)
-	again := &attempt{b: b, txn: "00000000000000aa", unique: "k", door: b.clock.Now(), due: b.clock.Now() + time.Second}
-	further := &attempt{b: b, txn: "00000000000000ab", door: b.clock.Now(), due: b.clock.Now() + time.Second}
+	again := &attempt{harness: b, txn: "00000000000000aa", unique: "k", arrivedAt: b.clock.Now(), deadline: b.clock.Now() + time.Second}
+	further := &attempt{harness: b, txn: "00000000000000ab", arrivedAt: b.clock.Now(), deadline: b.clock.Now() + time.Second}
 	b.attempts[again.txn], b.attempts[further.txn] = again, further
 	for q, class := range map[*attempt]string{again: "save", further: "read"} {
 		body := "body of k"
-		if err := b.Arrive(Request{Txn: q.txn, Class: class, Body: []byte(body), KB: 10, Door: time.Unix(0, int64(q.door)), Limit: time.Second, Unique: q.unique, Retry: true, Reply: q}); err != nil {
+		if err := b.Arrive(Request{Txn: q.txn, Class: class, Body: []byte(body), KB: 10, Door: time.Unix(0, int64(q.arrivedAt)), Limit: time.Second, Unique: q.unique, Retry: true, Reply: q}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -106,9 +106,9 @@
 // serveOneRequest has one request read, run and served.
 func serveOneRequest(r *Replica, clock *testkit.Clock, b *harness) {
 	const txn = "00000000000000ff"
-	q := &attempt{b: b, txn: txn, door: clock.Now(), due: clock.Now() + time.Second}
+	q := &attempt{harness: b, txn: txn, arrivedAt: clock.Now(), deadline: clock.Now() + time.Second}
 	b.attempts[txn] = q
-	r.Arrive(Request{Txn: txn, Class: "read", Tenant: "uni", KB: 10, Door: time.Unix(0, int64(q.door)), Limit: time.Second, Reply: q})
+	r.Arrive(Request{Txn: txn, Class: "read", Tenant: "uni", KB: 10, Door: time.Unix(0, int64(q.arrivedAt)), Limit: time.Second, Reply: q})
 	b.runs = b.runs[:0]
 	r.Done(txn, 0, ms, nil)
 }
--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -85,19 +85,19 @@
 func (r *Replica) releaseWaiting(k *key, a Answer, o policy.Outcome) {
 	waiting := k.waiting
 	k.waiting = nil
-	for _, w := range waiting {
-		w.waitsOn = nil
-		r.finishRepeat(w, a, o)
+	for _, req := range waiting {
+		req.waitsOn = nil
+		r.finishRepeat(req, a, o)
 	}
 }
 
 // finishRepeat answers a repeat and informs the module after the present call.
-func (r *Replica) finishRepeat(w *request, a Answer, o policy.Outcome) {
-	if !w.answered {
-		r.answer(w, a)
+func (r *Replica) finishRepeat(req *request, a Answer, o policy.Outcome) {
+	if !req.answered {
+		r.answer(req, a)
 	}
-	r.remove(w)
-	r.deferCall(func(now time.Duration) { r.callModule(func() { r.ctl.Done(now, w.id, o, 0) }) })
+	r.remove(req)
+	r.deferCall(func(now time.Duration) { r.callModule(func() { r.ctl.Done(now, req.id, o, 0) }) })
 }
 
 // Fail implements policy.Host.
--- a/internal/replica/peer_test.go
+++ b/internal/replica/peer_test.go
@@ -114,11 +114,11 @@
 }
 
 func TestKeyedRequestRunsInOneProcessAndServesBoth(t *testing.T) {
-	for _, way := range []string{"old first", "new first"} {
+	for _, order := range []string{"old first", "new first"} {
 		p := newPair(t)
 		p.settle()
 		first, second := p.old, p.new
-		if way == "new first" {
+		if order == "new first" {
 			first, second = p.new, p.old
 		}
 		a := first.arrive("k", 0, time.Second)
@@ -182,7 +182,7 @@
 	p.killOld()
 	b.want(t, Failed, "")
 	p.new.arrive("k", 0, time.Second).want(t, Failed, "") // neither run again nor rejected
-	other := p.new.arrive("j", 0, time.Second)            // unknown to the new process, which was told all: it did not run
+	other := p.new.arrive("j", 0, time.Second)            // the new process received all messages and does not know the key: it did not run
 	p.new.end(other.txn, policy.Succeeded)
 	other.want(t, Served, "result of "+other.txn)
 	p.check(t, a, other)
@@ -264,13 +264,13 @@
 	p := newPair(t)
 	p.settle()
 	a := p.old.arrive("k", 0, time.Second)
-	stranger := &attempt{b: p.new, txn: "a", due: p.new.clock.Now() + time.Second}
+	other := &attempt{harness: p.new, txn: "a", deadline: p.new.clock.Now() + time.Second}
 	if err := p.new.Arrive(Request{Txn: "a", Class: "save", Body: []byte("other"), KB: 10, Door: p.new.clock.Unix(), Limit: time.Second,
-		Unique: "k", Reply: stranger}); err != nil {
+		Unique: "k", Reply: other}); err != nil {
 		t.Fatal(err)
 	}
 	p.settle()
-	stranger.want(t, Failed, "")
+	other.want(t, Failed, "")
 	p.check(t, a)
 }
 
@@ -306,7 +306,7 @@
 				if linked && rapid.IntRange(0, 5).Draw(rt, "cut") == 0 {
 					linked = false
 					p.cut()
-					if rapid.Bool().Draw(rt, "the old one is told first") {
+					if rapid.Bool().Draw(rt, "old process notices first") {
 						p.old.Parted()
 						p.deliver(&p.toNew, -1)
 						p.new.Parted()
@@ -327,7 +327,7 @@
 				if !linked || rapid.IntRange(0, 8).Draw(rt, "kill") > 0 {
 					return
 				}
-				if rapid.Bool().Draw(rt, "the old one") {
+				if rapid.Bool().Draw(rt, "old process") {
 					p.killOld()
 					p.old = p.new
 				} else {
@@ -337,8 +337,8 @@
 			},
 			"": func(rt *rapid.T) {
 				for _, x := range p.old.attempts {
-					if !x.b.killed && len(x.answers) == 0 && x.b.clock.Now() > x.due+60*ms {
-						x.b.violations = append(x.b.violations, fmt.Sprint(x.txn, " was not answered in time"))
+					if !x.harness.killed && len(x.answers) == 0 && x.harness.clock.Now() > x.deadline+60*ms {
+						x.harness.violations = append(x.harness.violations, fmt.Sprint(x.txn, " was not answered in time"))
 					}
 				}
 				for _, b := range []*harness{p.old, p.new} {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -351,14 +351,14 @@
 	}
 	r.compliance.Told(now, r.signal.Value)
 	r.figures.countWanted(req, r.signal.Value)
-	w := a.For(req.Tenant, req.classIndex, req.Retry, r.random)
+	verdict := a.For(req.Tenant, req.classIndex, req.Retry, r.random)
 	if r.compliance.Saw(req.Caller, req.Rank) {
-		w.Beyond, w.Order = false, shed.Ordinary
+		verdict.Beyond, verdict.Order = false, shed.Ordinary
 		if req.Retry {
-			w.Order = shed.Last
+			verdict.Order = shed.Last
 		}
 	}
-	return policy.Others{Version: w.Version, Known: w.Known, Full: w.Full, Return: w.Return, Beyond: w.Beyond, Order: w.Order}
+	return policy.Others{Version: verdict.Version, Known: verdict.Known, Full: verdict.Full, Return: verdict.Return, Beyond: verdict.Beyond, Order: verdict.Order}
 }
 
 // answer gives a request its one final answer.
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -33,31 +33,31 @@
 
 // attempt is what the test knows of an attempt; it is the Reply of its request.
 type attempt struct {
-	b       *harness
-	txn     string
-	unique  string
-	door    time.Duration
-	due     time.Duration
-	started bool
-	ended   bool
-	answers []Answer
+	harness   *harness
+	txn       string
+	unique    string
+	arrivedAt time.Duration
+	deadline  time.Duration
+	started   bool
+	ended     bool
+	answers   []Answer
 }
 
 func (t *attempt) Answer(a Answer) {
-	if t.b.killed {
+	if t.harness.killed {
 		return
 	}
 	a.Body = slices.Clone(a.Body)
 	if t.answers = append(t.answers, a); len(t.answers) > 1 {
-		t.b.violations = append(t.b.violations, t.txn+" was answered twice")
+		t.harness.violations = append(t.harness.violations, t.txn+" was answered twice")
 	}
-	for _, other := range t.b.attempts {
-		if a.Kind == Refused && other.started && t.unique != "" && other.unique == t.unique && t.door < other.door+window {
-			t.b.violations = append(t.b.violations, t.txn+" was rejected although its request ran")
+	for _, other := range t.harness.attempts {
+		if a.Kind == Refused && other.started && t.unique != "" && other.unique == t.unique && t.arrivedAt < other.arrivedAt+window {
+			t.harness.violations = append(t.harness.violations, t.txn+" was rejected although its request ran")
 		}
 	}
-	if late := t.b.clock.Now() - t.due; late > 60*ms {
-		t.b.violations = append(t.b.violations, fmt.Sprintf("%s was answered %v late", t.txn, late))
+	if late := t.harness.clock.Now() - t.deadline; late > 60*ms {
+		t.harness.violations = append(t.harness.violations, fmt.Sprintf("%s was answered %v late", t.txn, late))
 	}
 }
 
@@ -82,16 +82,16 @@
 		return false
 	}
 	b.runs = append(b.runs, txn)
-	me := b.attempts[txn]
+	current := b.attempts[txn]
 	for _, other := range b.attempts {
-		if other != me && me.unique != "" && other.unique == me.unique && other.started && me.door < other.door+window {
+		if other != current && current.unique != "" && other.unique == current.unique && other.started && current.arrivedAt < other.arrivedAt+window {
 			b.violations = append(b.violations, fmt.Sprintf("%s was run after %s with the same key", txn, other.txn))
 		}
 	}
-	if me.started && me.unique != "" {
+	if current.started && current.unique != "" {
 		b.violations = append(b.violations, txn+" was sent twice")
 	}
-	me.started = true
+	current.started = true
 	return true
 }
 
@@ -130,14 +130,14 @@
 // arrive has an attempt read now that arrived at the machine ago earlier; it is a keyed one if unique is not
 // empty.
 func (b *harness) arrive(unique string, ago, limit time.Duration) *attempt {
-	t := &attempt{b: b, txn: fmt.Sprintf("%016x", len(b.attempts)+1), unique: unique, door: b.clock.Now() - ago}
-	t.due = max(t.door+limit, b.clock.Now())
+	t := &attempt{harness: b, txn: fmt.Sprintf("%016x", len(b.attempts)+1), unique: unique, arrivedAt: b.clock.Now() - ago}
+	t.deadline = max(t.arrivedAt+limit, b.clock.Now())
 	b.attempts[t.txn] = t
 	class, body := "read", t.txn
 	if unique != "" {
 		class, body = "save", "body of "+unique
 	}
-	if err := b.Arrive(Request{Txn: t.txn, Class: class, Body: []byte(body), KB: 10, Door: time.Unix(0, int64(t.door)),
+	if err := b.Arrive(Request{Txn: t.txn, Class: class, Body: []byte(body), KB: 10, Door: time.Unix(0, int64(t.arrivedAt)),
 		Limit: limit, Unique: unique, Reply: t}); err != nil {
 		b.violations = append(b.violations, err.Error())
 	}
@@ -183,16 +183,16 @@
 // engine does not know must not fail later attempts under the same key.
 func TestKeyWithDifferentBodyIsRejected(t *testing.T) {
 	b := newHarness(t)
-	stranger := func(txn string) error {
+	arriveWithOtherBody := func(txn string) error {
 		return b.Arrive(Request{Txn: txn, Class: "save", Body: []byte("other"), KB: 10, Door: b.clock.Unix(), Limit: time.Second,
-			Unique: "k", Reply: &attempt{b: b, txn: txn}})
+			Unique: "k", Reply: &attempt{harness: b, txn: txn}})
 	}
 	first := b.arrive("k", 0, time.Second)
-	if stranger("a") == nil {
+	if arriveWithOtherBody("a") == nil {
 		t.Error("a different body joined the run")
 	}
 	b.end(first.txn, policy.Succeeded)
-	if stranger("b") == nil {
+	if arriveWithOtherBody("b") == nil {
 		t.Error("a different body got the stored result")
 	}
 	b.arrive("k", 0, time.Second).want(t, Served, "result of "+first.txn)
@@ -274,11 +274,11 @@
 		sent   int
 		kind   Kind
 	}{
-		"safe, lost with its link":    {"", func(b *harness, x *attempt) { b.end(x.txn, policy.Succeeded) }, 2, Served},
-		"safe, told as missed":        {"", nil, 1, Served},
-		"keyed, told as missed":       {"k", nil, 1, Served},
-		"keyed, told after the break": {"k", func(b *harness, x *attempt) { b.end(x.txn, policy.Succeeded) }, 1, Served},
-		"keyed, lost with its link":   {"k", func(b *harness, _ *attempt) { b.clock.Advance(2 * time.Second) }, 1, Failed},
+		"safe, lost with its link":        {"", func(b *harness, x *attempt) { b.end(x.txn, policy.Succeeded) }, 2, Served},
+		"safe, reported as missed":        {"", nil, 1, Served},
+		"keyed, reported as missed":       {"k", nil, 1, Served},
+		"keyed, reported after the break": {"k", func(b *harness, x *attempt) { b.end(x.txn, policy.Succeeded) }, 1, Served},
+		"keyed, lost with its link":       {"k", func(b *harness, _ *attempt) { b.clock.Advance(2 * time.Second) }, 1, Failed},
 		"keyed, lost, two breaks": {"k", func(b *harness, _ *attempt) {
 			b.linkUp = false
 			b.attach()
@@ -365,7 +365,7 @@
 func TestReadResultIsSharedForConfiguredTime(t *testing.T) {
 	b := newHarnessWith(t, &harness{clock: testkit.NewClock(), attempts: map[string]*attempt{}}, Config{}, func(c *policy.Config) { c.ShareFor = 300 * ms })
 	read := func() *attempt {
-		x := &attempt{b: b, txn: fmt.Sprintf("%016x", len(b.attempts)+1), door: b.clock.Now()}
+		x := &attempt{harness: b, txn: fmt.Sprintf("%016x", len(b.attempts)+1), arrivedAt: b.clock.Now()}
 		b.attempts[x.txn] = x
 		if err := b.Arrive(Request{Txn: x.txn, Class: "read", KB: 10, Door: b.clock.Unix(), Limit: 2 * time.Second, Item: "i", Reply: x}); err != nil {
 			t.Fatal(err)
@@ -393,7 +393,7 @@
 	b := newHarness(t)
 	for tenant, want := range map[string]string{"uni": b.cfg.Tenants[1], "": ""} {
 		txn := fmt.Sprintf("%016x", len(b.attempts)+1)
-		b.attempts[txn] = &attempt{b: b, txn: txn}
+		b.attempts[txn] = &attempt{harness: b, txn: txn}
 		if err := b.Arrive(Request{Txn: txn, Class: strings.Clone("read"), Tenant: strings.Clone(tenant), KB: 10, Door: b.clock.Unix(), Limit: time.Second, Reply: b.attempts[txn]}); err != nil {
 			t.Fatal(err)
 		}
@@ -403,7 +403,7 @@
 		}
 	}
 	b.cfg.Tenants = nil
-	if err := b.Arrive(Request{Txn: "z", Class: "read", Tenant: "anybody", KB: 10, Door: b.clock.Unix(), Limit: time.Second, Reply: &attempt{b: b}}); err != nil || b.txns["z"].Tenant != "" {
+	if err := b.Arrive(Request{Txn: "z", Class: "read", Tenant: "anybody", KB: 10, Door: b.clock.Unix(), Limit: time.Second, Reply: &attempt{harness: b}}); err != nil || b.txns["z"].Tenant != "" {
 		t.Errorf("without tenants: error %v, or the tenant was kept", err)
 	}
 }
@@ -460,7 +460,7 @@
 			"": func(rt *rapid.T) {
 				b.checkFigures(rt)
 				for _, x := range b.attempts {
-					if len(x.answers) == 0 && b.clock.Now() > x.due+60*ms {
+					if len(x.answers) == 0 && b.clock.Now() > x.deadline+60*ms {
 						b.violations = append(b.violations, x.txn+" was not answered in time")
 					}
 				}
@@ -483,8 +483,8 @@
 	for _, txn := range b.runs {
 		runs[txn] = true
 	}
-	if taken := b.count.read.Load(); sum != taken || f.Tries != int64(len(runs)) {
-		t.Fatalf("figures %+v, %d requests accepted, %d runs", f, taken, len(runs))
+	if accepted := b.count.read.Load(); sum != accepted || f.Tries != int64(len(runs)) {
+		t.Fatalf("figures %+v, %d requests accepted, %d runs", f, accepted, len(runs))
 	}
 }
 
--- a/internal/replica/shared.go
+++ b/internal/replica/shared.go
@@ -81,11 +81,11 @@
 // claimTimedOut ends the wait of one attempt, and the claim itself when the last attempt has stopped waiting.
 func (r *Replica) claimTimedOut(now time.Duration, key string, req *request) {
 	list := r.peerState.waiting[key]
-	at := slices.Index(list, req)
-	if at < 0 {
+	index := slices.Index(list, req)
+	if index < 0 {
 		return
 	}
-	if list = slices.Delete(list, at, at+1); len(list) == 0 {
+	if list = slices.Delete(list, index, index+1); len(list) == 0 {
 		delete(r.peerState.waiting, key)
 		r.peerState.claims.GaveUp(key)
 	} else {
--- a/internal/replica/tenant_test.go
+++ b/internal/replica/tenant_test.go
@@ -14,7 +14,7 @@
 		c.Tenants = []policy.Tenant{{Name: "", Fraction: 0.4}, {Name: "uni", Fraction: 0.6}}
 	})
 	for i, name := range []string{"", "uni"} {
-		q := &attempt{b: b, txn: string(rune('a' + i)), door: b.clock.Now(), due: b.clock.Now() + time.Second}
+		q := &attempt{harness: b, txn: string(rune('a' + i)), arrivedAt: b.clock.Now(), deadline: b.clock.Now() + time.Second}
 		b.attempts[q.txn] = q
 		if err := b.Arrive(Request{Txn: q.txn, Class: "read", Tenant: name, KB: 10, Door: b.clock.Unix(), Limit: time.Second, Reply: q}); err != nil {
 			t.Fatal(err)
@@ -29,7 +29,7 @@
 func TestNoTenantIsPassedWithoutConfiguredTenants(t *testing.T) {
 	b := newHarness(t)
 	b.cfg.Tenants = nil
-	q := &attempt{b: b, txn: "a", door: b.clock.Now(), due: b.clock.Now() + time.Second}
+	q := &attempt{harness: b, txn: "a", arrivedAt: b.clock.Now(), deadline: b.clock.Now() + time.Second}
 	b.attempts[q.txn] = q
 	if err := b.Arrive(Request{Txn: "a", Class: "read", Tenant: "anybody", KB: 10, Door: b.clock.Unix(), Limit: time.Second, Reply: q}); err != nil {
 		t.Fatal(err)
