--- a/internal/replica/host.go
+++ b/internal/replica/host.go
@@ -69,15 +69,15 @@
 		r.count.lowClass.Inc()
 		r.figures.fleetRejections[req.classIndex][reasonLowClass].Add(1)
 	}
-	refusal := Answer{Kind: Refused, Later: a.HoldOff, GiveUp: a.Last}
-	r.answer(req, refusal)
+	rejection := Answer{Kind: Refused, Later: a.HoldOff, GiveUp: a.Last}
+	r.answer(req, rejection)
 	if req.running {
 		return
 	}
 	r.remove(req)
 	if k := req.key; k != nil { // repeats that waited for it never ran either
-		k.rejection = refusal
-		r.releaseWaiting(k, refusal, policy.Failed)
+		k.rejection = rejection
+		r.releaseWaiting(k, rejection, policy.Failed)
 	}
 }
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -334,7 +334,8 @@
 	r.locked(func(time.Duration) { r.callModule(func() { r.ctl.Others(mean) }) })
 }
 
-// Level returns the load-shedding level that the module would choose without the fleet's advice.
+// Level returns the share of requests, by rank, that the module alone would have callers hold back, without regard
+// to the fleet's advice.
 func (r *Replica) Level() (level float64) {
 	r.locked(func(time.Duration) { level = r.ctl.Level() })
 	return level
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -342,7 +342,8 @@
 	}
 }
 
-// With the gauges of the previous tick the module served a smaller share of requests on days with a lost node.
+// A tick must use the gauges that it requested. With those of the previous tick the module serves a smaller share
+// of requests on days with a lost node.
 func TestTickUsesTheGaugesItRequested(t *testing.T) {
 	b := newHarness(t)
 	b.clock.Advance(15 * ms)
