--- a/internal/engine/link.go
+++ b/internal/engine/link.go
@@ -17,51 +17,52 @@
 )
 
 const (
-	dialTimeout = time.Second
-	firstPause  = 10 * time.Millisecond  // before the first try to reconnect; doubles up to lastPause
-	lastPause   = 100 * time.Millisecond // runs wait for the link, so an engine that comes up is found soon
-	outputMost  = 4 << 20
-	statsOpen   = 2                      // STATs open at a time: an engine that is slow to answer is asked less
-	retireTime  = 100 * time.Millisecond // see Link
-	retirePoll  = time.Millisecond
+	dialTimeout        = time.Second
+	minBackoff         = 10 * time.Millisecond  // wait before the first reconnection attempt; doubles up to maxBackoff
+	maxBackoff         = 100 * time.Millisecond // runs wait for the link, so an engine that starts must be found soon
+	maxOutput          = 4 << 20
+	maxOpenStats       = 2                      // unanswered STATs at a time: a slow engine gets fewer requests
+	retireTimeout      = 100 * time.Millisecond // see Link
+	retirePollInterval = time.Millisecond
 )
 
 // Link keeps a connection to the engine open.
 type Link struct {
-	events Events
-	now    func() time.Duration
-	runs   *counters.Counter
-	lost   *counters.Counter
-	moves  *counters.Counter
-	quiet  *counters.Counter
-	moved  chan struct{} // the address is another one now
-	// retireTime is how long a link that is replaced may take to end by itself.
-	retireTime time.Duration
+	events      Events
+	now         func() time.Duration
+	runsSent    *counters.Counter
+	linksLost   *counters.Counter
+	linksMoved  *counters.Counter
+	silentLinks *counters.Counter
+	moved       chan struct{} // signals that the address has changed
+	// retireTimeout is how long a replaced link may take to close by itself.
+	retireTimeout time.Duration
 
-	pauses atomic.Pointer[func(try int) time.Duration]
-	output atomic.Int64 // bound on what waits to be written
+	backoff     atomic.Pointer[func(attempt int) time.Duration]
+	outputLimit atomic.Int64 // limit on the bytes that wait to be written
 
-	reading sync.Mutex // held while notices are told: an old link never tells beside a new one
-	mem     memory
+	reading sync.Mutex // held while notices are delivered, so that an old and a new link never deliver at the same time
+	memory  linkMemory
 
-	mu   sync.Mutex // guards addr and sess; never held while events are told
+	mu   sync.Mutex // guards addr and sess; never held while Events is called
 	addr string
 	sess *session // nil while there is no link
 }
 
 // NewLink returns a link to addr that is not open yet.
 func NewLink(addr string, now func() time.Duration, set *counters.Set) *Link {
-	l := &Link{addr: addr, now: now, moved: make(chan struct{}, 1), retireTime: retireTime, runs: set.Get("engine_runs_sent"),
-		lost: set.Get("engine_links_lost"), moves: set.Get("engine_links_moved"),
-		quiet: set.Get("engine_links_silent")}
-	l.output.Store(outputMost)
+	l := &Link{addr: addr, now: now, moved: make(chan struct{}, 1), retireTimeout: retireTimeout, runsSent: set.Get("engine_runs_sent"),
+		linksLost: set.Get("engine_links_lost"), linksMoved: set.Get("engine_links_moved"),
+		silentLinks: set.Get("engine_links_silent")}
+	l.outputLimit.Store(maxOutput)
 	return l
 }
 
-// BoundOutput sets how many bytes may wait to be written to a link, from the next one on; outputMost at most.
-func (l *Link) BoundOutput(most int) { l.output.Store(int64(min(most, outputMost))) }
+// BoundOutput limits the bytes that may wait to be written to a link to limit, or maxOutput if that is less. It
+// takes effect with the next link.
+func (l *Link) BoundOutput(limit int) { l.outputLimit.Store(int64(min(limit, maxOutput))) }
 
-// Move has the link go on at addr. The present one is used until the new one is accepted.
+// Move makes the link reconnect to addr. The present connection is used until the new one is accepted.
 func (l *Link) Move(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,10 +70,10 @@
 		return
 	}
 	l.addr = addr
-	l.moves.Inc()
+	l.linksMoved.Inc()
 	select {
 	case l.moved <- struct{}{}:
-	default: // a move that was not begun yet goes to the newest address
+	default: // a pending move will use the newest address
 	}
 }
 
@@ -82,48 +83,48 @@
 	return l.addr
 }
 
-// Pauses has pause say how long to wait before a try to reconnect, counted from 0; it must not wait itself. Without it the time doubles
-// from 10 to 100 ms.
-func (l *Link) Pauses(pause func(try int) time.Duration) { l.pauses.Store(&pause) }
+// Pauses sets the function that returns the wait before a reconnection attempt, counted from 0; the function
+// itself must not block. Without it the wait doubles from 10 to 100 ms.
+func (l *Link) Pauses(pause func(attempt int) time.Duration) { l.backoff.Store(&pause) }
 
-func (l *Link) pause(try int) time.Duration {
-	if p := l.pauses.Load(); p != nil {
-		return (*p)(try)
+func (l *Link) nextBackoff(attempt int) time.Duration {
+	if p := l.backoff.Load(); p != nil {
+		return (*p)(attempt)
 	}
-	return Pause(try)
+	return Pause(attempt)
 }
 
-// Pause is how long a lone box waits before a try to reconnect.
-func Pause(try int) time.Duration { return min(firstPause<<min(try, 10), lastPause) }
+// Pause returns the default wait before a reconnection attempt, for a box without a fleet.
+func Pause(attempt int) time.Duration { return min(minBackoff<<min(attempt, 10), maxBackoff) }
 
-// Keep opens the link, opens it again whenever it breaks and moves it, until ctx ends. Events come from
-// the connection's callbacks and never before Keep is called.
+// Keep opens the link, reopens it whenever it breaks and moves it, until ctx ends. Events are called from the
+// connection's callbacks, and never before Keep is called.
 func (l *Link) Keep(ctx context.Context, events Events) {
 	l.events = events
 	var open *connection
-	for try := 0; ctx.Err() == nil; try++ {
+	for attempt := 0; ctx.Err() == nil; attempt++ {
 		began := time.Now()
 		if conn, err := netpoll.DialConnection("tcp", l.address(), dialTimeout); err == nil {
 			l.retire(open)
 			open = l.begin(conn)
 			select {
 			case <-open.broken:
-				l.lost.Inc()
+				l.linksLost.Inc()
 				open = nil
 			case <-l.moved:
-				try = -1
+				attempt = -1
 				continue
-			case <-ctx.Done(): // closed here, as the end of a process may take its time
+			case <-ctx.Done(): // closed here, because the process may take time to exit
 				open.Close()
 				<-open.broken
 				return
 			}
 		}
-		if time.Since(began) > lastPause {
-			try = 0
+		if time.Since(began) > maxBackoff {
+			attempt = 0
 		}
 		select {
-		case <-time.After(l.pause(try)):
+		case <-time.After(l.nextBackoff(attempt)):
 		case <-l.moved:
 		case <-ctx.Done():
 		}
@@ -135,56 +136,56 @@
 	netpoll.Connection
 	sess   *session
 	out    *outbox.Box
-	broken chan struct{} // closes when the link has ended
-	ended  bool          // its descriptor is about to be closed, or is another's; guarded by the link's mu
+	broken chan struct{} // closed when the link has ended
+	closed bool          // its descriptor is about to be closed or has been reused; guarded by the link's mu
 }
 
-// begin attaches a link that was accepted.
+// begin sets up a session on a connection that was accepted.
 func (l *Link) begin(conn netpoll.Connection) *connection {
 	c := &connection{Connection: conn, broken: make(chan struct{})}
-	c.out = outbox.New(conn, int(l.output.Load()), new(outbox.Account), func(error) { conn.Close() })
-	c.sess = &session{memory: &l.mem, events: l.events, now: l.now, giveUp: func() { go conn.Close() }, send: func(encode func([]byte) []byte) {
+	c.out = outbox.New(conn, int(l.outputLimit.Load()), new(outbox.Account), func(error) { conn.Close() })
+	c.sess = &session{memory: &l.memory, events: l.events, now: l.now, closeLink: func() { go conn.Close() }, send: func(encode func([]byte) []byte) {
 		if c.out.Put(encode) != nil {
-			go conn.Close() // its callbacks take locks that the sender may hold
+			go conn.Close() // in a goroutine: the close callbacks take locks that the sender may hold
 		}
 	}}
 	l.attach(c.sess)
-	leave := sync.OnceFunc(func() {
+	onClose := sync.OnceFunc(func() {
 		l.detach(c)
 		c.out.Close()
 		close(c.broken)
 	})
-	conn.AddCloseCallback(func(netpoll.Connection) error { // before the descriptor is closed, see front.Server.prepare
-		leave()
+	conn.AddCloseCallback(func(netpoll.Connection) error { // called before the descriptor is closed, see front.Server.prepare
+		onClose()
 		return nil
 	})
 	conn.SetOnRequest(func(_ context.Context, nc netpoll.Connection) error { return l.read(c.sess, nc) })
 	l.reading.Lock()
-	c.sess.begin()
+	c.sess.sendAttach()
 	l.reading.Unlock()
-	if !conn.IsActive() { // it closed before the callback was in place
-		leave()
+	if !conn.IsActive() { // it closed before the callback was set
+		onClose()
 	}
 	return c
 }
 
-// retire ends a link that another one is about to replace. It guards against runs that are lost or
-// doubled by the move: nothing new is written on it, all that was is flushed and followed by a question and the end of
-// our side, and what the engine still tells is read until it closes, or for a moment. The answer to the question says that
-// all was read.
+// retire ends a link that is about to be replaced, without losing or duplicating runs. Nothing new is written on
+// it. What was written is flushed, followed by a STAT and the shutdown of the write side; the answer to the STAT
+// confirms that everything was read. Notices are still read until the engine closes the connection or
+// retireTimeout has passed.
 func (l *Link) retire(c *connection) {
 	if c == nil {
 		return
 	}
 	l.mu.Lock()
 	c.sess.state.Store(retired)
-	c.sess.stat()
+	c.sess.sendStat()
 	l.mu.Unlock()
-	end := time.Now().Add(l.retireTime)
+	end := time.Now().Add(l.retireTimeout)
 	for !c.out.Empty() && time.Now().Before(end) {
-		time.Sleep(retirePoll)
+		time.Sleep(retirePollInterval)
 	}
-	l.endOurs(c)
+	l.shutdownWrite(c)
 	select {
 	case <-c.broken:
 	case <-time.After(time.Until(end)):
@@ -193,21 +194,22 @@
 	}
 }
 
-// endOurs ends our side of a link. Its descriptor stays its own while l.mu is held: without that, a link that closed at
-// this very moment had another connection's side ended.
-func (l *Link) endOurs(c *connection) {
+// shutdownWrite shuts down the write side of a link. While l.mu is held its descriptor cannot be closed and
+// reused: without the lock, a link that closes at this moment could have another connection's write side shut
+// down.
+func (l *Link) shutdownWrite(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	fd, ok := c.Connection.(interface{ Fd() int })
-	if !ok || c.ended {
+	if !ok || c.closed {
 		return
 	}
 	if err := syscall.Shutdown(fd.Fd(), syscall.SHUT_WR); err != nil && !errors.Is(err, syscall.ENOTCONN) {
-		log.Print("engine link: end the old one: ", err)
+		log.Print("engine link: shut down the write side of the replaced link: ", err)
 	}
 }
 
-// read takes all that has come in. Garbage from the engine ends the link, which is then taken up anew.
+// read handles all input that has arrived. Malformed input closes the link, which is then re-established.
 func (l *Link) read(sess *session, c netpoll.Connection) error {
 	defer func() {
 		if p := recover(); p != nil {
@@ -223,7 +225,7 @@
 		err = sess.feed(p)
 	}
 	if err != nil {
-		log.Print("engine link: ", err)
+		log.Print("engine link: closed after a read error: ", err)
 		c.Close()
 		return err
 	}
@@ -239,7 +241,7 @@
 func (l *Link) detach(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c.ended = true
+	c.closed = true
 	if l.sess == c.sess {
 		l.sess = nil
 	}
@@ -251,31 +253,31 @@
 	return l.sess
 }
 
-// Run sends the request to the engine. It tells whether there is a link that could take it; if not,
-// the caller sends it after Attached.
+// Run sends a request to the engine. It reports whether there is a link that accepts it; if not, the caller sends
+// it after Attached.
 func (l *Link) Run(id, class string, body []byte) bool {
 	sent := l.write(func(dst []byte) []byte { return appendRun(dst, id, class, body) })
 	if sent {
-		l.runs.Inc()
+		l.runsSent.Inc()
 	}
 	return sent
 }
 
-// Feed hands a run the reply to the call that it waits for. It tells whether there is a link that could take it; if
+// Feed sends a run the reply to the call that it waits for. It reports whether there is a link that accepts it; if
 // not, the caller sends it after Attached.
 func (l *Link) Feed(id string, reply []byte) bool {
 	return l.write(func(dst []byte) []byte { return appendFeed(dst, id, reply) })
 }
 
-// Skip has a run go on without the call that notice number asked for. It tells whether there is a link that could take
-// it; if not, the caller sends it after Attached.
+// Skip makes a run continue without the call requested by notice number. It reports whether there is a link that
+// accepts it; if not, the caller sends it after Attached.
 func (l *Link) Skip(id string, number int64) bool {
 	return l.write(func(dst []byte) []byte { return appendSkip(dst, id, number) })
 }
 
-// write puts a command on a link that is ready, and tells whether there was one.
+// write writes a command to a link that is ready, and reports whether there was one.
 func (l *Link) write(encode func([]byte) []byte) bool {
-	l.mu.Lock() // also while it is put: nothing may be put behind the flush of a link that retires
+	l.mu.Lock() // held during the write: nothing may follow the flush of a retired link
 	defer l.mu.Unlock()
 	s := l.sess
 	if s == nil || s.state.Load() != ready {
@@ -285,20 +287,20 @@
 	return true
 }
 
-// AskGauges asks for the gauges unless enough questions are open. It tells whether it has asked.
+// AskGauges requests the gauges unless too many requests are unanswered. It reports whether it sent a request.
 func (l *Link) AskGauges() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.sess
 	if s != nil && s.state.Load() != retired && s.silent() {
-		l.quiet.Inc()
-		s.quiet.Store(0) // once is enough
-		s.giveUp()
+		l.silentLinks.Inc()
+		s.silentSince.Store(0) // the link is closed only once
+		s.closeLink()
 		return false
 	}
-	if s == nil || s.state.Load() != ready || s.open() >= statsOpen {
+	if s == nil || s.state.Load() != ready || s.openStatCount() >= maxOpenStats {
 		return false
 	}
-	s.stat()
+	s.sendStat()
 	return true
 }
--- a/internal/index/fake_test.go
+++ b/internal/index/fake_test.go
@@ -16,11 +16,11 @@
 	"cairnlane/policy"
 )
 
-// guard bounds every wait of a test, so that a fault fails the test instead of hanging it. It orders nothing.
-const guard = 10 * time.Second
+// testTimeout limits every wait of a test, so that a fault fails the test instead of blocking it. It does not order events.
+const testTimeout = 10 * time.Second
 
-// fake is an index on loopback that the test drives line by line.
-type fake struct {
+// fakeIndex is an index on loopback that the test controls line by line.
+type fakeIndex struct {
 	t        *testing.T
 	listener net.Listener
 	accepted chan *peer
@@ -29,27 +29,27 @@
 	sockets []net.Conn // closed with the listener
 }
 
-// peer is one connection that the fake accepted.
+// peer is one connection that the fake index accepted.
 type peer struct {
 	t      *testing.T
 	socket net.Conn
 	r      *bufio.Reader
 }
 
-// line is one line that a peer read: GET with its id, milliseconds and body, or STOP with its id.
+// line is one line read by a peer: GET with its id, milliseconds and body, or STOP with its id.
 type line struct {
 	word, id string
 	ms       int
 	body     []byte
 }
 
-func newFake(t *testing.T) *fake {
+func newFakeIndex(t *testing.T) *fakeIndex {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fake{t: t, listener: listener, accepted: make(chan *peer, 16)}
+	f := &fakeIndex{t: t, listener: listener, accepted: make(chan *peer, 16)}
 	t.Cleanup(func() {
 		listener.Close()
 		f.mu.Lock()
@@ -73,16 +73,16 @@
 	return f
 }
 
-func (f *fake) addr() string { return f.listener.Addr().String() }
+func (f *fakeIndex) addr() string { return f.listener.Addr().String() }
 
 // next waits for the next connection.
-func (f *fake) next() *peer {
+func (f *fakeIndex) next() *peer {
 	f.t.Helper()
 	select {
 	case p := <-f.accepted:
 		return p
-	case <-time.After(guard):
-		f.t.Fatal("no connection came")
+	case <-time.After(testTimeout):
+		f.t.Fatalf("no connection within %v", testTimeout)
 		return nil
 	}
 }
@@ -90,7 +90,7 @@
 // read reads one GET or STOP.
 func (p *peer) read() line {
 	p.t.Helper()
-	p.socket.SetReadDeadline(time.Now().Add(guard))
+	p.socket.SetReadDeadline(time.Now().Add(testTimeout))
 	text, err := p.r.ReadString('\n')
 	if err != nil {
 		p.t.Fatalf("fake index: read %q: %v", text, err)
@@ -140,7 +140,7 @@
 	p.send(fmt.Sprintf("%s HIT %d\r\n%s\r\n", id, len(result), result))
 }
 
-// reply is what Reply was told.
+// reply is one call of Reply.
 type reply struct {
 	id      string
 	outcome policy.Outcome
@@ -148,10 +148,10 @@
 	result  []byte
 }
 
-// recorder keeps every Reply in order.
+// recorder records the calls of Reply in order.
 type recorder struct{ got chan reply }
 
-func newRecorder() *recorder { return &recorder{got: make(chan reply, 4*callsMost)} }
+func newRecorder() *recorder { return &recorder{got: make(chan reply, 4*maxOpenCalls)} }
 
 func (r *recorder) Reply(id string, outcome policy.Outcome, took time.Duration, result []byte) {
 	r.got <- reply{id: id, outcome: outcome, took: took, result: bytes.Clone(result)}
@@ -163,8 +163,8 @@
 	select {
 	case got := <-r.got:
 		return got
-	case <-time.After(guard):
-		t.Fatal("no Reply came")
+	case <-time.After(testTimeout):
+		t.Fatalf("no Reply within %v", testTimeout)
 		return reply{}
 	}
 }
@@ -179,33 +179,34 @@
 	return got
 }
 
-// none checks that no Reply waits.
-func (r *recorder) none(t *testing.T) {
+// expectNone checks that no Reply is pending.
+func (r *recorder) expectNone(t *testing.T) {
 	t.Helper()
 	select {
 	case got := <-r.got:
-		t.Fatalf("unwanted Reply(%s, %v)", got.id, got.outcome)
+		t.Fatalf("unexpected Reply(%s, %v)", got.id, got.outcome)
 	default:
 	}
 }
 
-// start makes a client of f that has one connection, and a recorder; the client is closed at the end of the test.
-func start(t *testing.T, addr string) (*Client, *recorder, *counters.Set) {
-	return startWith(t, addr, 1)
+// newTestClient returns a client with at most one connection to addr, and a recorder; the client is closed at the
+// end of the test.
+func newTestClient(t *testing.T, addr string) (*Client, *recorder, *counters.Set) {
+	return newTestClientWithLinks(t, addr, 1)
 }
 
-// startWith makes a client that has up to links connections.
-func startWith(t *testing.T, addr string, links int) (*Client, *recorder, *counters.Set) {
+// newTestClientWithLinks returns a client with at most links connections.
+func newTestClientWithLinks(t *testing.T, addr string, links int) (*Client, *recorder, *counters.Set) {
 	set := new(counters.Set)
 	r := newRecorder()
 	c := New(addr, r, set)
-	c.linksMost = links
+	c.maxLinks = links
 	t.Cleanup(c.Close)
 	return c, r, set
 }
 
-// id makes the id of call n.
-func id(n int) string { return fmt.Sprintf("%016x", 0x9b1f03aa00000000+uint64(n)) }
+// callID returns the id of call n.
+func callID(n int) string { return fmt.Sprintf("%016x", 0x9b1f03aa00000000+uint64(n)) }
 
-// long is a wait that no test reaches.
-const long = time.Minute
+// longWait is a wait that no test reaches.
+const longWait = time.Minute
--- a/internal/index/link.go
+++ b/internal/index/link.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	readSize   = 64 << 10 // buffer of the reader
-	lineMost   = 64       // longest reply line, CR LF included; a longer one is garbage
-	resultMost = 4 << 20  // longest result of a HIT, in bytes; a longer one is garbage
-	givenMost  = 64       // ids that a link remembers to have given up
+	readSize      = 64 << 10 // size of the read buffer
+	maxLine       = 64       // limit on a reply line, CR LF included; a longer one is malformed
+	maxResult     = 4 << 20  // limit on the bytes of a HIT's result; a longer one is malformed
+	maxStoppedIDs = 64       // number of abandoned call ids that a link remembers
 )
 
-// errGarbage marks what the index sent that the protocol does not allow.
-var errGarbage = errors.New("garbage from the index")
+// errMalformed is wrapped by errors about input that the protocol does not allow.
+var errMalformed = errors.New("malformed reply from the index")
 
 // outcomes maps the words of replies to outcomes.
 var outcomes = map[string]policy.Outcome{
@@ -32,57 +32,58 @@
 	"BROKEN": policy.Failed, "SLOW": policy.TimedOut,
 }
 
-// link is one connection to the index. It has one goroutine that dials and writes and one that reads. Its fields
-// are guarded by Client.mu.
+// link is one connection to the index. One goroutine dials and writes, another one reads. Its fields are guarded
+// by Client.mu.
 type link struct {
-	addr    string
-	socket  net.Conn      // nil while dialing
-	out     []byte        // lines waiting to be written
-	queued  []*call       // calls whose GET is in out
-	writing int           // bytes taken by the writer and not written yet
-	wake    chan struct{} // has a value while out may have bytes
-	quit    chan struct{} // closed when the link ends
-	given   []string      // ids of calls that were given up on it of late
-	passed  int           // later calls on other links that were answered since it last answered one
-	ended   bool
+	addr              string
+	socket            net.Conn      // nil while dialing
+	out               []byte        // lines waiting to be written
+	queued            []*call       // calls whose GET is in out
+	writing           int           // bytes taken by the writer and not written yet
+	wake              chan struct{} // has a value while out may contain bytes
+	quit              chan struct{} // closed when the link ends
+	stoppedIDs        []string      // ids of calls recently abandoned on the link
+	answeredElsewhere int           // later calls answered on other links since this one last answered
+	ended             bool
 }
 
-// gaveUp remembers that a call was given up on l.
-func (l *link) gaveUp(id string) {
-	if len(l.given) >= givenMost {
-		l.given = slices.Delete(l.given, 0, 1)
+// rememberStopped records that a call was abandoned on l.
+func (l *link) rememberStopped(id string) {
+	if len(l.stoppedIDs) >= maxStoppedIDs {
+		l.stoppedIDs = slices.Delete(l.stoppedIDs, 0, 1)
 	}
-	l.given = append(l.given, id)
+	l.stoppedIDs = append(l.stoppedIDs, id)
 }
 
-// signal wakes the writer.
-func (l *link) signal() {
+// wakeWriter wakes the writer.
+func (l *link) wakeWriter() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// connect returns the link for a call. It is the one on which an earlier call for id was given up, as the index might
-// take a STOP on another link for the new call; else the one with the fewest calls out, or a new one before any is shared
-// while there are under linksMost. Of those that are alike the oldest is taken, so that the others are closed as idle
-// when there is little to do. Links to an earlier address take no new calls. c.mu is held.
-func (c *Client) connect(id string) *link {
+// linkFor returns the link for a call. A call whose id was abandoned on a link uses that link, because the index
+// could take the STOP on another link for the new call. Otherwise it is the link with the fewest open calls, or a
+// new one if all links have open calls and there are fewer than maxLinks. Of equal links the oldest is used, so
+// that the others become idle and are closed under low load. Links to an earlier address get no new calls. c.mu is
+// held.
+func (c *Client) linkFor(id string) *link {
 	var best *link
 	least, current := 0, 0
 	for _, l := range c.links {
-		if slices.Contains(l.given, id) {
+		if slices.Contains(l.stoppedIDs, id) {
 			return l
 		}
 		if l.addr != c.addr {
 			continue
 		}
 		current++
-		if n := c.out(l); best == nil || n < least {
+		if n := c.openOn(l); best == nil || n < least {
 			best, least = l, n
 		}
 	}
-	if best != nil && (least == 0 || current >= c.linksMost) {
+	if best != nil && (least == 0 || current >= c.maxLinks) {
 		return best
 	}
 	l := &link{addr: c.addr, wake: make(chan struct{}, 1), quit: make(chan struct{})}
@@ -92,8 +93,8 @@
 	return l
 }
 
-// out counts the calls on l that have no outcome. c.mu is held.
-func (c *Client) out(l *link) (calls int) {
+// openOn returns the number of calls on l without an outcome. c.mu is held.
+func (c *Client) openOn(l *link) (calls int) {
 	for _, k := range c.open {
 		if k.link == l && !k.done {
 			calls++
@@ -102,15 +103,15 @@
 	return calls
 }
 
-// run dials l, then writes what l is given until it ends.
+// run dials l, then writes its output until it ends.
 func (c *Client) run(l *link) {
 	socket, err := net.DialTimeout("tcp", l.addr, dialTimeout)
 	c.mu.Lock()
 	if err != nil {
-		c.refused.Inc()
-		c.end(l, policy.Unreachable, policy.Unreachable) // nothing was written: proven never ran
+		c.dialsFailed.Inc()
+		c.endLink(l, policy.Unreachable, policy.Unreachable) // nothing was written, so no call has run
 		c.mu.Unlock()
-		c.told()
+		c.notifyLinkEnded()
 		return
 	}
 	if l.ended { // closed while dialing
@@ -124,12 +125,12 @@
 	c.write(l, socket)
 }
 
-// write writes what l is given until l ends. A link with no call out is closed after idleClose without writes.
+// write writes the output of l until l ends. A link without open calls is closed after idleTimeout without writes.
 func (c *Client) write(l *link, socket net.Conn) {
-	idle := time.NewTimer(idleClose)
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
-		batch, up := c.take(l)
+		batch, up := c.takeBatch(l)
 		if !up {
 			return
 		}
@@ -139,11 +140,11 @@
 			case <-l.quit:
 				return
 			case <-idle.C:
-				if c.idle(l) {
+				if c.closeIfIdle(l) {
 					socket.Close()
 					return
 				}
-				idle.Reset(idleClose)
+				idle.Reset(idleTimeout)
 			}
 			continue
 		}
@@ -153,15 +154,15 @@
 		l.writing = 0
 		c.mu.Unlock()
 		if err != nil {
-			c.lose(l, socket, err)
+			c.failLink(l, socket, err)
 			return
 		}
-		idle.Reset(idleClose)
+		idle.Reset(idleTimeout)
 	}
 }
 
-// take hands the writer what waits in l and marks its calls sent; up is false once l has ended.
-func (c *Client) take(l *link) (batch []byte, up bool) {
+// takeBatch returns the output that waits in l and marks its calls as sent; up is false if l has ended.
+func (c *Client) takeBatch(l *link) (batch []byte, up bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l.ended {
@@ -175,18 +176,18 @@
 	return batch, true
 }
 
-// idle ends l if no call is out on it and nothing waits, and tells whether it did.
-func (c *Client) idle(l *link) bool {
+// closeIfIdle ends l if it has neither open calls nor output, and reports whether it did.
+func (c *Client) closeIfIdle(l *link) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(l.out) > 0 || c.out(l) > 0 {
+	if len(l.out) > 0 || c.openOn(l) > 0 {
 		return false
 	}
-	c.end(l, policy.Interrupted, policy.Unreachable)
+	c.endLink(l, policy.Interrupted, policy.Unreachable)
 	return true
 }
 
-// read reads replies on l and hands them on until l ends. The result of a HIT is lent from one buffer.
+// read reads replies on l and delivers them until l ends. All results of HITs share one buffer.
 func (c *Client) read(l *link, socket net.Conn) {
 	r := bufio.NewReaderSize(socket, readSize)
 	var buffer []byte
@@ -197,23 +198,23 @@
 			buffer, err = readBody(r, buffer, size)
 			result = buffer
 		}
-		if errors.Is(err, errGarbage) { // logged before the calls on l are told
-			c.garbage.Inc()
-			log.Printf("index: %v; the connection ends", err)
+		if errors.Is(err, errMalformed) { // logged before the calls on l get their outcome
+			c.linksGarbage.Inc()
+			log.Printf("index %s: %v; closing the connection", l.addr, err)
 		}
 		if err != nil {
-			c.lose(l, socket, err)
+			c.failLink(l, socket, err)
 			return
 		}
-		c.answer(l, id, outcome, result)
+		c.handleReply(l, id, outcome, result)
 	}
 }
 
 // readHead reads one reply line: the id, its outcome and, for HIT, the length of the result.
 func readHead(r *bufio.Reader) (id string, outcome policy.Outcome, size int, err error) {
 	line, err := r.ReadSlice('\n')
-	if len(line) > lineMost || errors.Is(err, bufio.ErrBufferFull) {
-		return "", 0, 0, fmt.Errorf("%w: a line of over %d bytes", errGarbage, lineMost)
+	if len(line) > maxLine || errors.Is(err, bufio.ErrBufferFull) {
+		return "", 0, 0, fmt.Errorf("%w: line longer than %d bytes", errMalformed, maxLine)
 	}
 	if err != nil {
 		return "", 0, 0, err
@@ -226,12 +227,12 @@
 	}
 	hit := known && outcome == policy.Succeeded
 	if !crlf || !known || hit != (len(words) == 3) || !hit && len(words) != 2 {
-		return "", 0, 0, fmt.Errorf("%w: line %q", errGarbage, line)
+		return "", 0, 0, fmt.Errorf("%w: line %q", errMalformed, line)
 	}
 	if hit {
 		n, err := strconv.ParseUint(words[2], 10, 32)
-		if err != nil || n > resultMost {
-			return "", 0, 0, fmt.Errorf("%w: length in %q; %d bytes at most", errGarbage, line, resultMost)
+		if err != nil || n > maxResult {
+			return "", 0, 0, fmt.Errorf("%w: result length in %q is not a number from 0 to %d", errMalformed, line, maxResult)
 		}
 		size = int(n)
 	}
@@ -245,13 +246,13 @@
 		return buffer, err
 	}
 	if !bytes.HasSuffix(buffer, []byte("\r\n")) {
-		return buffer, fmt.Errorf("%w: a result of %d bytes not followed by CR LF", errGarbage, size)
+		return buffer, fmt.Errorf("%w: result of %d bytes is not followed by CR LF", errMalformed, size)
 	}
 	return buffer[:size], nil
 }
 
-// answer hands on a reply read on l. A reply for no call that is out on l is ignored and counted.
-func (c *Client) answer(l *link, id string, outcome policy.Outcome, result []byte) {
+// handleReply delivers a reply read on l. A reply that matches no outstanding call on l is counted and ignored.
+func (c *Client) handleReply(l *link, id string, outcome policy.Outcome, result []byte) {
 	c.mu.Lock()
 	k := c.open[id]
 	fits := k != nil && k.link == l && k.sent && !k.done
@@ -268,35 +269,35 @@
 		socket.Close()
 	}
 	if !fits {
-		c.unknown.Inc()
+		c.repliesUnknown.Inc()
 		return
 	}
-	c.hand(k, result)
+	c.deliverReply(k, result)
 }
 
-// endSilent ends the links that have answered nothing while passedMost calls made later than theirs were answered on
-// others, and returns their sockets to close. It guards against a connection that takes calls and answers none of them
-// any more: its calls would hold their places until they are given up. c.mu is held.
+// endSilent ends the links that answered nothing while maxPassed later calls were answered on other links, and
+// returns their sockets to close. It guards against a connection that accepts calls but no longer answers them:
+// such calls would be held until their wait has passed. c.mu is held.
 func (c *Client) endSilent(answered *call) (sockets []net.Conn) {
-	answered.link.passed = 0
+	answered.link.answeredElsewhere = 0
 	for _, l := range slices.Clone(c.links) {
-		oldest := c.oldest(l)
+		oldest := c.oldestSent(l)
 		if l == answered.link || oldest == nil || !oldest.start.Before(answered.start) {
 			continue
 		}
-		if l.passed++; l.passed < passedMost || time.Since(oldest.start) <= c.silentAfter {
+		if l.answeredElsewhere++; l.answeredElsewhere < maxPassed || time.Since(oldest.start) <= c.silenceLimit {
 			continue
 		}
-		c.silent.Inc()
-		if socket, _ := c.end(l, policy.Interrupted, policy.Unreachable); socket != nil {
+		c.linksSilent.Inc()
+		if socket, _ := c.endLink(l, policy.Interrupted, policy.Unreachable); socket != nil {
 			sockets = append(sockets, socket)
 		}
 	}
 	return sockets
 }
 
-// oldest is the call that has been out on l for the longest, nil if none is. c.mu is held.
-func (c *Client) oldest(l *link) (oldest *call) {
+// oldestSent returns the call that has been outstanding on l the longest, or nil. c.mu is held.
+func (c *Client) oldestSent(l *link) (oldest *call) {
 	for _, k := range c.open {
 		if k.link == l && k.sent && !k.done && (oldest == nil || k.start.Before(oldest.start)) {
 			oldest = k
@@ -305,23 +306,24 @@
 	return oldest
 }
 
-// lose ends l after err and closes its socket. A link that was still up and did not end by garbage is counted lost.
-func (c *Client) lose(l *link, socket net.Conn, err error) {
+// failLink ends l after err and closes its socket. An open link that did not end by malformed input is counted as
+// lost.
+func (c *Client) failLink(l *link, socket net.Conn, err error) {
 	c.mu.Lock()
-	if !l.ended && !errors.Is(err, errGarbage) {
-		c.lost.Inc() // before the calls on l are told
+	if !l.ended && !errors.Is(err, errMalformed) {
+		c.linksLost.Inc() // before the calls on l get their outcome
 	}
-	_, first := c.end(l, policy.Interrupted, policy.Unreachable)
+	_, first := c.endLink(l, policy.Interrupted, policy.Unreachable)
 	c.mu.Unlock()
 	socket.Close()
 	if first {
-		c.told()
+		c.notifyLinkEnded()
 	}
 }
 
-// end ends l: each call on it that has no outcome gets sent if its GET was handed to the socket, else unsent. It
-// returns the socket to close, and whether l was up. c.mu is held.
-func (c *Client) end(l *link, sent, unsent policy.Outcome) (net.Conn, bool) {
+// endLink ends l: each call on it without an outcome gets the outcome sent if its GET was passed to the socket, or
+// else unsent. It returns the socket to close, and whether l was open. c.mu is held.
+func (c *Client) endLink(l *link, sent, unsent policy.Outcome) (net.Conn, bool) {
 	if l.ended {
 		return nil, false
 	}
@@ -333,7 +335,7 @@
 			continue
 		}
 		if k.sent {
-			c.interrupted.Inc()
+			c.callsInterrupted.Inc()
 			c.finish(k, sent)
 		} else {
 			c.finish(k, unsent)
@@ -343,9 +345,9 @@
 	return l.socket, true
 }
 
-// told tells the test hook that a link ended by itself.
-func (c *Client) told() {
-	if c.linkEnded != nil {
-		c.linkEnded()
+// notifyLinkEnded calls the test hook after a link ended by itself.
+func (c *Client) notifyLinkEnded() {
+	if c.onLinkEnded != nil {
+		c.onLinkEnded()
 	}
 }
