--- a/internal/fleet/desk.go
+++ b/internal/fleet/desk.go
@@ -60,7 +60,7 @@
 
 // Errors of a desk.
 var (
-	ErrNoRun    = errors.New("this box has no such slot any more")
+	ErrNoRun    = errors.New("there is no such slot at this box any more")
 	ErrManyRuns = errors.New("this box already holds slots for the most runs allowed")
 )
 
--- a/internal/fleet/peer/links.go
+++ b/internal/fleet/peer/links.go
@@ -17,37 +17,37 @@
 	"cairnlane/internal/counters"
 )
 
-// Config is what links are made with.
+// Config configures Links.
 type Config struct {
 	Name   string
 	Listen string
-	Peers  map[string]string // address by name
+	Peers  map[string]string // addresses by name
 	Keys   func() ([][]byte, error)
 	Kinds  []Kind
 	Now    func() time.Duration
 	Set    *counters.Set
-	Told   func(format string, args ...any) // takes what an operator should read; at most some lines a second
+	Told   func(format string, args ...any) // writes a log line for operators; called at a limited rate
 }
 
 const (
-	dialTime      = time.Second
-	shakeTime     = 2 * time.Second  // for both ends to prove themselves
-	writeTime     = 5 * time.Second  // a peer that does not read for so long is taken for gone
-	idleTime      = 30 * time.Second // a link on which nothing was said is closed
-	firstPause    = 50 * time.Millisecond
-	lastPause     = 2 * time.Second
-	strangersMost = 64 // connections that have proven nothing
-	batchMost     = 64 << 10
-	readMost      = 64 << 10
-	messagesRate  = 20_000   // a second and link; what is beyond is left out
-	bytesRate     = 64 << 20 // likewise
-	tieTime       = 2 * time.Second
+	dialTimeout            = time.Second
+	handshakeTimeout       = 2 * time.Second  // for both ends to authenticate
+	writeTimeout           = 5 * time.Second  // a peer that does not read for this long counts as disconnected
+	idleTimeout            = 30 * time.Second // a link without traffic for this long is closed
+	minRedialDelay         = 50 * time.Millisecond
+	maxRedialDelay         = 2 * time.Second
+	maxUnauthenticated     = 64 // unauthenticated connections
+	maxBatchBytes          = 64 << 10
+	maxReadBytes           = 64 << 10
+	maxMessageRate         = 20_000   // per second and link; further messages are dropped
+	maxByteRate            = 64 << 20 // per second and link; further messages are dropped
+	simultaneousDialWindow = 2 * time.Second
 )
 
-// reasons are those that are told apart.
+// reasons lists the reasons whose log lines are limited separately.
 var reasons = [...]error{ErrGarbage, ErrKey, ErrStranger, ErrVersion, ErrSelf, ErrMAC, ErrTooLong}
 
-// reasonOf is a reason's place among them; any other one has the last.
+// reasonOf returns the index of a reason; all reasons that are not listed share the last one.
 func reasonOf(err error) int {
 	for i, r := range reasons {
 		if errors.Is(err, r) {
@@ -57,51 +57,51 @@
 	return len(reasons) + 2
 }
 
-// Links are a box's links to all its peers.
+// Links holds a box's links to all its peers.
 type Links struct {
-	cfg     Config
-	run     uint64
-	receive func(from string, kind byte, payload []byte)
-	ln      netpoll.Listener
-	loop    netpoll.EventLoop
-	noise   [len(reasons) + 3]rate.Sometimes // one for each reason: a noisy one hides no other
-	count   struct{ up, ended, refused, in, out, bytes, dropped, flooded *counters.Counter }
-
-	mu        sync.Mutex
-	peers     map[string]*end
-	strangers int
-	closed    bool
+	cfg       Config
+	run       uint64
+	receive   func(from string, kind byte, payload []byte)
+	ln        netpoll.Listener
+	loop      netpoll.EventLoop
+	logLimits [len(reasons) + 3]rate.Sometimes // one for each reason, so that frequent lines of one reason do not suppress the others
+	count     struct{ up, ended, rejected, in, out, bytes, dropped, flooded *counters.Counter }
+
+	mu              sync.Mutex
+	peers           map[string]*peerState
+	unauthenticated int
+	closed          bool
 }
 
-// end is what is known of one peer.
-type end struct {
+// peerState is the state of one peer.
+type peerState struct {
 	name    string
 	queue   *queue
 	link    *link
 	dialing bool
-	failure string // of the last try
+	failure string // of the last attempt
 }
 
-// link is one connection.
+// link is one connection to a peer.
 type link struct {
 	netpoll.Connection
-	links   *Links
-	sess    *session
-	peer    *end // once it is proven
-	since   time.Duration
-	flow    struct{ messages, bytes *rate.Limiter }
-	counted sync.Once
-
-	mu     sync.Mutex // guards what follows
-	work   sync.Cond
-	out    []byte // handshake frames
-	ended  bool
-	reason error
-	proven bool
-	used   time.Duration
+	links             *Links
+	sess              *session
+	peer              *peerState // set once the peer is authenticated
+	since             time.Duration
+	limits            struct{ messages, bytes *rate.Limiter }
+	authenticatedOnce sync.Once
+
+	mu            sync.Mutex // guards the fields below
+	changed       sync.Cond
+	handshakeOut  []byte // handshake frames to be written
+	ended         bool
+	reason        error
+	authenticated bool
+	lastUsed      time.Duration
 }
 
-// Status is how a link stands.
+// Status describes the link to a peer.
 type Status struct {
 	Peer    string        `json:"peer"`
 	Address string        `json:"address"`
@@ -112,8 +112,8 @@
 	Failure string        `json:"failure,omitempty"`
 }
 
-// Listen opens the address at which peers are heard. receive is called for one message of a link after the other, from several
-// goroutines for several links; the payload is lent for the call.
+// Listen accepts peers' connections at cfg.Listen. receive is called for one message of a link at a time, but concurrently for several
+// links. The payload is valid only during the call.
 func Listen(cfg Config, receive func(from string, kind byte, payload []byte)) (*Links, error) {
 	if cfg.Told == nil {
 		cfg.Told = func(string, ...any) {}
@@ -121,17 +121,17 @@
 	if _, err := cfg.Keys(); err != nil {
 		return nil, err
 	}
-	l := &Links{cfg: cfg, run: mrand.Uint64(), receive: receive, peers: map[string]*end{}}
-	for i := range l.noise {
-		l.noise[i] = rate.Sometimes{First: 5, Interval: time.Second}
+	l := &Links{cfg: cfg, run: mrand.Uint64(), receive: receive, peers: map[string]*peerState{}}
+	for i := range l.logLimits {
+		l.logLimits[i] = rate.Sometimes{First: 5, Interval: time.Second}
 	}
-	for name, c := range map[string]**counters.Counter{"up": &l.count.up, "ended": &l.count.ended, "refused": &l.count.refused, "messages_in": &l.count.in,
+	for name, c := range map[string]**counters.Counter{"up": &l.count.up, "ended": &l.count.ended, "refused": &l.count.rejected, "messages_in": &l.count.in,
 		"messages_out": &l.count.out, "bytes_out": &l.count.bytes, "messages_dropped": &l.count.dropped, "messages_flooded": &l.count.flooded} {
 		*c = cfg.Set.Get("fleet_links_" + name)
 	}
 	for name := range cfg.Peers {
 		if name != cfg.Name {
-			l.peers[name] = &end{name: name, queue: newQueue(cfg.Kinds)}
+			l.peers[name] = &peerState{name: name, queue: newQueue(cfg.Kinds)}
 		}
 	}
 	var err error
@@ -143,7 +143,7 @@
 			return k.read(c)
 		}
 		return c.Close()
-	}, netpoll.WithOnPrepare(l.prepare), netpoll.WithOnConnect(func(ctx context.Context, c netpoll.Connection) context.Context {
+	}, netpoll.WithOnPrepare(l.accept), netpoll.WithOnConnect(func(ctx context.Context, c netpoll.Connection) context.Context {
 		if _, ok := ctx.Value(linkKey{}).(*link); !ok {
 			c.Close()
 		}
@@ -157,10 +157,10 @@
 	return l, nil
 }
 
-// Addr is where peers are heard.
+// Addr returns the address on which peers' connections are accepted.
 func (l *Links) Addr() string { return l.ln.Addr().String() }
 
-// Close ends all links.
+// Close closes all links.
 func (l *Links) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -181,58 +181,58 @@
 
 type linkKey struct{}
 
-// prepare takes a connection that somebody has opened.
-func (l *Links) prepare(c netpoll.Connection) context.Context {
+// accept handles an incoming connection.
+func (l *Links) accept(c netpoll.Connection) context.Context {
 	l.mu.Lock()
-	full := l.closed || l.strangers >= strangersMost
+	full := l.closed || l.unauthenticated >= maxUnauthenticated
 	if !full {
-		l.strangers++
+		l.unauthenticated++
 	}
 	l.mu.Unlock()
 	if full {
-		l.count.refused.Inc()
-		l.noise[len(reasons)].Do(func() {
-			l.cfg.Told("a connection from %s is closed: %d others prove nothing", c.RemoteAddr(), strangersMost)
+		l.count.rejected.Inc()
+		l.logLimits[len(reasons)].Do(func() {
+			l.cfg.Told("closing connection from %s: %d unauthenticated connections already open", c.RemoteAddr(), maxUnauthenticated)
 		})
-		return context.Background() // it is closed once netpoll has it
+		return context.Background() // closed in the OnConnect callback
 	}
 	k, err := l.attach(c)
 	if err != nil {
-		l.stranger(-1)
+		l.addUnauthenticated(-1)
 		l.cfg.Told("%v", err)
 		return context.Background()
 	}
 	return context.WithValue(context.Background(), linkKey{}, k)
 }
 
-func (l *Links) stranger(n int) {
+func (l *Links) addUnauthenticated(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.strangers += n
+	l.unauthenticated += n
 }
 
-// attach makes a link of a connection and starts its writer.
+// attach creates a link for a connection and starts its writer.
 func (l *Links) attach(c netpoll.Connection) (*link, error) {
 	keys, err := l.cfg.Keys()
 	if err != nil {
 		return nil, err
 	}
 	k := &link{Connection: c, links: l, since: l.cfg.Now()}
-	k.work.L = &k.mu
-	k.flow.messages, k.flow.bytes = rate.NewLimiter(messagesRate, messagesRate), rate.NewLimiter(bytesRate, frameMost)
+	k.changed.L = &k.mu
+	k.limits.messages, k.limits.bytes = rate.NewLimiter(maxMessageRate, maxMessageRate), rate.NewLimiter(maxByteRate, maxFrameBytes)
 	if k.sess, err = newSession(l.cfg.Name, l.run, keys, rand.Reader); err != nil {
 		return nil, err
 	}
-	k.sess.known = func(name string) bool { _, ok := l.cfg.Peers[name]; return ok }
+	k.sess.isKnown = func(name string) bool { _, ok := l.cfg.Peers[name]; return ok }
 	k.sess.write = func(p []byte) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.out = append(k.out, p...)
-		k.work.Signal()
+		k.handshakeOut = append(k.handshakeOut, p...)
+		k.changed.Signal()
 	}
-	k.sess.ready = func(*session) error { return l.proven(k) }
-	k.sess.take = k.take
-	c.SetWriteTimeout(writeTime)
+	k.sess.onEstablished = func(*session) error { return l.adopt(k) }
+	k.sess.onMessage = k.receive
+	c.SetWriteTimeout(writeTimeout)
 	c.AddCloseCallback(func(netpoll.Connection) error {
 		k.end(nil)
 		return nil
@@ -241,11 +241,11 @@
 	return k, nil
 }
 
-// read takes what has come in. It runs in netpoll's callback, one at a time for a connection.
+// read passes received bytes to the session. It runs in netpoll's callback, which is called once at a time per connection.
 func (k *link) read(c netpoll.Connection) error {
 	r := c.Reader()
 	for r.Len() > 0 {
-		p, err := r.Next(min(r.Len(), readMost))
+		p, err := r.Next(min(r.Len(), maxReadBytes))
 		if err == nil {
 			err = k.sess.feed(p)
 		}
@@ -260,27 +260,27 @@
 	return nil
 }
 
-func (k *link) take(kind byte, payload []byte) {
+func (k *link) receive(kind byte, payload []byte) {
 	now := time.Now()
 	k.mu.Lock()
-	k.used = k.links.cfg.Now()
+	k.lastUsed = k.links.cfg.Now()
 	k.mu.Unlock()
-	if !k.flow.messages.AllowN(now, 1) || !k.flow.bytes.AllowN(now, len(payload)) {
+	if !k.limits.messages.AllowN(now, 1) || !k.limits.bytes.AllowN(now, len(payload)) {
 		k.links.count.flooded.Inc()
-		k.links.noise[len(reasons)+1].Do(func() {
-			k.links.cfg.Told("%s sends more than %d messages or %d MB a second; some are left out", k.sess.peer, messagesRate, bytesRate>>20)
+		k.links.logLimits[len(reasons)+1].Do(func() {
+			k.links.cfg.Told("%s sends more than %d messages or %d MB per second; dropping some", k.sess.peer, maxMessageRate, maxByteRate>>20)
 		})
 		return
 	}
-	if int(kind) < len(k.links.cfg.Kinds) { // a later build may say more
+	if int(kind) < len(k.links.cfg.Kinds) { // a later build may send further kinds
 		k.links.count.in.Inc()
 		k.links.receive(k.sess.peer, kind, payload)
 	}
 }
 
-// proven takes a link into use. A newer one replaces an older one, as a peer that was started anew has nothing of it; but
-// when both have dialled at once, the one that the lower name has dialled stays.
-func (l *Links) proven(k *link) error {
+// adopt makes an authenticated link the peer's link. A newer link replaces an older one, because a restarted peer no longer has the old
+// one. If both ends have dialled at the same time, the link dialled by the lower name stays.
+func (l *Links) adopt(k *link) error {
 	l.mu.Lock()
 	p := l.peers[k.sess.peer]
 	if p == nil || l.closed {
@@ -288,21 +288,21 @@
 		return ErrStranger
 	}
 	old := p.link
-	if old != nil && old.sess.other == k.sess.other && l.cfg.Now()-old.since < tieTime && old.sess.dials != k.sess.dials {
-		if old.sess.dials == (l.cfg.Name < p.name) {
+	if old != nil && old.sess.peerRun == k.sess.peerRun && l.cfg.Now()-old.since < simultaneousDialWindow && old.sess.isDialer != k.sess.isDialer {
+		if old.sess.isDialer == (l.cfg.Name < p.name) {
 			l.mu.Unlock()
-			return errTie
+			return errSimultaneousDial
 		}
 	}
 	p.link, p.failure = k, ""
 	l.mu.Unlock()
-	k.known()
+	k.clearUnauthenticated()
 	k.mu.Lock()
-	k.peer, k.proven, k.used = p, true, l.cfg.Now()
+	k.peer, k.authenticated, k.lastUsed = p, true, l.cfg.Now()
 	ended := k.ended
-	k.work.Signal()
+	k.changed.Signal()
 	k.mu.Unlock()
-	if ended { // it closed meanwhile
+	if ended { // the link closed in the meantime
 		l.forget(k)
 		return errReplaced
 	}
@@ -313,14 +313,14 @@
 	return nil
 }
 
-// known has it count as a stranger no more, whether it has proven itself or ended.
-func (k *link) known() {
-	if !k.sess.dials {
-		k.counted.Do(func() { k.links.stranger(-1) })
+// clearUnauthenticated ends a link's count as unauthenticated, once it has authenticated or ended.
+func (k *link) clearUnauthenticated() {
+	if !k.sess.isDialer {
+		k.authenticatedOnce.Do(func() { k.links.addUnauthenticated(-1) })
 	}
 }
 
-// forget has no peer use a link any more.
+// forget removes a link from its peer.
 func (l *Links) forget(k *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -330,11 +330,11 @@
 }
 
 var (
-	errTie      = errors.New("both ends have dialled; the other link stays")
-	errReplaced = errors.New("a newer link has taken its place")
+	errSimultaneousDial = errors.New("both ends dialled at once; keeping the other link")
+	errReplaced         = errors.New("replaced by a newer link")
 )
 
-// end ends a link; the first reason counts.
+// end ends a link with a reason; only the first call has an effect.
 func (k *link) end(reason error) {
 	k.mu.Lock()
 	if k.ended {
@@ -342,40 +342,40 @@
 		return
 	}
 	k.ended, k.reason = true, reason
-	proven := k.proven
-	k.work.Signal()
+	authenticated := k.authenticated
+	k.changed.Signal()
 	k.mu.Unlock()
 	l := k.links
-	k.known()
+	k.clearUnauthenticated()
 	l.forget(k)
 	l.mu.Lock()
-	if p := l.peers[k.sess.peer]; p != nil && reason != nil && reason != errTie && reason != errReplaced {
+	if p := l.peers[k.sess.peer]; p != nil && reason != nil && reason != errSimultaneousDial && reason != errReplaced {
 		p.failure = reason.Error()
 	}
 	l.mu.Unlock()
 	l.count.ended.Inc()
-	if reason != nil && reason != errTie && reason != errReplaced {
-		if !proven {
-			l.count.refused.Inc()
+	if reason != nil && reason != errSimultaneousDial && reason != errReplaced {
+		if !authenticated {
+			l.count.rejected.Inc()
 		}
-		l.noise[reasonOf(reason)].Do(func() { l.cfg.Told("link with %q at %s: %v", k.sess.peer, k.RemoteAddr(), reason) })
+		l.logLimits[reasonOf(reason)].Do(func() { l.cfg.Told("link with %q at %s: %v", k.sess.peer, k.RemoteAddr(), reason) })
 	}
-	go k.Connection.Close() // netpoll's close waits for its callback, which may be what calls here
+	go k.Connection.Close() // netpoll's Close waits for its callback, which may be the caller of end
 }
 
-// write is the one writer of a link, alive as long as it. It folds what waits into one write.
+// write is the only writer of a link and runs as long as the link. It combines waiting messages into one write.
 func (k *link) write() {
 	l := k.links
-	shake := time.AfterFunc(shakeTime, func() {
+	shake := time.AfterFunc(handshakeTimeout, func() {
 		k.mu.Lock()
-		late := !k.proven
+		late := !k.authenticated
 		k.mu.Unlock()
 		if late {
-			k.end(fmt.Errorf("%w: nothing was proven within %v", ErrGarbage, shakeTime))
+			k.end(fmt.Errorf("%w: no authentication within %v", ErrGarbage, handshakeTimeout))
 		}
 	})
 	defer shake.Stop()
-	idle := time.AfterFunc(idleTime, func() { k.wake() })
+	idle := time.AfterFunc(idleTimeout, func() { k.wake() })
 	defer idle.Stop()
 	var batch []byte
 	for {
@@ -385,30 +385,30 @@
 				k.mu.Unlock()
 				return
 			}
-			batch = append(batch[:0], k.out...)
-			k.out = k.out[:0]
-			if k.proven {
-				batch = l.gather(k, batch)
+			batch = append(batch[:0], k.handshakeOut...)
+			k.handshakeOut = k.handshakeOut[:0]
+			if k.authenticated {
+				batch = l.fillBatch(k, batch)
 			}
 			if len(batch) > 0 {
-				k.used = l.cfg.Now()
+				k.lastUsed = l.cfg.Now()
 				break
 			}
-			if k.proven && l.cfg.Now()-k.used > idleTime {
+			if k.authenticated && l.cfg.Now()-k.lastUsed > idleTimeout {
 				k.mu.Unlock()
 				k.end(nil)
 				return
 			}
-			k.work.Wait()
+			k.changed.Wait()
 		}
 		k.mu.Unlock()
-		idle.Reset(idleTime + time.Second)
+		idle.Reset(idleTimeout + time.Second)
 		l.count.bytes.Add(len(batch))
 		if _, err := k.Connection.Write(batch); err != nil {
 			k.end(fmt.Errorf("write: %w", err))
 			return
 		}
-		if cap(batch) > 4*batchMost {
+		if cap(batch) > 4*maxBatchBytes {
 			batch = nil
 		}
 	}
@@ -417,16 +417,16 @@
 func (k *link) wake() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.work.Signal()
+	k.changed.Signal()
 }
 
-// gather seals what waits for a link's peer, up to a batch. The link's lock is held; nobody takes a link's lock under that of
-// the links.
-func (l *Links) gather(k *link, dst []byte) []byte {
+// fillBatch seals the messages that wait for a link's peer, up to a batch. The caller holds the link's lock; a link's lock must not be
+// acquired while the lock of Links is held.
+func (l *Links) fillBatch(k *link, dst []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := k.peer.queue.dropped
-	for len(dst) < batchMost {
+	for len(dst) < maxBatchBytes {
 		kind, payload, ok := k.peer.queue.next(l.cfg.Now())
 		if !ok {
 			break
@@ -438,7 +438,7 @@
 	return dst
 }
 
-// Send has a message go to a peer, if it can be reached soon enough. It never waits. The payload is the links' from then on.
+// Send queues a message for a peer and opens a link if there is none. It never waits. The payload must not be changed afterwards.
 func (l *Links) Send(to string, kind byte, payload []byte) {
 	l.mu.Lock()
 	p := l.peers[to]
@@ -462,16 +462,16 @@
 	}
 }
 
-// dial opens a link to a peer, with longer pauses between tries, until there is one or nothing waits any more.
-func (l *Links) dial(p *end) {
-	pause := firstPause
+// dial opens a link to a peer, with growing pauses between attempts, until there is a link or no message waits.
+func (l *Links) dial(p *peerState) {
+	pause := minRedialDelay
 	for {
-		err := l.try(p)
+		err := l.dialOnce(p)
 		l.mu.Lock()
 		if err != nil {
 			p.failure = err.Error()
 		}
-		wanted := p.link == nil && !l.closed && slices.ContainsFunc(p.queue.waiting, func(w []item) bool { return len(w) > 0 })
+		wanted := p.link == nil && !l.closed && slices.ContainsFunc(p.queue.waiting, func(w []queuedMessage) bool { return len(w) > 0 })
 		if !wanted {
 			p.dialing = false
 			k := p.link
@@ -483,13 +483,13 @@
 		}
 		l.mu.Unlock()
 		time.Sleep(pause/2 + mrand.N(pause/2))
-		pause = min(2*pause, lastPause)
+		pause = min(2*pause, maxRedialDelay)
 	}
 }
 
-// try dials once and waits until the link is proven or has ended.
-func (l *Links) try(p *end) error {
-	c, err := netpoll.DialConnection("tcp", l.cfg.Peers[p.name], dialTime)
+// dialOnce dials once and waits until the link is authenticated or has ended.
+func (l *Links) dialOnce(p *peerState) error {
+	c, err := netpoll.DialConnection("tcp", l.cfg.Peers[p.name], dialTimeout)
 	if err != nil {
 		return err
 	}
@@ -500,14 +500,14 @@
 	}
 	k.sess.begin(p.name)
 	c.SetOnRequest(func(_ context.Context, c netpoll.Connection) error { return k.read(c) })
-	for end := time.Now().Add(shakeTime + dialTime); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(handshakeTimeout + dialTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		k.mu.Lock()
-		proven, ended, reason := k.proven, k.ended, k.reason
+		authenticated, ended, reason := k.authenticated, k.ended, k.reason
 		k.mu.Unlock()
-		if ended && !proven && reason == nil {
-			return errors.New("the other end has closed; its log may say why")
+		if ended && !authenticated && reason == nil {
+			return errors.New("the other end closed the connection during the handshake; its log may show why")
 		}
-		if proven || ended {
+		if authenticated || ended {
 			return reason
 		}
 		if !c.IsActive() {
@@ -518,7 +518,7 @@
 	return ErrGarbage
 }
 
-// Status lists the links.
+// Status returns the state of the links, by the peer's name.
 func (l *Links) Status() (list []Status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/peer/links_test.go
+++ b/internal/fleet/peer/links_test.go
@@ -13,38 +13,38 @@
 	"cairnlane/internal/counters"
 )
 
-var began = time.Now()
+var testStart = time.Now()
 
-func since() time.Duration { return time.Since(began) }
+func testClock() time.Duration { return time.Since(testStart) }
 
-// node is one end of real links.
-type node struct {
+// testNode is one end of links over real sockets.
+type testNode struct {
 	*Links
-	set  *counters.Set
-	got  atomic.Int64
-	last atomic.Value
-	keys atomic.Value // [][]byte
-	mu   sync.Mutex
-	told []string
+	counters    *counters.Set
+	received    atomic.Int64
+	lastMessage atomic.Value
+	keys        atomic.Value // [][]byte
+	mu          sync.Mutex
+	logLines    []string
 }
 
-func (n *node) log() string {
+func (n *testNode) log() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return strings.Join(n.told, "\n")
+	return strings.Join(n.logLines, "\n")
 }
 
-// until waits for what has to come.
-func until(t *testing.T, what string, is func() bool) {
+// waitFor waits up to 20 s for a condition.
+func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not in time: ", what)
+			t.Fatal("not reached within 20 s: ", what)
 		}
 	}
 }
 
-func address(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,19 +54,19 @@
 	return ln.Addr().String()
 }
 
-func start(t *testing.T, name string, peers map[string]string, key []byte, kinds []Kind) *node {
+func startNode(t *testing.T, name string, peers map[string]string, key []byte, kinds []Kind) *testNode {
 	t.Helper()
-	n := &node{set: new(counters.Set)}
+	n := &testNode{counters: new(counters.Set)}
 	n.keys.Store([][]byte{key})
 	var err error
-	n.Links, err = Listen(Config{Name: name, Listen: peers[name], Peers: peers, Keys: func() ([][]byte, error) { return n.keys.Load().([][]byte), nil }, Kinds: kinds, Now: since, Set: n.set,
+	n.Links, err = Listen(Config{Name: name, Listen: peers[name], Peers: peers, Keys: func() ([][]byte, error) { return n.keys.Load().([][]byte), nil }, Kinds: kinds, Now: testClock, Set: n.counters,
 		Told: func(f string, a ...any) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.told = append(n.told, fmt.Sprintf(f, a...))
+			n.logLines = append(n.logLines, fmt.Sprintf(f, a...))
 		}}, func(from string, kind byte, p []byte) {
-		n.last.Store(fmt.Sprintf("%s %d %s", from, kind, p[:min(len(p), 20)]))
-		n.got.Add(1)
+		n.lastMessage.Store(fmt.Sprintf("%s %d %s", from, kind, p[:min(len(p), 20)]))
+		n.received.Add(1)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -75,69 +75,69 @@
 	return n
 }
 
-var usual = []Kind{{Messages: 1000, Bytes: 1 << 20, Stale: time.Minute}, {Messages: 10, Bytes: 16 << 20}}
+var testKinds = []Kind{{Messages: 1000, Bytes: 1 << 20, Stale: time.Minute}, {Messages: 10, Bytes: 16 << 20}}
 
-func TestLinksCarryMessagesAndAreTakenUpAnew(t *testing.T) {
-	peers := map[string]string{"a": address(t), "b": address(t)}
-	a := start(t, "a", peers, key(1), usual)
-	a.Send("b", 0, []byte("before b is there"))
-	b := start(t, "b", peers, key(1), usual)
-	until(t, "what was sent before", func() bool { return b.last.Load() == "a 0 before b is there" })
+func TestLinksDeliverMessagesAndReconnect(t *testing.T) {
+	peers := map[string]string{"a": freeAddress(t), "b": freeAddress(t)}
+	a := startNode(t, "a", peers, testKey(1), testKinds)
+	a.Send("b", 0, []byte("sent before b"))
+	b := startNode(t, "b", peers, testKey(1), testKinds)
+	waitFor(t, "a message sent before b listens", func() bool { return b.lastMessage.Load() == "a 0 sent before b" })
 	b.Send("a", 1, []byte("back"))
-	until(t, "an answer on the same link", func() bool { return a.last.Load() == "b 1 back" })
-	if up := a.set.Get("fleet_links_up").Load(); up != 1 {
-		t.Errorf("%d links", up)
+	waitFor(t, "an answer on the same link", func() bool { return a.lastMessage.Load() == "b 1 back" })
+	if up := a.counters.Get("fleet_links_up").Load(); up != 1 {
+		t.Errorf("%d links are up, want 1", up)
 	}
 	big := bytes.Repeat([]byte("x"), 8<<20)
 	a.Send("b", 1, big)
-	until(t, "8 MB", func() bool { return b.got.Load() == 2 })
+	waitFor(t, "8 MB", func() bool { return b.received.Load() == 2 })
 	b.Close()
-	b = start(t, "b", peers, key(1), usual)
-	until(t, "a link to b that was started anew", func() bool {
+	b = startNode(t, "b", peers, testKey(1), testKinds)
+	waitFor(t, "a link to the restarted b", func() bool {
 		a.Send("b", 0, []byte("again"))
-		return b.last.Load() == "a 0 again"
+		return b.lastMessage.Load() == "a 0 again"
 	})
 }
 
-func TestBothDialAtOnce(t *testing.T) {
-	peers := map[string]string{"a": address(t), "b": address(t)}
-	a, b := start(t, "a", peers, key(1), usual), start(t, "b", peers, key(1), usual)
+func TestSimultaneousDial(t *testing.T) {
+	peers := map[string]string{"a": freeAddress(t), "b": freeAddress(t)}
+	a, b := startNode(t, "a", peers, testKey(1), testKinds), startNode(t, "b", peers, testKey(1), testKinds)
 	for i := range 100 {
 		a.Send("b", 0, []byte{byte(i)})
 		b.Send("a", 0, []byte{byte(i)})
 	}
-	until(t, "a link that works both ways", func() bool {
+	waitFor(t, "a link that works in both directions", func() bool {
 		a.Send("b", 0, []byte("from a"))
 		b.Send("a", 0, []byte("from b"))
-		return a.last.Load() == "b 0 from b" && b.last.Load() == "a 0 from a"
+		return a.lastMessage.Load() == "b 0 from b" && b.lastMessage.Load() == "a 0 from a"
 	})
 	if s := a.Status()[0]; !s.Up || s.Peer != "b" {
 		t.Errorf("%+v", s)
 	}
 }
 
-// TestAFloodIsLeftOutAndTold has a peer with the key send far more than boxes do.
-func TestAFloodIsLeftOutAndTold(t *testing.T) {
-	peers := map[string]string{"a": address(t), "b": address(t)}
+// TestMessagesAboveRateAreDroppedAndLogged lets an authenticated peer exceed the message rate; the excess must be dropped, counted and logged.
+func TestMessagesAboveRateAreDroppedAndLogged(t *testing.T) {
+	peers := map[string]string{"a": freeAddress(t), "b": freeAddress(t)}
 	wide := []Kind{{Messages: 1 << 20, Bytes: 64 << 20}}
-	a, b := start(t, "a", peers, key(1), wide), start(t, "b", peers, key(1), wide)
-	const sent = 4 * messagesRate
+	a, b := startNode(t, "a", peers, testKey(1), wide), startNode(t, "b", peers, testKey(1), wide)
+	const sent = 4 * maxMessageRate
 	for i := range sent {
 		a.Send("b", 0, []byte{byte(i)})
 	}
-	flooded := b.set.Get("fleet_links_messages_flooded")
-	until(t, "all that was sent", func() bool { return b.got.Load()+flooded.Load() == sent })
-	if flooded.Load() == 0 || b.got.Load() < messagesRate || !strings.Contains(b.log(), "a sends more than") {
-		t.Errorf("%d taken, %d left out; told: %s", b.got.Load(), flooded.Load(), b.log())
+	flooded := b.counters.Get("fleet_links_messages_flooded")
+	waitFor(t, "all messages to be received or dropped", func() bool { return b.received.Load()+flooded.Load() == sent })
+	if flooded.Load() == 0 || b.received.Load() < maxMessageRate || !strings.Contains(b.log(), "a sends more than") {
+		t.Errorf("%d received, %d dropped; log: %s", b.received.Load(), flooded.Load(), b.log())
 	}
 }
 
-// TestAFleetKeyIsChangedUnderWay, box after box, with links that are opened anew at each step.
-func TestAFleetKeyIsChangedUnderWay(t *testing.T) {
-	peers := map[string]string{"a": address(t), "b": address(t)}
-	a, b := start(t, "a", peers, key(1), usual), start(t, "b", peers, key(1), usual)
+// TestFleetKeyReplacement replaces the key on one box after another and reopens the links after each step.
+func TestFleetKeyReplacement(t *testing.T) {
+	peers := map[string]string{"a": freeAddress(t), "b": freeAddress(t)}
+	a, b := startNode(t, "a", peers, testKey(1), testKinds), startNode(t, "b", peers, testKey(1), testKinds)
 	works := func(step string) bool {
-		for _, n := range []*node{a, b} {
+		for _, n := range []*testNode{a, b} {
 			n.Links.mu.Lock()
 			var k *link
 			for _, p := range n.peers {
@@ -151,13 +151,13 @@
 		for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			a.Send("b", 0, []byte(step))
 			b.Send("a", 0, []byte(step))
-			if b.last.Load() == "a 0 "+step && a.last.Load() == "b 0 "+step {
+			if b.lastMessage.Load() == "a 0 "+step && a.lastMessage.Load() == "b 0 "+step {
 				return true
 			}
 		}
 		return false
 	}
-	old, both, next := [][]byte{key(1)}, [][]byte{key(1), key(2)}, [][]byte{key(2)}
+	old, both, next := [][]byte{testKey(1)}, [][]byte{testKey(1), testKey(2)}, [][]byte{testKey(2)}
 	for i, step := range [][2][][]byte{{old, old}, {both, old}, {both, both}, {next, both}, {next, next}} {
 		a.keys.Store(step[0])
 		b.keys.Store(step[1])
@@ -167,18 +167,18 @@
 	}
 	a.keys.Store(old)
 	if works("an old key") {
-		t.Error("the old key is still taken")
+		t.Error("the replaced key is still accepted")
 	}
 }
 
-func TestStrangersCostABoundedAmountAndAreTold(t *testing.T) {
-	peers := map[string]string{"a": address(t), "b": address(t), "w": address(t)}
-	a := start(t, "a", peers, key(1), usual)
-	wrong := start(t, "w", peers, key(2), usual)
+func TestUnauthenticatedConnectionsAreBoundedAndLogged(t *testing.T) {
+	peers := map[string]string{"a": freeAddress(t), "b": freeAddress(t), "w": freeAddress(t)}
+	a := startNode(t, "a", peers, testKey(1), testKinds)
+	wrong := startNode(t, "w", peers, testKey(2), testKinds)
 	wrong.Send("a", 0, []byte("x"))
-	until(t, "word of the wrong key", func() bool { return strings.Contains(a.log(), ErrKey.Error()) })
+	waitFor(t, "the log line about the wrong key", func() bool { return strings.Contains(a.log(), ErrKey.Error()) })
 	var open []net.Conn
-	for range strangersMost + 20 {
+	for range maxUnauthenticated + 20 {
 		c, err := net.Dial("tcp", peers["a"])
 		if err != nil {
 			t.Fatal(err)
@@ -186,11 +186,11 @@
 		defer c.Close()
 		open = append(open, c)
 	}
-	until(t, "word of too many", func() bool { return strings.Contains(a.log(), "prove nothing") })
-	until(t, "the end of those that say nothing", func() bool {
+	waitFor(t, "the log line about too many connections", func() bool { return strings.Contains(a.log(), "unauthenticated connections already open") })
+	waitFor(t, "silent connections to be closed", func() bool {
 		a.Links.mu.Lock()
 		defer a.Links.mu.Unlock()
-		return a.strangers == 0
+		return a.unauthenticated == 0
 	})
 	c, err := net.Dial("tcp", peers["a"])
 	if err != nil {
@@ -203,39 +203,39 @@
 			t.Log(a.log())
 		}
 	})
-	until(t, "word of garbage", func() bool { return strings.Contains(a.log(), ErrGarbage.Error()) })
-	b := start(t, "b", peers, key(1), usual)
+	waitFor(t, "the log line about invalid data", func() bool { return strings.Contains(a.log(), ErrGarbage.Error()) })
+	b := startNode(t, "b", peers, testKey(1), testKinds)
 	b.Send("a", 0, []byte("still well"))
-	until(t, "a peer's message", func() bool { return a.last.Load() == "b 0 still well" })
-	if a.got.Load() != 1 {
-		t.Errorf("%d messages were taken", a.got.Load())
+	waitFor(t, "a peer's message", func() bool { return a.lastMessage.Load() == "b 0 still well" })
+	if a.received.Load() != 1 {
+		t.Errorf("%d messages were received, want 1", a.received.Load())
 	}
 }
 
-// TestAPeerThatDoesNotReadStallsNobody has b take the link and read nothing, while a goes on talking to c.
-func TestAPeerThatDoesNotReadStallsNobody(t *testing.T) {
-	peers := map[string]string{"a": address(t), "b": address(t), "c": address(t)}
+// TestNonReadingPeerDoesNotBlockOthers lets b accept its link without reading, while a must still reach c.
+func TestNonReadingPeerDoesNotBlockOthers(t *testing.T) {
+	peers := map[string]string{"a": freeAddress(t), "b": freeAddress(t), "c": freeAddress(t)}
 	block := make(chan struct{})
-	b := &node{set: new(counters.Set)}
+	b := &testNode{counters: new(counters.Set)}
 	var err error
-	b.Links, err = Listen(Config{Name: "b", Listen: peers["b"], Peers: peers, Keys: func() ([][]byte, error) { return [][]byte{key(1)}, nil }, Kinds: usual, Now: since, Set: b.set}, func(string, byte, []byte) { <-block })
+	b.Links, err = Listen(Config{Name: "b", Listen: peers["b"], Peers: peers, Keys: func() ([][]byte, error) { return [][]byte{testKey(1)}, nil }, Kinds: testKinds, Now: testClock, Set: b.counters}, func(string, byte, []byte) { <-block })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.Close()
 	defer close(block)
-	a, c := start(t, "a", peers, key(1), usual), start(t, "c", peers, key(1), usual)
+	a, c := startNode(t, "a", peers, testKey(1), testKinds), startNode(t, "c", peers, testKey(1), testKinds)
 	for i := range 3000 {
 		a.Send("b", 0, make([]byte, 32<<10))
 		if i%100 == 0 {
 			a.Send("c", 0, []byte("to c"))
 		}
 	}
-	until(t, "c's messages", func() bool { return c.got.Load() == 30 })
+	waitFor(t, "the messages to c", func() bool { return c.received.Load() == 30 })
 	a.Links.mu.Lock()
 	waiting := a.peers["b"].queue.bytes[0]
 	a.Links.mu.Unlock()
-	if waiting > usual[0].Bytes || a.set.Get("fleet_links_messages_dropped").Load() == 0 {
-		t.Errorf("%d bytes wait for who does not read, %d messages were dropped", waiting, a.set.Get("fleet_links_messages_dropped").Load())
+	if waiting > testKinds[0].Bytes || a.counters.Get("fleet_links_messages_dropped").Load() == 0 {
+		t.Errorf("%d bytes wait for the peer that does not read, %d messages were dropped", waiting, a.counters.Get("fleet_links_messages_dropped").Load())
 	}
 }
--- a/internal/fleet/peer/queue.go
+++ b/internal/fleet/peer/queue.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Kind bounds what of one kind waits for a peer. What is beyond a bound, or has waited longer than Stale, is dropped, the
-// oldest first: whoever must have it arrive sends it again.
+// Kind limits the messages of one kind that wait for a peer. The oldest messages beyond a limit, and those that have waited longer than
+// Stale, are dropped. Senders that need delivery must repeat the message.
 type Kind struct {
-	Messages int           // that may wait
-	Bytes    int           // that may wait
-	Stale    time.Duration // after which a message is of no more use; 0 is never
+	Messages int           // limit of waiting messages
+	Bytes    int           // limit of waiting bytes
+	Stale    time.Duration // age after which a message is useless; 0: never
 }
 
-type item struct {
-	payload []byte
-	at      time.Duration
+type queuedMessage struct {
+	payload  []byte
+	queuedAt time.Duration
 }
 
-// queue holds what waits for one peer, by kind. Lower kinds go first. It is not safe for use by several goroutines.
+// queue holds the messages that wait for one peer, by kind. Lower kinds are sent first. It is not safe for concurrent use.
 type queue struct {
 	kinds   []Kind
-	waiting [][]item
+	waiting [][]queuedMessage
 	bytes   []int
 	dropped int
 }
 
 func newQueue(kinds []Kind) *queue {
-	return &queue{kinds: kinds, waiting: make([][]item, len(kinds)), bytes: make([]int, len(kinds))}
+	return &queue{kinds: kinds, waiting: make([][]queuedMessage, len(kinds)), bytes: make([]int, len(kinds))}
 }
 
 func (q *queue) put(now time.Duration, kind byte, payload []byte) {
@@ -33,7 +33,7 @@
 		q.dropped++
 		return
 	}
-	q.waiting[kind] = append(q.waiting[kind], item{payload, now})
+	q.waiting[kind] = append(q.waiting[kind], queuedMessage{payload, now})
 	q.bytes[kind] += len(payload)
 	for len(q.waiting[kind]) > k.Messages || q.bytes[kind] > k.Bytes {
 		q.drop(kind)
@@ -47,13 +47,13 @@
 	q.dropped++
 }
 
-// next takes the message that goes next.
+// next removes and returns the message to be sent next.
 func (q *queue) next(now time.Duration) (kind byte, payload []byte, ok bool) {
 	for i := range q.waiting {
 		kind = byte(i)
 		for len(q.waiting[i]) > 0 {
 			m := q.waiting[i][0]
-			if s := q.kinds[i].Stale; s > 0 && now-m.at > s {
+			if s := q.kinds[i].Stale; s > 0 && now-m.queuedAt > s {
 				q.drop(kind)
 				continue
 			}
--- a/internal/fleet/peer/session.go
+++ b/internal/fleet/peer/session.go
@@ -1,9 +1,9 @@
-// Package peer holds the links between boxes of a fleet: one TCP link for each pair that has something to say, on which both
-// ends have proven that they know the fleet's key and every message is authenticated. Faults of the network, of a peer or of a
-// stranger cost a bounded amount and are told; they only ever delay or lose messages.
+// Package peer implements the links between the boxes of a fleet: one TCP link for each pair that exchanges messages. Both ends prove
+// that they know the fleet's key, and every message is authenticated. Faults of the network, of a peer or of an unknown client cost a
+// bounded amount of resources and are logged; they can only delay or lose messages.
 //
-// It is no TLS: what is said is not hidden, only its sender and order are certain. Keys are shared by all boxes of the fleet,
-// so a box can pass itself off as another one.
+// The protocol is not TLS: messages are not encrypted, only their sender and order are authenticated. All boxes of the fleet share the
+// keys, so a box can impersonate another one.
 package peer
 
 import (
@@ -16,74 +16,74 @@
 	"io"
 )
 
-// The versions of the messages that this build can speak.
+// The range of protocol versions that this build supports.
 const (
-	versionLeast = 1
-	versionMost  = 1
+	minVersion = 1
+	maxVersion = 1
 )
 
 const (
-	magic      = "cairnlane fleet"
-	nonceBytes = 32
-	macBytes   = 16
-	headBytes  = 4
-	helloMost  = 512      // bytes of a frame from one who has proven nothing
-	frameMost  = 16 << 20 // a state of the ledger at its bounds takes 8 MB
-	nameMost   = 128
-	hintBytes  = 8
-	keysMost   = 2
+	magic         = "cairnlane fleet"
+	nonceBytes    = 32
+	macBytes      = 16
+	headerBytes   = 4
+	maxHelloBytes = 512      // bytes of a frame before authentication
+	maxFrameBytes = 16 << 20 // a ledger snapshot at its limits takes 8 MB
+	maxNameBytes  = 128
+	hintBytes     = 8
+	maxKeys       = 2
 )
 
-// Why a session ends.
+// The reasons for which a session ends.
 var (
-	ErrGarbage  = errors.New("what came is not of a fleet")
-	ErrKey      = errors.New("the other end does not have the fleet's key")
-	ErrStranger = errors.New("no box of that name is in the configuration")
-	ErrVersion  = errors.New("the other build speaks other versions of the messages")
-	ErrSelf     = errors.New("the other end has this box's own name")
-	ErrMAC      = errors.New("a message was altered, or is out of order")
-	ErrTooLong  = errors.New("a message is longer than any that is sent")
+	ErrGarbage  = errors.New("data is not of the fleet protocol")
+	ErrKey      = errors.New("the other end does not know the fleet's key")
+	ErrStranger = errors.New("box name is not in the configuration")
+	ErrVersion  = errors.New("the other end supports no common protocol version")
+	ErrSelf     = errors.New("the other end uses this box's name")
+	ErrMAC      = errors.New("message authentication failed: altered or out of order")
+	ErrTooLong  = errors.New("message exceeds the frame limit")
 )
 
-// session is one end of a link over bytes, without I/O.
+// session is one end of a link as a state machine over bytes, without I/O.
 //
-// Frames are a length (4 bytes, big endian) and a body. In the order in which they come:
+// A frame is a length (4 bytes, big endian) and a body. The frames, in order:
 //
-//	dialer    hello  magic, least and most version, run, nonce, hints of its keys, own name, name of the box that it wants
-//	listener  prove  version, run, nonce, proof under the key that it has chosen, own name
+//	dialer    hello  magic, least and most version, run, nonce, hints of its keys, own name, name of the wanted box
+//	listener  prove  version, run, nonce, proof under the chosen key, own name
 //	dialer    prove  proof
 //	both      kind and payload, and a MAC over a counter, kind and payload under a key of this direction and session
 //
-// The proofs and keys are HMAC-SHA256 over a word, both nonces and both names, so none fits another session, direction or pair.
+// Proofs and keys are HMAC-SHA256 over a label, both nonces and both names, so none is valid in another session, direction or pair.
 type session struct {
-	self   string
-	peer   string
-	run    uint64
-	dials  bool
-	keys   [][]byte
-	known  func(name string) bool
-	nonce  []byte
-	write  func(p []byte)
-	ready  func(s *session) error
-	take   func(kind byte, payload []byte)
-	phase  phase
-	in     []byte
-	other  uint64 // the other process's run
-	sent   uint64
-	got    uint64
-	sendBy hash.Hash
-	readBy hash.Hash
-	key    []byte
-	salt   []byte // of the handshake, while the listener waits for the dialer's proof
+	self          string
+	peer          string
+	run           uint64
+	isDialer      bool
+	keys          [][]byte
+	isKnown       func(name string) bool
+	nonce         []byte
+	write         func(p []byte)
+	onEstablished func(s *session) error
+	onMessage     func(kind byte, payload []byte)
+	phase         phase
+	input         []byte
+	peerRun       uint64 // the other process's run
+	sentCount     uint64
+	receivedCount uint64
+	sendMAC       hash.Hash
+	receiveMAC    hash.Hash
+	key           []byte
+	transcript    []byte // handshake transcript, until the keys of the session are derived
 }
 
 type phase uint8
 
 const (
-	waitHello phase = iota + 1
-	waitProof       // the dialer waits for the listener's
-	waitLast        // the listener waits for the dialer's
-	open
+	waitHello         phase = iota + 1
+	waitListenerProof       // the dialer waits for the listener's
+	waitDialerProof         // the listener waits for the dialer's
+	established
 )
 
 func mac(key []byte, parts ...[]byte) []byte {
@@ -101,10 +101,10 @@
 	return s, err
 }
 
-// begin has the dialer say hello.
+// begin sends the dialer's hello.
 func (s *session) begin(to string) {
-	s.dials, s.peer, s.phase = true, to, waitProof
-	b := append([]byte(magic), versionLeast, versionMost)
+	s.isDialer, s.peer, s.phase = true, to, waitListenerProof
+	b := append([]byte(magic), minVersion, maxVersion)
 	b = binary.BigEndian.AppendUint64(b, s.run)
 	b = append(b, s.nonce...)
 	b = append(b, byte(len(s.keys)))
@@ -112,25 +112,25 @@
 		b = append(b, mac(k, []byte("hint"), s.nonce)[:hintBytes]...)
 	}
 	b = appendName(appendName(b, s.self), to)
-	s.frame(b)
+	s.sendFrame(b)
 }
 
 func appendName(b []byte, name string) []byte { return append(append(b, byte(len(name))), name...) }
 
-func (s *session) frame(body []byte) {
-	s.write(append(binary.BigEndian.AppendUint32(make([]byte, 0, headBytes+len(body)), uint32(len(body))), body...))
+func (s *session) sendFrame(body []byte) {
+	s.write(append(binary.BigEndian.AppendUint32(make([]byte, 0, headerBytes+len(body)), uint32(len(body))), body...))
 }
 
-// reader takes a frame apart.
+// reader parses a frame.
 type reader struct {
-	b   []byte
-	bad bool
+	b         []byte
+	truncated bool
 }
 
 func (r *reader) take(n int) []byte {
-	if r.bad || n > len(r.b) {
-		r.bad = true
-		return make([]byte, min(n, nameMost))
+	if r.truncated || n > len(r.b) {
+		r.truncated = true
+		return make([]byte, min(n, maxNameBytes))
 	}
 	p := r.b[:n]
 	r.b = r.b[n:]
@@ -139,93 +139,93 @@
 
 func (r *reader) name() string { return string(r.take(int(r.take(1)[0]))) }
 
-// feed takes what has come in. An error ends the session.
+// feed processes received bytes. An error ends the session.
 func (s *session) feed(p []byte) error {
-	if len(s.in) > 0 {
-		s.in = append(s.in, p...)
-		p = s.in
+	if len(s.input) > 0 {
+		s.input = append(s.input, p...)
+		p = s.input
 	}
-	for len(p) >= headBytes {
+	for len(p) >= headerBytes {
 		n := int(binary.BigEndian.Uint32(p))
-		if s.phase != open && n > helloMost {
+		if s.phase != established && n > maxHelloBytes {
 			return ErrGarbage
 		}
-		if n > frameMost {
+		if n > maxFrameBytes {
 			return ErrTooLong
 		}
-		if len(p) < headBytes+n {
+		if len(p) < headerBytes+n {
 			break
 		}
-		if err := s.body(p[headBytes : headBytes+n]); err != nil {
+		if err := s.handleFrame(p[headerBytes : headerBytes+n]); err != nil {
 			return err
 		}
-		p = p[headBytes+n:]
+		p = p[headerBytes+n:]
 	}
-	s.in = append(s.in[:0], p...)
-	if len(s.in) == 0 && cap(s.in) > 64<<10 {
-		s.in = nil
+	s.input = append(s.input[:0], p...)
+	if len(s.input) == 0 && cap(s.input) > 64<<10 {
+		s.input = nil
 	}
 	return nil
 }
 
-func (s *session) body(b []byte) error {
+func (s *session) handleFrame(b []byte) error {
 	switch s.phase {
 	case waitHello:
-		return s.hello(b)
-	case waitProof:
-		return s.proof(b)
-	case waitLast:
-		if !hmac.Equal(b, mac(s.key, []byte("dialer"), s.salt)) {
+		return s.handleHello(b)
+	case waitListenerProof:
+		return s.handleListenerProof(b)
+	case waitDialerProof:
+		if !hmac.Equal(b, mac(s.key, []byte("dialer"), s.transcript)) {
 			return ErrKey
 		}
-		return s.begun()
+		return s.establish()
 	}
 	if len(b) < 1+macBytes {
 		return ErrGarbage
 	}
 	body, sum := b[:len(b)-macBytes], b[len(b)-macBytes:]
-	if !hmac.Equal(sum, tag(s.readBy, s.got, body)) {
+	if !hmac.Equal(sum, messageMAC(s.receiveMAC, s.receivedCount, body)) {
 		return ErrMAC
 	}
-	s.got++
-	s.take(body[0], body[1:])
+	s.receivedCount++
+	s.onMessage(body[0], body[1:])
 	return nil
 }
 
-// salted is what both ends have said, the dialer first.
-func salted(dialerNonce, listenerNonce []byte, dialer, listener string, version byte) []byte {
+// handshakeTranscript returns the handshake transcript, the dialer's part first.
+func handshakeTranscript(dialerNonce, listenerNonce []byte, dialer, listener string, version byte) []byte {
 	b := append(append([]byte{version}, dialerNonce...), listenerNonce...)
 	return appendName(appendName(b, dialer), listener)
 }
 
-// hello answers a dialer.
-func (s *session) hello(b []byte) error {
+// handleHello handles a dialer's hello and sends the listener's proof.
+func (s *session) handleHello(b []byte) error {
 	r := &reader{b: b}
-	if string(r.take(len(magic))) != magic || r.bad {
+	if string(r.take(len(magic))) != magic || r.truncated {
 		return ErrGarbage
 	}
 	versions := r.take(2)
-	if versions[0] > versionMost || versions[1] < versionLeast {
-		return fmt.Errorf("%w: %d to %d, and this one %d to %d", ErrVersion, versions[0], versions[1], versionLeast, versionMost)
+	if versions[0] > maxVersion || versions[1] < minVersion {
+		return fmt.Errorf("%w: it supports %d to %d, this build %d to %d", ErrVersion, versions[0], versions[1], minVersion, maxVersion)
 	}
-	version := min(versions[1], versionMost)
-	s.other = binary.BigEndian.Uint64(r.take(8))
+	version := min(versions[1], maxVersion)
+	s.peerRun = binary.BigEndian.Uint64(r.take(8))
 	nonce := append([]byte(nil), r.take(nonceBytes)...)
 	n := int(r.take(1)[0])
-	if n > keysMost {
+	if n > maxKeys {
 		return ErrGarbage
 	}
 	hints := r.take(n * hintBytes)
 	name, wanted := r.name(), r.name()
-	if r.bad || len(r.b) > 0 {
+	if r.truncated || len(r.b) > 0 {
 		return ErrGarbage
 	}
 	switch s.peer = name; {
 	case name == s.self:
 		return ErrSelf
 	case wanted != s.self:
-		return fmt.Errorf("%w: it wants %q, and this is %q", ErrStranger, wanted, s.self)
-	case !s.known(name):
+		return fmt.Errorf("%w: the dialer wants %q, but this box is %q", ErrStranger, wanted, s.self)
+	case !s.isKnown(name):
 		return fmt.Errorf("%w: %q", ErrStranger, name)
 	}
 	for _, k := range s.keys {
@@ -239,51 +239,51 @@
 	if s.key == nil {
 		return ErrKey
 	}
-	s.salt, s.phase = salted(nonce, s.nonce, name, s.self, version), waitLast
+	s.transcript, s.phase = handshakeTranscript(nonce, s.nonce, name, s.self, version), waitDialerProof
 	answer := binary.BigEndian.AppendUint64([]byte{version}, s.run)
-	answer = append(append(answer, s.nonce...), mac(s.key, []byte("listener"), s.salt)...)
-	s.frame(appendName(answer, s.self))
+	answer = append(append(answer, s.nonce...), mac(s.key, []byte("listener"), s.transcript)...)
+	s.sendFrame(appendName(answer, s.self))
 	return nil
 }
 
-// proof checks the listener's and gives the dialer's.
-func (s *session) proof(b []byte) error {
+// handleListenerProof checks the listener's proof and sends the dialer's.
+func (s *session) handleListenerProof(b []byte) error {
 	r := &reader{b: b}
 	version := r.take(1)[0]
-	s.other = binary.BigEndian.Uint64(r.take(8))
+	s.peerRun = binary.BigEndian.Uint64(r.take(8))
 	nonce, sum, name := r.take(nonceBytes), r.take(sha256.Size), r.name()
 	switch {
-	case r.bad || len(r.b) > 0 || version < versionLeast || version > versionMost:
+	case r.truncated || len(r.b) > 0 || version < minVersion || version > maxVersion:
 		return ErrGarbage
 	case name != s.peer:
 		return fmt.Errorf("%w: %q answers for %q", ErrStranger, name, s.peer)
 	}
-	s.salt = salted(s.nonce, nonce, s.self, name, version)
+	s.transcript = handshakeTranscript(s.nonce, nonce, s.self, name, version)
 	for _, k := range s.keys {
-		if hmac.Equal(sum, mac(k, []byte("listener"), s.salt)) {
+		if hmac.Equal(sum, mac(k, []byte("listener"), s.transcript)) {
 			s.key = k
 		}
 	}
 	if s.key == nil {
 		return ErrKey
 	}
-	s.frame(mac(s.key, []byte("dialer"), s.salt))
-	return s.begun()
+	s.sendFrame(mac(s.key, []byte("dialer"), s.transcript))
+	return s.establish()
 }
 
-func (s *session) begun() error {
-	s.phase = open
-	dialer, listener := mac(s.key, []byte("from dialer"), s.salt), mac(s.key, []byte("from listener"), s.salt)
-	if !s.dials {
+func (s *session) establish() error {
+	s.phase = established
+	dialer, listener := mac(s.key, []byte("from dialer"), s.transcript), mac(s.key, []byte("from listener"), s.transcript)
+	if !s.isDialer {
 		dialer, listener = listener, dialer
 	}
-	s.sendBy, s.readBy = hmac.New(sha256.New, dialer), hmac.New(sha256.New, listener)
-	s.key, s.salt, s.keys = nil, nil, nil
-	return s.ready(s)
+	s.sendMAC, s.receiveMAC = hmac.New(sha256.New, dialer), hmac.New(sha256.New, listener)
+	s.key, s.transcript, s.keys = nil, nil, nil
+	return s.onEstablished(s)
 }
 
-// tag is the MAC of the nth message of a direction.
-func tag(h hash.Hash, n uint64, body []byte) []byte {
+// messageMAC returns the MAC of message n of a direction.
+func messageMAC(h hash.Hash, n uint64, body []byte) []byte {
 	h.Reset()
 	var count [8]byte
 	binary.BigEndian.PutUint64(count[:], n)
@@ -292,12 +292,12 @@
 	return h.Sum(nil)[:macBytes]
 }
 
-// seal appends a message as it goes over the link. Messages are sealed in the order in which they are written.
+// seal appends a message's frame to dst. Frames must be written in the order in which they are sealed.
 func (s *session) seal(dst []byte, kind byte, payload []byte) []byte {
 	dst = binary.BigEndian.AppendUint32(dst, uint32(1+len(payload)+macBytes))
 	at := len(dst)
 	dst = append(append(dst, kind), payload...)
-	dst = append(dst, tag(s.sendBy, s.sent, dst[at:])...)
-	s.sent++
+	dst = append(dst, messageMAC(s.sendMAC, s.sentCount, dst[at:])...)
+	s.sentCount++
 	return dst
 }
--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -49,7 +49,7 @@
 	{"a new process takes over at once", "internal/decide/lease/lease.go", "		old.Past = true\n", "		t.end(old, false)\n", "./internal/decide/lease", "TestTheTable"},
 	{"a new era grants at once", "internal/decide/lease/lease.go", "t.Token, t.Closed = max(t.Token, token), index", "t.Token = max(t.Token, token)", "./internal/lab/fleetsim", "TestANewEraIsAboveAllNumbersAndGrantsNothingForATerm"},
 	{"numbers begin again in a new era", "internal/fleet/ledger/state.go", "	n.Era++\n", "", "./internal/fleet/ledger", "TestAnEraBeginsAboveAllNumbers"},
-	{"message taken without its MAC", "internal/fleet/peer/session.go", "	if !hmac.Equal(sum, tag(s.readBy, s.got, body)) {", "	if false && !hmac.Equal(sum, tag(s.readBy, s.got, body)) {", "./internal/fleet/peer", "TestAnAlteredMessageEndsTheSession"},
+	{"message taken without its MAC", "internal/fleet/peer/session.go", "	if !hmac.Equal(sum, messageMAC(s.receiveMAC, s.receivedCount, body)) {", "	if false && !hmac.Equal(sum, messageMAC(s.receiveMAC, s.receivedCount, body)) {", "./internal/fleet/peer", "TestAlteredMessageEndsSession"},
 }
 
 // testTime bounds one test.
