--- a/internal/fleet/view/exchange_test.go
+++ b/internal/fleet/view/exchange_test.go
@@ -11,23 +11,23 @@
 	"cairnlane/internal/decide/shed"
 )
 
-// net is a small fleet in virtual time: what boxes say arrives at the next step, unless one of the two is cut off.
-type net struct {
-	now    time.Duration
-	names  []string
-	relays []string
-	boxes  map[string]*Exchange
-	cut    map[string]bool
-	wire   []struct {
+// fleetSim is a small fleet in virtual time. A message arrives at the next step, unless its sender or recipient is cut off.
+type fleetSim struct {
+	now      time.Duration
+	names    []string
+	relays   []string
+	boxes    map[string]*Exchange
+	cut      map[string]bool
+	inFlight []struct {
 		from string
 		Out
 	}
-	said map[string]int
-	out  map[string]bool // shut out
+	sent    map[string]int
+	shutOut map[string]bool // shut out
 }
 
-func newNet(n, relays int) *net {
-	w := &net{boxes: map[string]*Exchange{}, cut: map[string]bool{}, said: map[string]int{}, out: map[string]bool{}}
+func newFleetSim(n, relays int) *fleetSim {
+	w := &fleetSim{boxes: map[string]*Exchange{}, cut: map[string]bool{}, sent: map[string]int{}, shutOut: map[string]bool{}}
 	for i := range n {
 		name := fmt.Sprintf("box%03d", i)
 		w.names = append(w.names, name)
@@ -39,15 +39,15 @@
 	return w
 }
 
-func (w *net) place(box string) Place {
-	return Place{Self: box, Session: 1, Relays: w.relays, Known: len(w.names) - len(w.out), Member: func(b string) bool { return !w.out[b] }}
+func (w *fleetSim) place(box string) Place {
+	return Place{Self: box, Session: 1, Relays: w.relays, Known: len(w.names) - len(w.shutOut), Member: func(b string) bool { return !w.shutOut[b] }}
 }
 
-func (w *net) run(span time.Duration) {
+func (w *fleetSim) advance(span time.Duration) {
 	for end := w.now + span; w.now < end; {
 		w.now += Each
-		wire := w.wire
-		w.wire = nil
+		wire := w.inFlight
+		w.inFlight = nil
 		for _, m := range wire {
 			if !w.cut[m.from] && !w.cut[m.To] {
 				w.boxes[m.To].Take(w.now, m.from, m.Message, w.place(m.To))
@@ -55,8 +55,8 @@
 		}
 		for _, b := range w.names {
 			for _, o := range w.boxes[b].Tick(w.now, w.place(b), Summary{Capacity: 100, Running: 80, First: 70, Further: 10, Classes: []float64{40, 40}, Tenants: map[string]float64{"t": 80}}) {
-				w.said[b]++
-				w.wire = append(w.wire, struct {
+				w.sent[b]++
+				w.inFlight = append(w.inFlight, struct {
 					from string
 					Out
 				}{b, o})
@@ -65,15 +65,15 @@
 	}
 }
 
-func (w *net) sums(box string) shed.Sums { return w.boxes[box].Sums(w.now, w.place(box)) }
+func (w *fleetSim) sums(box string) shed.Sums { return w.boxes[box].Sums(w.now, w.place(box)) }
 
-// TestAllBoxesComeToTheSameSums, with few messages each whatever the size.
-func TestAllBoxesComeToTheSameSums(t *testing.T) {
+// TestBoxesAgreeOnSums checks that sums agree and that the message rate per box does not depend on the fleet's size.
+func TestBoxesAgreeOnSums(t *testing.T) {
 	for _, n := range []int{3, 10, 300} {
-		w := newNet(n, 3)
-		w.run(5 * time.Second)
-		clear(w.said)
-		w.run(10 * time.Second)
+		w := newFleetSim(n, 3)
+		w.advance(5 * time.Second)
+		clear(w.sent)
+		w.advance(10 * time.Second)
 		for i, b := range w.names {
 			s := w.sums(b)
 			if math.Abs(s.Capacity-float64(100*n)) > 1 || s.Boxes != n || math.Abs(s.First-float64(70*n)) > 1 || math.Abs(s.Free-float64(20*(n-1))) > 1 || math.Abs(s.Tenants["t"]-float64(80*n)) > 1 || (shed.Trust(s) == 1) != (n <= shed.SizeMost) {
@@ -83,24 +83,24 @@
 			if i < 3 {
 				most = 4 * (2 + float64(n)*0.6)
 			}
-			if rate := float64(w.said[b]) / 10; rate > most {
-				t.Errorf("%d boxes: %s says %v messages a second", n, b, rate)
+			if rate := float64(w.sent[b]) / 10; rate > most {
+				t.Errorf("%d boxes: %s sends %v messages a second", n, b, rate)
 			}
 		}
 	}
 }
 
-// TestARelayThatIsGoneIsReplaced, a box that is cut off trusts nothing, and one that is shut out counts no more.
-func TestARelayThatIsGoneIsReplaced(t *testing.T) {
-	w := newNet(20, 3)
-	w.run(5 * time.Second)
+// TestLostRelayIsReplaced also checks that a box that is cut off trusts no sums and that one that is shut out is not counted.
+func TestLostRelayIsReplaced(t *testing.T) {
+	w := newFleetSim(20, 3)
+	w.advance(5 * time.Second)
 	w.cut["box000"], w.cut["box019"] = true, true
-	w.run(8 * time.Second)
+	w.advance(8 * time.Second)
 	for _, b := range w.names {
 		s := w.sums(b)
 		if w.cut[b] {
 			if b == "box019" && shed.Trust(s) != 0 {
-				t.Errorf("%s hears nobody and trusts %+v", b, s)
+				t.Errorf("%s is cut off but trusts %+v", b, s)
 			}
 			continue
 		}
@@ -109,17 +109,17 @@
 		}
 	}
 	clear(w.cut)
-	w.out["box010"] = true
-	w.run(8 * time.Second)
+	w.shutOut["box010"] = true
+	w.advance(8 * time.Second)
 	for _, b := range w.names {
 		if s := w.sums(b); b != "box010" && (s.Boxes != 19 || math.Abs(s.Capacity-1900) > 1 || shed.Trust(s) != 1) {
-			t.Errorf("%s has %+v after all came back and one is shut out", b, s)
+			t.Errorf("%s has %+v after all links returned and one box was shut out", b, s)
 		}
 	}
 }
 
-// TestWhatARelayMayNotSay, and who is none.
-func TestWhatARelayMayNotSay(t *testing.T) {
+// TestExchangeRejectsInvalidMessages checks which messages are rejected, by sender and content.
+func TestExchangeRejectsInvalidMessages(t *testing.T) {
 	x := new(Exchange)
 	p := Place{Self: "z", Session: 1, Relays: []string{"a"}, Known: 3, Member: func(b string) bool { return b != "out" }}
 	good := &shed.Sums{Boxes: 3, Capacity: 300}
@@ -128,14 +128,14 @@
 		m    Message
 		want bool
 	}{
-		"its relay":          {"a", Message{All: good, Session: 2, Seq: 1}, true},
-		"no relay":           {"b", Message{All: good, Session: 2, Seq: 9}, false},
-		"shut out":           {"out", Message{All: good, Session: 2, Seq: 9}, false},
-		"below 0":            {"a", Message{All: &shed.Sums{Capacity: -1}, Session: 2, Seq: 9}, false},
-		"more than there be": {"a", Message{All: &shed.Sums{Boxes: BoxesMost + 1}, Session: 2, Seq: 9}, false},
-		"a summary":          {"b", Message{Summary: &Summary{Session: 1, Seq: 1}}, false}, // this box relays for nobody
-		"a part":             {"b", Message{Part: good, Session: 2, Seq: 9}, false},
-		"nothing":            {"a", Message{}, false},
+		"its relay":        {"a", Message{All: good, Session: 2, Seq: 1}, true},
+		"not a relay":      {"b", Message{All: good, Session: 2, Seq: 9}, false},
+		"shut out":         {"out", Message{All: good, Session: 2, Seq: 9}, false},
+		"below 0":          {"a", Message{All: &shed.Sums{Capacity: -1}, Session: 2, Seq: 9}, false},
+		"too many boxes":   {"a", Message{All: &shed.Sums{Boxes: BoxesMost + 1}, Session: 2, Seq: 9}, false},
+		"a summary":        {"b", Message{Summary: &Summary{Session: 1, Seq: 1}}, false}, // this box is not a relay
+		"a part":           {"b", Message{Part: good, Session: 2, Seq: 9}, false},
+		"an empty message": {"a", Message{}, false},
 	} {
 		y := *x
 		if got := y.Take(time.Second, c.from, c.m, p); got != c.want {
@@ -146,23 +146,23 @@
 	here.Self = "a" // a relay itself
 	for box, want := range map[string]bool{"b": true, "out": false} {
 		if got := new(Exchange).Take(time.Second, box, Message{Summary: &Summary{Session: 1, Seq: 1}}, here); got != want {
-			t.Errorf("a relay takes a summary of %s: %v", box, got)
+			t.Errorf("relay's result for a summary of %s: %v", box, got)
 		}
 	}
 	x.Take(time.Second, "a", Message{All: good, Session: 2, Seq: 5}, p)
 	if x.Take(time.Second, "a", Message{All: good, Session: 2, Seq: 5}, p) {
-		t.Error("a message that comes twice counts")
+		t.Error("a repeated message was accepted")
 	}
 }
 
-// copy is what was counted so far.
+// copy returns a deep copy of the totals.
 func (t Totals) copy() Totals {
 	t.Classes, t.Tenants = slices.Clone(t.Classes), maps.Clone(t.Tenants)
 	return t
 }
 
-// TestAllBoxesComeToTheSameAdvice, although a tenant that asks for too much and all further tries come through one box alone.
-func TestAllBoxesComeToTheSameAdvice(t *testing.T) {
+// TestBoxesAgreeOnAdvice sends a tenant with excessive load and all further attempts to one box only; the advice must still be equal.
+func TestBoxesAgreeOnAdvice(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	loads, totals := map[string]*Load{}, map[string]*Totals{}
 	for _, n := range names {
@@ -202,9 +202,9 @@
 		}
 	}
 	if out := loads["a"].Tick(time.Hour, Turn{Place: place("a"), Rules: rules, Out: true}); out != nil || loads["a"].Advice != nil {
-		t.Error("a box that is shut out says something, or goes by something")
+		t.Error("a box that is shut out sends messages or has advice")
 	}
 	if loads["b"].Tick(time.Hour, Turn{Place: place("b")}); loads["b"].Advice != nil {
-		t.Error("without rules something is advised")
+		t.Error("there is advice without rules")
 	}
 }
--- a/internal/fleet/view/load.go
+++ b/internal/fleet/view/load.go
@@ -7,8 +7,8 @@
 	"cairnlane/internal/decide/shed"
 )
 
-// Load is one box's part in what its fleet knows of its load, from its own readings to the advice for its module: the same in a process and
-// in virtual time. Its clock is the box's own. The zero value is ready; it is not safe for use by several goroutines.
+// Load derives one box's advice from its own readings and the exchange with the fleet. The same code runs in a process and in virtual time.
+// Its clock is the box's own. The zero value is ready to use; it is not safe for concurrent use.
 type Load struct {
 	exchange Exchange
 	meter    Meter
@@ -16,21 +16,21 @@
 
 	Own    Summary
 	Sums   shed.Sums
-	Advice *shed.Advice  // nil while the fleet's configuration has no rules, or the box is shut out; not changed once it is there
-	Level  time.Duration // since when the level is what it is; 0: always
+	Advice *shed.Advice  // nil while the configuration has no rules or the box is shut out; immutable
+	Level  time.Duration // time of the last change of the level; 0: it has not changed
 }
 
-// Turn is what a box goes by when it looks at its load.
+// Turn holds the inputs of one Tick.
 type Turn struct {
 	Place
 	Totals Totals
-	Rules  *shed.Rules   // nil: the fleet sheds nothing
-	Later  time.Duration // the longest that a caller may be asked to stay away
-	Said   *probes.Said  // what it has found itself of what all depend on
-	Out    bool          // the box is shut out: it says nothing and goes by nothing
+	Rules  *shed.Rules   // nil: the fleet has no overload rules
+	Later  time.Duration // longest retry delay that a caller may be given
+	Said   *probes.Said  // the box's own finding about the shared dependency
+	Out    bool          // the box is shut out: it sends nothing and has no advice
 }
 
-// Tick is called each Each. It returns what is to be sent.
+// Tick must be called at each interval Each. It returns the messages to be sent.
 func (l *Load) Tick(now time.Duration, t Turn) (out []Out) {
 	l.Own = l.meter.Read(now, t.Totals)
 	l.Own.Said = t.Said
@@ -51,7 +51,7 @@
 	return out
 }
 
-// Take takes what another box says. It tells false for what is left out.
+// Take handles another box's message. It returns false for a rejected one.
 func (l *Load) Take(now time.Duration, from string, m Message, p Place) bool {
 	return l.exchange.Take(now, from, m, p)
 }
--- a/internal/fleet/view/meter.go
+++ b/internal/fleet/view/meter.go
@@ -9,19 +9,19 @@
 	"cairnlane/internal/replica"
 )
 
-// Totals are what a box has counted since its process began.
+// Totals holds a box's counts since its process started.
 type Totals struct {
-	First, Further uint64            // tries that came
-	Served, Late   uint64            // answers, and those of them after their aim
-	Refused        uint64            // by its own word
-	Advised        uint64            // refused by the fleet's word whatever the box's own state was
-	Busy           float64           // share of the cores that was wanted of late, 0 to 1; 0 where it is not known
-	Level          float64           // the free value that goes out with answers
-	Classes        []uint64          // first tries, in the order of the settings
-	Tenants        map[string]uint64 // first tries
+	First, Further uint64            // attempts received
+	Served, Late   uint64            // answers, and those after their target time
+	Refused        uint64            // rejected because of the box's own load
+	Advised        uint64            // rejected on the fleet's advice, whatever the box's own load
+	Busy           float64           // recent share of the cores in demand, 0 to 1; 0: unknown
+	Level          float64           // the free value that is sent with answers
+	Classes        []uint64          // first attempts, by class in the order of the settings
+	Tenants        map[string]uint64 // first attempts
 }
 
-// TotalsOf are those of a replica, with its free value.
+// TotalsOf returns a replica's totals, with its free value.
 func TotalsOf(f replica.Figures, level float64) Totals {
 	t := Totals{First: uint64(max(0, f.Read-f.Further)), Further: uint64(f.Further), Advised: uint64(f.Beyond), Busy: f.Busy, Level: level, Tenants: make(map[string]uint64, len(f.Tenants))}
 	for _, c := range f.Classes {
@@ -35,23 +35,24 @@
 	return t
 }
 
-// Meter makes summaries from totals. The zero value is ready; it is not safe for use by several goroutines.
+// Meter derives summaries from totals. The zero value is ready to use; it is not safe for concurrent use.
 type Meter struct {
-	last Totals
-	at   time.Duration
-	mean Summary // smoothed
-	full float64 // smoothed share of refusals by the box's own word
+	last          Totals
+	at            time.Duration
+	mean          Summary // smoothed
+	rejectedShare float64 // smoothed share of requests rejected because of the box's own load
 }
 
-// What a box can serve is measured where it shows: what it serves while it refuses by its own word, and else what it serves for the share
-// of its cores that this takes. What it refuses by the fleet's word shows nothing: a fleet that took it for a sign would shed ever more.
+// A box's capacity is measured only where it is visible: as the rate served while the box rejects requests because of its own load, and
+// otherwise as the rate served divided by the share of the cores in use. Rejections on the fleet's advice are not evidence of a full box:
+// if they were, the advice would lower the measured capacity and the fleet would shed ever more.
 const (
-	smooth    = 0.2  // weight of the newest reading, of a few a second
-	shows     = 0.01 // share of refusals from which on a box is at its capacity
-	leastBusy = 0.2  // share of the cores from which on what is served tells what could be
+	smoothing = 0.2  // weight of the newest of a few readings a second
+	fullShare = 0.01 // share of rejections from which on a box counts as full
+	minBusy   = 0.2  // share of the cores from which on the rate served indicates the capacity
 )
 
-// Read makes a summary of what came since the last reading.
+// Read returns the smoothed summary, updated with the counts since the last reading.
 func (m *Meter) Read(now time.Duration, t Totals) Summary {
 	was, span := m.last, (now - m.at).Seconds()
 	first := m.at == 0
@@ -61,12 +62,12 @@
 	}
 	rate := func(a, b uint64) float64 {
 		if a < b {
-			return 0 // it counts anew
+			return 0 // the counts have restarted
 		}
 		return float64(a-b) / span
 	}
 	s := &m.mean
-	mix := func(mean *float64, x float64) { *mean += smooth * (x - *mean) }
+	mix := func(mean *float64, x float64) { *mean += smoothing * (x - *mean) }
 	mix(&s.First, rate(t.First, was.First))
 	mix(&s.Further, rate(t.Further, was.Further))
 	mix(&s.Running, rate(t.Served, was.Served))
@@ -74,18 +75,18 @@
 	mix(&s.Refused, rate(t.Refused, was.Refused)+rate(t.Advised, was.Advised))
 	own, served := rate(t.Refused, was.Refused), rate(t.Served, was.Served)
 	if own+served > 0 {
-		mix(&m.full, own/(own+served))
+		mix(&m.rejectedShare, own/(own+served))
 	}
 	switch {
-	case m.full > shows:
+	case m.rejectedShare > fullShare:
 		mix(&s.Capacity, served)
-	case t.Busy > leastBusy:
+	case t.Busy > minBusy:
 		mix(&s.Capacity, served/t.Busy)
 	}
 	if s.Capacity == 0 {
 		s.Capacity = served
 	}
-	s.Full, s.Level = m.full > shows, t.Level
+	s.Full, s.Level = m.rejectedShare > fullShare, t.Level
 	for len(s.Classes) < len(t.Classes) {
 		s.Classes = append(s.Classes, 0)
 	}
@@ -106,12 +107,12 @@
 	}
 	out := *s
 	out.Classes = slices.Clone(s.Classes)
-	out.Tenants = greatest(s.Tenants)
+	out.Tenants = topTenants(s.Tenants)
 	return out
 }
 
-// greatest are the tenants that offer most, as many as a summary may name.
-func greatest(all map[string]float64) map[string]float64 {
+// topTenants returns the tenants with the highest offered rates, as many as a summary may contain.
+func topTenants(all map[string]float64) map[string]float64 {
 	if len(all) <= TenantsMost {
 		return maps.Clone(all)
 	}
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -1,5 +1,5 @@
-// Package view is what a box knows of the others' load: one small summary of each, aged, bounded, and clamped, so that no single box
-// moves what all of them do. It does no I/O.
+// Package view maintains what a box knows of the other boxes' load: one small summary per box, aged, bounded and clamped, so that no
+// single box can move the fleet's decisions far. It does no I/O.
 package view
 
 import (
@@ -12,48 +12,49 @@
 	"cairnlane/internal/decide/shed"
 )
 
-// Summary is what a box says of itself, a few times a second. Rates are a second's.
+// Summary is a box's report of its load, sent a few times a second. Rates are per second.
 type Summary struct {
 	Session  uint64             `cbor:"1,keyasint" json:"session"`  // the box's incarnation in the ledger
-	Seq      uint64             `cbor:"2,keyasint" json:"seq"`      // grows within an incarnation
-	Capacity float64            `cbor:"3,keyasint" json:"capacity"` // requests that it can serve
-	Running  float64            `cbor:"4,keyasint" json:"running"`  // requests that it serves
+	Seq      uint64             `cbor:"2,keyasint" json:"seq"`      // increases within an incarnation
+	Capacity float64            `cbor:"3,keyasint" json:"capacity"` // requests it can serve
+	Running  float64            `cbor:"4,keyasint" json:"running"`  // requests it serves
 	Refused  float64            `cbor:"9,keyasint" json:"refused"`
-	Late     float64            `cbor:"10,keyasint" json:"late"`  // served after their aim
-	Full     bool               `cbor:"11,keyasint" json:"full"`  // it refuses by its own word: it has nothing free
-	Level    float64            `cbor:"12,keyasint" json:"level"` // its free value
+	Late     float64            `cbor:"10,keyasint" json:"late"`  // served after their target time
+	Full     bool               `cbor:"11,keyasint" json:"full"`  // the box rejects requests because it has no free capacity itself
+	Level    float64            `cbor:"12,keyasint" json:"level"` // its free value, as sent with answers
 	First    float64            `cbor:"5,keyasint" json:"first"`
 	Further  float64            `cbor:"6,keyasint" json:"further"`
-	Classes  []float64          `cbor:"7,keyasint" json:"classes"`                   // first tries, in the order of the settings
-	Tenants  map[string]float64 `cbor:"8,keyasint" json:"tenants,omitempty"`         // first tries, of the greatest
-	Said     *probes.Said       `cbor:"13,keyasint,omitempty" json:"said,omitempty"` // what it has found itself of what all depend on
+	Classes  []float64          `cbor:"7,keyasint" json:"classes"`                   // first attempts, by class in the order of the settings
+	Tenants  map[string]float64 `cbor:"8,keyasint" json:"tenants,omitempty"`         // first attempts, of the tenants with most
+	Said     *probes.Said       `cbor:"13,keyasint,omitempty" json:"said,omitempty"` // the box's own finding about the shared dependency
 }
 
-// The bounds of a view.
+// The limits of a view.
 const (
-	BoxesMost   = 4096
-	ClassesMost = 32
-	TenantsMost = 64 // of one summary
-	nameMost    = 128
-	fresh       = time.Second     // a summary counts in full for so long
-	forgotten   = 3 * time.Second // and not at all after it
-	// mostOfMedian is how many times the median box's capacity one box's counts at the most, and mostOffered how many times its own
-	// capacity what it is offered. A box that says a hundred times the truth moves the sum of n boxes by less than mostOfMedian/n.
-	mostOfMedian = 4.0
-	mostOffered  = 8.0
+	BoxesMost    = 4096
+	ClassesMost  = 32
+	TenantsMost  = 64 // per summary
+	maxNameBytes = 128
+	freshAge     = time.Second     // age up to which a summary has full weight
+	maxAge       = 3 * time.Second // age from which it has no weight
+	// maxOfMedian limits one box's capacity to a multiple of the median, and maxOffered its offered load to a multiple of its own
+	// capacity. A box that reports a hundred times its real values then moves the sum of n boxes by less than maxOfMedian/n.
+	maxOfMedian = 4.0
+	maxOffered  = 8.0
 )
 
-type heard struct {
+type receivedSummary struct {
 	Summary
 	at time.Duration
 }
 
-// View is one box's. Its clock is the box's own. The zero value is ready; it is not safe for use by several goroutines.
-type View struct{ boxes map[string]heard }
+// View holds the summaries that one box has received. Its clock is the box's own. The zero value is ready to use; it is not safe for
+// concurrent use.
+type View struct{ boxes map[string]receivedSummary }
 
-// Take keeps what a box says. It tells false for what is left out: what is impossible, late, or of an earlier incarnation.
+// Take stores a box's summary. It returns false for a rejected one: invalid, out of order, or of an earlier incarnation.
 func (v *View) Take(now time.Duration, box string, s Summary) bool {
-	if !possible(s) || len(box) > nameMost || s.Said != nil && s.Said.Box != box { // a box says what it has found itself
+	if !validSummary(s) || len(box) > maxNameBytes || s.Said != nil && s.Said.Box != box { // a box reports only its own findings
 		return false
 	}
 	was, known := v.boxes[box]
@@ -61,17 +62,17 @@
 		return false
 	}
 	if v.boxes == nil {
-		v.boxes = map[string]heard{}
+		v.boxes = map[string]receivedSummary{}
 	}
-	v.boxes[box] = heard{s, now}
+	v.boxes[box] = receivedSummary{s, now}
 	return true
 }
 
-// Forget drops a box: it has left, is dead or shut out.
+// Forget removes a box that has left, is dead or is shut out.
 func (v *View) Forget(box string) { delete(v.boxes, box) }
 
-// possible tells whether a summary can be true at all.
-func possible(s Summary) bool {
+// validSummary reports whether a summary is within the limits and has valid numbers.
+func validSummary(s Summary) bool {
 	number := func(x float64) bool { return x >= 0 && !math.IsInf(x, 0) && !math.IsNaN(x) }
 	if len(s.Classes) > ClassesMost || len(s.Tenants) > TenantsMost || !number(s.Capacity) || !number(s.Running) || !number(s.First) || !number(s.Further) ||
 		!number(s.Refused) || !number(s.Late) || !number(s.Level) {
@@ -82,24 +83,24 @@
 			return false
 		}
 	}
-	if s.Said != nil && (s.Said.Ago < 0 || len(s.Said.Box) > nameMost) {
+	if s.Said != nil && (s.Said.Ago < 0 || len(s.Said.Box) > maxNameBytes) {
 		return false
 	}
 	for name, o := range s.Tenants {
-		if len(name) > nameMost || !number(o) {
+		if len(name) > maxNameBytes || !number(o) {
 			return false
 		}
 	}
 	return true
 }
 
-// Sums adds up what counts now. self is this box, whose own capacity is not among what is free elsewhere. known is how many boxes there
-// are.
+// Sums adds up the summaries that have weight now. self is this box, whose free capacity is not counted as free elsewhere. known is the
+// number of boxes in the fleet.
 func (v *View) Sums(now time.Duration, self string, known int) shed.Sums {
 	out := shed.Sums{Known: known, Tenants: map[string]float64{}}
 	var capacities []float64
 	for box, h := range v.boxes {
-		if now-h.at > forgotten {
+		if now-h.at > maxAge {
 			delete(v.boxes, box)
 			continue
 		}
@@ -109,23 +110,23 @@
 		return out
 	}
 	slices.Sort(capacities)
-	cap := mostOfMedian * capacities[len(capacities)/2]
-	for _, box := range slices.Sorted(maps.Keys(v.boxes)) { // in one order: floating sums depend on it
+	cap := maxOfMedian * capacities[len(capacities)/2]
+	for _, box := range slices.Sorted(maps.Keys(v.boxes)) { // a fixed order, because sums of floating-point numbers depend on it
 		h := v.boxes[box]
-		// What was said long ago counts less and less, so that a box that is gone does not vanish from the sums at once.
-		weight := min(1, max(0, 1-float64(now-h.at-fresh)/float64(forgotten-fresh)))
-		if now-h.at <= fresh {
+		// The weight decreases with age, so that a box that disappears does not leave the sums at once.
+		weight := min(1, max(0, 1-float64(now-h.at-freshAge)/float64(maxAge-freshAge)))
+		if now-h.at <= freshAge {
 			out.Boxes++
 		}
-		out.Age = max(out.Age, min(now-h.at, fresh))
+		out.Age = max(out.Age, min(now-h.at, freshAge))
 		if h.Said != nil {
-			out.Said = append(out.Said, older(*h.Said, now-h.at))
+			out.Said = append(out.Said, withAge(*h.Said, now-h.at))
 		}
 		capacity := min(h.Capacity, cap)
-		// All that it is offered is scaled together, so that the parts still add up.
+		// All parts of the offered load are scaled alike, so that they still add up.
 		offered := weight
-		if o := h.First + h.Further; o > mostOffered*capacity && o > 0 {
-			offered *= mostOffered * capacity / o
+		if o := h.First + h.Further; o > maxOffered*capacity && o > 0 {
+			offered *= maxOffered * capacity / o
 		}
 		out.Capacity += weight * capacity
 		out.Level += weight * capacity * min(h.Level, 1)
@@ -149,8 +150,8 @@
 	return out
 }
 
-// older is a word that was heard a while ago.
-func older(s probes.Said, by time.Duration) probes.Said {
+// withAge returns a finding with its age increased.
+func withAge(s probes.Said, by time.Duration) probes.Said {
 	s.Ago += by
 	return s
 }
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -11,12 +11,12 @@
 	"cairnlane/internal/testkit"
 )
 
-func summary(seq uint64, capacity, offered float64) Summary {
+func testSummary(seq uint64, capacity, offered float64) Summary {
 	return Summary{Session: 1, Seq: seq, Capacity: capacity, Running: min(capacity, offered), First: offered, Classes: []float64{offered / 2, offered / 2}, Tenants: map[string]float64{"t": offered}}
 }
 
-// TestWhatIsLeftOut: what cannot be true, what comes late, and what an earlier incarnation said.
-func TestWhatIsLeftOut(t *testing.T) {
+// TestViewRejectsInvalidSummaries checks that invalid, late and outdated summaries are rejected.
+func TestViewRejectsInvalidSummaries(t *testing.T) {
 	var v View
 	many := map[string]float64{}
 	for i := range TenantsMost + 1 {
@@ -26,21 +26,21 @@
 		s    Summary
 		want bool
 	}{
-		"the next":          {Summary{Session: 5, Seq: 2}, true},
-		"a new incarnation": {Summary{Session: 6, Seq: 1}, true},
-		"again":             {Summary{Session: 5, Seq: 1}, false},
-		"an earlier one":    {Summary{Session: 4, Seq: 9}, false},
-		"below 0":           {Summary{Session: 7, Seq: 9, First: -1}, false},
-		"no number":         {Summary{Session: 7, Seq: 9, Capacity: math.NaN()}, false},
-		"no end":            {Summary{Session: 7, Seq: 9, Running: math.Inf(1)}, false},
-		"a class below 0":   {Summary{Session: 7, Seq: 9, Classes: []float64{-1}}, false},
-		"many classes":      {Summary{Session: 7, Seq: 9, Classes: make([]float64, ClassesMost+1)}, false},
-		"many tenants":      {Summary{Session: 7, Seq: 9, Tenants: many}, false},
-		"a long name":       {Summary{Session: 7, Seq: 9, Tenants: map[string]float64{string(make([]byte, nameMost+1)): 1}}, false},
+		"the next":           {Summary{Session: 5, Seq: 2}, true},
+		"a new incarnation":  {Summary{Session: 6, Seq: 1}, true},
+		"a repeat":           {Summary{Session: 5, Seq: 1}, false},
+		"an earlier session": {Summary{Session: 4, Seq: 9}, false},
+		"below 0":            {Summary{Session: 7, Seq: 9, First: -1}, false},
+		"not a number":       {Summary{Session: 7, Seq: 9, Capacity: math.NaN()}, false},
+		"infinite":           {Summary{Session: 7, Seq: 9, Running: math.Inf(1)}, false},
+		"a class below 0":    {Summary{Session: 7, Seq: 9, Classes: []float64{-1}}, false},
+		"many classes":       {Summary{Session: 7, Seq: 9, Classes: make([]float64, ClassesMost+1)}, false},
+		"many tenants":       {Summary{Session: 7, Seq: 9, Tenants: many}, false},
+		"a long name":        {Summary{Session: 7, Seq: 9, Tenants: map[string]float64{string(make([]byte, maxNameBytes+1)): 1}}, false},
 	} {
 		v = View{}
 		if !v.Take(0, "a", Summary{Session: 5, Seq: 1}) {
-			t.Fatal("the first one is left out")
+			t.Fatal("the first summary was rejected")
 		}
 		if got := v.Take(time.Second, "a", c.s); got != c.want {
 			t.Errorf("%s: %v", name, got)
@@ -48,22 +48,22 @@
 	}
 	v = View{}
 	for i := range BoxesMost + 10 {
-		v.Take(0, fmt.Sprint(i), summary(1, 1, 1))
+		v.Take(0, fmt.Sprint(i), testSummary(1, 1, 1))
 	}
 	if len(v.boxes) != BoxesMost {
-		t.Errorf("%d boxes are kept", len(v.boxes))
+		t.Errorf("%d boxes are kept, want the limit", len(v.boxes))
 	}
 }
 
-// TestSumsAgeAndForget: what a box has said counts in full, less and less, and not at all.
-func TestSumsAgeAndForget(t *testing.T) {
+// TestSummaryWeightDecreasesWithAge checks that a summary's weight decreases with its age down to none.
+func TestSummaryWeightDecreasesWithAge(t *testing.T) {
 	var v View
 	for _, b := range []string{"a", "b", "c", "d"} {
-		v.Take(0, b, summary(1, 100, 50))
+		v.Take(0, b, testSummary(1, 100, 50))
 	}
 	for _, b := range []string{"a", "b", "c"} {
 		for at := time.Duration(0); at < 4*time.Second; at += 250 * time.Millisecond {
-			v.Take(at, b, summary(uint64(2+at/time.Millisecond), 100, 50))
+			v.Take(at, b, testSummary(uint64(2+at/time.Millisecond), 100, 50))
 		}
 	}
 	for at, want := range map[time.Duration]float64{3750 * time.Millisecond: 300, 4 * time.Second: 300} {
@@ -72,45 +72,45 @@
 		}
 	}
 	v = View{}
-	v.Take(0, "a", summary(1, 100, 50))
-	v.Take(2*time.Second, "b", summary(1, 100, 50))
+	v.Take(0, "a", testSummary(1, 100, 50))
+	v.Take(2*time.Second, "b", testSummary(1, 100, 50))
 	if s := v.Sums(2*time.Second, "b", 2); s.Capacity != 150 || s.Boxes != 1 {
-		t.Errorf("a box that was last heard 2 s ago: %+v", s)
+		t.Errorf("a box whose last summary is 2 s old: %+v", s)
 	}
 	if v.Forget("a"); v.Sums(2*time.Second, "b", 2).Capacity != 100 {
-		t.Error("a box that is gone counts")
+		t.Error("a forgotten box is still counted")
 	}
 	if s := new(View).Sums(0, "a", 4); s.Capacity != 0 || s.Boxes != 0 {
 		t.Errorf("of nothing: %+v", s)
 	}
 }
 
-// TestOneLiarMovesNothingByMuch: whatever one box of n says, the sums of capacity stay within what one box may count for.
-func TestOneLiarMovesNothingByMuch(t *testing.T) {
+// TestFalseSummaryMovesSumsWithinLimits checks that one box of n, whatever it reports, moves the sums by no more than the limits for one box.
+func TestFalseSummaryMovesSumsWithinLimits(t *testing.T) {
 	testkit.Check(t, 400, func(t *rapid.T) {
 		n := rapid.IntRange(3, 40).Draw(t, "boxes")
 		var v View
 		for i := range n - 1 {
-			v.Take(0, fmt.Sprint(i), summary(1, 100, rapid.Float64Range(0, 300).Draw(t, "offered")))
+			v.Take(0, fmt.Sprint(i), testSummary(1, 100, rapid.Float64Range(0, 300).Draw(t, "offered")))
 		}
 		before := v.Sums(0, "0", n)
-		lie := summary(1, rapid.Float64Range(0, 1e9).Draw(t, "capacity"), rapid.Float64Range(0, 1e9).Draw(t, "lie"))
+		lie := testSummary(1, rapid.Float64Range(0, 1e9).Draw(t, "capacity"), rapid.Float64Range(0, 1e9).Draw(t, "lie"))
 		v.Take(0, "liar", lie)
 		after := v.Sums(0, "0", n)
-		if d := after.Capacity - before.Capacity; d < -1e-6 || d > mostOfMedian*100+1e-6 {
+		if d := after.Capacity - before.Capacity; d < -1e-6 || d > maxOfMedian*100+1e-6 {
 			t.Fatalf("one box moves the capacity by %v", d)
 		}
-		if d := after.First - before.First; d > mostOfMedian*mostOffered*100+1 || after.Tenants["t"] > after.First+1 {
-			t.Fatalf("one box moves what is offered by %v, tenants %v of %v", d, after.Tenants["t"], after.First)
+		if d := after.First - before.First; d > maxOfMedian*maxOffered*100+1 || after.Tenants["t"] > after.First+1 {
+			t.Fatalf("one box moves the offered load by %v, tenants %v of %v", d, after.Tenants["t"], after.First)
 		}
-		if d := after.Free - before.Free; d > mostOfMedian*100+1e-6 {
-			t.Fatalf("one box moves what is free by %v", d)
+		if d := after.Free - before.Free; d > maxOfMedian*100+1e-6 {
+			t.Fatalf("one box moves the free capacity by %v", d)
 		}
 	})
 }
 
-// TestCapacityIsMeasuredWhereItShows: a box that refuses is at its capacity, and one that does not has at least what it serves.
-func TestCapacityIsMeasuredWhereItShows(t *testing.T) {
+// TestCapacityMeasurement checks that a full box's capacity is the rate it serves, and that a box that is not full has at least that.
+func TestCapacityMeasurement(t *testing.T) {
 	var m Meter
 	var sum Totals
 	now := time.Duration(0)
@@ -126,44 +126,44 @@
 	}
 	near := func(what string, got, want float64) {
 		if math.Abs(got-want) > 0.06*want+1 {
-			t.Errorf("%s: %v, not %v", what, got, want)
+			t.Errorf("%s: got %v, want %v", what, got, want)
 		}
 	}
 	if s := m.Read(0, sum); s.Capacity != 0 {
 		t.Errorf("of nothing: %+v", s)
 	}
 	s := run(10, 400, 40, 440, 0)
-	near("calm, and nothing is known of the cores", s.Capacity, 440)
+	near("no rejections, use of the cores unknown", s.Capacity, 440)
 	busy = 0.5
 	s = run(10, 400, 40, 440, 0)
-	near("calm", s.Capacity, 880)
-	near("first tries", s.First, 400)
-	near("further tries", s.Further, 40)
+	near("no rejections", s.Capacity, 880)
+	near("first attempts", s.First, 400)
+	near("further attempts", s.Further, 40)
 	near("a class", s.Classes[0], 200)
 	near("a tenant", s.Tenants["t"], 400)
 	if s.Full {
-		t.Error("it refuses nothing and is full")
+		t.Error("the box rejects nothing but counts as full")
 	}
 	busy = 0.05
-	near("hardly anything is done", run(30, 40, 0, 40, 0).Capacity, 880)
+	near("use of the cores below the minimum", run(30, 40, 0, 40, 0).Capacity, 880)
 	busy = 1
-	near("refuses", run(10, 2000, 400, 800, 1600).Capacity, 800)
+	near("rejects", run(10, 2000, 400, 800, 1600).Capacity, 800)
 	s = run(10, 2000, 400, 400, 2000)
-	near("slower now", s.Capacity, 400)
+	near("rejects at a lower rate served", s.Capacity, 400)
 	if !s.Full {
-		t.Error("it refuses and is not full")
+		t.Error("the box rejects requests but does not count as full")
 	}
-	for range 8 * 4 { // what is refused by the fleet's word shows nothing
+	for range 8 * 4 { // rejections on the fleet's advice indicate nothing about the capacity
 		now += Each
 		sum.First, sum.Served, sum.Advised, sum.Busy = sum.First+100, sum.Served+50, sum.Advised+50, 0.5
 		s = m.Read(now, sum)
 	}
-	near("advised to refuse", s.Capacity, 400)
+	near("rejects on the fleet's advice", s.Capacity, 400)
 	if s.Full {
-		t.Error("it refuses by the fleet's word alone and is full")
+		t.Error("the box rejects on the fleet's advice alone but counts as full")
 	}
 	was := s.First
 	if s := m.Read(now+Each, Totals{}); s.First > was || s.Capacity < 0 {
-		t.Errorf("after a start: %+v", s)
+		t.Errorf("after a restart of the counts: %+v", s)
 	}
 }
