--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -1,5 +1,5 @@
-// Package command runs an operator's command as the one holder of a task. The command gets a process group of its own, which
-// is ended as a whole before the lease can be another's: by this package, by its own clock, and by the daemon's desk.
+// Package command runs an operator's command as the only holder of a task. The command gets its own process group, which is killed as a
+// whole before another box can hold the lease: by this package, by its own clock, and independently by the daemon's desk.
 package command
 
 import (
@@ -18,15 +18,15 @@
 	"cairnlane/internal/fleet"
 )
 
-// The exit codes beside the command's own.
+// The exit codes in addition to the command's own.
 const (
 	NotObtained = 120 // the slot was not granted
-	Lost        = 121 // the lease was lost or had to be given up; the command was ended
-	NoFleet     = 122 // the daemon or the fleet cannot be asked
+	Lost        = 121 // the lease was lost or had to be given up, and the command was ended
+	NoFleet     = 122 // the daemon or the fleet is unavailable
 	NotStarted  = 127 // the command cannot be started
 )
 
-// Desk is where slots are held: the daemon.
+// Desk holds slots for this package; the daemon implements it.
 type Desk interface {
 	Begin(r lease.Request) (uint64, error)
 	Poll(id uint64, wait time.Duration) (fleet.RunStatus, error)
@@ -34,72 +34,72 @@
 	End(id uint64) error
 }
 
-// Config is how a command is run.
+// Config describes a command and the slot it needs.
 type Config struct {
-	Env     []string // beside the system's and what stands below
+	Env     []string // in addition to the process's environment and the variables that Run sets
 	Request lease.Request
-	Wait    time.Duration // for the slot; 0 waits as long as it takes
-	Grace   time.Duration // from the request to end to the end by force, as far as the lease allows
+	Wait    time.Duration // longest wait for the slot; 0: no limit
+	Grace   time.Duration // time between SIGTERM and SIGKILL, as far as the lease allows
 	Command []string
 	Now     func() time.Duration // clock.Boot
 	Stderr  io.Writer
 }
 
 const (
-	pollEach  = 500 * time.Millisecond
-	watchEach = 10 * time.Millisecond
+	pollInterval  = 500 * time.Millisecond
+	watchInterval = 10 * time.Millisecond
 )
 
-// Run waits for the slot, runs the command and returns the exit code for it.
+// Run waits for the slot, runs the command and returns the exit code.
 func Run(d Desk, cfg Config) (code int) {
-	// A signal of the parent's death follows the thread that has forked.
+	// The parent-death signal is tied to the thread that forks, so that thread must live as long as the command.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	say := func(format string, args ...any) { fmt.Fprintf(cfg.Stderr, "cairnctl: "+format+"\n", args...) }
+	logf := func(format string, args ...any) { fmt.Fprintf(cfg.Stderr, "cairnctl: "+format+"\n", args...) }
 
 	id, err := d.Begin(cfg.Request)
 	if err != nil {
-		say("%v", err)
+		logf("%v", err)
 		return NoFleet
 	}
 	defer func() {
 		if err := d.End(id); err != nil && !errors.Is(err, fleet.ErrNoRun) && code != Lost {
-			say("the slot could not be given back, it runs out by itself: %v", err)
+			logf("cannot give the slot back; it expires by itself: %v", err)
 		}
 	}()
-	began, told := cfg.Now(), 0
+	startedAt, reportedPlace := cfg.Now(), 0
 	var s fleet.RunStatus
 	var until time.Duration
 	for {
-		asked := cfg.Now()
-		if s, err = d.Poll(id, pollEach); err != nil {
-			say("%v", err)
+		requestedAt := cfg.Now()
+		if s, err = d.Poll(id, pollInterval); err != nil {
+			logf("%v", err)
 			return NoFleet
 		}
 		if s.Left > 0 {
-			until = asked + s.Left // counted from before it was asked
+			until = requestedAt + s.Left // counted from before the request, to be safe
 			break
 		}
 		switch s.Word {
 		case lease.Asked.String(), lease.Doubtful.String():
 		default:
-			say("%s was not obtained: %s %s", cfg.Request.Task, s.Word, s.Why)
+			logf("%s was not obtained: %s %s", cfg.Request.Task, s.Word, s.Why)
 			return NotObtained
 		}
-		if s.Place > 0 && s.Place != told {
-			told = s.Place
-			say("%s is held; place %d in the queue", cfg.Request.Task, s.Place)
+		if s.Place > 0 && s.Place != reportedPlace {
+			reportedPlace = s.Place
+			logf("%s is held; place %d in the queue", cfg.Request.Task, s.Place)
 		}
-		if cfg.Wait > 0 && cfg.Now()-began > cfg.Wait {
-			say("%s was not obtained within %v", cfg.Request.Task, cfg.Wait)
+		if cfg.Wait > 0 && cfg.Now()-startedAt > cfg.Wait {
+			logf("%s was not obtained within %v", cfg.Request.Task, cfg.Wait)
 			return NotObtained
 		}
 		select {
 		case sig := <-signals:
-			say("%v: no longer waiting for %s", sig, cfg.Request.Task)
+			logf("%v: no longer waiting for %s", sig, cfg.Request.Task)
 			return NotObtained
 		default:
 		}
@@ -108,11 +108,11 @@
 	cmd := exec.Command(cfg.Command[0], cfg.Command[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, os.Stdout, os.Stderr
 	cmd.Env = append(append(os.Environ(), cfg.Env...), "CAIRNLANE_TASK="+cfg.Request.Task, "CAIRNLANE_TOKEN="+strconv.FormatUint(s.Token, 10))
-	// The command waits in a group of its own until the desk knows of it: it must not act before both guards do.
+	// The command waits in its own process group until the desk knows of it: it must not act before both guards can kill it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	hold, release, err := os.Pipe()
 	if err != nil {
-		say("%v", err)
+		logf("%v", err)
 		return NotStarted
 	}
 	cmd.Path, cmd.Args, cmd.ExtraFiles, err = gate(cmd, hold)
@@ -122,7 +122,7 @@
 	hold.Close()
 	if err != nil {
 		release.Close()
-		say("%v", err)
+		logf("%v", err)
 		return NotStarted
 	}
 	pgid := cmd.Process.Pid
@@ -132,15 +132,15 @@
 		release.Close()
 		fleet.Groups{}.Kill(pgid)
 		<-ended
-		say("%s was lost before the command began: %v", cfg.Request.Task, err)
+		logf("%s was lost before the command began: %v", cfg.Request.Task, err)
 		return Lost
 	}
 	release.Write([]byte{1})
 	release.Close()
-	return watch(d, cfg, id, until, pgid, ended, signals, say)
+	return watch(d, cfg, id, until, pgid, ended, signals, logf)
 }
 
-// gate wraps a command so that it begins once a byte comes over a pipe, and not at all when the pipe closes before.
+// gate wraps a command so that it starts when a byte arrives on a pipe, and never if the pipe is closed first.
 func gate(cmd *exec.Cmd, hold *os.File) (path string, args []string, files []*os.File, err error) {
 	if cmd.Err != nil {
 		return "", nil, nil, cmd.Err
@@ -153,8 +153,8 @@
 	return shell, append([]string{"bash", "-c", script, cmd.Path}, cmd.Args[1:]...), []*os.File{hold}, nil
 }
 
-// watch goes on to ask for the lease while the command runs, and ends the group when the lease does.
-func watch(d Desk, cfg Config, id uint64, until time.Duration, pgid int, ended chan error, signals chan os.Signal, say func(string, ...any)) int {
+// watch polls the lease while the command runs, and ends the process group before the lease ends.
+func watch(d Desk, cfg Config, id uint64, until time.Duration, pgid int, ended chan error, signals chan os.Signal, logf func(string, ...any)) int {
 	type answer struct {
 		s     fleet.RunStatus
 		asked time.Duration
@@ -166,23 +166,23 @@
 	go func() {
 		for {
 			asked := cfg.Now()
-			s, err := d.Poll(id, pollEach)
+			s, err := d.Poll(id, pollInterval)
 			select {
 			case answers <- answer{s, asked, err}:
 			case <-stop:
 				return
 			}
 			if err != nil {
-				time.Sleep(pollEach / 5)
+				time.Sleep(pollInterval / 5)
 			}
 		}
 	}()
-	var lost string
+	var lostReason string
 	var span time.Duration
-	killAt := time.Duration(-1) // when the group is ended by force, once it was asked to end
-	ask := func(why string) {
+	killAt := time.Duration(-1) // when the group is killed, once it has been sent SIGTERM
+	terminate := func(why string) {
 		if killAt < 0 {
-			lost = why
+			lostReason = why
 			syscall.Kill(-pgid, syscall.SIGTERM)
 			killAt = cfg.Now() + cfg.Grace
 		}
@@ -190,28 +190,28 @@
 	for {
 		now := cfg.Now()
 		span = max(span, until-now)
-		// It is renewed each third of its span, so one of which less than a third is left is not going to be.
+		// A lease is renewed after each third of its span, so one with less than a third left is not being renewed.
 		if now >= until-min(cfg.Grace, span/3) {
-			ask("the lease runs out and is not renewed")
+			terminate("the lease is about to expire and has not been renewed")
 		}
 		if now >= until || killAt >= 0 && now >= min(killAt, until) {
 			fleet.Groups{}.Kill(pgid)
 		}
 		select {
 		case err := <-ended:
-			for (fleet.Groups{}).Alive(pgid) { // children that it has left behind
+			for (fleet.Groups{}).Alive(pgid) { // children that the command has left running
 				fleet.Groups{}.Kill(pgid)
 				time.Sleep(time.Millisecond)
 			}
-			if lost != "" {
-				say("%s was lost: %s; the command was ended", cfg.Request.Task, lost)
+			if lostReason != "" {
+				logf("%s was lost: %s; the command was ended", cfg.Request.Task, lostReason)
 				return Lost
 			}
 			var exit *exec.ExitError
 			if errors.As(err, &exit) {
 				if ws, ok := exit.Sys().(syscall.WaitStatus); ok && ws.Signaled() {
 					if ws.Signal() == syscall.SIGKILL && cfg.Now() >= until-cfg.Grace {
-						say("%s was lost; the command was ended", cfg.Request.Task)
+						logf("%s was lost; the command was ended", cfg.Request.Task)
 						return Lost
 					}
 					return 128 + int(ws.Signal())
@@ -219,7 +219,7 @@
 				return exit.ExitCode()
 			}
 			if err != nil {
-				say("%v", err)
+				logf("%v", err)
 				return NotStarted
 			}
 			return 0
@@ -227,19 +227,19 @@
 			switch {
 			case errors.Is(a.err, fleet.ErrNoRun) || a.err != nil && a.err.Error() == fleet.ErrNoRun.Error():
 				until = min(until, now)
-				ask("the daemon holds the slot no more")
-			case a.err != nil: // it may be back before the lease runs out
+				terminate("the daemon no longer holds the slot")
+			case a.err != nil: // the daemon may return before the lease ends
 			case a.s.Stop:
-				ask("it is asked to stop early")
+				terminate("the holder was asked to stop early")
 			case a.s.Word == lease.Lost.String():
 				until = min(until, now)
-				ask("the fleet has ended it")
+				terminate("the fleet ended the lease")
 			case a.s.Left > 0:
 				until = max(until, a.asked+a.s.Left)
 			}
 		case sig := <-signals:
 			syscall.Kill(-pgid, sig.(syscall.Signal))
-		case <-time.After(watchEach):
+		case <-time.After(watchInterval):
 		}
 	}
 }
