--- a/internal/decide/probes/pace_test.go
+++ b/internal/decide/probes/pace_test.go
@@ -12,55 +12,55 @@
 	"cairnlane/internal/testkit"
 )
 
-// shared is something that boxes depend on, asked at their pace, and what they tell each other of it.
-type shared struct {
-	now    time.Duration
-	boxes  []*Pace
-	up     bool
-	prober int                     // -1: none
-	deaf   func(from, to int) bool // nil: all hear all
-	asked  int
-	by     []int
-	last   []time.Duration // asked while it was up
-	told   []struct {
+// dependencySim simulates a dependency, the boxes that send requests to it at their pace, and the findings that they exchange.
+type dependencySim struct {
+	now           time.Duration
+	boxes         []*Pace
+	up            bool
+	prober        int                     // -1: none
+	blocked       func(from, to int) bool // nil: all messages arrive
+	requests      int
+	requestsByBox []int
+	lastSuccess   []time.Duration // last request of each box while the dependency was up
+	inFlight      []struct {
 		at       time.Duration
 		from, to int
 		Said
 	}
 }
 
-func newShared(n int) *shared {
-	s := &shared{now: time.Hour, up: true, by: make([]int, n), last: make([]time.Duration, n)}
+func newDependencySim(n int) *dependencySim {
+	s := &dependencySim{now: time.Hour, up: true, requestsByBox: make([]int, n), lastSuccess: make([]time.Duration, n)}
 	r := rand.New(rand.NewPCG(9, uint64(n)))
 	for i := range n {
 		s.boxes = append(s.boxes, &Pace{Self: fmt.Sprint("b", i), Base: 700 * time.Millisecond, Most: 1300 * time.Millisecond, Each: 5 * time.Millisecond, Place: (float64(i) + r.Float64()) / float64(n)})
-		s.last[i] = s.now
+		s.lastSuccess[i] = s.now
 	}
 	return s
 }
 
-const talks = 250 * time.Millisecond
+const exchangeInterval = 250 * time.Millisecond
 
-func (s *shared) run(span time.Duration) {
+func (s *dependencySim) advance(span time.Duration) {
 	for end := s.now + span; s.now < end; {
 		s.now += 50 * time.Millisecond
-		for len(s.told) > 0 && s.told[0].at <= s.now {
-			m := s.told[0]
-			s.told = s.told[1:]
+		for len(s.inFlight) > 0 && s.inFlight[0].at <= s.now {
+			m := s.inFlight[0]
+			s.inFlight = s.inFlight[1:]
 			s.boxes[m.to].Heard(s.now, m.Said)
 		}
 		for i, b := range s.boxes {
 			b.Fleet(len(s.boxes), i == s.prober)
 			if b.Due(s.now) {
-				s.asked++
-				s.by[i]++
+				s.requests++
+				s.requestsByBox[i]++
 				if s.up {
-					s.last[i] = s.now
+					s.lastSuccess[i] = s.now
 				}
 				b.Told(s.now, s.up)
 			}
 		}
-		if s.now%talks != 0 {
+		if s.now%exchangeInterval != 0 {
 			continue
 		}
 		var all []Said
@@ -74,92 +74,92 @@
 		newest := Newest(all)
 		for to := range s.boxes {
 			heard := newest
-			if s.deaf != nil {
+			if s.blocked != nil {
 				heard = nil
 				for _, w := range all {
-					if !s.deaf(from[w.Box], to) {
+					if !s.blocked(from[w.Box], to) {
 						heard = append(heard, w)
 					}
 				}
 				heard = Newest(heard)
 			}
 			for _, w := range heard {
-				w.Ago += talks
-				s.told = append(s.told, struct {
+				w.Ago += exchangeInterval
+				s.inFlight = append(s.inFlight, struct {
 					at       time.Duration
 					from, to int
 					Said
-				}{s.now + talks, from[w.Box], to, w})
+				}{s.now + exchangeInterval, from[w.Box], to, w})
 			}
 		}
 	}
 }
 
-// TestAnOutageIsAskedAboutByFew, and all are back in time when it is over: none stays away for longer than the protocol allows.
-func TestAnOutageIsAskedAboutByFew(t *testing.T) {
+// TestOutageRequestRateAndReturn checks the request rate during an outage, and that afterwards no box stays away for longer than the protocol allows.
+func TestOutageRequestRateAndReturn(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 100, 1000} {
-		s := newShared(n)
-		s.run(10 * time.Second)
-		for i, last := range s.last {
+		s := newDependencySim(n)
+		s.advance(10 * time.Second)
+		for i, last := range s.lastSuccess {
 			if s.now-last > 1400*time.Millisecond {
-				t.Fatalf("%d boxes: box %d has not asked for %v although all is well", n, i, s.now-last)
+				t.Fatalf("%d boxes: box %d has sent no request for %v although the dependency is up", n, i, s.now-last)
 			}
 		}
 		s.up = false
-		s.run(6 * time.Second) // they find out, and their opinions settle
-		s.asked = 0
-		s.run(30 * time.Second)
-		if rate, most := float64(s.asked)/30, 1.5*math.Sqrt(float64(n))+1; rate > most && n > 1 {
-			t.Errorf("%d boxes ask %v times a second while it is down, %v is the most", n, rate, most)
+		s.advance(6 * time.Second) // the boxes detect the outage and their findings settle
+		s.requests = 0
+		s.advance(30 * time.Second)
+		if rate, most := float64(s.requests)/30, 1.5*math.Sqrt(float64(n))+1; rate > most && n > 1 {
+			t.Errorf("%d boxes send %v requests per second while the dependency is down, want at most %v", n, rate, most)
 		}
 		s.up = true
 		back := s.now
-		s.run(4 * time.Second)
-		for i, last := range s.last {
+		s.advance(4 * time.Second)
+		for i, last := range s.lastSuccess {
 			if last < back {
-				t.Fatalf("%d boxes: box %d has not come back within 4 s", n, i)
+				t.Fatalf("%d boxes: box %d has not returned within 4 s", n, i)
 			}
 		}
 	}
 }
 
-// TestWhoHearsNobodyAsksForItself, and one box that cannot reach what the others can does not stop them.
-func TestWhoHearsNobodyAsksForItself(t *testing.T) {
-	s := newShared(8)
-	s.run(10 * time.Second)
-	s.deaf = func(int, int) bool { return true }
+// TestIsolatedBoxesSendOnTheirOwn also checks that one box that cannot reach the dependency does not stop the others.
+func TestIsolatedBoxesSendOnTheirOwn(t *testing.T) {
+	s := newDependencySim(8)
+	s.advance(10 * time.Second)
+	s.blocked = func(int, int) bool { return true }
 	s.up = false
-	s.run(40 * time.Second)
-	clear(s.by)
-	s.run(60 * time.Second)
-	for i, n := range s.by {
+	s.advance(40 * time.Second)
+	clear(s.requestsByBox)
+	s.advance(60 * time.Second)
+	for i, n := range s.requestsByBox {
 		if n < 3 {
-			t.Errorf("box %d, which hears nobody, has asked %d times in a minute", i, n)
+			t.Errorf("box %d, which receives no reports, sent %d requests in a minute", i, n)
 		}
 	}
 	s.up = true
-	s.run(15 * time.Second)
-	for i, last := range s.last {
+	s.advance(15 * time.Second)
+	for i, last := range s.lastSuccess {
 		if s.now-last > 1400*time.Millisecond {
-			t.Errorf("box %d is not back", i)
+			t.Errorf("box %d has not returned", i)
 		}
 	}
-	one := newShared(8)
-	one.run(5 * time.Second)
-	for range 40 { // box 3 finds it down again and again, the others find it up
+	one := newDependencySim(8)
+	one.advance(5 * time.Second)
+	for range 40 { // box 3 repeatedly finds it down, the others find it up
 		one.boxes[3].Told(one.now, false)
-		one.run(250 * time.Millisecond)
+		one.advance(250 * time.Millisecond)
 	}
-	for i, last := range one.last {
+	for i, last := range one.lastSuccess {
 		if i != 3 && one.now-last > 2*time.Second {
-			t.Errorf("box %d has stopped asking, by the word of one box", i)
+			t.Errorf("box %d has stopped sending requests because of one box's finding", i)
 		}
 	}
 }
 
-// TestAPaceOverRandomSteps: whatever is heard, late, twice or invented, a box never asks more often than each half period, and not for
-// longer than an opinion counts, doubled, does it ask nothing.
-func TestAPaceOverRandomSteps(t *testing.T) {
+// TestPaceRequestIntervals checks that, whatever reports arrive (late, repeated or invented), a box never sends more than one request in half
+// an interval, and that without reports it sends one within twice the time for which a finding counts.
+func TestPaceRequestIntervals(t *testing.T) {
 	testkit.Check(t, 200, func(t *rapid.T) {
 		p := Pace{Self: "me", Base: 700 * time.Millisecond, Most: 1300 * time.Millisecond, Each: 5 * time.Millisecond, Place: rapid.Float64Range(0, 1).Draw(t, "place")}
 		now, last := time.Hour, time.Hour
@@ -174,27 +174,27 @@
 			}
 			if p.Due(now) {
 				if last != time.Hour && now-last < p.Base/2 {
-					t.Fatalf("asks %v after the question before", now-last)
+					t.Fatalf("request only %v after the previous one", now-last)
 				}
 				last = now
 				p.Told(now, rapid.Bool().Draw(t, "up"))
 			}
-			if quiet && now-last > 2*ages*p.Base+time.Second {
-				t.Fatalf("hears nobody and has not asked for %v", now-last)
+			if quiet && now-last > 2*opinionIntervals*p.Base+time.Second {
+				t.Fatalf("no reports received, and no request for %v", now-last)
 			}
 		}
 	})
 }
 
-// TestEveryOrderOfTwoBoxes and what they find and hear, to a depth: nothing counts as down by one box's word.
-func TestEveryOrderOfTwoBoxes(t *testing.T) {
+// TestDownNeedsFindingsOfTwoBoxes walks all orders of results and reports of two boxes to a fixed depth: one box's finding must never give Down.
+func TestDownNeedsFindingsOfTwoBoxes(t *testing.T) {
 	states := 0
 	var walk func(depth int, steps []int)
 	walk = func(depth int, steps []int) {
 		states++
 		a, b := Pace{Self: "a", Base: time.Second}, Pace{Self: "b", Base: time.Second}
 		now := time.Hour
-		found := map[string]bool{} // down, by its own question
+		found := map[string]bool{} // found down by the box's own request
 		for _, s := range steps {
 			now += 500 * time.Millisecond
 			a.Fleet(2, true)
@@ -219,7 +219,7 @@
 			}
 			for _, p := range []*Pace{&a, &b} {
 				if p.Verdict(now) == Down && !(found["a"] && found["b"]) {
-					t.Fatalf("%v: %s takes it for down by one box's word", steps, p.Self)
+					t.Fatalf("steps %v: %s has verdict Down from one box's finding", steps, p.Self)
 				}
 			}
 		}
--- a/internal/decide/probes/probes.go
+++ b/internal/decide/probes/probes.go
@@ -1,9 +1,10 @@
-// Package probes decides how often a fleet asks what all of its boxes depend on, how it comes back to what was away, and when what one box
-// found counts for all. Alone, each box asks by its own clock, so what is asked grows with the fleet just when something is down.
+// Package probes decides how often the boxes of a fleet probe a dependency that they share, how they reconnect to one that was down, and when
+// the finding of one box counts for all. If each box probed on its own schedule, the number of probes would grow with the fleet just when the
+// dependency is down.
 //
-// What it rests on. Nothing is agreed on for a single question: a box knows about how many boxes there are, and has a place of its own
-// (a hash of its name), the same after each restart. If half of the fleet thinks that it is half as large, it asks 1.4 times as often as it
-// should. What the protocol pages fix stays: most says what a page allows at the most between two questions.
+// The decisions need no agreement for a single probe. A box knows the approximate number of boxes and has a fixed place (a hash of its
+// name), the same after each restart. If half of the fleet assumes half of the real size, that half probes 1.4 times as often as it should.
+// Limits set by the protocol's specification remain in force: the parameter most is the longest interval that the specification allows.
 package probes
 
 import (
@@ -11,8 +12,8 @@
 	"time"
 )
 
-// Every is how long a box of n waits between two questions that a lone box would ask each base: the fleet together asks with the square
-// root of its size. It is never above most; 0 is no bound.
+// Every returns the probe interval of each of n boxes, where base is the interval of a single box. The fleet's total rate of probes grows with
+// the square root of its size. The result is at most most, 0 for no limit, and at least base.
 func Every(base time.Duration, n int, most time.Duration) time.Duration {
 	d := time.Duration(float64(base) * math.Sqrt(float64(max(1, n))))
 	if most > 0 {
@@ -21,75 +22,75 @@
 	return max(d, base)
 }
 
-// First is when a box asks for the first time after a start or an outage that all saw: at its place within a period, so that boxes which
-// were started or cut off together do not ask together. place is from 0 to 1.
+// First returns the time of a box's first probe after a start or an outage that all boxes saw. It lies at the box's place within an interval,
+// so that boxes started or disconnected together do not probe together. place is from 0 to 1.
 func First(now, every time.Duration, place float64) time.Duration {
-	return now + time.Duration(inside(place)*float64(every))
+	return now + time.Duration(clampUnit(place)*float64(every))
 }
 
-func inside(u float64) float64 { return math.Max(0, math.Min(u, 1)) }
+func clampUnit(u float64) float64 { return math.Max(0, math.Min(u, 1)) }
 
-// Return is how boxes come back to something that was away.
+// Return holds the parameters by which boxes reconnect to a dependency that was down.
 type Return struct {
-	Least time.Duration // before the first further try
-	Most  time.Duration // between two tries
-	Each  time.Duration // what the other side needs for one box that comes back; all of n need n times as long
+	Least time.Duration // upper bound of the delay before the first retry
+	Most  time.Duration // upper bound of the delay between two attempts
+	Each  time.Duration // time that the dependency needs per reconnecting box; n boxes need n times as long
 }
 
-// Next is how long a box waits before its try of a number, from 0: full jitter over a span that doubles (Brooker, Exponential Backoff and
-// Jitter), and not less than it takes the others to come back. u is drawn evenly from 0 to 1.
-func (r Return) Next(try, n int, u float64) time.Duration {
+// Next returns the delay before attempt number try, from 0: full jitter over a span that doubles (Brooker, Exponential Backoff and
+// Jitter) and is at least as long as n boxes need to reconnect. u is drawn uniformly from 0 to 1.
+func (r Return) Next(attempt, n int, u float64) time.Duration {
 	span := r.Most
-	if try < 30 {
-		span = min(r.Most, r.Least<<try)
+	if attempt < 30 {
+		span = min(r.Most, r.Least<<attempt)
 	}
 	span = min(max(span, time.Duration(max(0, n))*r.Each), max(r.Most, time.Duration(max(0, n))*r.Each))
-	return time.Duration(inside(u) * float64(span))
+	return time.Duration(clampUnit(u) * float64(span))
 }
 
-// Opinion is what one box found of something that all depend on.
+// Opinion is one box's finding about a shared dependency.
 type Opinion struct {
 	Box string
 	Up  bool
-	At  time.Duration // when this box heard of it, by its own clock
+	At  time.Duration // when this box learned of it, by its own clock
 }
 
-// Verdict is what counts.
+// Verdict is the state of the dependency that follows from all findings.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Unknown Verdict = iota // nobody has asked lately
+	Unknown Verdict = iota // no recent finding
 	Up
-	Doubtful // one box found it down: a second opinion is due
-	Down     // two boxes did
+	Doubtful // one box found it down; a second finding is needed
+	Down     // two boxes found it down
 )
 
-var verdicts = [...]string{"unknown", "up", "doubtful", "down"}
+var verdictNames = [...]string{"unknown", "up", "doubtful", "down"}
 
-func (v Verdict) String() string { return verdicts[v] }
+func (v Verdict) String() string { return verdictNames[v] }
 
-// Judge keeps the latest opinion of each box. Its clock is the box's own. The zero value with an Age is ready.
+// Judge keeps the latest finding of each box. Its clock is the box's own. The zero value with Age set is ready to use.
 type Judge struct {
-	Age      time.Duration // for which an opinion counts
+	Age      time.Duration // age up to which a finding counts
 	opinions map[string]Opinion
 }
 
-// opinionsMost bounds what is kept; there is one prober at a time, and a second one when it finds something down.
-const opinionsMost = 64
+// maxOpinions bounds the stored findings. Usually there is one prober at a time, and a second one after it found the dependency down.
+const maxOpinions = 64
 
-// Heard takes an opinion.
+// Heard records a finding.
 func (j *Judge) Heard(o Opinion) {
 	if j.opinions == nil {
 		j.opinions = map[string]Opinion{}
 	}
-	j.drop(o.At)
-	if _, known := j.opinions[o.Box]; known || len(j.opinions) < opinionsMost {
+	j.dropExpired(o.At)
+	if _, known := j.opinions[o.Box]; known || len(j.opinions) < maxOpinions {
 		j.opinions[o.Box] = o
 	}
 }
 
-func (j *Judge) drop(now time.Duration) {
+func (j *Judge) dropExpired(now time.Duration) {
 	for box, o := range j.opinions {
 		if now-o.At > j.Age {
 			delete(j.opinions, box)
@@ -97,10 +98,11 @@
 	}
 }
 
-// Verdict tells what counts now. One box that finds it up outweighs those who found it down before: their way may be what is broken. Two
-// that found it down since are needed for what takes boxes out.
+// Verdict returns the state that follows from the current findings. One box that finds the dependency up outweighs all earlier findings that
+// it is down, because those boxes may have a network fault of their own. Two boxes must have found it down since for Down, the verdict that
+// takes boxes out of service.
 func (j *Judge) Verdict(now time.Duration) Verdict {
-	j.drop(now)
+	j.dropExpired(now)
 	up := time.Duration(math.MinInt64)
 	for _, o := range j.opinions {
 		if o.Up {
@@ -124,8 +126,9 @@
 	return Unknown
 }
 
-// Asks tells whether a box is to ask now: whoever has the prober's lease does, each period; another one does when there is a doubt, for
-// the second opinion, and every box does for itself when nobody has been heard for twice the age: a fleet whose prober is silent is not blind.
+// Asks reports whether a box is to probe now. The holder of the prober's lease probes at each interval. When the verdict is Doubtful another
+// box probes for the second finding. A box without any finding for twice Age probes for itself, so that a fleet whose prober has failed is
+// not without findings.
 func (j *Judge) Asks(now time.Duration, self string, prober bool, last, every time.Duration) bool {
 	if last != 0 && now-last < every {
 		return false
--- a/internal/decide/probes/probes_test.go
+++ b/internal/decide/probes/probes_test.go
@@ -12,25 +12,25 @@
 	"cairnlane/internal/testkit"
 )
 
-// TestAFleetAsksWithTheRootOfItsSize, and never less often than a page allows.
-func TestAFleetAsksWithTheRootOfItsSize(t *testing.T) {
+// TestProbeRateGrowsWithRootOfSize also checks that the interval never exceeds the protocol's limit.
+func TestProbeRateGrowsWithRootOfSize(t *testing.T) {
 	const base = time.Second
 	for _, n := range []int{1, 4, 100, 1000} {
 		every := Every(base, n, 0)
 		if rate := float64(n) / every.Seconds(); math.Abs(rate-math.Sqrt(float64(n))) > 1e-6 {
-			t.Errorf("%d boxes ask %v times a second", n, rate)
+			t.Errorf("%d boxes probe %v times per second", n, rate)
 		}
 		if got := Every(base, n, 3*time.Second); got > 3*time.Second || got < base {
-			t.Errorf("%d boxes: each asks after %v", n, got)
+			t.Errorf("%d boxes: interval %v", n, got)
 		}
 	}
 	if Every(base, 0, 0) != base || Every(base, -5, 0) != base {
-		t.Error("no fleet at all is not as one box")
+		t.Error("the interval of no boxes differs from that of one box")
 	}
 }
 
-// TestBoxesThatStartTogetherAskApart: by their places, evenly over a period.
-func TestBoxesThatStartTogetherAskApart(t *testing.T) {
+// TestFirstProbesAreSpread checks that boxes' places spread their first probes evenly over an interval.
+func TestFirstProbesAreSpread(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	var slots [10]int
 	for range 10000 {
@@ -42,13 +42,13 @@
 	}
 	for i, n := range slots {
 		if n < 800 || n > 1200 {
-			t.Errorf("%d of 10000 ask in tenth %d", n, i)
+			t.Errorf("%d of 10000 boxes probe in tenth %d of the interval", n, i)
 		}
 	}
 }
 
-// TestReturnsAreSpreadByWhatTheOtherSideBears: of n boxes that come back, no second sees more than about what it takes.
-func TestReturnsAreSpreadByWhatTheOtherSideBears(t *testing.T) {
+// TestReconnectsStayWithinDependencyCapacity checks that reconnects in any second do not exceed what the dependency can handle by much.
+func TestReconnectsStayWithinDependencyCapacity(t *testing.T) {
 	r := Return{Least: 50 * time.Millisecond, Most: 5 * time.Second, Each: 10 * time.Millisecond}
 	for _, n := range []int{1, 10, 100, 1000} {
 		src := rand.New(rand.NewPCG(3, uint64(n)))
@@ -58,19 +58,19 @@
 		}
 		for s, k := range seconds {
 			if k > 150 {
-				t.Errorf("%d boxes: %d come back in second %d; 100 can be taken", n, k, s)
+				t.Errorf("%d boxes: %d reconnect in second %d; the dependency can handle 100", n, k, s)
 			}
 		}
 	}
 	for try, most := range map[int]time.Duration{0: 50 * time.Millisecond, 3: 400 * time.Millisecond, 20: 5 * time.Second, 90: 5 * time.Second} {
 		if got := r.Next(try, 1, 1); got != most {
-			t.Errorf("try %d waits up to %v, not %v", try, got, most)
+			t.Errorf("attempt %d waits up to %v, want %v", try, got, most)
 		}
 	}
 }
 
-// TestOneReadingTakesNothingOut: rows of opinions by box and second, and what counts after each.
-func TestOneReadingTakesNothingOut(t *testing.T) {
+// TestVerdictNeedsTwoBoxesForDown checks the verdict after each of several findings, by box and second.
+func TestVerdictNeedsTwoBoxesForDown(t *testing.T) {
 	type at struct {
 		sec  int
 		box  string // "" for none
@@ -78,12 +78,12 @@
 		want Verdict
 	}
 	for name, steps := range map[string][]at{
-		"up":                       {{0, "", false, Unknown}, {1, "a", true, Up}, {20, "", false, Unknown}},
-		"one finds it down":        {{1, "a", true, Up}, {2, "b", false, Doubtful}, {4, "b", false, Doubtful}, {13, "", false, Doubtful}, {15, "", false, Unknown}},
-		"two do":                   {{1, "a", false, Doubtful}, {2, "b", false, Down}},
-		"one box twice":            {{1, "a", false, Doubtful}, {2, "a", false, Doubtful}, {3, "a", false, Doubtful}},
-		"it was another one's way": {{1, "a", false, Doubtful}, {2, "b", true, Up}, {3, "a", false, Doubtful}, {4, "c", false, Down}, {5, "b", true, Up}},
-		"too long ago":             {{1, "a", false, Doubtful}, {12, "b", false, Doubtful}},
+		"up":                           {{0, "", false, Unknown}, {1, "a", true, Up}, {20, "", false, Unknown}},
+		"one finds it down":            {{1, "a", true, Up}, {2, "b", false, Doubtful}, {4, "b", false, Doubtful}, {13, "", false, Doubtful}, {15, "", false, Unknown}},
+		"two find it down":             {{1, "a", false, Doubtful}, {2, "b", false, Down}},
+		"one box twice":                {{1, "a", false, Doubtful}, {2, "a", false, Doubtful}, {3, "a", false, Doubtful}},
+		"a fault of one box's network": {{1, "a", false, Doubtful}, {2, "b", true, Up}, {3, "a", false, Doubtful}, {4, "c", false, Down}, {5, "b", true, Up}},
+		"an expired finding":           {{1, "a", false, Doubtful}, {12, "b", false, Doubtful}},
 	} {
 		j := Judge{Age: 10 * time.Second}
 		for _, s := range steps {
@@ -92,14 +92,15 @@
 				j.Heard(Opinion{s.box, s.up, now})
 			}
 			if got := j.Verdict(now); got != s.want {
-				t.Errorf("%s: at %d s %v, not %v", name, s.sec, got, s.want)
+				t.Errorf("%s: at %d s verdict %v, want %v", name, s.sec, got, s.want)
 			}
 		}
 	}
 }
 
-// TestAFleetIsNeitherBlindNorLoud plays a fleet whose prober dies at times: nobody is without an answer for long, and all together ask little.
-func TestAFleetIsNeitherBlindNorLoud(t *testing.T) {
+// TestFleetKeepsFindingsWithFewProbes simulates a fleet whose prober fails at times: no box may lack findings for long, and the total number of
+// probes stays low.
+func TestFleetKeepsFindingsWithFewProbes(t *testing.T) {
 	testkit.Check(t, 200, func(t *rapid.T) {
 		n := rapid.IntRange(2, 30).Draw(t, "boxes")
 		const every, age = time.Second, 5 * time.Second
@@ -114,7 +115,7 @@
 		for k := 1; k <= steps; k++ {
 			now := time.Duration(k) * 100 * time.Millisecond
 			if k%50 == 0 {
-				prober = rapid.IntRange(-1, n-1).Draw(t, "prober") // -1: there is none
+				prober = rapid.IntRange(-1, n-1).Draw(t, "prober") // -1: no prober
 				up = rapid.Bool().Draw(t, "up")
 			}
 			for i := range judges {
@@ -131,13 +132,13 @@
 					blind[i] = 0
 				}
 				if blind[i] > 2*age {
-					t.Fatalf("box %d has known nothing for %v", i, blind[i])
+					t.Fatalf("box %d has had no finding for %v", i, blind[i])
 				}
 			}
 		}
-		// The prober each second, a second opinion when it finds something down, and one box where there is no prober.
+		// One probe per second by the prober, a second finding when it finds the dependency down, and one box's probes while there is no prober.
 		if most := 2*steps/10 + 2*n; asked > most {
-			t.Fatalf("%d boxes asked %d times in a minute", n, asked)
+			t.Fatalf("%d boxes probed %d times in a minute", n, asked)
 		}
 	})
 }
