--- a/internal/decide/shed/shed.go
+++ b/internal/decide/shed/shed.go
@@ -1,10 +1,10 @@
-// Package shed decides what a box sheds as one of a fleet: from sums over the fleet that every box has about the same to numbers that
-// its own module takes as advice. No box asks another: the rule is the same everywhere and works on what was offered, not on what was let
-// in, so what all boxes shed adds up to the excess and nobody makes up for it twice.
+// Package shed decides what a box sheds as part of a fleet. It turns sums over the fleet, which are nearly the same on every box, into advice
+// for the box's own module. No box asks another one: all apply the same rule to the offered load, not to the admitted load. What all boxes
+// shed therefore adds up to the excess, and no box compensates for what another one has already shed.
 //
-// What it rests on. Sums are some hundred milliseconds old and differ between boxes by what was lost on the way. Every rule is
-// therefore a share and not a turn: two boxes with sums that differ by 5% shed shares that differ by about as much. With sums that are old,
-// or of too few boxes, the advice fades to none, and the box does what a lone one does (Trust).
+// Sums are some hundred milliseconds old and differ between boxes by the messages that were lost. Every rule is therefore a share and not a
+// turn: two boxes whose sums differ by 5% shed shares that differ by about as much. When sums are old or cover too few boxes, the advice fades
+// out, and the box acts like a box without a fleet (see Trust).
 package shed
 
 import (
@@ -17,33 +17,33 @@
 	"cairnlane/internal/decide/probes"
 )
 
-// Sums are what a box knows of the whole fleet, itself included. Rates are in requests a second.
+// Sums holds what a box knows of the whole fleet, including itself. Rates are in requests per second.
 type Sums struct {
-	Boxes    int                `cbor:"1,keyasint" json:"boxes"`                     // with a fresh summary
-	Known    int                `cbor:"2,keyasint" json:"known"`                     // boxes that there are, the dead excepted
-	Age      time.Duration      `cbor:"3,keyasint" json:"age_ns"`                    // of the oldest summary that counts
-	Capacity float64            `cbor:"4,keyasint" json:"capacity"`                  // that can be served
-	Free     float64            `cbor:"5,keyasint" json:"free"`                      // of the capacity, at boxes other than this one
-	First    float64            `cbor:"6,keyasint" json:"first"`                     // first tries that come
-	Further  float64            `cbor:"7,keyasint" json:"further"`                   // further tries that come
-	Classes  []float64          `cbor:"8,keyasint" json:"classes"`                   // first tries offered by class, in the order of the settings
-	Tenants  map[string]float64 `cbor:"9,keyasint" json:"tenants"`                   // first tries offered by tenant
-	Level    float64            `cbor:"11,keyasint" json:"level"`                    // what callers are asked to hold back, in the mean by capacity
-	Said     []probes.Said      `cbor:"10,keyasint,omitempty" json:"said,omitempty"` // what boxes have found of what all depend on
-	Shed     int                `cbor:"12,keyasint" json:"shed"`                     // the level of who leads: the first by name of the boxes that sum up
-	Lead     bool               `cbor:"-" json:"lead"`                               // it is this box
+	Boxes    int                `cbor:"1,keyasint" json:"boxes"`                     // boxes with a fresh summary
+	Known    int                `cbor:"2,keyasint" json:"known"`                     // boxes of the fleet, except dead ones
+	Age      time.Duration      `cbor:"3,keyasint" json:"age_ns"`                    // age of the oldest summary included
+	Capacity float64            `cbor:"4,keyasint" json:"capacity"`                  // requests that can be served
+	Free     float64            `cbor:"5,keyasint" json:"free"`                      // part of the capacity that is free at other boxes
+	First    float64            `cbor:"6,keyasint" json:"first"`                     // first attempts received
+	Further  float64            `cbor:"7,keyasint" json:"further"`                   // further attempts received
+	Classes  []float64          `cbor:"8,keyasint" json:"classes"`                   // first attempts offered by class, in the order of the settings
+	Tenants  map[string]float64 `cbor:"9,keyasint" json:"tenants"`                   // first attempts offered by tenant
+	Level    float64            `cbor:"11,keyasint" json:"level"`                    // share that callers are asked to hold back, averaged by capacity
+	Said     []probes.Said      `cbor:"10,keyasint,omitempty" json:"said,omitempty"` // boxes' findings about the shared dependency
+	Shed     int                `cbor:"12,keyasint" json:"shed"`                     // level of the leader: the first relay by name
+	Lead     bool               `cbor:"-" json:"lead"`                               // this box is the leader
 }
 
-// Rules are what the fleet's configuration says of overload. All boxes that have a version in force have the same ones.
+// Rules holds the overload rules of the fleet's configuration. They are the same on all boxes that have the same version in force.
 type Rules struct {
-	Version uint64             // of the fleet's configuration
-	Tries   float64            // further tries over first ones that the fleet takes; 0: a tenth
-	Shares  map[string]float64 // of the capacity, by tenant; a tenant without one has an even part of what the others leave
-	Order   []int              // classes by their place in the settings, in the order in which they are shed
+	Version uint64             // number of the fleet's configuration
+	Tries   float64            // allowed ratio of further to first attempts; 0: the default of one tenth
+	Shares  map[string]float64 // shares of the capacity by tenant; tenants without one share equally what the others leave
+	Order   []int              // classes by their index in the settings, in the order in which they are shed
 }
 
-// Order puts classes, by their place, in the order in which they are shed: what is worth least for the time that it may take goes first. That
-// time is the only measure of a class's work that all boxes have alike.
+// Order returns the classes, by their index, in the order in which they are shed: ascending by worth per target time. The target time is the
+// only measure of a class's cost that is the same on all boxes.
 func Order(n int, worth func(class int) float64, aim func(class int) time.Duration) []int {
 	list := make([]int, n)
 	for i := range list {
@@ -54,39 +54,39 @@
 	return list
 }
 
-// Advice is what the module may take from the fleet. The zero value is none: the box is as if it were alone. It is not changed once it is
-// given out.
+// Advice is what the fleet advises the box's module. The zero value is no advice: the box acts as if it had no fleet. An Advice is immutable once
+// it has been passed on.
 type Advice struct {
-	Version uint64             `json:"version"`           // of the configuration that it was made under
-	Trust   float64            `json:"trust"`             // 0 to 1: how much of what follows counts already
-	Tenants map[string]float64 `json:"tenants,omitempty"` // the chance at which a tenant's request is beyond its share, where it is above 0
-	Level   int                `json:"level"`             // so many classes of the order are shed before the others
-	Low     []bool             `json:"low,omitempty"`     // which ones they are, by their place in the settings
-	Further float64            `json:"further"`           // the chance at which a further try is refused at read
-	Mean    float64            `json:"mean"`              // what callers are asked to hold back, in the mean of the boxes
-	GiveUp  bool               `json:"give_up"`           // no other box could serve it
-	Later   [2]time.Duration   `json:"later_ns"`          // between these a refused caller is asked to come back, at a place drawn evenly
+	Version uint64             `json:"version"`           // number of the configuration whose rules it follows
+	Trust   float64            `json:"trust"`             // 0 to 1: the weight of the advice
+	Tenants map[string]float64 `json:"tenants,omitempty"` // probability that a tenant's request is beyond its share, if above 0
+	Level   int                `json:"level"`             // number of classes, in the order of shedding, that are shed before others
+	Low     []bool             `json:"low,omitempty"`     // whether a class is one of them, by its index in the settings
+	Further float64            `json:"further"`           // probability with which a further attempt is rejected when it is read
+	Mean    float64            `json:"mean"`              // share that callers are asked to hold back, averaged over the boxes
+	GiveUp  bool               `json:"give_up"`           // no other box has capacity for a rejected request
+	Later   [2]time.Duration   `json:"later_ns"`          // range from which the retry delay of a rejected request is drawn uniformly
 }
 
-// The places in the order in which requests go where some must. Who is beyond a share goes before who is of a low class.
+// The ranks in which requests are rejected if some must be. Requests beyond a tenant's share are rejected before those of a low class.
 const (
-	Last = iota - 1 // not by chance: refused here, it would be read at the next box
+	Last = iota - 1 // not rejected by chance: the next box would have to read the request again
 	Ordinary
 	LowClass  // of a class below the fleet's level
-	OverShare // of a tenant, beyond its share
+	OverShare // beyond its tenant's share
 )
 
-// Word is what an advice says of one request. The zero value is nothing.
+// Word is the advice on one request. The zero value is no advice.
 type Word struct {
 	Version uint64
-	Known   bool          // Full and Return count
-	Full    bool          // no other box could serve it
-	Return  time.Duration // when its caller is to come back, if it is refused
-	Beyond  bool          // a further try beyond what the fleet takes
-	Order   int           // Ordinary, LowClass or OverShare
+	Known   bool          // Full and Return are valid
+	Full    bool          // no other box has capacity for it
+	Return  time.Duration // retry delay for the caller, if the request is rejected
+	Beyond  bool          // a further attempt beyond the fleet's budget
+	Order   int           // Last, Ordinary, LowClass or OverShare
 }
 
-// For is the word on a request of a tenant and a class, by its place in the settings. draw gives numbers evenly from 0 to 1.
+// For returns the advice on a request of a tenant and a class, given by its index in the settings. draw returns uniform numbers from 0 to 1.
 func (a *Advice) For(tenant string, class int, further bool, draw func() float64) Word {
 	w := Word{Version: a.Version}
 	if a.Trust == 0 {
@@ -105,44 +105,45 @@
 	return w
 }
 
-// The stated rules.
+// The parameters of the rules.
 const (
-	budget      = 0.10 // further tries over first ones that the fleet takes, where its configuration says nothing
-	fullFrom    = 1.00 // of the capacity: from here on tenants are held to their shares
-	enterAbove  = 1.05 // of the capacity, offered by what is not shed yet: one class more is shed, once it was so for enterFor
-	exitBelow   = 0.85 // of the capacity, offered by what is not shed and the class that is let in again, for exitFor
-	enterFor    = 2 * time.Second
-	exitFor     = 30 * time.Second // longer than the waves of 15 to 30 s in which boxes slow and recover
-	changeEach  = 10 * time.Second
-	calm        = 0.03 // of what callers are asked to hold back: as much is no pressure
-	squeezeRate = 0.5  // of the capacity, in a second of asking callers to hold back everything
-	squeezeMost = 0.6
-	noFree      = 0.02 // of the capacity: less than this free elsewhere is nobody's to give
-	staleAfter  = time.Second
-	forgotAfter = 3 * time.Second
-	leastKnown  = 0.5 // share of the boxes that must be heard for full trust; below half of it there is none
+	defaultRetryRatio = 0.10 // allowed ratio of further to first attempts, unless the configuration sets it
+	fullLoad          = 1.00 // of the capacity; above this load, tenants are held to their shares
+	enterLoad         = 1.05 // of the capacity; one more class is shed once the load of classes not shed was above this for enterFor
+	exitLoad          = 0.85 // of the capacity; one class less is shed once the load without it being shed was below this for exitFor
+	enterFor          = 2 * time.Second
+	exitFor           = 30 * time.Second // longer than the periods of 15 to 30 s in which boxes slow down and recover
+	minLevelInterval  = 10 * time.Second
+	noPressure        = 0.03 // of what callers are asked to hold back; no more than this is not pressure
+	squeezeRate       = 0.5  // of the capacity, per second of asking callers to hold back everything
+	maxSqueeze        = 0.6
+	minFreeShare      = 0.02 // of the capacity; below this, free capacity elsewhere counts as none
+	freshAge          = time.Second
+	maxAge            = 3 * time.Second
+	fullTrustShare    = 0.5 // share of the boxes that must be heard for full trust; at half of it trust is 0
 )
 
-// SizeMost is the largest fleet that sheds as one. In one of 1,000 boxes a caller sees each box so seldom that none learns what callers heed,
-// and what is refused first goes on through the list: there the fleet was worse than its boxes alone (docs/experiments/overload.md).
+// SizeMost is the largest fleet that sheds as one. In a fleet of 1,000 boxes a caller contacts each box so rarely that no box learns which
+// callers comply, and rejected requests move on through the list of boxes. There, shedding as a fleet gave worse results than the boxes on
+// their own (docs/experiments/overload.md).
 const SizeMost = 128
 
-// Trust says how much sums count: 1 while they are fresh and of enough boxes, 0 when they are old or of few, evenly between.
+// Trust returns the weight of sums: 1 if they are fresh and cover enough boxes, 0 if they are old or cover few, linear in between.
 func Trust(s Sums) float64 {
 	if s.Known < 2 || s.Known > SizeMost || s.Boxes < 2 || s.Capacity <= 0 {
 		return 0
 	}
-	age := 1 - float64(s.Age-staleAfter)/float64(forgotAfter-staleAfter)
-	heard := 2*float64(s.Boxes)/(leastKnown*2*float64(s.Known)) - 1
+	age := 1 - float64(s.Age-freshAge)/float64(maxAge-freshAge)
+	heard := 2*float64(s.Boxes)/(fullTrustShare*2*float64(s.Known)) - 1
 	return max(0, min(1, age, heard))
 }
 
-// Shares divides a capacity over what tenants offer so that nobody gets more than it asks for, and those who do not get all of it get
-// parts in the ratio of their weights (weighted max-min fairness, Bertsekas and Gallager, Data Networks, 6.5).
+// Shares divides a capacity among tenants so that no tenant gets more than it offers, and tenants that get less share in the ratio of
+// their weights (weighted max-min fairness, Bertsekas and Gallager, Data Networks, 6.5).
 func Shares(offered map[string]float64, capacity float64, weight func(tenant string) float64) map[string]float64 {
 	need := func(n string) float64 { return offered[n] / weight(n) }
 	names := slices.SortedFunc(maps.Keys(offered), func(a, b string) int { return cmp.Or(cmp.Compare(need(a), need(b)), cmp.Compare(a, b)) })
-	rest := 0.0 // weights of those who have got nothing yet
+	rest := 0.0 // total weight of the tenants without an allocation yet
 	for _, n := range names {
 		rest += weight(n)
 	}
@@ -155,8 +156,8 @@
 	return got
 }
 
-// Parts divides a capacity over what tenants offer: each gets what it asks for up to its stated share, and what is left of the part that
-// may be given out goes to those who ask for more.
+// Parts divides a capacity among tenants: each gets what it offers up to its stated share, and what is left of the given part of the capacity
+// is divided among those that offer more.
 func (r Rules) Parts(offered map[string]float64, capacity, part float64) map[string]float64 {
 	weight := r.weights(offered)
 	sum := 0.0
@@ -176,10 +177,10 @@
 	return got
 }
 
-// leastWeight is that of a tenant whom the stated shares leave nothing.
-const leastWeight = 0.01
+// minWeight is the weight of a tenant for which the stated shares leave nothing.
+const minWeight = 0.01
 
-// weights are the shares that the configuration states; those that it does not name have an even part of the rest.
+// weights returns the tenants' weights: the shares stated in the configuration, and an equal part of the rest for each other tenant.
 func (r Rules) weights(offered map[string]float64) func(string) float64 {
 	stated, others := 0.0, 0
 	for _, w := range r.Shares {
@@ -190,7 +191,7 @@
 			others++
 		}
 	}
-	even := max((1-stated)/float64(max(others, 1)), leastWeight)
+	even := max((1-stated)/float64(max(others, 1)), minWeight)
 	return func(n string) float64 {
 		if w := r.Shares[n]; w > 0 {
 			return w
@@ -199,30 +200,30 @@
 	}
 }
 
-// Shedder is one box's. Its clock is the box's own. It is not safe for use by several goroutines.
+// Shedder holds one box's state of shedding. Its clock is the box's own. It is not safe for concurrent use.
 type Shedder struct {
-	level   int
-	changed time.Duration // when the level did; 0: never
-	squeeze float64       // part of the capacity that is not given out beyond the stated shares
-	looked  time.Duration // when it was changed last
-	above   time.Duration // since when too much was offered; 0: it is not
-	below   time.Duration // since when there was room; 0: there is not
+	level          int
+	levelChanged   time.Duration // time of the last change of level; 0: none
+	squeeze        float64       // part of the capacity that is withheld beyond the stated shares
+	squeezeUpdated time.Duration // time of the last update of squeeze
+	aboveSince     time.Duration // time since which the load is above enterLoad; 0: it is not
+	belowSince     time.Duration // time since which the load is below exitLoad; 0: it is not
 }
 
-// Level is the present one.
+// Level returns the number of classes that are shed.
 func (s *Shedder) Level() int { return s.level }
 
-// Advise says what this box is to do by sums and the fleet's rules. later bounds what a refused caller may be told.
+// Advise returns the advice that follows from sums and the fleet's rules. later is the longest retry delay that a caller may be given.
 func (s *Shedder) Advise(now time.Duration, v Sums, r Rules, later time.Duration) Advice {
 	a := Advice{Version: r.Version, Trust: Trust(v)}
-	s.turn(now, v, r, a.Trust)
-	s.press(now, v, a.Trust)
+	s.updateLevel(now, v, r, a.Trust)
+	s.updateSqueeze(now, v, a.Trust)
 	a.Level = s.level
 	if a.Trust == 0 {
 		return a
 	}
-	if offered := sum(v.Tenants); offered > (fullFrom-s.squeeze)*v.Capacity {
-		shares := r.Parts(v.Tenants, v.Capacity, fullFrom-s.squeeze)
+	if offered := sum(v.Tenants); offered > (fullLoad-s.squeeze)*v.Capacity {
+		shares := r.Parts(v.Tenants, v.Capacity, fullLoad-s.squeeze)
 		for name, o := range v.Tenants {
 			if o > shares[name] {
 				if a.Tenants == nil {
@@ -242,31 +243,31 @@
 	}
 	tries := r.Tries
 	if tries == 0 {
-		tries = budget
+		tries = defaultRetryRatio
 	}
 	if v.Further > tries*v.First {
 		a.Further = a.Trust * (1 - tries*v.First/v.Further)
 	}
-	a.GiveUp = a.Trust == 1 && v.Free < noFree*v.Capacity
-	a.Later, a.Mean = spread(v, later), min(v.Level, 1)
+	a.GiveUp = a.Trust == 1 && v.Free < minFreeShare*v.Capacity
+	a.Later, a.Mean = retryWindow(v, later), min(v.Level, 1)
 	return a
 }
 
-// press squeezes what tenants get beyond their stated shares while callers are asked to hold back more than a little: they do so by rank
-// alone, and would hold back what is within a share as well. Refusing costs a read, so the squeeze ends as soon as it is not needed.
-func (s *Shedder) press(now time.Duration, v Sums, trust float64) {
-	span := min(now-s.looked, time.Second).Seconds()
-	s.looked = now
-	goal := v.Level - calm
+// updateSqueeze reduces what tenants get beyond their stated shares while callers are asked to hold back more than a little. Callers hold back by rank
+// alone, and would otherwise hold back requests within a share too. Since rejecting costs a read, the reduction ends when it is not needed.
+func (s *Shedder) updateSqueeze(now time.Duration, v Sums, trust float64) {
+	span := min(now-s.squeezeUpdated, time.Second).Seconds()
+	s.squeezeUpdated = now
+	goal := v.Level - noPressure
 	if trust < 1 {
-		goal = -calm
+		goal = -noPressure
 	}
-	s.squeeze = max(0, min(squeezeMost, s.squeeze+squeezeRate*span*goal))
+	s.squeeze = max(0, min(maxSqueeze, s.squeeze+squeezeRate*span*goal))
 }
 
-// turn moves the level, one step at a time. With sums that do not count it goes down as if nothing were offered: a box that is alone for
-// long sheds by itself.
-func (s *Shedder) turn(now time.Duration, v Sums, r Rules, trust float64) {
+// updateLevel moves the level by one step at a time. Without valid sums it moves down as if no load were offered, because a box that has been
+// alone for long sheds on its own.
+func (s *Shedder) updateLevel(now time.Duration, v Sums, r Rules, trust float64) {
 	use := func(level int) float64 {
 		if trust == 0 {
 			return 0
@@ -279,11 +280,11 @@
 		}
 		return n / v.Capacity
 	}
-	if !v.Lead && trust > 0 { // one level for the fleet: that of who leads, with the same time between two changes
-		if s.level != v.Shed && (s.changed == 0 || now-s.changed >= changeEach) {
-			s.level, s.changed = min(max(v.Shed, 0), max(len(r.Order)-1, 0)), max(now, 1)
+	if !v.Lead && trust > 0 { // the fleet has one level: a box follows the leader's, with the same minimum time between changes
+		if s.level != v.Shed && (s.levelChanged == 0 || now-s.levelChanged >= minLevelInterval) {
+			s.level, s.levelChanged = min(max(v.Shed, 0), max(len(r.Order)-1, 0)), max(now, 1)
 		}
-		s.above, s.below = 0, 0
+		s.aboveSince, s.belowSince = 0, 0
 		return
 	}
 	mark := func(on bool, since *time.Duration) {
@@ -294,25 +295,25 @@
 			*since = max(now, 1)
 		}
 	}
-	mark(s.level < len(r.Order)-1 && use(s.level) > enterAbove, &s.above)
-	mark(s.level > 0 && use(s.level-1) < exitBelow, &s.below)
-	if s.changed != 0 && now-s.changed < changeEach {
+	mark(s.level < len(r.Order)-1 && use(s.level) > enterLoad, &s.aboveSince)
+	mark(s.level > 0 && use(s.level-1) < exitLoad, &s.belowSince)
+	if s.levelChanged != 0 && now-s.levelChanged < minLevelInterval {
 		return
 	}
 	switch {
-	case s.above != 0 && now-s.above >= enterFor:
+	case s.aboveSince != 0 && now-s.aboveSince >= enterFor:
 		s.level++
-	case s.below != 0 && now-s.below >= exitFor:
+	case s.belowSince != 0 && now-s.belowSince >= exitFor:
 		s.level--
 	default:
 		return
 	}
-	s.changed, s.above, s.below = max(now, 1), 0, 0
+	s.levelChanged, s.aboveSince, s.belowSince = max(now, 1), 0, 0
 }
 
-// spread says over which time refused callers are to come back: as long as it takes to serve those that are refused in a second with what
-// is free or, where nothing is, as long as may be said. All at once they would be refused again.
-func spread(v Sums, most time.Duration) [2]time.Duration {
+// retryWindow returns the range of retry delays: the time in which free capacity can serve the requests rejected in one second, or the longest
+// allowed delay if there is none. If all callers returned at once they would be rejected again.
+func retryWindow(v Sums, most time.Duration) [2]time.Duration {
 	excess := v.First + v.Further - v.Capacity
 	if excess <= 0 {
 		return [2]time.Duration{0, min(most, time.Second)}
@@ -331,7 +332,7 @@
 	return n
 }
 
-// Place draws when a caller is asked to come back, from a number evenly between 0 and 1.
+// Place returns a retry delay within Later, for a uniform number u from 0 to 1.
 func (a Advice) Place(u float64) time.Duration {
 	return a.Later[0] + time.Duration(math.Max(0, math.Min(1, u))*float64(a.Later[1]-a.Later[0]))
 }
--- a/internal/decide/shed/shed_test.go
+++ b/internal/decide/shed/shed_test.go
@@ -11,10 +11,10 @@
 	"cairnlane/internal/testkit"
 )
 
-var rules = Rules{Version: 7, Order: []int{0, 1, 2}}
+var testRules = Rules{Version: 7, Order: []int{0, 1, 2}}
 
-// sums are those of a healthy fleet of ten boxes with 1,000 requests a second of capacity.
-func sums(change func(*Sums)) Sums {
+// healthySums returns the sums of a healthy fleet of ten boxes with a capacity of 1,000 requests per second, adjusted by change.
+func healthySums(change func(*Sums)) Sums {
 	s := Sums{Boxes: 10, Known: 10, Lead: true, Capacity: 1000, Free: 200, First: 750, Further: 50, Classes: []float64{200, 200, 400}, Tenants: map[string]float64{"x": 400, "y": 400}}
 	if change != nil {
 		change(&s)
@@ -22,50 +22,50 @@
 	return s
 }
 
-// TestTrust: fresh sums of most boxes count, old ones and those of few do not, and nothing jumps in between.
+// TestTrust checks that fresh sums of most boxes have weight, old ones or those of few boxes have none, and that it is continuous in between.
 func TestTrust(t *testing.T) {
 	for i, c := range []struct {
 		change func(*Sums)
 		want   float64
 	}{
-		{nil, 1}, {func(s *Sums) { s.Age = staleAfter }, 1}, {func(s *Sums) { s.Age = 2 * time.Second }, 0.5}, {func(s *Sums) { s.Age = forgotAfter }, 0},
+		{nil, 1}, {func(s *Sums) { s.Age = freshAge }, 1}, {func(s *Sums) { s.Age = 2 * time.Second }, 0.5}, {func(s *Sums) { s.Age = maxAge }, 0},
 		{func(s *Sums) { s.Boxes = 5 }, 0}, {func(s *Sums) { s.Boxes = 1 }, 0}, {func(s *Sums) { s.Known = 1 }, 0}, {func(s *Sums) { s.Known, s.Boxes = SizeMost, SizeMost }, 1}, {func(s *Sums) { s.Known, s.Boxes = SizeMost+1, SizeMost+1 }, 0}, {func(s *Sums) { s.Capacity = 0 }, 0},
 	} {
-		if got := Trust(sums(c.change)); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("%d: %v, not %v", i, got, c.want)
+		if got := Trust(healthySums(c.change)); math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("case %d: got %v, want %v", i, got, c.want)
 		}
 	}
-	if a := new(Shedder).Advise(0, sums(func(s *Sums) { s.Age = time.Minute; s.Further = 900; s.Tenants["x"] = 9000 }), rules, time.Second); a.Trust != 0 || a.Tenants != nil || a.Further != 0 || a.GiveUp || a.Later[1] != 0 {
-		t.Errorf("old sums are believed: %+v", a)
+	if a := new(Shedder).Advise(0, healthySums(func(s *Sums) { s.Age = time.Minute; s.Further = 900; s.Tenants["x"] = 9000 }), testRules, time.Second); a.Trust != 0 || a.Tenants != nil || a.Further != 0 || a.GiveUp || a.Later[1] != 0 {
+		t.Errorf("outdated sums have an effect: %+v", a)
 	}
 }
 
-// TestWhatAllShedAddsUpToTheExcess, to 5%, however a tenant's requests are spread over boxes, and nobody within its share is touched.
-func TestWhatAllShedAddsUpToTheExcess(t *testing.T) {
+// TestShedLoadEqualsExcess checks it to 5%, however a tenant's requests are spread over boxes, and that no tenant within its share is shed.
+func TestShedLoadEqualsExcess(t *testing.T) {
 	testkit.Check(t, 200, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "tenants")
 		capacity := rapid.Float64Range(100, 10000).Draw(t, "capacity")
 		s := Sums{Boxes: 10, Known: 10, Lead: true, Capacity: capacity, Tenants: map[string]float64{}}
-		at := map[string][]float64{} // offered, by box
+		at := map[string][]float64{} // offered load by box
 		total := 0.0
 		for i := range n {
 			name := fmt.Sprint(i)
 			for range 10 {
 				o := rapid.Float64Range(0, capacity/4).Draw(t, "offered")
 				if rapid.IntRange(0, 3).Draw(t, "elsewhere") > 0 {
-					o = 0 // this tenant comes through few boxes
+					o = 0 // the tenant's requests reach only a few boxes
 				}
 				at[name] = append(at[name], o)
 				s.Tenants[name] += o
 				total += o
 			}
 		}
-		r := rules
+		r := testRules
 		if rapid.Bool().Draw(t, "stated") {
 			r.Shares = map[string]float64{"0": 0.5, "1": 0.1}
 		}
 		a := new(Shedder).Advise(0, s, r, time.Second)
-		excess, dropped := max(0, total-fullFrom*capacity), 0.0
+		excess, dropped := max(0, total-fullLoad*capacity), 0.0
 		weight := r.weights(s.Tenants)
 		for name, list := range at {
 			for _, o := range list {
@@ -73,9 +73,9 @@
 			}
 		}
 		if math.Abs(dropped-excess) > 0.05*excess+1e-6 {
-			t.Fatalf("all shed %v of an excess of %v", dropped, excess)
+			t.Fatalf("all boxes shed %v, but the excess is %v", dropped, excess)
 		}
-		shares := r.Parts(s.Tenants, capacity, fullFrom)
+		shares := r.Parts(s.Tenants, capacity, fullLoad)
 		even := map[string]float64{}
 		for name := range s.Tenants {
 			even[name] = capacity * weight(name)
@@ -85,14 +85,14 @@
 				t.Fatalf("%s gets %v of %v", name, got, s.Tenants[name])
 			}
 			if a.Tenants[name] > 0 && got < even[name]*0.98-1e-6 {
-				t.Fatalf("%s is within its share with %v and is shed", name, got)
+				t.Fatalf("%s is within its share with %v but is shed", name, got)
 			}
 		}
 	})
 }
 
-// TestTriesAreHeldToABudget, and a caller is told to give up only when nobody else has room.
-func TestTriesAreHeldToABudget(t *testing.T) {
+// TestFurtherAttemptsStayWithinBudget also checks that a caller is told to give up only when no other box has free capacity.
+func TestFurtherAttemptsStayWithinBudget(t *testing.T) {
 	for i, c := range []struct {
 		change  func(*Sums)
 		further float64
@@ -102,19 +102,19 @@
 		{func(s *Sums) { s.Free = 0 }, 0, true}, {func(s *Sums) { s.Free = 21 }, 0, false}, {func(s *Sums) { s.Free, s.Age = 0, 1500*time.Millisecond }, 0, false},
 		{func(s *Sums) { s.Further, s.Age = 150, 2*time.Second }, 0.25, false},
 	} {
-		a := new(Shedder).Advise(0, sums(c.change), rules, time.Second)
+		a := new(Shedder).Advise(0, healthySums(c.change), testRules, time.Second)
 		if math.Abs(a.Further-c.further) > 1e-9 || a.GiveUp != c.giveUp {
 			t.Errorf("%d: %+v", i, a)
 		}
-		let := sums(c.change)
-		if got := let.Further * (1 - a.Further); a.Trust == 1 && got > budget*let.First+1e-9 && a.Further > 0 {
-			t.Errorf("%d: %v further tries are let in", i, got)
+		let := healthySums(c.change)
+		if got := let.Further * (1 - a.Further); a.Trust == 1 && got > defaultRetryRatio*let.First+1e-9 && a.Further > 0 {
+			t.Errorf("case %d: %v further attempts are admitted", i, got)
 		}
 	}
 }
 
-// TestReturnsFillTheRoom: not before there is some, not all at once, and at different times for different callers.
-func TestReturnsFillTheRoom(t *testing.T) {
+// TestRetryWindowMatchesFreeCapacity checks that retry delays match the free capacity and differ between callers.
+func TestRetryWindowMatchesFreeCapacity(t *testing.T) {
 	const most = 20 * time.Second
 	for i, c := range []struct {
 		change func(*Sums)
@@ -122,15 +122,15 @@
 	}{
 		{nil, time.Second}, {func(s *Sums) { s.First, s.Free = 1500, 100 }, 5500 * time.Millisecond}, {func(s *Sums) { s.First, s.Free = 1500, 0 }, most}, {func(s *Sums) { s.First, s.Free = 9000, 1 }, most},
 	} {
-		a := new(Shedder).Advise(0, sums(c.change), rules, most)
+		a := new(Shedder).Advise(0, healthySums(c.change), testRules, most)
 		if a.Later[1] != c.until || a.Place(0) == a.Place(1) || a.Place(-3) != a.Later[0] || a.Place(7) != a.Later[1] || a.Place(0.5) <= a.Place(0.2) {
 			t.Errorf("%d: %v", i, a.Later)
 		}
 	}
 }
 
-// TestTheLevelMovesSeldom: one step at a time, with 10 s between two at the least, up only after 2 s, and not at all in waves of 15 to 30 s.
-func TestTheLevelMovesSeldom(t *testing.T) {
+// TestLevelChangesSeldom checks single steps, at least 10 s apart, up only after 2 s, and none for load waves of 15 to 30 s.
+func TestLevelChangesSeldom(t *testing.T) {
 	testkit.Check(t, 200, func(t *rapid.T) {
 		s := new(Shedder)
 		now, last, changes := time.Duration(0), time.Duration(-time.Hour), 0
@@ -142,40 +142,40 @@
 			if now/wave%2 == 1 {
 				offered = high
 			}
-			v := sums(func(s *Sums) { s.Classes = []float64{offered * 0.3, offered * 0.3, offered * 0.4} })
+			v := healthySums(func(s *Sums) { s.Classes = []float64{offered * 0.3, offered * 0.3, offered * 0.4} })
 			before := s.Level()
-			level := s.Advise(now, v, rules, time.Second).Level
+			level := s.Advise(now, v, testRules, time.Second).Level
 			if level == before {
 				continue
 			}
-			if now-last < changeEach || level-before > 1 || before-level > 1 || level < 0 || level > 2 {
-				t.Fatalf("from %d to %d, %v after the change before", before, level, now-last)
+			if now-last < minLevelInterval || level-before > 1 || before-level > 1 || level < 0 || level > 2 {
+				t.Fatalf("level changed from %d to %d, %v after the previous change", before, level, now-last)
 			}
 			last = now
-			if changes++; changes > 4 { // it may find its place, and stays there
-				t.Fatalf("the level swings with waves of %v between %v and %v: at %v from %d to %d", wave, low, high, now, before, level)
+			if changes++; changes > 4 { // the level may settle first, and must then not change
+				t.Fatalf("the level follows waves of %v between %v and %v: at %v from %d to %d", wave, low, high, now, before, level)
 			}
 		}
 	})
 }
 
-// TestTheLevelComesDown when there is room again, and without sums.
-func TestTheLevelComesDown(t *testing.T) {
-	for name, calm := range map[string]Sums{"room": sums(func(s *Sums) { s.Classes = []float64{100, 100, 100} }), "nobody heard": {}} {
+// TestLevelDecreases covers both low load and the absence of valid sums.
+func TestLevelDecreases(t *testing.T) {
+	for name, calm := range map[string]Sums{"low load": healthySums(func(s *Sums) { s.Classes = []float64{100, 100, 100} }), "no sums": {}} {
 		s := new(Shedder)
 		now := time.Duration(0)
 		run := func(v Sums, d time.Duration) {
 			for end := now + d; now < end; now += 250 * time.Millisecond {
-				s.Advise(now, v, rules, time.Second)
+				s.Advise(now, v, testRules, time.Second)
 			}
 		}
-		run(sums(func(s *Sums) { s.Classes = []float64{600, 600, 700} }), time.Minute)
+		run(healthySums(func(s *Sums) { s.Classes = []float64{600, 600, 700} }), time.Minute)
 		if s.Level() != 2 {
 			t.Errorf("%s: level %d at 190%%", name, s.Level())
 		}
 		run(calm, 2*time.Minute)
 		if s.Level() != 0 {
-			t.Errorf("%s: level %d afterwards", name, s.Level())
+			t.Errorf("%s: level %d after 2 min", name, s.Level())
 		}
 	}
 }
