--- a/internal/lab/mutants/overload.go
+++ b/internal/lab/mutants/overload.go
@@ -7,7 +7,7 @@
 	{"excess shed by every box", "internal/decide/shed/shed.go", "				a.Tenants[name] = a.Trust * (1 - shares[name]/o)\n", "				a.Tenants[name] = min(1, a.Trust*(1-shares[name]/o)*float64(v.Boxes))\n", "./internal/decide/shed", "TestShedLoadEqualsExcess"},
 	{"later the same for all", "internal/decide/shed/shed.go", "math.Max(0, math.Min(1, u))*float64(a.Later[1]-a.Later[0])", "math.Max(0, math.Min(1, 0*u))*float64(a.Later[1]-a.Later[0])", "./internal/decide/shed", "TestRetryWindowMatchesFreeCapacity"},
 	{"stale view believed", "internal/decide/shed/shed.go", "	return max(0, min(1, age, heard))\n", "	return max(0, min(1, 1+0*age, heard))\n", "./internal/decide/shed", "TestTrust"},
-	{"level without hysteresis", "internal/decide/shed/shed.go", "	exitFor           = 30 * time.Second", "	exitFor          = 0 * time.Second", "./internal/decide/shed", "TestLevelChangesSeldom"},
+	{"level without hysteresis", "internal/decide/shed/shed.go", "	exitFor           = 30 * time.Second", "	exitFor           = 0 * time.Second", "./internal/decide/shed", "TestLevelChangesSeldom"},
 	{"a level for each box", "internal/decide/shed/shed.go", "	if !v.Lead && trust > 0 {", "	if !v.Lead && trust > 9 {", "./internal/decide/shed", "TestLevelFollowsLeader"},
 	{"one reading takes a box out", "internal/decide/probes/probes.go", "	case down >= 2:\n", "	case down >= 1:\n", "./internal/decide/probes", "TestVerdictNeedsTwoBoxesForDown"},
 	{"reconnects in step", "internal/decide/probes/probes.go", "	return time.Duration(clampUnit(u) * float64(span))\n", "	return time.Duration(clampUnit(1+0*u) * float64(span))\n", "./internal/decide/probes", "TestReconnectsStayWithinDependencyCapacity"},
