--- a/internal/decide/probes/probes.go
+++ b/internal/decide/probes/probes.go
@@ -37,7 +37,7 @@
 	Each  time.Duration // time that the dependency needs per reconnecting box; n boxes need n times as long
 }
 
-// Next returns the delay before attempt number try, from 0: full jitter over a span that doubles (Brooker, Exponential Backoff and
+// Next returns the delay before an attempt, counted from 0: full jitter over a span that doubles (Brooker, Exponential Backoff and
 // Jitter) and is at least as long as n boxes need to reconnect. u is drawn uniformly from 0 to 1.
 func (r Return) Next(attempt, n int, u float64) time.Duration {
 	span := r.Most
--- a/internal/decide/probes/probes_test.go
+++ b/internal/decide/probes/probes_test.go
@@ -62,9 +62,9 @@
 			}
 		}
 	}
-	for try, most := range map[int]time.Duration{0: 50 * time.Millisecond, 3: 400 * time.Millisecond, 20: 5 * time.Second, 90: 5 * time.Second} {
-		if got := r.Next(try, 1, 1); got != most {
-			t.Errorf("attempt %d waits up to %v, want %v", try, got, most)
+	for attempt, most := range map[int]time.Duration{0: 50 * time.Millisecond, 3: 400 * time.Millisecond, 20: 5 * time.Second, 90: 5 * time.Second} {
+		if got := r.Next(attempt, 1, 1); got != most {
+			t.Errorf("attempt %d waits up to %v, want %v", attempt, got, most)
 		}
 	}
 }
--- a/internal/fleet/pacer_test.go
+++ b/internal/fleet/pacer_test.go
@@ -12,8 +12,10 @@
 // TestPacerFollowsFleetOnlyWithRules checks that a Pacer uses its own intervals without fleet rules and the fleet's findings with them.
 func TestPacerFollowsFleetOnlyWithRules(t *testing.T) {
 	now := time.Hour
-	lone := func(try int) time.Duration { return min(10*time.Millisecond<<min(try, 10), 100*time.Millisecond) }
-	p := NewPacer("n1", func() time.Duration { return now }, lone)
+	soloBackoff := func(attempt int) time.Duration {
+		return min(10*time.Millisecond<<min(attempt, 10), 100*time.Millisecond)
+	}
+	p := NewPacer("n1", func() time.Duration { return now }, soloBackoff)
 	ask := func(span time.Duration) (n int) {
 		for end := now + span; now < end; now += 50 * time.Millisecond {
 			if p.Due() {
@@ -26,9 +28,9 @@
 	if n := ask(10 * time.Second); n < 13 || n > 15 {
 		t.Errorf("without a fleet it reports %d times in 10 s while the catalog is down; want 13 to 15", n)
 	}
-	for try := range 6 {
-		if p.Reconnect(try) != lone(try) {
-			t.Errorf("without a fleet it waits %v before attempt %d", p.Reconnect(try), try)
+	for attempt := range 6 {
+		if p.Reconnect(attempt) != soloBackoff(attempt) {
+			t.Errorf("without a fleet it waits %v before attempt %d", p.Reconnect(attempt), attempt)
 		}
 	}
 	hear := func() { p.exchange(9, false, []probes.Said{{Box: "n2", Up: false, Ago: 0}}) }
