--- a/cmd/cairnctl/audit.go
+++ b/cmd/cairnctl/audit.go
@@ -85,7 +85,7 @@
 	out := map[string][]audit.Mark{}
 	for box, list := range told {
 		for _, m := range list {
-			mark, err := fleet.Mark(m)
+			mark, err := fleet.DecodeAuditHead(m)
 			if err != nil {
 				return nil, fmt.Errorf("a mark of %s: %w", box, err)
 			}
@@ -173,7 +173,7 @@
 			if err != nil {
 				return err
 			}
-			notFrom = r.Table.NotFrom(a.Version.N) >> 8
+			notFrom = r.Table.DisallowedSince(a.Version.N) >> 8
 		}
 		runs := x.Version(a.Version.N, notFrom)
 		late := 0
--- a/cmd/cairnctl/fleet.go
+++ b/cmd/cairnctl/fleet.go
@@ -223,8 +223,8 @@
 		if r.Left > 0 {
 			return true, c.Enter(id, what)
 		}
-		if r.Word != lease.Asked.String() && r.Word != lease.Doubtful.String() {
-			return true, fmt.Errorf("maintenance is %s %s%s", r.Word, r.Why, hint)
+		if r.StateName != lease.Requested.String() && r.StateName != lease.Uncertain.String() {
+			return true, fmt.Errorf("maintenance is %s %s%s", r.StateName, r.Why, hint)
 		}
 		if r.Place != told {
 			told = r.Place
@@ -256,10 +256,10 @@
 		fmt.Fprintln(t, "sheds\tnothing as one: the configuration in force has no overload block, or this box is shut out")
 		return
 	}
-	fmt.Fprintf(t, "configuration\t%d\ntrust\t%.2f\nlevel\t%d %s\nfurther tries refused\t%.0f%%\ngive up\t%v\nlater\t%v to %v\n", a.Version, a.Trust, a.Level, s.Since, 100*a.Further, a.GiveUp, a.Later[0].Round(time.Millisecond), a.Later[1].Round(time.Millisecond))
+	fmt.Fprintf(t, "configuration\t%d\ntrust\t%.2f\nlevel\t%d %s\nfurther tries refused\t%.0f%%\ngive up\t%v\nlater\t%v to %v\n", a.Version, a.Trust, a.Level, s.Since, 100*a.Further, a.GiveUp, a.RetryWindow[0].Round(time.Millisecond), a.RetryWindow[1].Round(time.Millisecond))
 	for _, name := range slices.Sorted(maps.Keys(v.Tenants)) {
 		fmt.Fprintf(t, "tenant %s\t%.0f a second, %.0f%% of it beyond its share\n", name, v.Tenants[name], 100*a.Tenants[name])
 	}
 	c := s.Refused
-	fmt.Fprintf(t, "refused by this box\t%d over a share, %d of a low class, %d beyond the budget of tries\n", c.OverShare, c.LowClass, c.Beyond)
+	fmt.Fprintf(t, "refused by this box\t%d over a share, %d of a low class, %d beyond the budget of tries\n", c.OverShare, c.LowClass, c.OverBudget)
 }
--- a/cmd/cairnctl/main_test.go
+++ b/cmd/cairnctl/main_test.go
@@ -71,7 +71,7 @@
 	return err
 }
 func (b *box) Figures() replica.Figures {
-	return replica.Figures{Tries: 5, Classes: []replica.ClassFigures{{Name: "read", Served: 7}}}
+	return replica.Figures{Runs: 5, Classes: []replica.ClassFigures{{Name: "read", Served: 7}}}
 }
 func (b *box) Certificates() []certs.Status {
 	return []certs.Status{{Name: "site", Alarm: "warning", Phase: "waiting", NotAfter: time.Unix(1_764_576_000, 0).UTC(), Failures: 3}}
--- a/cmd/cairnctl/overload.go
+++ b/cmd/cairnctl/overload.go
@@ -67,7 +67,7 @@
 	var missed []string
 	for _, boxes := range t.Boxes {
 		f := model.Sum(slices.DeleteFunc(slices.Clone(rows), func(r model.Row) bool { return r.Boxes != boxes }))
-		if boxes > shed.SizeMost { // it does not shed as one: it is not to be worse than its boxes alone
+		if boxes > shed.MaxFleetSize { // it does not shed as one: it is not to be worse than its boxes alone
 			f.Least = nil
 		}
 		missed = append(missed, f.Missed()...)
--- a/cmd/cairnctl/rollout.go
+++ b/cmd/cairnctl/rollout.go
@@ -28,7 +28,7 @@
 }
 
 func (p planOptions) plan() rollout.Plan {
-	return rollout.Plan{Canaries: p.Canaries, Share: p.Share, Pace: p.Pace, Patience: p.Patience, Turned: p.Turned, Died: p.Died, Slots: p.At, Supersede: p.Supersede, Keep: p.Keep}
+	return rollout.Plan{Canaries: p.Canaries, Share: p.Share, ObserveFor: p.Pace, Timeout: p.Patience, MaxRejected: p.Turned, MaxDead: p.Died, Slots: p.At, Supersede: p.Supersede, KeepLowest: p.Keep}
 }
 
 // config carries out a command of numbered configurations.
@@ -72,7 +72,7 @@
 				if v.N == r.Table.Lowest {
 					state = append(state, "lowest")
 				}
-				if x := r.Table.Roll; x != nil && x.To == v.N {
+				if x := r.Table.Current; x != nil && x.To == v.N {
 					state = append(state, x.Phase.String())
 				}
 				fmt.Fprintf(t, "%d\t%s\t%d\t%d\t%s\t%s\t%.16s\n", v.N, strings.Join(state, ", "), v.Needs, v.Size, v.By, v.Caller, v.Digest)
@@ -171,9 +171,9 @@
 	if err != nil {
 		return err
 	}
-	list := slices.Clone(r.Table.Past)
-	if r.Table.Roll != nil {
-		list = append(list, *r.Table.Roll)
+	list := slices.Clone(r.Table.Finished)
+	if r.Table.Current != nil {
+		list = append(list, *r.Table.Current)
 	}
 	slices.Reverse(list)
 	if err := o.show(w, r, nil, func(t io.Writer) {
@@ -184,7 +184,7 @@
 	}); err != nil {
 		return err
 	}
-	if len(list) > 0 && (list[0].Phase == rollout.Back || list[0].Phase == rollout.Returned) {
+	if len(list) > 0 && (list[0].Phase == rollout.RollingBack || list[0].Phase == rollout.RolledBack) {
 		return fmt.Errorf("the last roll-out, of %d, went back: %s", list[0].To, list[0].Why)
 	}
 	return nil
--- a/cmd/cairnctl/rollout_test.go
+++ b/cmd/cairnctl/rollout_test.go
@@ -21,7 +21,7 @@
 
 func TestAPlanOfOptionsIsRight(t *testing.T) {
 	o := planOptions{Canaries: 1, Share: 0.25, Patience: 1, At: 2, Turned: 3, Supersede: true}
-	if p := o.plan(); p.Check() != nil || p.Slots != 2 || p.Turned != 3 || !p.Supersede {
+	if p := o.plan(); p.Validate() != nil || p.Slots != 2 || p.MaxRejected != 3 || !p.Supersede {
 		t.Errorf("%+v", p)
 	}
 }
--- a/cmd/simhost/fleet.go
+++ b/cmd/simhost/fleet.go
@@ -26,9 +26,9 @@
 
 // outcomes maps the statuses of the protocol to outcomes.
 var outcomes = map[string]policy.Outcome{
-	"Ok": policy.Succeeded, "Failed": policy.Failed, "QueueFull": policy.TurnedAway,
+	"Ok": policy.Succeeded, "Failed": policy.Failed, "QueueFull": policy.Rejected,
 	"TimedOut": policy.TimedOut, "ConnectError": policy.Unreachable,
-	"ResetByPeer": policy.Interrupted, "Canceled": policy.Cancelled, "Ignored": policy.Moot,
+	"ResetByPeer": policy.Interrupted, "Canceled": policy.Cancelled, "Ignored": policy.NotStarted,
 }
 
 // handle passes one event to its instance. A panic in the controller is reported as a crash of the instance.
@@ -36,9 +36,9 @@
 	if e.Name == "hello" {
 		return f.startInstance(moment, e)
 	}
-	in := f.instances[e.Who]
+	in := f.instances[e.Instance]
 	if in == nil {
-		return fmt.Errorf("event %q for instance %q, which was never started", e.Name, e.Who)
+		return fmt.Errorf("event %q for instance %q, which was never started", e.Name, e.Instance)
 	}
 	if in.controller == nil {
 		return nil
@@ -63,22 +63,22 @@
 
 // dispatch calls the method of the controller that handles the event.
 func (in *instance) dispatch(now time.Duration, e *wire.Event) {
-	id := policy.RequestID(e.Ticket)
+	id := policy.RequestID(e.RequestID)
 	switch e.Name {
 	case "inbound":
 		in.arrive(now, e)
 	case "result":
-		in.controller.Done(now, id, outcomes[e.Status], settings.Micros(e.Wait))
+		in.controller.Done(now, id, outcomes[e.Status], settings.Micros(e.Elapsed))
 	case "wants-call":
 		in.controller.NeedsCall(now, id)
 	case "came-back":
-		in.controller.Called(now, id, outcomes[e.Status], settings.Micros(e.Wait))
+		in.controller.CallDone(now, id, outcomes[e.Status], settings.Micros(e.Elapsed))
 	case "fired":
-		in.controller.Tick(now, policy.Gauges{OnCores: e.Usage["on_cores"]})
+		in.controller.Tick(now, policy.Gauges{CoreDemand: e.Usage["on_cores"]})
 	case "wind-down":
 		in.controller.Drain(now, settings.Micros(e.Due))
 	case "expired":
-		in.controller.Gone(now, id)
+		in.controller.CallerGone(now, id)
 	case "stop":
 		delete(in.fleet.instances, in.name)
 	}
@@ -90,19 +90,19 @@
 		in.crash(fmt.Sprintf("request of unknown class %q", e.Class))
 		return
 	}
-	in.controller.Arrive(now, policy.Request{ID: policy.RequestID(e.Ticket), Class: class, Tenant: in.tenants[string(e.Team)],
-		Retry: e.Retry, Caller: e.Caller, KB: e.KB, Rank: e.Rank, Earlier: policy.RequestID(e.Earlier),
-		Expected: settings.Micros(e.Expected), Key: e.Key, Waited: settings.Micros(e.Backlog), Due: settings.Micros(e.Due)})
+	in.controller.Arrive(now, policy.Request{ID: policy.RequestID(e.RequestID), Class: class, Tenant: in.tenants[string(e.Tenant)],
+		Retry: e.Retry, Caller: e.Caller, KB: e.KB, Rank: e.Rank, RepeatOf: policy.RequestID(e.RepeatOf),
+		Expected: settings.Micros(e.Expected), Key: e.Key, ReadWait: settings.Micros(e.ReadWait), Due: settings.Micros(e.Due)})
 }
 
 // startInstance creates an instance from its settings and replaces an earlier one of the same name.
 func (f *fleet) startInstance(moment int64, e *wire.Event) error {
-	boot, err := settings.Decode(e.Boot)
+	boot, err := settings.Decode(e.Settings)
 	if err != nil {
-		return fmt.Errorf("instance %q: %w", e.Who, err)
+		return fmt.Errorf("instance %q: %w", e.Instance, err)
 	}
-	in := &instance{fleet: f, name: e.Who, classes: map[string]int{}, tenants: map[string]int{}}
-	f.instances[e.Who] = in
+	in := &instance{fleet: f, name: e.Instance, classes: map[string]int{}, tenants: map[string]int{}}
+	f.instances[e.Instance] = in
 	for i, lane := range boot.Lanes {
 		in.classes[lane.Name] = i
 	}
--- a/cmd/simhost/host.go
+++ b/cmd/simhost/host.go
@@ -11,21 +11,21 @@
 
 // addAction adds an action of this instance to the reply.
 func (in *instance) addAction(a wire.Action) {
-	a.Who = in.name
+	a.Instance = in.name
 	in.fleet.actions = append(in.fleet.actions, a)
 }
 
 // addRequestAction adds an action that names only a request.
 func (in *instance) addRequestAction(name string, id policy.RequestID) {
-	in.addAction(wire.Action{Name: name, Ticket: int64(id)})
+	in.addAction(wire.Action{Name: name, RequestID: int64(id)})
 }
 
 // Run implements policy.Host.
 func (in *instance) Run(id policy.RequestID) { in.addRequestAction("serve", id) }
 
-// Refuse implements policy.Host.
-func (in *instance) Refuse(id policy.RequestID, a policy.Advice) {
-	in.addAction(wire.Action{Name: "not-now", Ticket: int64(id), HoldOff: a.HoldOff.Microseconds(), Last: a.Last})
+// Reject implements policy.Host.
+func (in *instance) Reject(id policy.RequestID, a policy.Advice) {
+	in.addAction(wire.Action{Name: "not-now", RequestID: int64(id), HoldOff: a.HoldOff.Microseconds(), DoNotRetry: a.DoNotRetry})
 }
 
 // Fail implements policy.Host.
@@ -34,18 +34,18 @@
 // Reuse implements policy.Host.
 func (in *instance) Reuse(id policy.RequestID) { in.addRequestAction("reuse", id) }
 
-// Keep implements policy.Host.
-func (in *instance) Keep(id policy.RequestID, ttl time.Duration) {
+// StoreKey implements policy.Host.
+func (in *instance) StoreKey(id policy.RequestID, ttl time.Duration) {
 	us := ttl.Microseconds()
-	in.addAction(wire.Action{Name: "store-key", Ticket: int64(id), TTL: &us})
+	in.addAction(wire.Action{Name: "store-key", RequestID: int64(id), TTL: &us})
 }
 
-// Forget implements policy.Host.
-func (in *instance) Forget(id policy.RequestID) { in.addRequestAction("erase", id) }
+// DeleteKey implements policy.Host.
+func (in *instance) DeleteKey(id policy.RequestID) { in.addRequestAction("erase", id) }
 
 // Call implements policy.Host.
 func (in *instance) Call(id policy.RequestID, maxWait time.Duration) {
-	in.addAction(wire.Action{Name: "dial", Ticket: int64(id), MaxWait: maxWait.Microseconds()})
+	in.addAction(wire.Action{Name: "dial", RequestID: int64(id), MaxWait: maxWait.Microseconds()})
 }
 
 // Skip implements policy.Host.
@@ -55,11 +55,11 @@
 func (in *instance) Halt(id policy.RequestID) { in.addRequestAction("yank", id) }
 
 // Signal implements policy.Host.
-func (in *instance) Signal(value float64) { in.addAction(wire.Action{Name: "signal", X: &value}) }
+func (in *instance) Signal(value float64) { in.addAction(wire.Action{Name: "signal", Value: &value}) }
 
 // Health implements policy.Host.
 func (in *instance) Health(good bool) {
-	in.addAction(wire.Action{Name: "fitness", Cached: true, Want: &good})
+	in.addAction(wire.Action{Name: "fitness", Cached: true, Healthy: &good})
 }
 
 // CloseIdle implements policy.Host.
@@ -71,5 +71,5 @@
 // Wake implements policy.Host.
 func (in *instance) Wake(after time.Duration) {
 	us, label := after.Microseconds(), uint64(0)
-	in.addAction(wire.Action{Name: "notify-me", Label: &label, After: &us})
+	in.addAction(wire.Action{Name: "notify-me", TimerID: &label, After: &us})
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -49,8 +49,8 @@
 		return nil, err
 	}
 	f.actions = nil
-	for i := range batch.Items {
-		if err := f.handle(batch.Moment, &batch.Items[i]); err != nil {
+	for i := range batch.Events {
+		if err := f.handle(batch.Time, &batch.Events[i]); err != nil {
 			return nil, fmt.Errorf("event %d: %w", i, err)
 		}
 	}
--- a/cmd/simhost/tenants_test.go
+++ b/cmd/simhost/tenants_test.go
@@ -15,11 +15,11 @@
 	}
 	f := &fleet{instances: map[string]*instance{}}
 	withTenants := bootInfo[:len(bootInfo)-1] + `,"tenants":[{"name":"big","fraction":0.4},{"name":"small","fraction":0.6}]}`
-	if err := f.handle(1, &wire.Event{Name: "hello", Who: "server/0", Boot: json.RawMessage(withTenants)}); err != nil {
+	if err := f.handle(1, &wire.Event{Name: "hello", Instance: "server/0", Settings: json.RawMessage(withTenants)}); err != nil {
 		t.Fatal(err)
 	}
 	in := f.instances["server/0"]
-	if in == nil || in.controller == nil || in.tenants[string(e.Team)] != 2 || in.tenants["unknown"] != 0 {
-		t.Errorf("team %q, tenants %v", e.Team, in.tenants)
+	if in == nil || in.controller == nil || in.tenants[string(e.Tenant)] != 2 || in.tenants["unknown"] != 0 {
+		t.Errorf("team %q, tenants %v", e.Tenant, in.tenants)
 	}
 }
--- a/internal/appliance/fleet.go
+++ b/internal/appliance/fleet.go
@@ -39,7 +39,7 @@
 	*fleet.Fleet
 	cfg   *config.Appliance
 	log   zerolog.Logger
-	desk  *fleet.Desk
+	desk  *fleet.ProcessSupervisor
 	stop  context.CancelFunc
 	audit *audit.Log
 	pacer *fleet.Pacer
@@ -113,7 +113,7 @@
 	t := ledger.DefaultTiming
 	if c.ElectionMS > 0 {
 		t.Election = time.Duration(c.ElectionMS) * time.Millisecond
-		t.Beat, t.Poll = max(t.Election/10, 5*time.Millisecond), t.Election
+		t.Heartbeat, t.Poll = max(t.Election/10, 5*time.Millisecond), t.Election
 	}
 	return t
 }
@@ -135,16 +135,16 @@
 		f.log.Error().Str("wrong", wrong).Msg("configurations of the fleet are damaged; they are fetched anew")
 	}
 	served, refused, failed := set.Get("answers_served"), set.Get("answers_refused"), set.Get("answers_failed")
-	f.pacer = fleet.NewPacer(f.cfg.Site.Name, clock.Boot, engine.Pause)
-	f.Fleet, err = fleet.Open(fleet.Config{Audit: f.audit, Acts: f.acts(), Number: Number(), Configs: store, Check: f.checkNumbered,
-		Load: f.totals, Overload: f.overload, Advise: f.advise, Pacer: f.pacer, Later: f.cfg.Site.Policy.MaxHoldOff,
+	f.pacer = fleet.NewPacer(f.cfg.Site.Name, clock.Boot, engine.DefaultBackoff)
+	f.Fleet, err = fleet.Open(fleet.Config{Audit: f.audit, AuditBuild: f.acts(), BuildNumber: Number(), Configs: store, CheckConfig: f.checkNumbered,
+		Load: f.totals, Overload: f.overload, OnAdvice: f.advise, Pacer: f.pacer, MaxRetryDelay: f.cfg.Site.Policy.MaxHoldOff,
 		Served: func() (good, bad uint64) { return uint64(served.Load()), uint64(refused.Load() + failed.Load()) },
 		Name:   f.cfg.Site.Name, Listen: c.Listen, Peers: c.Addresses(), KeyFile: c.KeyFile, Dir: filepath.Join(f.cfg.State, "fleet"),
-		Build: Build(), Timing: timing(c), Now: clock.Boot, Told: func(format string, args ...any) { f.log.Warn().Msg("fleet: " + fmt.Sprintf(format, args...)) }}, set)
+		Build: Build(), Timing: timing(c), Now: clock.Boot, Logf: func(format string, args ...any) { f.log.Warn().Msg("fleet: " + fmt.Sprintf(format, args...)) }}, set)
 	if err != nil {
 		return err
 	}
-	f.desk = fleet.NewDesk(f.Fleet, fleet.Groups{})
+	f.desk = fleet.NewProcessSupervisor(f.Fleet, fleet.SystemProcessGroups{})
 	f.log.Info().Str("listen", f.Addr()).Msg("peers of the fleet may call")
 	ctx, f.stop = context.WithCancel(ctx)
 	go f.giveBack(ctx)
@@ -199,8 +199,8 @@
 		case <-tick.C:
 		}
 		f.leaveIfOut()
-		for _, t := range f.Taken() {
-			if ask, _, _ := t.Look(); ask.Task == MaintenanceTask && f.serving() {
+		for _, t := range f.InheritedTasks() {
+			if ask, _, _ := t.Status(); ask.Task == MaintenanceTask && f.serving() {
 				f.log.Info().Uint64("token", ask.Token).Msg("back from maintenance; the slot is given back")
 				t.Release()
 			}
@@ -214,7 +214,7 @@
 	f.mu.Lock()
 	r, gone := f.replica, f.gone
 	f.mu.Unlock()
-	out := f.Leaves()
+	out := f.LeavesServiceWhenShutOut()
 	if r == nil || out == gone || out && !f.serving() {
 		return
 	}
@@ -223,7 +223,7 @@
 		return
 	}
 	f.log.Warn().Bool("leave", out).Msg("service is left while the box is shut out of the fleet")
-	f.Note(audit.Drain, out, "shut out of the fleet")
+	f.RecordAudit(audit.Drain, out, "shut out of the fleet")
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.gone = out
@@ -258,7 +258,7 @@
 		return nil // it was checked before it came into force
 	}
 	classes := f.cfg.Site.Policy.Classes
-	return &shed.Rules{Version: n, Tries: c.Overload.Tries, Shares: c.Overload.Shares, Order: shed.Order(len(classes), func(i int) float64 { return classes[i].Worth }, func(i int) time.Duration { return classes[i].Aim })}
+	return &shed.Rules{Version: n, Tries: c.Overload.Tries, Shares: c.Overload.Shares, Order: shed.SheddingOrder(len(classes), func(i int) float64 { return classes[i].Worth }, func(i int) time.Duration { return classes[i].Aim })}
 }
 
 // AuditFolder implements control.Fleet.
@@ -276,7 +276,7 @@
 		what += ": " + err.Error()
 	}
 	what = caller + ": " + what
-	f.Note(audit.Operator, err == nil, what[:min(len(what), 400)])
+	f.RecordAudit(audit.Operator, err == nil, what[:min(len(what), 400)])
 }
 
 // Begin implements control.Fleet.
@@ -316,7 +316,7 @@
 		return err
 	}
 	if s.Left <= 0 {
-		return fmt.Errorf("the slot is %s and may not be used now", s.Word)
+		return fmt.Errorf("the slot is %s and may not be used now", s.StateName)
 	}
 	f.mu.Lock()
 	r := f.replica
@@ -333,7 +333,7 @@
 		f.desk.End(id)
 		return err
 	}
-	f.Note(audit.Drain, true, fmt.Sprintf("%s under token %d", what, s.Token))
+	f.RecordAudit(audit.Drain, true, fmt.Sprintf("%s under token %d", what, s.Token))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entered = id
@@ -386,7 +386,7 @@
 // Drain implements operator.Replica.
 func (k keeper) Drain(on bool) error {
 	err := k.Replica.Drain(on)
-	k.fleet.Note(audit.Drain, on, fmt.Sprint("by an operator: ", err == nil))
+	k.fleet.RecordAudit(audit.Drain, on, fmt.Sprint("by an operator: ", err == nil))
 	if err == nil && !on {
 		k.fleet.back()
 	}
--- a/internal/appliance/recorder.go
+++ b/internal/appliance/recorder.go
@@ -100,8 +100,8 @@
 	var list []records.Tally
 	for _, c := range f.Classes {
 		was := r.last[c.Name]
-		now := records.Tally{Class: c.Name, InAim: uint32(c.Served - c.Late), Over: uint32(c.Late), Early: uint32(c.Refused), Failed: uint32(c.Failed),
-			Share: uint32(c.Share), Low: uint32(c.Low), Beyond: uint32(c.Beyond)} // sums; differences are right when they wrap
+		now := records.Tally{Class: c.Name, InAim: uint32(c.Served - c.Late), Over: uint32(c.Late), Early: uint32(c.Rejected), Failed: uint32(c.Failed),
+			Share: uint32(c.RejectedOverShare), Low: uint32(c.RejectedLowClass), Beyond: uint32(c.RejectedOverBudget)} // sums; differences are right when they wrap
 		r.last[c.Name] = now
 		t := records.Tally{Class: c.Name, InAim: now.InAim - was.InAim, Over: now.Over - was.Over, Early: now.Early - was.Early, Failed: now.Failed - was.Failed,
 			Share: now.Share - was.Share, Low: now.Low - was.Low, Beyond: now.Beyond - was.Beyond}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -25,7 +25,7 @@
 // Pace says when to report. Its methods do not wait. Without one a report goes out each Period.
 type Pace interface {
 	Due() bool // asked each look; whoever is told yes reports, and tells what came of it
-	Told(ok bool)
+	RecordResult(ok bool)
 }
 
 // look is how often a pace is asked.
@@ -113,7 +113,7 @@
 		last := r.leaving.Load()
 		err := r.report(ctx, last)
 		if p := r.pace.Load(); p != nil {
-			(*p).Told(err == nil)
+			(*p).RecordResult(err == nil)
 		}
 		if err != nil {
 			r.failed.Inc()
--- a/internal/catalog/pace_test.go
+++ b/internal/catalog/pace_test.go
@@ -25,7 +25,7 @@
 	return g.left >= 0
 }
 
-func (g *granted) Told(ok bool) {
+func (g *granted) RecordResult(ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.told = append(g.told, ok)
--- a/internal/certs/year/year.go
+++ b/internal/certs/year/year.go
@@ -120,8 +120,8 @@
 	c.came <- struct{}{}
 	return nil
 }
-func (c *core) Turned()                       {}
-func (c *core) Gone(string)                   {} // callers of the year do not give up
+func (c *core) CountMalformed()               {}
+func (c *core) CallerGone(string)             {} // callers of the year do not give up
 func (c *core) Healthy() bool                 { return true }
 func (c *core) CurrentSignal() replica.Signal { return replica.Signal{} }
 
--- a/internal/config/numbered.go
+++ b/internal/config/numbered.go
@@ -129,7 +129,7 @@
 
 // Rules are what the configuration says of stragglers, with what holds where it says nothing.
 func (n *Numbered) Rules() rollout.Rules {
-	r := rollout.Rules{Grace: 30 * time.Second, Floor: 0.5, Leave: n.Stragglers.Leave}
+	r := rollout.Rules{Grace: 30 * time.Second, Floor: 0.5, LeaveService: n.Stragglers.Leave}
 	if d, err := time.ParseDuration(n.Stragglers.Grace); err == nil {
 		r.Grace = d
 	}
--- a/internal/config/numbered_test.go
+++ b/internal/config/numbered_test.go
@@ -45,7 +45,7 @@
 	if err := o.CheckTenants([]string{"a", "b"}); err == nil || !strings.Contains(err.Error(), `c:3: shares: this box's settings know no tenant "x"; they know a, b`) {
 		t.Error(err)
 	}
-	if err != nil || n.Rules().Grace != time.Minute || n.Rules().Floor != 0.7 || !n.Rules().Leave {
+	if err != nil || n.Rules().Grace != time.Minute || n.Rules().Floor != 0.7 || !n.Rules().LeaveService {
 		t.Errorf("%+v, %v", n, err)
 	}
 }
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -22,7 +22,7 @@
 	Status() fleet.Status
 	Members() []fleet.Member
 	Leases() []fleet.LeaseStatus
-	Marks() map[string][]lease.Mark // of the boxes' audits
+	AuditHeads() map[string][]lease.Mark // of the boxes' audits
 	Init(terms lease.Terms, voters []string) error
 	Recover() error
 	ChangeVoters(how string, names []string) error // add, remove or replace; replace takes the old and the new name
@@ -31,8 +31,8 @@
 	Rollouts() fleet.Rollouts
 	Body(n uint64) ([]byte, error)
 	PutConfig(src []byte, caller string) (uint64, error)
-	StartRoll(n uint64, p rollout.Plan, caller string) error
-	ChangeRoll(kind rollout.Kind, why, caller string) error
+	StartRollout(n uint64, p rollout.Plan, caller string) error
+	ChangeRollout(kind rollout.Kind, why, caller string) error
 	SetLowest(n uint64) error
 	Operated(caller, what string, err error) // for the audit
 	Free(token uint64) error
@@ -93,17 +93,17 @@
 		if err := json.Unmarshal([]byte(r.FormValue("plan")), &p); err != nil {
 			return fmt.Errorf("plan: %w", err)
 		}
-		return f.StartRoll(number(r, "n"), p, callerOf(r))
+		return f.StartRollout(number(r, "n"), p, callerOf(r))
 	})
 	act("POST /fleet/rollout/change/{how}", func(f Fleet, r *http.Request) error {
 		kind, ok := map[string]rollout.Kind{"hold": rollout.Hold, "resume": rollout.Resume, "abort": rollout.Abort}[r.PathValue("how")]
 		if !ok {
 			return fmt.Errorf("%q is none of hold, resume, abort", r.PathValue("how"))
 		}
-		return f.ChangeRoll(kind, r.FormValue("why"), callerOf(r))
+		return f.ChangeRollout(kind, r.FormValue("why"), callerOf(r))
 	})
 	act("POST /fleet/lowest/{n}", func(f Fleet, r *http.Request) error { return f.SetLowest(number(r, "n")) })
-	handle("GET /fleet/marks", func(f Fleet, _ *http.Request) (any, error) { return f.Marks(), nil })
+	handle("GET /fleet/marks", func(f Fleet, _ *http.Request) (any, error) { return f.AuditHeads(), nil })
 	act("POST /fleet/init", func(f Fleet, r *http.Request) error {
 		term, terr := time.ParseDuration(r.FormValue("term"))
 		drift, derr := strconv.ParseFloat(r.FormValue("drift"), 64)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -81,7 +81,7 @@
 // Pace has the box ask what all boxes depend on when its fleet says so: reports to the catalog, and tries to reconnect to its engine.
 func (r *Replica) Pace(reports catalog.Pace, reconnects func(try int) time.Duration) {
 	r.service.reporter.Pace(reports)
-	r.service.engine.Pauses(reconnects)
+	r.service.engine.SetBackoff(reconnects)
 }
 
 // Level is what the module by itself would have callers hold back.
@@ -157,10 +157,10 @@
 	s.reloads, s.turned = s.set.Get("configurations_reloaded"), s.set.Get("configurations_turned_down")
 	memory := int(cfg.Limits.MemoryMB << 20)
 	s.engine = engine.NewLink(cfg.Engine, s.clk.Now, s.set)
-	s.engine.BoundOutput(memory / engineShare)
+	s.engine.LimitOutput(memory / engineShare)
 	p := s.process
-	rc := replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, OnCores: cfg.OnCores,
-		ResultBytes: memory / resultShare, Replaceable: cfg.Inherited > 0,
+	rc := replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, CoresGauge: cfg.OnCores,
+		MaxResultBytes: memory / resultShare, Replaceable: cfg.Inherited > 0,
 		CloseIdle: func(after time.Duration) { s.server.CloseIdle(after) }}
 	if cfg.Index != "" {
 		s.index = index.New(cfg.Index, indexReplies{p}, s.set) // replies come only after the replica's calls
@@ -181,7 +181,7 @@
 	p.split = newSplit(cfg.Limits, s.server, p.Replica)
 	p.split.alone()
 	s.server.Waits(longest(cfg))
-	s.server.CloseIdle(cfg.Policy.IdleMax) // routers close theirs by then; who does not holds a descriptor for nothing
+	s.server.CloseIdle(cfg.Policy.IdleTimeout) // routers close theirs by then; who does not holds a descriptor for nothing
 	if cfg.Control != "" {
 		err = s.claim(func() (err error) {
 			s.door, err = operator.Listen(cfg.Control, door{p}, s.clk.Now, s.set)
@@ -207,18 +207,18 @@
 	switch s.past {
 	case link.Follows:
 		p.life.Waits = true
-		p.Follow()
+		p.FollowPredecessor()
 		p.split.follow()
 	case link.Died: // its saves may come again, and what it ran is not known
 		log.Print("the last process here has died; saves that it may have run fail until they can no longer come again")
-		p.Replica.TookOver(false)
+		p.Replica.PredecessorEnded(false)
 	}
 	if s.door != nil { // callers have waited in the backlog until it is known what this process is
 		go s.door.Serve()
 		go s.door.Sweep(ctx)
 		log.Printf("operators may call at %s", s.door.Addr())
 	}
-	s.endEngine = keep(ctx, func(ctx context.Context) { s.engine.Keep(ctx, p) })
+	s.endEngine = keep(ctx, func(ctx context.Context) { s.engine.KeepOpen(ctx, p) })
 	s.endClaims = func() {}
 	if p.peer != nil {
 		s.endClaims = keep(ctx, func(ctx context.Context) { p.peer.Keep(ctx, s.past, neighbour{p}) })
@@ -338,7 +338,7 @@
 
 // Reply implements index.Replies.
 func (x indexReplies) Reply(txn string, outcome policy.Outcome, took time.Duration, reply []byte) {
-	x.p.Replica.Called(txn, outcome, took, reply)
+	x.p.Replica.CallEnded(txn, outcome, took, reply)
 }
 
 // reading is a configuration that was read anew, or why it was turned down.
@@ -453,7 +453,7 @@
 // empty ends the process's connections by stopAt.
 func (s *service) empty(stopAt time.Duration) {
 	for s.clk.Now() < stopAt-exitBefore {
-		if s.server.Connections() == 0 && s.process.Owed() == 0 {
+		if s.server.Connections() == 0 && s.process.Unanswered() == 0 {
 			return
 		}
 		time.Sleep(drainPoll)
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -100,7 +100,7 @@
 		n.mu.Unlock()
 		n.tellDrain(drained)
 	}
-	n.Replica.Joined(n.peer)
+	n.Replica.PeerConnected(n.peer)
 }
 
 // Told implements handover.Events.
@@ -131,14 +131,14 @@
 			log.Print("the other process was told of a drain: ", err)
 		}
 	default:
-		n.Replica.Told(m)
+		n.Replica.ReceiveFromPeer(m)
 	}
 }
 
 // Parted implements handover.Events.
 func (n neighbour) Parted() {
-	n.Replica.Parted()
-	if n.Replica.Owner() { // else the other one may be there still
+	n.Replica.PeerDisconnected()
+	if n.Replica.OwnsClaims() { // else the other one may be there still
 		n.split.alone()
 	}
 	n.take(lifecycle.SuccessorGone)
@@ -147,7 +147,7 @@
 // TookOver implements handover.Events.
 func (n neighbour) TookOver(all bool) {
 	log.Printf("the process before this one has ended; it told all that it owed: %v", all)
-	n.Replica.TookOver(all)
+	n.Replica.PredecessorEnded(all)
 	n.split.alone()
 	n.take(lifecycle.Inherited)
 	n.take(lifecycle.Known)
--- a/internal/daemon/split_test.go
+++ b/internal/daemon/split_test.go
@@ -18,7 +18,7 @@
 type idle struct{}
 
 func (idle) Run(string, string, []byte) bool { return false }
-func (idle) AskGauges() bool                 { return false }
+func (idle) RequestGauges() bool             { return false }
 func (idle) Feed(string, []byte) bool        { return false }
 func (idle) Skip(string, int64) bool         { return false }
 
@@ -34,7 +34,7 @@
 	plan := connections(limits)
 	alone := plan.Alone()
 	clk, set := clock.NewSystem(), new(counters.Set)
-	rep, err := replica.New(replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, OnCores: cfg.OnCores, ResultBytes: 1 << 20, Replaceable: true}, clk, idle{}, set)
+	rep, err := replica.New(replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, CoresGauge: cfg.OnCores, MaxResultBytes: 1 << 20, Replaceable: true}, clk, idle{}, set)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -14,13 +14,13 @@
 
 // The states of a request.
 const (
-	Asked    State = iota + 1 // not known to be granted
-	Held                      // granted, and the box may act
-	Renewing                  // held, with a renewal in progress
-	Doubtful                  // granted, but by the box's clock the lease may have expired: the box may not act
-	Lost                      // ended by the ledger
-	GivenUp                   // released or withdrawn by the box itself
-	Refused                   // rejected by the ledger, or the box's name was taken by another process
+	Requested State = iota + 1 // not known to be granted
+	Held                       // granted, and the box may act
+	Renewing                   // held, with a renewal in progress
+	Uncertain                  // granted, but by the box's clock the lease may have expired: the box may not act
+	Lost                       // ended by the ledger
+	Released                   // released or withdrawn by the box itself
+	Rejected                   // rejected by the ledger, or the box's name was taken by another process
 )
 
 var stateNames = [...]string{"", "asked", "held", "renewing", "doubtful", "lost", "given up", "refused"}
@@ -35,8 +35,8 @@
 // MarshalText implements encoding.TextMarshaler. The text is the name of the state.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Over reports whether the state is final.
-func (s State) Over() bool { return s == Lost || s == GivenUp || s == Refused }
+// Final reports whether the state is final.
+func (s State) Final() bool { return s == Lost || s == Released || s == Rejected }
 
 // event is an input to the state machine of a request.
 type event uint8
@@ -54,17 +54,17 @@
 
 // next returns the state after an event.
 func (s State) next(e event) State {
-	if s.Over() {
+	if s.Final() {
 		return s
 	}
 	switch e {
 	case grantedFresh:
 		return Held
 	case grantedStale, deadlinePassed:
-		if s == Asked && e == deadlinePassed {
-			return Asked // still waiting; the next session repeats the request
+		if s == Requested && e == deadlinePassed {
+			return Requested // still waiting; the next session repeats the request
 		}
-		return Doubtful
+		return Uncertain
 	case renewalSent:
 		if s == Held {
 			return Renewing
@@ -72,13 +72,13 @@
 	case removedFromTable:
 		return Lost
 	case rejected:
-		return Refused
+		return Rejected
 	case sessionEnded:
-		if s != Asked {
+		if s != Requested {
 			return Lost
 		}
 	case givenUp:
-		return GivenUp
+		return Released
 	}
 	return s
 }
@@ -91,23 +91,23 @@
 	Sticky   bool
 }
 
-// Ask is a request and its state.
-type Ask struct {
+// TrackedRequest is a request and its state.
+type TrackedRequest struct {
 	Request
-	ID    uint64 // assigned by this box; never 0
-	State State
-	Token uint64 // set once granted
-	Stop  bool   // the box is requested to stop early
-	Why   error  // reason of Refused
-	Place int    // position in the queue, from 1; 0 when not waiting or unknown
+	ID            uint64 // assigned by this box; never 0
+	State         State
+	Token         uint64 // set once granted
+	StopRequested bool   // the box is requested to stop early
+	Reason        error  // reason of Refused
+	QueuePosition int    // position in the queue, from 1; 0 when not waiting or unknown
 
 	acquireSeq uint64 // number of its Acquire in this session; 0 if none was created
 	takenOver  bool   // taken over from an earlier session of the box
 	inTable    bool
 }
 
-// Taken reports whether the slot was taken over from an earlier session of the box.
-func (a *Ask) Taken() bool { return a.takenOver }
+// TakenOver reports whether the slot was taken over from an earlier session of the box.
+func (a *TrackedRequest) TakenOver() bool { return a.takenOver }
 
 // Phase is the membership state of a box in its fleet.
 type Phase uint8
@@ -115,10 +115,10 @@
 // Phases of a box.
 const (
 	Joining    Phase = iota + 1 // the box has no session
-	In                          // the box has a session
+	Joined                      // the box has a session
 	Displaced                   // another process has joined under the box's name but sent nothing since: the join may be a delayed message of a dead process
 	Superseded                  // another live process has joined under the box's name; this one stops acting and does not join again
-	Gone                        // the box has left
+	Left                        // the box has left
 )
 
 var phaseNames = [...]string{"", "joining", "in", "displaced", "superseded", "gone"}
@@ -150,11 +150,11 @@
 	actUntil     time.Duration    // the box may act before this time
 	pending      []unacknowledged // in order
 	resendAt     time.Duration    // when to resend the pending commands; 0: immediately
-	asks         []*Ask
+	asks         []*TrackedRequest
 }
 
-// AsksMost is the maximum number of requests of one box at a time.
-const AsksMost = 2048
+// MaxRequests is the maximum number of requests of one box at a time.
+const MaxRequests = 2048
 
 // maxPendingForRenew is the number of pending commands from which on no Renew is added: the ledger is not responding, and
 // each resend contains all pending commands.
@@ -162,10 +162,10 @@
 
 // Errors returned by a Holder.
 var (
-	ErrTooMany = errors.New("too many open requests on this box")
-	ErrOut     = errors.New("this box has left the fleet or was superseded by another process")
-	ErrLate    = errors.New("the lease may have expired by this box's clock")
-	ErrShort   = errors.New("the remaining lease time is too short")
+	ErrTooMany      = errors.New("too many open requests on this box")
+	ErrNotMember    = errors.New("this box has left the fleet or was superseded by another process")
+	ErrMayBeExpired = errors.New("the lease may have expired by this box's clock")
+	ErrTooShort     = errors.New("the remaining lease time is too short")
 )
 
 // NewHolder returns the Holder of a box. Each process must use a new random nonce.
@@ -180,16 +180,16 @@
 func (h *Holder) Session() uint64 { return h.session }
 
 // Left reports whether the box has left and has no command to send any more.
-func (h *Holder) Left() bool { return h.phase == Gone && len(h.pending) == 0 }
+func (h *Holder) Left() bool { return h.phase == Left && len(h.pending) == 0 }
 
-// Until returns the time, by the box's clock, before which the box may act for the fleet.
-func (h *Holder) Until() time.Duration { return h.actUntil }
+// ActDeadline returns the time, by the box's clock, before which the box may act for the fleet.
+func (h *Holder) ActDeadline() time.Duration { return h.actUntil }
 
-// Asks returns all requests, oldest first. They belong to the Holder and must not be modified.
-func (h *Holder) Asks() []*Ask { return h.asks }
+// Requests returns all requests, oldest first. They belong to the Holder and must not be modified.
+func (h *Holder) Requests() []*TrackedRequest { return h.asks }
 
 // Find returns the request with the given ID, or nil.
-func (h *Holder) Find(id uint64) *Ask {
+func (h *Holder) Find(id uint64) *TrackedRequest {
 	for _, a := range h.asks {
 		if a.ID == id {
 			return a
@@ -199,23 +199,23 @@
 }
 
 // Acquire requests a slot. The request stays queued across sessions until it is granted or given up.
-func (h *Holder) Acquire(now time.Duration, r Request) (*Ask, error) {
-	if h.phase == Superseded || h.phase == Gone {
-		return nil, ErrOut
+func (h *Holder) Acquire(now time.Duration, r Request) (*TrackedRequest, error) {
+	if h.phase == Superseded || h.phase == Left {
+		return nil, ErrNotMember
 	}
-	if len(h.asks) >= AsksMost {
+	if len(h.asks) >= MaxRequests {
 		return nil, ErrTooMany
 	}
 	h.lastAskID++
-	a := &Ask{Request: r, ID: h.lastAskID, State: Asked}
+	a := &TrackedRequest{Request: r, ID: h.lastAskID, State: Requested}
 	h.asks = append(h.asks, a)
 	h.sendAcquire(now, a)
 	return a, nil
 }
 
 // sendAcquire creates the Acquire command of a request if the box has a session.
-func (h *Holder) sendAcquire(now time.Duration, a *Ask) {
-	if h.phase == In {
+func (h *Holder) sendAcquire(now time.Duration, a *TrackedRequest) {
+	if h.phase == Joined {
 		a.acquireSeq = h.enqueue(now, Command{Kind: Acquire, Task: a.Task, Slots: a.Slots, Priority: a.Priority, Sticky: a.Sticky})
 	}
 }
@@ -229,14 +229,14 @@
 	return c.Seq
 }
 
-// GiveUp releases a slot or withdraws a request. The caller must have stopped acting under it.
-func (h *Holder) GiveUp(now time.Duration, a *Ask) {
-	if a.State.Over() {
+// Release releases a slot or withdraws a request. The caller must have stopped acting under it.
+func (h *Holder) Release(now time.Duration, a *TrackedRequest) {
+	if a.State.Final() {
 		return
 	}
 	a.State = a.State.next(givenUp)
-	if h.phase == In && (a.acquireSeq != 0 || a.takenOver) {
-		c := Command{Kind: Release, Ask: a.acquireSeq}
+	if h.phase == Joined && (a.acquireSeq != 0 || a.takenOver) {
+		c := Command{Kind: Release, AcquireSeq: a.acquireSeq}
 		if a.takenOver {
 			c.Token = a.Token
 		}
@@ -244,41 +244,41 @@
 	}
 }
 
-// Part makes the box leave the fleet. The caller must have stopped acting.
-func (h *Holder) Part(now time.Duration) {
+// Leave makes the box leave the fleet. The caller must have stopped acting.
+func (h *Holder) Leave(now time.Duration) {
 	for _, a := range h.asks {
 		a.State = a.State.next(givenUp)
 	}
-	if h.phase == In {
-		h.enqueue(now, Command{Kind: Part})
+	if h.phase == Joined {
+		h.enqueue(now, Command{Kind: Leave})
 	}
-	h.phase, h.actUntil = Gone, 0
+	h.phase, h.actUntil = Left, 0
 	if h.session == 0 {
 		h.pending = nil
 	}
 }
 
-// Drop removes a request that is in a final state.
-func (h *Holder) Drop(a *Ask) {
-	if a.State.Over() {
-		h.asks = slices.DeleteFunc(h.asks, func(o *Ask) bool { return o == a })
+// Remove removes a request that is in a final state.
+func (h *Holder) Remove(a *TrackedRequest) {
+	if a.State.Final() {
+		h.asks = slices.DeleteFunc(h.asks, func(o *TrackedRequest) bool { return o == a })
 	}
 }
 
-// May returns nil if an action that takes at most need may be started now. It must be called immediately before the action.
-func (h *Holder) May(now time.Duration, a *Ask, need time.Duration) error {
+// CheckPermit returns nil if an action that takes at most need may be started now. It must be called immediately before the action.
+func (h *Holder) CheckPermit(now time.Duration, a *TrackedRequest, need time.Duration) error {
 	if a.State == Held || a.State == Renewing {
 		if now >= h.actUntil {
 			h.checkDeadline(now)
 		} else if now+need >= h.actUntil {
-			return fmt.Errorf("%w: %v left, %v needed", ErrShort, h.actUntil-now, need)
+			return fmt.Errorf("%w: %v left, %v needed", ErrTooShort, h.actUntil-now, need)
 		}
 	}
 	switch a.State {
 	case Held, Renewing:
 		return nil
-	case Doubtful:
-		return ErrLate
+	case Uncertain:
+		return ErrMayBeExpired
 	}
 	return fmt.Errorf("the request is %v", a.State)
 }
@@ -297,20 +297,20 @@
 // known to be applied are sent together; the table rejects already applied ones by their number.
 func (h *Holder) Due(now time.Duration) (commands []Command, next time.Duration) {
 	h.checkDeadline(now)
-	interval := h.terms.Pause()
+	interval := h.terms.RenewInterval()
 	switch {
 	case h.phase == Joining && len(h.pending) == 0:
 		h.joinAttempts++
-		h.pending = []unacknowledged{{Command{Kind: Join, Box: h.box, Nonce: h.nonce, Try: h.joinAttempts, Build: h.build}, now}}
+		h.pending = []unacknowledged{{Command{Kind: Join, Box: h.box, Nonce: h.nonce, JoinAttempt: h.joinAttempts, Build: h.build}, now}}
 		h.resendAt = 0
-	case h.phase == In && now >= h.lastCreated+h.terms.Pause() && len(h.pending) < maxPendingForRenew:
+	case h.phase == Joined && now >= h.lastCreated+h.terms.RenewInterval() && len(h.pending) < maxPendingForRenew:
 		h.enqueue(now, Command{Kind: Renew})
 		for _, a := range h.asks {
 			a.State = a.State.next(renewalSent)
 		}
 	}
 	next = now + interval
-	if h.phase == In {
+	if h.phase == Joined {
 		next = min(next, max(h.lastCreated+interval, now+interval/4))
 	}
 	if len(h.pending) == 0 {
@@ -326,19 +326,19 @@
 	return commands, min(next, h.resendAt)
 }
 
-// Saw updates the Holder after commands were applied to the local table. rejection returns the reason for which the
+// Update updates the Holder after commands were applied to the local table. rejection returns the reason for which the
 // command of this box with the given number was rejected; it may be nil if reasons are not known.
-func (h *Holder) Saw(now time.Duration, t *Table, rejection func(seq uint64) error) {
+func (h *Holder) Update(now time.Duration, t *Table, rejection func(seq uint64) error) {
 	h.terms = t.Terms
 	if h.phase == Superseded {
 		return
 	}
-	newest := t.Sessions[t.Names[h.box]]
+	newest := t.Sessions[t.CurrentSessions[h.box]]
 	mine := t.Sessions[h.session]
 	switch {
-	case h.phase == In && (mine == nil || mine.Past):
+	case h.phase == Joined && (mine == nil || mine.NotRenewable):
 		h.endSession()
-	case h.phase == Gone && mine == nil:
+	case h.phase == Left && mine == nil:
 		h.pending = nil
 		return
 	}
@@ -362,25 +362,25 @@
 		return
 	}
 	for len(h.pending) > 0 && h.pending[0].Seq <= mine.Seq {
-		h.actUntil = max(h.actUntil, h.pending[0].createdAt+h.terms.Acting())
+		h.actUntil = max(h.actUntil, h.pending[0].createdAt+h.terms.HolderDuration())
 		h.pending = h.pending[1:]
 	}
-	if h.phase != Gone {
+	if h.phase != Left {
 		h.updateAsks(now, t, mine, rejection)
 	}
 }
 
 // startSession starts using the session that a join has created.
 func (h *Holder) startSession(now time.Duration, s *Session) {
-	h.phase, h.session, h.lastSession, h.lastSeq = In, s.ID, s.ID, 0
-	if len(h.pending) == 1 && h.pending[0].Kind == Join && s.Try == h.joinAttempts {
-		h.actUntil, h.lastCreated = h.pending[0].createdAt+h.terms.Acting(), h.pending[0].createdAt
+	h.phase, h.session, h.lastSession, h.lastSeq = Joined, s.ID, s.ID, 0
+	if len(h.pending) == 1 && h.pending[0].Kind == Join && s.JoinAttempt == h.joinAttempts {
+		h.actUntil, h.lastCreated = h.pending[0].createdAt+h.terms.HolderDuration(), h.pending[0].createdAt
 	} else { // an earlier join was applied late: its creation time is unknown
-		h.actUntil, h.lastCreated = 0, now-h.terms.Pause()
+		h.actUntil, h.lastCreated = 0, now-h.terms.RenewInterval()
 	}
 	h.pending = nil
 	for _, a := range h.asks {
-		if a.State == Asked {
+		if a.State == Requested {
 			h.sendAcquire(now, a)
 		}
 	}
@@ -391,14 +391,14 @@
 	h.phase, h.session, h.actUntil, h.pending = Joining, 0, 0, nil
 	for _, a := range h.asks {
 		a.State = a.State.next(sessionEnded)
-		a.acquireSeq, a.inTable, a.Place = 0, false, 0
+		a.acquireSeq, a.inTable, a.QueuePosition = 0, false, 0
 	}
 }
 
 // updateAsks updates the state of this box's requests from the table.
 func (h *Holder) updateAsks(now time.Duration, t *Table, mine *Session, rejection func(uint64) error) {
-	bySeq := map[uint64]*Ask{}
-	byToken := map[uint64]*Ask{}
+	bySeq := map[uint64]*TrackedRequest{}
+	byToken := map[uint64]*TrackedRequest{}
 	for _, a := range h.asks {
 		a.inTable = false
 		if a.takenOver {
@@ -412,18 +412,18 @@
 			if l.Session != h.session || l.Orphan {
 				continue
 			}
-			a := bySeq[l.Ask]
-			if l.Ask == 0 {
+			a := bySeq[l.AcquireSeq]
+			if l.AcquireSeq == 0 {
 				if a = byToken[l.Token]; a == nil {
 					h.lastAskID++
-					a = &Ask{Request: Request{Task: name, Slots: task.Slots, Priority: l.Priority, Sticky: true}, ID: h.lastAskID, State: Asked, takenOver: true}
+					a = &TrackedRequest{Request: Request{Task: name, Slots: task.Slots, Priority: l.Priority, Sticky: true}, ID: h.lastAskID, State: Requested, takenOver: true}
 					h.asks = append(h.asks, a)
 				}
 			}
 			if a == nil {
 				continue
 			}
-			a.Token, a.Stop, a.Place, a.inTable = l.Token, a.Stop || l.Stop, 0, true
+			a.Token, a.StopRequested, a.QueuePosition, a.inTable = l.Token, a.StopRequested || l.StopRequested, 0, true
 			if now < h.actUntil {
 				if a.State != Renewing || len(h.pending) == 0 {
 					a.State = a.State.next(grantedFresh)
@@ -433,21 +433,21 @@
 			}
 		}
 		for i, w := range task.Queue {
-			if a := bySeq[w.Ask]; w.Session == h.session && a != nil {
-				a.Place, a.inTable = i+1, true
+			if a := bySeq[w.AcquireSeq]; w.Session == h.session && a != nil {
+				a.QueuePosition, a.inTable = i+1, true
 			}
 		}
 	}
 	for _, a := range h.asks {
-		if a.inTable || a.State.Over() || !a.takenOver && (a.acquireSeq == 0 || a.acquireSeq > mine.Seq) {
+		if a.inTable || a.State.Final() || !a.takenOver && (a.acquireSeq == 0 || a.acquireSeq > mine.Seq) {
 			continue
 		}
-		if a.State != Asked {
+		if a.State != Requested {
 			a.State = a.State.next(removedFromTable)
 			continue
 		}
 		if rejection != nil {
-			a.Why = rejection(a.acquireSeq)
+			a.Reason = rejection(a.acquireSeq)
 		}
 		a.State = a.State.next(rejected)
 	}
@@ -455,23 +455,23 @@
 
 // Report sends the head of the box's audit chain. It returns false if there is no session to send it in.
 func (h *Holder) Report(now time.Duration, m Mark) bool {
-	if h.phase == In {
+	if h.phase == Joined {
 		h.enqueue(now, Command{Kind: Report, Chain: m.Chain, N: m.N, Sum: m.Sum, First: m.First})
 	}
-	return h.phase == In
+	return h.phase == Joined
 }
 
-// Carry queues a payload as a command of this session and returns the command's number, or 0 if there is no session.
-func (h *Holder) Carry(now time.Duration, payload cbor.ByteString) uint64 {
-	if h.phase != In {
+// SendPayload queues a payload as a command of this session and returns the command's number, or 0 if there is no session.
+func (h *Holder) SendPayload(now time.Duration, payload cbor.ByteString) uint64 {
+	if h.phase != Joined {
 		return 0
 	}
-	return h.enqueue(now, Command{Kind: Carry, Payload: payload})
+	return h.enqueue(now, Command{Kind: CarryPayload, Payload: payload})
 }
 
 // Stop requests the holder of a token to stop early.
 func (h *Holder) Stop(now time.Duration, token uint64) {
-	if h.phase == In {
+	if h.phase == Joined {
 		h.enqueue(now, Command{Kind: Stop, Token: token})
 	}
 }
--- a/internal/decide/lease/judge.go
+++ b/internal/decide/lease/judge.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Judge determines which sessions have expired, by one box's own clock. Any box may judge; see the package comment.
-type Judge struct {
+// ExpiryDetector determines which sessions have expired, by one box's own clock. Any box may judge; see the package comment.
+type ExpiryDetector struct {
 	observed map[uint64]observation
 	closed   observation // of a closed table; its seq is 0 if the table is not closed
 }
@@ -19,8 +19,8 @@
 	sendAt time.Duration // when to send the command that ends the session, for the first time or again
 }
 
-// Saw updates the judge after commands were applied to the table. A late call is safe: it only delays the end of sessions.
-func (j *Judge) Saw(now time.Duration, t *Table) {
+// Update updates the judge after commands were applied to the table. A late call is safe: it only delays the end of sessions.
+func (j *ExpiryDetector) Update(now time.Duration, t *Table) {
 	if j.observed == nil {
 		j.observed = map[uint64]observation{}
 	}
@@ -29,8 +29,8 @@
 			j.observed[id] = observation{seq: s.Seq, seenAt: now, sendAt: now + t.Terms.Term}
 		}
 	}
-	if t.Closed != j.closed.seq {
-		j.closed = observation{seq: t.Closed, seenAt: now, sendAt: now + t.Terms.Term}
+	if t.SuspendedAt != j.closed.seq {
+		j.closed = observation{seq: t.SuspendedAt, seenAt: now, sendAt: now + t.Terms.Term}
 	}
 	for id := range j.observed {
 		if t.Sessions[id] == nil {
@@ -39,20 +39,20 @@
 	}
 }
 
-// Silent returns the time since this box last saw a command of the session.
-func (j *Judge) Silent(now time.Duration, session uint64) time.Duration {
+// TimeSinceSeen returns the time since this box last saw a command of the session.
+func (j *ExpiryDetector) TimeSinceSeen(now time.Duration, session uint64) time.Duration {
 	if s, ok := j.observed[session]; ok {
 		return now - s.seenAt
 	}
 	return 0
 }
 
-// Forget discards all observations, as at the start of a process.
-func (j *Judge) Forget() { *j = Judge{} }
+// Reset discards all observations, as at the start of a process.
+func (j *ExpiryDetector) Reset() { *j = ExpiryDetector{} }
 
 // Due returns the commands that end expired sessions or open a closed table, and the time of the next call. Each command
 // is repeated after a quarter of a term, since commands may be lost.
-func (j *Judge) Due(now time.Duration, t *Table) (commands []Command, next time.Duration) {
+func (j *ExpiryDetector) Due(now time.Duration, t *Table) (commands []Command, next time.Duration) {
 	next = now + t.Terms.Term/4
 	for id, s := range j.observed {
 		if now >= s.sendAt {
@@ -64,7 +64,7 @@
 	}
 	if j.closed.seq != 0 {
 		if now >= j.closed.sendAt {
-			commands = append(commands, Command{Kind: Open, Seq: j.closed.seq})
+			commands = append(commands, Command{Kind: ResumeGrants, Seq: j.closed.seq})
 			j.closed.sendAt = now + t.Terms.Term/4
 		}
 		next = min(next, j.closed.sendAt)
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -41,8 +41,8 @@
 	MaxDrift = 0.2
 )
 
-// Check returns an error if a value of t is out of bounds.
-func (t Terms) Check() error {
+// Validate returns an error if a value of t is out of bounds.
+func (t Terms) Validate() error {
 	if t.Term < MinTerm || t.Term > MaxTerm {
 		return fmt.Errorf("lease term %v is out of range: must be from %v to %v", t.Term, MinTerm, MaxTerm)
 	}
@@ -52,31 +52,31 @@
 	return nil
 }
 
-// Acting returns how long, by its own clock, a holder may act after it created a command that was applied. A slow holder
+// HolderDuration returns how long, by its own clock, a holder may act after it created a command that was applied. A slow holder
 // measures Acting in Acting/(1-Drift) of real time, a fast judge measures Term in Term/(1+Drift): the former is never longer.
-func (t Terms) Acting() time.Duration {
+func (t Terms) HolderDuration() time.Duration {
 	return time.Duration(float64(t.Term) * (1 - t.Drift) / (1 + t.Drift))
 }
 
-// Pause returns the time after its last command at which a box renews its session.
-func (t Terms) Pause() time.Duration { return t.Acting() / 3 }
+// RenewInterval returns the time after its last command at which a box renews its session.
+func (t Terms) RenewInterval() time.Duration { return t.HolderDuration() / 3 }
 
 // Kind is the type of a command.
 type Kind uint8
 
 // Command kinds. All but the first four belong to a session and carry its sequence number.
 const (
-	Join    Kind = iota + 1 // starts a session for a box; Nonce distinguishes its process from others with the same name
-	Expire                  // ends a session that has not been renewed since Seq
-	Free                    // sent by an operator: releases the slot with this Token, whoever holds it
-	Open                    // allows grants again after Close; Seq is the index at which the table was closed
-	Renew                   // only renews the session
-	Acquire                 // requests a slot of a task
-	Release                 // releases the slot or withdraws the request of the Acquire with number Ask
-	Stop                    // requests the holder of Token to stop early
-	Part                    // ends the session; the box stops acting
-	Report                  // reports the head of the box's audit chain: Chain, N and Sum
-	Carry                   // transports Payload, which is not about leases, exactly once and in session order
+	Join         Kind = iota + 1 // starts a session for a box; Nonce distinguishes its process from others with the same name
+	Expire                       // ends a session that has not been renewed since Seq
+	Free                         // sent by an operator: releases the slot with this Token, whoever holds it
+	ResumeGrants                 // allows grants again after Close; Seq is the index at which the table was closed
+	Renew                        // only renews the session
+	Acquire                      // requests a slot of a task
+	Release                      // releases the slot or withdraws the request of the Acquire with number Ask
+	Stop                         // requests the holder of Token to stop early
+	Leave                        // ends the session; the box stops acting
+	Report                       // reports the head of the box's audit chain: Chain, N and Sum
+	CarryPayload                 // transports Payload, which is not about leases, exactly once and in session order
 )
 
 var kindNames = [...]string{"", "join", "expire", "free", "open", "renew", "acquire", "release", "stop", "part", "report", "carry"}
@@ -90,24 +90,24 @@
 
 // Command is one lease command in the ledger. Fields that a kind does not use are omitted.
 type Command struct {
-	Kind     Kind            `cbor:"1,keyasint"`
-	Session  uint64          `cbor:"2,keyasint,omitempty"`
-	Seq      uint64          `cbor:"3,keyasint,omitempty"`
-	Box      string          `cbor:"4,keyasint,omitempty"`
-	Nonce    uint64          `cbor:"5,keyasint,omitempty"`  // random number of the box's process
-	Try      uint64          `cbor:"13,keyasint,omitempty"` // counts the joins of the process
-	Build    string          `cbor:"6,keyasint,omitempty"`
-	Task     string          `cbor:"7,keyasint,omitempty"`
-	Ask      uint64          `cbor:"8,keyasint,omitempty"` // the Seq of the Acquire that is referred to
-	Slots    int             `cbor:"9,keyasint,omitempty"`
-	Priority int             `cbor:"10,keyasint,omitempty"`
-	Sticky   bool            `cbor:"11,keyasint,omitempty"` // the slot survives the end of the session: see Lease
-	Token    uint64          `cbor:"12,keyasint,omitempty"`
-	Chain    string          `cbor:"14,keyasint,omitempty"`
-	N        uint64          `cbor:"15,keyasint,omitempty"`
-	Sum      string          `cbor:"16,keyasint,omitempty"` // in hexadecimal
-	First    uint64          `cbor:"18,keyasint,omitempty"`
-	Payload  cbor.ByteString `cbor:"17,keyasint,omitempty"` // opaque to the table
+	Kind        Kind            `cbor:"1,keyasint"`
+	Session     uint64          `cbor:"2,keyasint,omitempty"`
+	Seq         uint64          `cbor:"3,keyasint,omitempty"`
+	Box         string          `cbor:"4,keyasint,omitempty"`
+	Nonce       uint64          `cbor:"5,keyasint,omitempty"`  // random number of the box's process
+	JoinAttempt uint64          `cbor:"13,keyasint,omitempty"` // counts the joins of the process
+	Build       string          `cbor:"6,keyasint,omitempty"`
+	Task        string          `cbor:"7,keyasint,omitempty"`
+	AcquireSeq  uint64          `cbor:"8,keyasint,omitempty"` // the Seq of the Acquire that is referred to
+	Slots       int             `cbor:"9,keyasint,omitempty"`
+	Priority    int             `cbor:"10,keyasint,omitempty"`
+	Sticky      bool            `cbor:"11,keyasint,omitempty"` // the slot survives the end of the session: see Lease
+	Token       uint64          `cbor:"12,keyasint,omitempty"`
+	Chain       string          `cbor:"14,keyasint,omitempty"`
+	N           uint64          `cbor:"15,keyasint,omitempty"`
+	Sum         string          `cbor:"16,keyasint,omitempty"` // in hexadecimal
+	First       uint64          `cbor:"18,keyasint,omitempty"`
+	Payload     cbor.ByteString `cbor:"17,keyasint,omitempty"` // opaque to the table
 }
 
 // Mark is the head of a box's audit chain as reported by the box.
@@ -124,49 +124,49 @@
 
 // Session is one membership of a box in the fleet, from a join to its end.
 type Session struct {
-	ID    uint64 `cbor:"1,keyasint"` // ledger index of the join; it is the box's incarnation number and only increases
-	Box   string `cbor:"2,keyasint"`
-	Nonce uint64 `cbor:"3,keyasint"`
-	Try   uint64 `cbor:"7,keyasint"`
-	Build string `cbor:"4,keyasint"`
-	Seq   uint64 `cbor:"5,keyasint"` // number of the last applied command
-	Past  bool   `cbor:"6,keyasint"` // the session can no longer be renewed: another process has joined under the name, or the box was barred
+	ID           uint64 `cbor:"1,keyasint"` // ledger index of the join; it is the box's incarnation number and only increases
+	Box          string `cbor:"2,keyasint"`
+	Nonce        uint64 `cbor:"3,keyasint"`
+	JoinAttempt  uint64 `cbor:"7,keyasint"`
+	Build        string `cbor:"4,keyasint"`
+	Seq          uint64 `cbor:"5,keyasint"` // number of the last applied command
+	NotRenewable bool   `cbor:"6,keyasint"` // the session can no longer be renewed: another process has joined under the name, or the box was barred
 }
 
-// Ended describes the last session of a box that has no session now.
-type Ended struct {
-	Session uint64 `cbor:"1,keyasint"`
-	Parted  bool   `cbor:"2,keyasint"` // the box left by Part; otherwise its session expired or the box was barred
+// EndedSession describes the last session of a box that has no session now.
+type EndedSession struct {
+	Session     uint64 `cbor:"1,keyasint"`
+	LeftInOrder bool   `cbor:"2,keyasint"` // the box left by Part; otherwise its session expired or the box was barred
 }
 
 // Lease is a held slot.
 type Lease struct {
-	Session  uint64 `cbor:"1,keyasint"`
-	Box      string `cbor:"2,keyasint"`
-	Ask      uint64 `cbor:"3,keyasint"`
-	Token    uint64 `cbor:"4,keyasint"`
-	Priority int    `cbor:"5,keyasint"`
+	Session    uint64 `cbor:"1,keyasint"`
+	Box        string `cbor:"2,keyasint"`
+	AcquireSeq uint64 `cbor:"3,keyasint"`
+	Token      uint64 `cbor:"4,keyasint"`
+	Priority   int    `cbor:"5,keyasint"`
 	// Sticky slots represent a condition that persists while the box is unreachable, such as being out of service. When
 	// the session ends, its sticky slots become orphans: they stay occupied, but no box may act under them. The box's
 	// next session takes them over.
-	Sticky bool `cbor:"6,keyasint"`
-	Orphan bool `cbor:"7,keyasint"`
-	Stop   bool `cbor:"8,keyasint"` // the holder is requested to stop early
+	Sticky        bool `cbor:"6,keyasint"`
+	Orphan        bool `cbor:"7,keyasint"`
+	StopRequested bool `cbor:"8,keyasint"` // the holder is requested to stop early
 }
 
 // Waiter is an entry of a task's queue.
 type Waiter struct {
-	Session  uint64 `cbor:"1,keyasint"`
-	Box      string `cbor:"2,keyasint"`
-	Ask      uint64 `cbor:"3,keyasint"`
-	Ticket   uint64 `cbor:"4,keyasint"`
-	Priority int    `cbor:"5,keyasint"`
-	Sticky   bool   `cbor:"6,keyasint"`
-	Passed   int    `cbor:"7,keyasint"` // number of later requests that were granted first
+	Session     uint64 `cbor:"1,keyasint"`
+	Box         string `cbor:"2,keyasint"`
+	AcquireSeq  uint64 `cbor:"3,keyasint"`
+	Ticket      uint64 `cbor:"4,keyasint"`
+	Priority    int    `cbor:"5,keyasint"`
+	Sticky      bool   `cbor:"6,keyasint"`
+	PassedCount int    `cbor:"7,keyasint"` // number of later requests that were granted first
 }
 
-// PassedMost is the number of later requests with higher priority that may be granted before a waiter.
-const PassedMost = 8
+// MaxPassed is the number of later requests with higher priority that may be granted before a waiter.
+const MaxPassed = 8
 
 // Task is a task that at most Slots boxes may run at a time.
 type Task struct {
@@ -177,45 +177,45 @@
 
 // Bounds of a Table. Commands that would exceed them are rejected.
 const (
-	MaxTasks    = 4096
-	MaxWaiters  = 1024 // for each task
-	MaxSessions = 4096
-	MaxPlaces   = 1 << 16 // holders and waiters of all tasks together
-	MaxName     = 128     // length of a name in bytes
-	MaxSlots    = 1024
+	MaxTasks             = 4096
+	MaxWaiters           = 1024 // for each task
+	MaxSessions          = 4096
+	MaxHoldersAndWaiters = 1 << 16 // holders and waiters of all tasks together
+	MaxName              = 128     // length of a name in bytes
+	MaxSlots             = 1024
 )
 
 // Table is the replicated lease state. It depends only on the commands and their order.
 type Table struct {
-	Terms    Terms               `cbor:"1,keyasint"`
-	Token    uint64              `cbor:"2,keyasint"` // last fencing token issued; it only increases
-	Ticket   uint64              `cbor:"3,keyasint"`
-	Sessions map[uint64]*Session `cbor:"4,keyasint"`
-	Names    map[string]uint64   `cbor:"5,keyasint"`            // current session of each box that has one
-	Tasks    map[string]*Task    `cbor:"6,keyasint"`            // tasks with a holder or a waiter
-	Left     map[string]Ended    `cbor:"8,keyasint"`            // last session of each box that has none now
-	Marks    map[string][]Mark   `cbor:"9,keyasint"`            // for each box, oldest first
-	Closed   uint64              `cbor:"7,keyasint"`            // if not 0, nothing is granted until a judge sends Open; see Close
-	Barred   map[string]bool     `cbor:"10,keyasint,omitempty"` // boxes whose requests are rejected; see Bar
+	Terms           Terms                   `cbor:"1,keyasint"`
+	Token           uint64                  `cbor:"2,keyasint"` // last fencing token issued; it only increases
+	Ticket          uint64                  `cbor:"3,keyasint"`
+	Sessions        map[uint64]*Session     `cbor:"4,keyasint"`
+	CurrentSessions map[string]uint64       `cbor:"5,keyasint"`            // current session of each box that has one
+	Tasks           map[string]*Task        `cbor:"6,keyasint"`            // tasks with a holder or a waiter
+	EndedSessions   map[string]EndedSession `cbor:"8,keyasint"`            // last session of each box that has none now
+	Marks           map[string][]Mark       `cbor:"9,keyasint"`            // for each box, oldest first
+	SuspendedAt     uint64                  `cbor:"7,keyasint"`            // if not 0, nothing is granted until a judge sends Open; see Close
+	Barred          map[string]bool         `cbor:"10,keyasint,omitempty"` // boxes whose requests are rejected; see Bar
 }
 
 // NewTable returns an empty table.
 func NewTable(t Terms) *Table {
-	return &Table{Terms: t, Sessions: map[uint64]*Session{}, Names: map[string]uint64{}, Tasks: map[string]*Task{}, Left: map[string]Ended{}, Marks: map[string][]Mark{}}
+	return &Table{Terms: t, Sessions: map[uint64]*Session{}, CurrentSessions: map[string]uint64{}, Tasks: map[string]*Task{}, EndedSessions: map[string]EndedSession{}, Marks: map[string][]Mark{}}
 }
 
 // Reasons for which Apply rejects a command. A rejected command has no effect, but if it carried the next number of a
 // valid session it has renewed that session.
 var (
-	ErrNoSession  = errors.New("the box's session has ended; the box must join again")
-	ErrSuperseded = errors.New("session superseded: the box's name was taken by another process, or the box was barred")
-	ErrOrder      = errors.New("command out of order: repeated, or a previous command is missing")
-	ErrRenewed    = errors.New("stale command: the state that it refers to has changed in the meantime")
-	ErrSlots      = errors.New("the task is in use with a different number of slots")
-	ErrFull       = errors.New("limit reached: too many sessions, tasks, waiters or slots in use")
-	ErrNotHeld    = errors.New("no such lease or request")
-	ErrBad        = errors.New("invalid or unknown command")
-	ErrBarred     = errors.New("this box is barred from the fleet until it is up to date; see 'cairnctl fleet stragglers'")
+	ErrNoSession      = errors.New("the box's session has ended; the box must join again")
+	ErrSuperseded     = errors.New("session superseded: the box's name was taken by another process, or the box was barred")
+	ErrOrder          = errors.New("command out of order: repeated, or a previous command is missing")
+	ErrStale          = errors.New("stale command: the state that it refers to has changed in the meantime")
+	ErrSlotMismatch   = errors.New("the task is in use with a different number of slots")
+	ErrLimit          = errors.New("limit reached: too many sessions, tasks, waiters or slots in use")
+	ErrNoLease        = errors.New("no such lease or request")
+	ErrInvalidCommand = errors.New("invalid or unknown command")
+	ErrBarred         = errors.New("this box is barred from the fleet until it is up to date; see 'cairnctl fleet stragglers'")
 )
 
 // Apply executes the command at the given ledger index.
@@ -229,17 +229,17 @@
 			return ErrNoSession
 		}
 		if s.Seq != c.Seq {
-			return ErrRenewed
+			return ErrStale
 		}
 		t.end(s, false)
 		return nil
 	case Free:
 		return t.free(func(l Lease) bool { return l.Token == c.Token })
-	case Open:
-		if t.Closed == 0 || t.Closed != c.Seq {
-			return ErrRenewed
+	case ResumeGrants:
+		if t.SuspendedAt == 0 || t.SuspendedAt != c.Seq {
+			return ErrStale
 		}
-		t.Closed = 0
+		t.SuspendedAt = 0
 		for _, name := range t.TaskNames() {
 			t.grant(name, t.Tasks[name])
 		}
@@ -249,7 +249,7 @@
 	if s == nil {
 		return ErrNoSession
 	}
-	if s.Past {
+	if s.NotRenewable {
 		return ErrSuperseded
 	}
 	if c.Seq != s.Seq+1 {
@@ -260,21 +260,21 @@
 		return ErrBarred
 	}
 	switch c.Kind {
-	case Renew, Carry:
+	case Renew, CarryPayload:
 		return nil
 	case Acquire:
 		return t.acquire(s, c)
 	case Release:
-		return t.release(s.ID, c.Ask, c.Token)
+		return t.release(s.ID, c.AcquireSeq, c.Token)
 	case Stop:
 		return t.stop(c.Token)
-	case Part:
+	case Leave:
 		t.end(s, true)
 		return nil
 	case Report:
 		return t.report(s.Box, Mark{c.Chain, c.N, c.Sum, index, c.First})
 	}
-	return ErrBad
+	return ErrInvalidCommand
 }
 
 // report stores a mark. Within a chain, N must increase.
@@ -282,7 +282,7 @@
 	marks := t.Marks[box]
 	switch {
 	case m.Chain == "" || len(m.Chain) > MaxName || len(m.Sum) > MaxName || len(marks) == 0 && len(t.Marks) >= MaxSessions:
-		return ErrBad
+		return ErrInvalidCommand
 	case len(marks) > 0 && marks[len(marks)-1].Chain == m.Chain && marks[len(marks)-1].N >= m.N:
 		return ErrOrder
 	}
@@ -294,26 +294,26 @@
 // the session expires; the session just cannot be renewed any more.
 func (t *Table) join(index uint64, c Command) error {
 	if c.Box == "" || len(c.Box) > MaxName || len(c.Build) > MaxName {
-		return ErrBad
+		return ErrInvalidCommand
 	}
-	old := t.Sessions[t.Names[c.Box]]
-	if old != nil && old.Nonce == c.Nonce && old.Try >= c.Try {
+	old := t.Sessions[t.CurrentSessions[c.Box]]
+	if old != nil && old.Nonce == c.Nonce && old.JoinAttempt >= c.JoinAttempt {
 		return ErrOrder
 	}
 	if len(t.Sessions) >= MaxSessions {
-		return ErrFull
+		return ErrLimit
 	}
 	if old != nil {
-		old.Past = true
+		old.NotRenewable = true
 	}
-	t.Sessions[index] = &Session{ID: index, Box: c.Box, Nonce: c.Nonce, Try: c.Try, Build: c.Build}
-	t.Names[c.Box] = index
-	delete(t.Left, c.Box)
+	t.Sessions[index] = &Session{ID: index, Box: c.Box, Nonce: c.Nonce, JoinAttempt: c.JoinAttempt, Build: c.Build}
+	t.CurrentSessions[c.Box] = index
+	delete(t.EndedSessions, c.Box)
 	for _, name := range t.TaskNames() {
 		for i := range t.Tasks[name].Holders {
 			if l := &t.Tasks[name].Holders[i]; l.Orphan && l.Box == c.Box {
 				t.Token++
-				l.Session, l.Ask, l.Token, l.Orphan = index, 0, t.Token, false
+				l.Session, l.AcquireSeq, l.Token, l.Orphan = index, 0, t.Token, false
 			}
 		}
 	}
@@ -323,13 +323,13 @@
 // end removes a session, withdraws its requests and frees its slots, except sticky ones.
 func (t *Table) end(s *Session, parted bool) {
 	delete(t.Sessions, s.ID)
-	if t.Names[s.Box] == s.ID {
-		delete(t.Names, s.Box)
-		if len(t.Left) < MaxSessions {
-			t.Left[s.Box] = Ended{s.ID, parted}
+	if t.CurrentSessions[s.Box] == s.ID {
+		delete(t.CurrentSessions, s.Box)
+		if len(t.EndedSessions) < MaxSessions {
+			t.EndedSessions[s.Box] = EndedSession{s.ID, parted}
 		}
 	}
-	next := t.Sessions[t.Names[s.Box]] // session of another process of the same box, if one has joined
+	next := t.Sessions[t.CurrentSessions[s.Box]] // session of another process of the same box, if one has joined
 	for _, name := range t.TaskNames() {
 		task := t.Tasks[name]
 		task.Queue = slices.DeleteFunc(task.Queue, func(w Waiter) bool { return w.Session == s.ID })
@@ -341,7 +341,7 @@
 				continue
 			case next != nil:
 				t.Token++
-				l.Session, l.Ask, l.Token = next.ID, 0, t.Token
+				l.Session, l.AcquireSeq, l.Token = next.ID, 0, t.Token
 			default:
 				l.Orphan = true
 			}
@@ -364,22 +364,22 @@
 
 func (t *Table) acquire(s *Session, c Command) error {
 	if c.Task == "" || len(c.Task) > MaxName || c.Slots < 1 || c.Slots > MaxSlots {
-		return ErrBad
+		return ErrInvalidCommand
 	}
 	task := t.Tasks[c.Task]
 	switch {
-	case t.placeCount() >= MaxPlaces, task == nil && len(t.Tasks) >= MaxTasks:
-		return ErrFull
+	case t.placeCount() >= MaxHoldersAndWaiters, task == nil && len(t.Tasks) >= MaxTasks:
+		return ErrLimit
 	case task == nil:
 		task = &Task{Slots: c.Slots}
 		t.Tasks[c.Task] = task
 	case task.Slots != c.Slots:
-		return ErrSlots
+		return ErrSlotMismatch
 	case len(task.Queue) >= MaxWaiters:
-		return ErrFull
+		return ErrLimit
 	}
 	t.Ticket++
-	task.Queue = append(task.Queue, Waiter{Session: s.ID, Box: s.Box, Ask: c.Seq, Ticket: t.Ticket, Priority: c.Priority, Sticky: c.Sticky})
+	task.Queue = append(task.Queue, Waiter{Session: s.ID, Box: s.Box, AcquireSeq: c.Seq, Ticket: t.Ticket, Priority: c.Priority, Sticky: c.Sticky})
 	t.grant(c.Task, task)
 	return nil
 }
@@ -395,7 +395,7 @@
 // grant assigns free slots to waiters: highest priority first, in order of arrival among equals, and waiters that were
 // passed PassedMost times before all others. A task without holders and waiters is deleted.
 func (t *Table) grant(name string, task *Task) {
-	for len(task.Holders) < task.Slots && len(task.Queue) > 0 && t.Closed == 0 {
+	for len(task.Holders) < task.Slots && len(task.Queue) > 0 && t.SuspendedAt == 0 {
 		best := 0
 		for i, w := range task.Queue {
 			if precedes(w, task.Queue[best]) {
@@ -405,12 +405,12 @@
 		w := task.Queue[best]
 		for i := range task.Queue {
 			if task.Queue[i].Ticket < w.Ticket {
-				task.Queue[i].Passed++
+				task.Queue[i].PassedCount++
 			}
 		}
 		task.Queue = slices.Delete(task.Queue, best, best+1)
 		t.Token++
-		task.Holders = append(task.Holders, Lease{Session: w.Session, Box: w.Box, Ask: w.Ask, Token: t.Token, Priority: w.Priority, Sticky: w.Sticky})
+		task.Holders = append(task.Holders, Lease{Session: w.Session, Box: w.Box, AcquireSeq: w.AcquireSeq, Token: t.Token, Priority: w.Priority, Sticky: w.Sticky})
 	}
 	if len(task.Holders) == 0 && len(task.Queue) == 0 {
 		delete(t.Tasks, name)
@@ -419,7 +419,7 @@
 
 // precedes reports whether a is to be granted a slot before b.
 func precedes(a, b Waiter) bool {
-	if x, y := a.Passed >= PassedMost, b.Passed >= PassedMost; x != y {
+	if x, y := a.PassedCount >= MaxPassed, b.PassedCount >= MaxPassed; x != y {
 		return x
 	} else if x {
 		return a.Ticket < b.Ticket
@@ -439,18 +439,18 @@
 	for _, name := range t.TaskNames() {
 		task := t.Tasks[name]
 		n := len(task.Queue)
-		task.Queue = slices.DeleteFunc(task.Queue, func(w Waiter) bool { return w.Session == session && w.Ask == ask })
+		task.Queue = slices.DeleteFunc(task.Queue, func(w Waiter) bool { return w.Session == session && w.AcquireSeq == ask })
 		if len(task.Queue) < n {
 			t.grant(name, task)
 			return nil
 		}
 	}
-	return t.free(func(l Lease) bool { return l.Session == session && l.Ask == ask })
+	return t.free(func(l Lease) bool { return l.Session == session && l.AcquireSeq == ask })
 }
 
 // free frees all slots for which is returns true.
 func (t *Table) free(match func(Lease) bool) error {
-	err := ErrNotHeld
+	err := ErrNoLease
 	for _, name := range t.TaskNames() {
 		task := t.Tasks[name]
 		n := len(task.Holders)
@@ -467,12 +467,12 @@
 	for _, task := range t.Tasks {
 		for i := range task.Holders {
 			if task.Holders[i].Token == token {
-				task.Holders[i].Stop = true
+				task.Holders[i].StopRequested = true
 				return nil
 			}
 		}
 	}
-	return ErrNotHeld
+	return ErrNoLease
 }
 
 // Bar rejects all Acquire and Stop commands of a box until Unbar. Its session can no longer be renewed and ends by expiry.
@@ -483,10 +483,10 @@
 		t.Barred = map[string]bool{}
 	}
 	t.Barred[box] = true
-	if s := t.Sessions[t.Names[box]]; s != nil {
-		s.Past = true
-		delete(t.Names, box)
-		t.Left[box] = Ended{s.ID, false}
+	if s := t.Sessions[t.CurrentSessions[box]]; s != nil {
+		s.NotRenewable = true
+		delete(t.CurrentSessions, box)
+		t.EndedSessions[box] = EndedSession{s.ID, false}
 	}
 }
 
@@ -497,19 +497,19 @@
 	}
 }
 
-// Close raises the token to at least the given one and suspends all grants. It is used when an operator restarts a ledger
+// SuspendGrants raises the token to at least the given one and suspends all grants. It is used when an operator restarts a ledger
 // whose majority is lost: holders granted by the lost ledger may still act, and this table may not know all of them, so
 // nothing is granted until a judge has waited for a term and sends Open.
-func (t *Table) Close(index, token uint64) {
-	t.Token, t.Closed = max(t.Token, token), index
+func (t *Table) SuspendGrants(index, token uint64) {
+	t.Token, t.SuspendedAt = max(t.Token, token), index
 }
 
 // Clone returns a deep copy.
 func (t *Table) Clone() *Table {
 	c := *t
-	c.Left, c.Barred = maps.Clone(t.Left), maps.Clone(t.Barred)
+	c.EndedSessions, c.Barred = maps.Clone(t.EndedSessions), maps.Clone(t.Barred)
 	c.Marks = maps.Clone(t.Marks) // shallow is enough: a box's list is replaced, not modified
-	c.Sessions, c.Names, c.Tasks = make(map[uint64]*Session, len(t.Sessions)), maps.Clone(t.Names), make(map[string]*Task, len(t.Tasks))
+	c.Sessions, c.CurrentSessions, c.Tasks = make(map[uint64]*Session, len(t.Sessions)), maps.Clone(t.CurrentSessions), make(map[string]*Task, len(t.Tasks))
 	for id, s := range t.Sessions {
 		n := *s
 		c.Sessions[id] = &n
@@ -527,7 +527,7 @@
 		switch {
 		case len(task.Holders) > task.Slots:
 			return fmt.Errorf("%s: %d holders of %d slots", name, len(task.Holders), task.Slots)
-		case len(task.Holders) < task.Slots && len(task.Queue) > 0 && t.Closed == 0:
+		case len(task.Holders) < task.Slots && len(task.Queue) > 0 && t.SuspendedAt == 0:
 			return fmt.Errorf("%s: a slot is free although the queue is not empty", name)
 		case len(task.Holders)+len(task.Queue) == 0:
 			return fmt.Errorf("%s: task without holders and waiters", name)
@@ -547,8 +547,8 @@
 			}
 		}
 	}
-	for box, id := range t.Names {
-		if s := t.Sessions[id]; s == nil || s.Box != box || s.Past {
+	for box, id := range t.CurrentSessions {
+		if s := t.Sessions[id]; s == nil || s.Box != box || s.NotRenewable {
 			return fmt.Errorf("%s: invalid current session %+v", box, s)
 		}
 	}
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	table := NewTable(Terms{Term: time.Second, Drift: 0.1})
 	sessions, seqs, nonces := map[string]uint64{}, map[string]uint64{}, map[string]uint64{}
-	errs := map[string]error{"session": ErrNoSession, "superseded": ErrSuperseded, "order": ErrOrder, "renewed": ErrRenewed, "slots": ErrSlots, "held": ErrNotHeld, "bad": ErrBad}
+	errs := map[string]error{"session": ErrNoSession, "superseded": ErrSuperseded, "order": ErrOrder, "renewed": ErrStale, "slots": ErrSlotMismatch, "held": ErrNoLease, "bad": ErrInvalidCommand}
 	index := uint64(0)
 	for _, line := range strings.Split(strings.TrimSpace(lines), "\n") {
 		line, want, _ := strings.Cut(strings.TrimSpace(line), " !")
@@ -30,10 +30,10 @@
 		switch f[0] {
 		case "join": // "join a2" joins as another process of box a
 			nonces[name] = index
-			c = Command{Kind: Join, Box: name[:1], Nonce: index, Try: 1}
+			c = Command{Kind: Join, Box: name[:1], Nonce: index, JoinAttempt: 1}
 			sessions[name], seqs[name] = index, 0
 		case "rejoin": // another join of the same process
-			c = Command{Kind: Join, Box: name[:1], Nonce: nonces[name], Try: uint64(n)}
+			c = Command{Kind: Join, Box: name[:1], Nonce: nonces[name], JoinAttempt: uint64(n)}
 			if want == "" {
 				sessions[name], seqs[name] = index, 0
 			}
@@ -52,7 +52,7 @@
 			}
 			numbered()
 		case "release":
-			c.Kind, c.Ask = Release, uint64(n)
+			c.Kind, c.AcquireSeq = Release, uint64(n)
 			numbered()
 		case "return":
 			c.Kind, c.Token = Release, uint64(n)
@@ -61,7 +61,7 @@
 			c.Kind, c.Token = Stop, uint64(n)
 			numbered()
 		case "part":
-			c.Kind = Part
+			c.Kind = Leave
 			numbered()
 		case "expire":
 			c.Kind, c.Seq = Expire, uint64(n)
@@ -96,7 +96,7 @@
 		if l.Orphan {
 			text += " orphan"
 		}
-		if l.Stop {
+		if l.StopRequested {
 			text += " stop"
 		}
 		s = append(s, text)
@@ -150,7 +150,7 @@
 	lines := "join a\njoin b\njoin c\nacquire a x\nacquire b x\n"
 	held, other := "a", "c"
 	asked := map[string]int{"a": 1}
-	for range PassedMost {
+	for range MaxPassed {
 		asked[other]++
 		lines += fmt.Sprintf("acquire %s x 1 9\nrelease %s %d\n", other, held, asked[held])
 		asked[held]++ // the release has a sequence number as well
@@ -160,16 +160,16 @@
 	lines += fmt.Sprintf("acquire %s x 1 9\nrelease %s %d\n", other, held, asked[held])
 	table, _ := runScript(t, lines)
 	if k := table.Tasks["x"]; k.Holders[0].Box != "b" {
-		t.Errorf("%s: b is not the holder although it was passed %d times", formatTask(table, "x"), PassedMost)
+		t.Errorf("%s: b is not the holder although it was passed %d times", formatTask(table, "x"), MaxPassed)
 	}
 }
 
 func TestClosedTableGrantsNothingForOneTerm(t *testing.T) {
 	table, sessions := runScript(t, "join a\njoin b\nacquire a x\nacquire b x")
-	table.Close(100, 1<<40)
-	var j Judge
-	j.Saw(0, table)
-	table.Apply(101, Command{Kind: Release, Session: sessions["a"], Seq: 2, Ask: 1})
+	table.SuspendGrants(100, 1<<40)
+	var j ExpiryDetector
+	j.Update(0, table)
+	table.Apply(101, Command{Kind: Release, Session: sessions["a"], Seq: 2, AcquireSeq: 1})
 	if got := formatTask(table, "x"); got != "| b" {
 		t.Fatalf("granted immediately after Close: %s", got)
 	}
@@ -179,13 +179,13 @@
 	list, _ := j.Due(time.Second, table)
 	var open Command
 	for _, c := range list {
-		if c.Kind == Open {
+		if c.Kind == ResumeGrants {
 			open = c
 		}
 	}
 	stale := open
 	stale.Seq--
-	if err := table.Apply(102, stale); err != ErrRenewed {
+	if err := table.Apply(102, stale); err != ErrStale {
 		t.Fatalf("stale Open command returned %v", err)
 	}
 	if err := table.Apply(103, open); err != nil {
@@ -199,13 +199,13 @@
 // TestStateTransitions checks the transition of every state on every event.
 func TestStateTransitions(t *testing.T) {
 	want := map[State][]State{ // next states, in the order of the event constants
-		Asked:    {Held, Doubtful, Asked, Asked, Lost, Refused, Asked, GivenUp},
-		Held:     {Held, Doubtful, Renewing, Doubtful, Lost, Refused, Lost, GivenUp},
-		Renewing: {Held, Doubtful, Renewing, Doubtful, Lost, Refused, Lost, GivenUp},
-		Doubtful: {Held, Doubtful, Doubtful, Doubtful, Lost, Refused, Lost, GivenUp},
-		Lost:     {Lost, Lost, Lost, Lost, Lost, Lost, Lost, Lost},
-		GivenUp:  {GivenUp, GivenUp, GivenUp, GivenUp, GivenUp, GivenUp, GivenUp, GivenUp},
-		Refused:  {Refused, Refused, Refused, Refused, Refused, Refused, Refused, Refused},
+		Requested: {Held, Uncertain, Requested, Requested, Lost, Rejected, Requested, Released},
+		Held:      {Held, Uncertain, Renewing, Uncertain, Lost, Rejected, Lost, Released},
+		Renewing:  {Held, Uncertain, Renewing, Uncertain, Lost, Rejected, Lost, Released},
+		Uncertain: {Held, Uncertain, Uncertain, Uncertain, Lost, Rejected, Lost, Released},
+		Lost:      {Lost, Lost, Lost, Lost, Lost, Lost, Lost, Lost},
+		Released:  {Released, Released, Released, Released, Released, Released, Released, Released},
+		Rejected:  {Rejected, Rejected, Rejected, Rejected, Rejected, Rejected, Rejected, Rejected},
 	}
 	for s, row := range want {
 		for i, next := range row {
@@ -230,22 +230,22 @@
 	}
 	list, _ := h.Due(time.Second)
 	apply(list)
-	h.Saw(2*time.Second, table, nil)
+	h.Update(2*time.Second, table, nil)
 	list, _ = h.Due(3 * time.Second)
 	apply(list)
-	h.Saw(8*time.Second, table, nil) // the response is slow; the acquire was created at 2 s
-	for at, want := range map[time.Duration]error{9 * time.Second: nil, 11*time.Second - 1: nil, 11 * time.Second: ErrLate} {
+	h.Update(8*time.Second, table, nil) // the response is slow; the acquire was created at 2 s
+	for at, want := range map[time.Duration]error{9 * time.Second: nil, 11*time.Second - 1: nil, 11 * time.Second: ErrMayBeExpired} {
 		h2, a2 := *h, *a
-		h2.asks = []*Ask{&a2}
-		if err := h2.May(at, &a2, 0); !errors.Is(err, want) {
+		h2.asks = []*TrackedRequest{&a2}
+		if err := h2.CheckPermit(at, &a2, 0); !errors.Is(err, want) {
 			t.Errorf("at %v: %v, want %v", at, err, want)
 		}
 	}
-	if err := h.May(10*time.Second, a, 2*time.Second); !errors.Is(err, ErrShort) {
+	if err := h.CheckPermit(10*time.Second, a, 2*time.Second); !errors.Is(err, ErrTooShort) {
 		t.Errorf("action longer than the remaining time: %v", err)
 	}
-	h.GiveUp(10*time.Second, a)
-	if err := h.May(10*time.Second, a, 0); err == nil {
+	h.Release(10*time.Second, a)
+	if err := h.CheckPermit(10*time.Second, a, 0); err == nil {
 		t.Error("may act after GiveUp")
 	}
 }
@@ -262,7 +262,7 @@
 			t.Fatal(err)
 		}
 	}
-	if report("one", maxMarks) != ErrOrder || report("", 1) != ErrBad || report("two", 1) != nil {
+	if report("one", maxMarks) != ErrOrder || report("", 1) != ErrInvalidCommand || report("two", 1) != nil {
 		t.Error("wrong result for a mark that does not increase, has no chain, or starts a new chain")
 	}
 	list := table.Marks["a"]
@@ -283,7 +283,7 @@
 	var sessions []uint64
 	for {
 		index++
-		if err := table.Apply(index, Command{Kind: Join, Box: fmt.Sprint("box", index), Nonce: index, Try: 1}); err == ErrFull {
+		if err := table.Apply(index, Command{Kind: Join, Box: fmt.Sprint("box", index), Nonce: index, JoinAttempt: 1}); err == ErrLimit {
 			break
 		} else if err != nil {
 			t.Fatal(err)
@@ -298,30 +298,30 @@
 	}
 	rejectedCount := 0
 	for k := range MaxWaiters + 2 {
-		if acquire(k, "task0") == ErrFull {
+		if acquire(k, "task0") == ErrLimit {
 			rejectedCount++
 		}
 	}
 	// The remaining tasks are inserted directly, in the form that commands would have produced.
-	for i := 1; table.placeCount() < MaxPlaces; i++ {
+	for i := 1; table.placeCount() < MaxHoldersAndWaiters; i++ {
 		full := table.Tasks["task0"]
-		n := min(MaxWaiters, MaxPlaces-table.placeCount()-1)
+		n := min(MaxWaiters, MaxHoldersAndWaiters-table.placeCount()-1)
 		table.Token++
 		lease := full.Holders[0]
 		lease.Token = table.Token
 		table.Tasks[fmt.Sprint("task", i)] = &Task{Slots: 1, Holders: []Lease{lease}, Queue: full.Queue[:n:n]}
 	}
-	if len(sessions) != MaxSessions || rejectedCount != 1 || acquire(0, "one more") != ErrFull || acquire(0, "task63") != ErrFull {
+	if len(sessions) != MaxSessions || rejectedCount != 1 || acquire(0, "one more") != ErrLimit || acquire(0, "task63") != ErrLimit {
 		t.Errorf("%d sessions, %d places, %d requests for one task rejected", len(sessions), table.placeCount(), rejectedCount)
 	}
 	if err := table.Check(); err != nil {
 		t.Error(err)
 	}
 	small := NewTable(Terms{Term: time.Second})
-	small.Apply(1, Command{Kind: Join, Box: "a", Nonce: 1, Try: 1})
+	small.Apply(1, Command{Kind: Join, Box: "a", Nonce: 1, JoinAttempt: 1})
 	rejectedCount = 0
 	for i := range MaxTasks + 1 {
-		if small.Apply(0, Command{Kind: Acquire, Session: 1, Seq: uint64(i + 1), Task: fmt.Sprint(i), Slots: 1}) == ErrFull {
+		if small.Apply(0, Command{Kind: Acquire, Session: 1, Seq: uint64(i + 1), Task: fmt.Sprint(i), Slots: 1}) == ErrLimit {
 			rejectedCount++
 		}
 	}
@@ -346,7 +346,7 @@
 				commands++
 				table.Apply(index, c)
 			}
-			h.Saw(now, table, nil)
+			h.Update(now, table, nil)
 		}
 	}
 	exchange(0)
@@ -360,8 +360,8 @@
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
 		exchange(now)
 	}
-	for _, a := range h.Asks() {
-		if h.May(time.Minute, a, time.Second) != nil {
+	for _, a := range h.Requests() {
+		if h.CheckPermit(time.Minute, a, time.Second) != nil {
 			t.Fatalf("%s is %v", a.Task, a.State)
 		}
 	}
@@ -376,17 +376,17 @@
 	h := NewHolder("x", "", 2, terms)
 	list, _ := h.Due(0)
 	table.Apply(1, list[0])
-	h.Saw(1, table, nil)
-	table.Apply(2, Command{Kind: Join, Box: "x", Nonce: 1, Try: 7})
-	h.Saw(2, table, nil)
+	h.Update(1, table, nil)
+	table.Apply(2, Command{Kind: Join, Box: "x", Nonce: 1, JoinAttempt: 7})
+	h.Update(2, table, nil)
 	if list, _ := h.Due(time.Minute); h.Phase() != Displaced || len(list) > 0 {
 		t.Fatalf("phase %v sends %v, want displaced and no commands", h.Phase(), list)
 	}
 	table.Apply(3, Command{Kind: Expire, Session: 2})
-	h.Saw(time.Minute, table, nil)
+	h.Update(time.Minute, table, nil)
 	list, _ = h.Due(time.Minute)
 	table.Apply(4, list[0])
-	if h.Saw(time.Minute, table, nil); h.Phase() != In {
+	if h.Update(time.Minute, table, nil); h.Phase() != Joined {
 		t.Errorf("%v", h.Phase())
 	}
 }
@@ -402,28 +402,28 @@
 			index++
 			table.Apply(index, c)
 		}
-		h.Saw(now, table, nil)
+		h.Update(now, table, nil)
 	}
 	step(a, 0)
 	ask, _ := a.Acquire(0, Request{Task: "t", Slots: 1})
 	step(a, 1)
-	if a.May(2, ask, 0) != nil {
+	if a.CheckPermit(2, ask, 0) != nil {
 		t.Fatal("lease not held")
 	}
 	step(b, 3)
-	a.Saw(4, table, nil)
-	if a.Phase() != Displaced || a.May(4, ask, 0) == nil {
+	a.Update(4, table, nil)
+	if a.Phase() != Displaced || a.CheckPermit(4, ask, 0) == nil {
 		t.Errorf("first process is %v or may act after the second one's join, want displaced", a.Phase())
 	}
 	step(b, terms.Term)
-	a.Saw(terms.Term, table, nil)
-	if a.Phase() != Superseded || a.May(5, ask, 0) == nil || b.Phase() != In {
-		t.Errorf("first process is %v, may act: %v; second process is %v", a.Phase(), a.May(5, ask, 0) == nil, b.Phase())
+	a.Update(terms.Term, table, nil)
+	if a.Phase() != Superseded || a.CheckPermit(5, ask, 0) == nil || b.Phase() != Joined {
+		t.Errorf("first process is %v, may act: %v; second process is %v", a.Phase(), a.CheckPermit(5, ask, 0) == nil, b.Phase())
 	}
 	if list, _ := a.Due(time.Hour); len(list) != 0 {
 		t.Errorf("superseded process still sends %v", list)
 	}
-	if _, err := a.Acquire(6, Request{Task: "t", Slots: 1}); err != ErrOut {
+	if _, err := a.Acquire(6, Request{Task: "t", Slots: 1}); err != ErrNotMember {
 		t.Error(err)
 	}
 }
@@ -433,7 +433,7 @@
 func TestBarredBox(t *testing.T) {
 	table := NewTable(Terms{Term: time.Second})
 	join := func(index uint64, box string, nonce, try uint64) {
-		if err := table.Apply(index, Command{Kind: Join, Box: box, Nonce: nonce, Try: try}); err != nil {
+		if err := table.Apply(index, Command{Kind: Join, Box: box, Nonce: nonce, JoinAttempt: try}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -462,7 +462,7 @@
 	if err := table.Apply(5, Command{Kind: Stop, Session: 4, Seq: 2}); err != ErrBarred {
 		t.Errorf("stop command of the barred box returned %v", err)
 	}
-	if err := table.Apply(6, Command{Kind: Carry, Session: 4, Seq: 3}); err != nil {
+	if err := table.Apply(6, Command{Kind: CarryPayload, Session: 4, Seq: 3}); err != nil {
 		t.Errorf("report of the barred box returned %v", err)
 	}
 	if err := table.Apply(7, Command{Kind: Expire, Session: 1, Seq: 1}); err != nil || holder() != "b" || table.Check() != nil {
@@ -482,7 +482,7 @@
 		for i, c := range list {
 			table.Apply(uint64(now/time.Millisecond)+uint64(i)+1, c)
 		}
-		h.Saw(now, table, nil)
+		h.Update(now, table, nil)
 	}
 	list, _ := h.Due(0)
 	apply(0, list)
@@ -492,15 +492,15 @@
 	}
 	list, _ = h.Due(time.Second)
 	apply(time.Second, list)
-	if err := h.May(time.Second, a, 0); err != nil {
+	if err := h.CheckPermit(time.Second, a, 0); err != nil {
 		t.Fatal(err)
 	}
-	end := time.Second + table.Terms.Acting()
+	end := time.Second + table.Terms.HolderDuration()
 	sent := 0
 	for now := time.Second; now < end+20*time.Second; now += 100 * time.Millisecond {
 		list, _ := h.Due(now) // the commands are lost
 		sent += len(list)
-		if err := h.May(now, a, 0); (err == nil) != (now < end) {
+		if err := h.CheckPermit(now, a, 0); (err == nil) != (now < end) {
 			t.Fatalf("at %v, deadline %v: %v", now, end, err)
 		}
 	}
--- a/internal/decide/lease/model_test.go
+++ b/internal/decide/lease/model_test.go
@@ -38,7 +38,7 @@
 	name    string
 	rate    float64 // of its clock relative to real time
 	holder  *Holder
-	judge   Judge
+	judge   ExpiryDetector
 	table   *Table
 	applied int // number of applied entries
 }
@@ -65,14 +65,14 @@
 func (w *simFleet) startProcess(b *simBox) {
 	w.lastNonce++
 	b.holder = NewHolder(b.name, "test", w.lastNonce, w.terms)
-	b.judge.Forget()
+	b.judge.Reset()
 	b.observe(w)
 }
 
 func (b *simBox) now(w *simFleet) time.Duration { return time.Duration(float64(w.realTime) * b.rate) }
 
 func (b *simBox) observe(w *simFleet) {
-	b.holder.Saw(b.now(w), b.table, func(seq uint64) error {
+	b.holder.Update(b.now(w), b.table, func(seq uint64) error {
 		for i, c := range w.log[:b.applied] {
 			if c.Session == b.holder.Session() && c.Seq == seq && w.results[i] != ErrOrder {
 				return w.results[i]
@@ -80,7 +80,7 @@
 		}
 		return nil
 	})
-	b.judge.Saw(b.now(w), b.table)
+	b.judge.Update(b.now(w), b.table)
 }
 
 // deliver appends the i-th command in flight to the ledger. If twice is true, the command stays in flight.
@@ -164,9 +164,9 @@
 }
 
 // activeAsk returns the box's active request for a task, or nil.
-func (b *simBox) activeAsk(task string) *Ask {
-	for _, a := range b.holder.Asks() {
-		if a.Task == task && !a.State.Over() {
+func (b *simBox) activeAsk(task string) *TrackedRequest {
+	for _, a := range b.holder.Requests() {
+		if a.Task == task && !a.State.Final() {
 			return a
 		}
 	}
@@ -186,11 +186,11 @@
 	for _, task := range w.tasks {
 		var acting []string
 		for _, b := range w.boxes {
-			for _, a := range b.holder.Asks() {
+			for _, a := range b.holder.Requests() {
 				// May is called on a copy because it updates the state.
 				h, copied := *b.holder, *a
-				h.asks = []*Ask{&copied}
-				if a.Task == task && h.May(b.now(w), &copied, 0) == nil {
+				h.asks = []*TrackedRequest{&copied}
+				if a.Task == task && h.CheckPermit(b.now(w), &copied, 0) == nil {
 					acting = append(acting, fmt.Sprintf("%s under %d", b.name, a.Token))
 				}
 			}
@@ -259,7 +259,7 @@
 			"give up": func(t *rapid.T) {
 				b := box(t)
 				if a := b.activeAsk(rapid.SampledFrom(w.tasks).Draw(t, "task")); a != nil {
-					b.holder.GiveUp(b.now(w), a)
+					b.holder.Release(b.now(w), a)
 				}
 			},
 			"submit": func(t *rapid.T) { box(t).sendDue(w) },
@@ -323,9 +323,9 @@
 				}
 				if l := task.Holders[0]; l.Orphan {
 					w.send(Command{Kind: Free, Token: l.Token})
-				} else if s := w.fullTable.Sessions[l.Session]; !s.Past {
+				} else if s := w.fullTable.Sessions[l.Session]; !s.NotRenewable {
 					for _, b := range w.boxes {
-						if b.holder.Session() == l.Session && b.holder.Phase() == In {
+						if b.holder.Session() == l.Session && b.holder.Phase() == Joined {
 							b.holder.enqueue(b.now(w), Command{Kind: Stop, Token: l.Token})
 						}
 					}
@@ -357,7 +357,7 @@
 			list = append(list, func(w *simFleet) {
 				b := w.boxes[i]
 				if a := b.activeAsk(task); a != nil {
-					b.holder.GiveUp(b.now(w), a)
+					b.holder.Release(b.now(w), a)
 				} else {
 					b.holder.Acquire(b.now(w), Request{Task: task, Slots: 1})
 				}
--- a/internal/decide/probes/pace.go
+++ b/internal/decide/probes/pace.go
@@ -4,26 +4,26 @@
 	"time"
 )
 
-// Said is a finding as boxes send it to each other. It holds the age of the finding by the sender's clock, so that clocks of two boxes are
+// FindingReport is a finding as boxes send it to each other. It holds the age of the finding by the sender's clock, so that clocks of two boxes are
 // never compared.
-type Said struct {
+type FindingReport struct {
 	Box string        `cbor:"1,keyasint" json:"box"`
 	Up  bool          `cbor:"2,keyasint" json:"up"`
 	Ago time.Duration `cbor:"3,keyasint" json:"ago_ns"`
 }
 
-// Pace schedules one box's requests to a dependency that every box must contact regularly: the catalog, to which boxes report. While it is up,
+// Schedule schedules one box's requests to a dependency that every box must contact regularly: the catalog, to which boxes report. While it is up,
 // each box sends at its own place within the interval. While it is down, which takes two boxes' findings, only the prober continues, and the
 // others wait. While it is in doubt, another box provides a second finding. When it is up again, the boxes return one after the other. A box
 // without findings of others sends on its own, like a box without a fleet.
 //
 // Its clock is the box's own. The zero value with Self, Base and Most set is ready to use; it is not safe for concurrent use.
-type Pace struct {
-	Self  string
-	Base  time.Duration // request interval of a single box
-	Most  time.Duration // longest interval that the protocol allows; 0: no limit
-	Each  time.Duration // time that the dependency needs per returning box
-	Place float64       // this box's place, 0 to 1, the same after each restart
+type Schedule struct {
+	Self         string
+	BaseInterval time.Duration // request interval of a single box
+	MaxInterval  time.Duration // longest interval that the protocol allows; 0: no limit
+	CostPerBox   time.Duration // time that the dependency needs per returning box
+	Place        float64       // this box's place, 0 to 1, the same after each restart
 
 	judge       Judge
 	boxes       int // size of the fleet; 1: no fleet
@@ -37,34 +37,34 @@
 // opinionIntervals is the number of Base intervals for which a finding counts.
 const opinionIntervals = 8
 
-// Fleet sets the number of boxes and whether this one is the prober.
-func (p *Pace) Fleet(boxes int, prober bool) { p.boxes, p.isProber = max(boxes, 1), prober }
+// SetFleet sets the number of boxes and whether this one is the prober.
+func (p *Schedule) SetFleet(boxes int, prober bool) { p.boxes, p.isProber = max(boxes, 1), prober }
 
-// Every returns the box's request interval while the dependency is up.
-func (p *Pace) Every() time.Duration {
-	every := Every(p.Base, max(p.boxes, 1), p.Most)
+// Interval returns the box's request interval while the dependency is up.
+func (p *Schedule) Interval() time.Duration {
+	every := Interval(p.BaseInterval, max(p.boxes, 1), p.MaxInterval)
 	if p.boxes < 2 {
-		every = p.Base
+		every = p.BaseInterval
 	}
 	return every
 }
 
-// Told records the result of this box's own request.
-func (p *Pace) Told(now time.Duration, up bool) { p.record(now, Opinion{p.Self, up, now}) }
+// RecordResult records the result of this box's own request.
+func (p *Schedule) RecordResult(now time.Duration, up bool) { p.record(now, Finding{p.Self, up, now}) }
 
-// Heard records another box's finding. A report of this box's own finding is ignored.
-func (p *Pace) Heard(now time.Duration, s Said) {
-	if s.Box != p.Self && s.Ago >= 0 && s.Ago < opinionIntervals*p.Base {
-		p.record(now, Opinion{s.Box, s.Up, now - s.Ago})
+// RecordReport records another box's finding. A report of this box's own finding is ignored.
+func (p *Schedule) RecordReport(now time.Duration, s FindingReport) {
+	if s.Box != p.Self && s.Ago >= 0 && s.Ago < opinionIntervals*p.BaseInterval {
+		p.record(now, Finding{s.Box, s.Up, now - s.Ago})
 	}
 }
 
-func (p *Pace) record(now time.Duration, o Opinion) {
-	p.judge.Age = opinionIntervals * p.Base
+func (p *Schedule) record(now time.Duration, o Finding) {
+	p.judge.Age = opinionIntervals * p.BaseInterval
 	if was, known := p.judge.opinions[o.Box]; known && was.At > o.At {
 		return // the report is older than a known one
 	}
-	p.judge.Heard(o)
+	p.judge.Record(o)
 	switch p.judge.Verdict(now) {
 	case Down:
 		p.down, p.doubtSince = true, 0
@@ -81,29 +81,29 @@
 }
 
 // span returns the time over which all boxes return.
-func (p *Pace) span() time.Duration {
-	span := time.Duration(p.boxes) * p.Each
-	if p.Most > 0 {
-		span = min(span, p.Most)
+func (p *Schedule) span() time.Duration {
+	span := time.Duration(p.boxes) * p.CostPerBox
+	if p.MaxInterval > 0 {
+		span = min(span, p.MaxInterval)
 	}
 	return span
 }
 
 // Due reports whether the box is to send a request now. If so, the caller must send it and report the result with Told.
-func (p *Pace) Due(now time.Duration) bool {
+func (p *Schedule) Due(now time.Duration) bool {
 	if !p.due(now) {
 		return false
 	}
 	p.lastRequest = now
-	p.nextRequest = now + p.Every()
+	p.nextRequest = now + p.Interval()
 	return true
 }
 
-func (p *Pace) due(now time.Duration) bool {
-	if p.lastRequest != 0 && now-p.lastRequest < p.Base/2 { // a minimum distance, whatever others report
+func (p *Schedule) due(now time.Duration) bool {
+	if p.lastRequest != 0 && now-p.lastRequest < p.BaseInterval/2 { // a minimum distance, whatever others report
 		return false
 	}
-	p.judge.Age = opinionIntervals * p.Base
+	p.judge.Age = opinionIntervals * p.BaseInterval
 	verdict := p.judge.Verdict(now)
 	if p.boxes < 2 || verdict == Up || verdict == Unknown && !p.down {
 		return now >= p.nextRequest
@@ -113,7 +113,7 @@
 	}
 	switch {
 	case p.isProber:
-		return p.lastRequest == 0 || now-p.lastRequest >= p.Base
+		return p.lastRequest == 0 || now-p.lastRequest >= p.BaseInterval
 	case verdict == Doubtful: // a box without a finding of its own provides the second one; the first to do so spares the others
 		_, mine := p.judge.opinions[p.Self]
 		return !mine && now-p.doubtSince >= time.Duration(p.Place*float64(p.secondSpan()))
@@ -124,33 +124,33 @@
 }
 
 // secondSpan is the span of second findings: about the square root of all boxes send before the first result is known to the others.
-func (p *Pace) secondSpan() time.Duration {
-	n := Every(p.Base, p.boxes, 0)
-	return max(n, p.Base)
+func (p *Schedule) secondSpan() time.Duration {
+	n := Interval(p.BaseInterval, p.boxes, 0)
+	return max(n, p.BaseInterval)
 }
 
 // Verdict returns the state that follows from the current findings.
-func (p *Pace) Verdict(now time.Duration) Verdict {
-	p.judge.Age = opinionIntervals * p.Base
+func (p *Schedule) Verdict(now time.Duration) Verdict {
+	p.judge.Age = opinionIntervals * p.BaseInterval
 	return p.judge.Verdict(now)
 }
 
-// Say returns this box's own finding, to be sent to others; ok is false if there is none that is recent enough.
-func (p *Pace) Say(now time.Duration) (s Said, ok bool) {
+// Report returns this box's own finding, to be sent to others; ok is false if there is none that is recent enough.
+func (p *Schedule) Report(now time.Duration) (s FindingReport, ok bool) {
 	o, known := p.judge.opinions[p.Self]
-	if !known || now-o.At > opinionIntervals*p.Base {
+	if !known || now-o.At > opinionIntervals*p.BaseInterval {
 		return s, false
 	}
-	return Said{p.Self, o.Up, now - o.At}, true
+	return FindingReport{p.Self, o.Up, now - o.At}, true
 }
 
-// SaidMost bounds the findings in one message.
-const SaidMost = 4
+// MaxReports bounds the findings in one message.
+const MaxReports = 4
 
-// Newest returns the newest findings of different boxes, at most SaidMost, for forwarding.
-func Newest(list []Said) []Said {
-	var out []Said
-	for len(list) > 0 && len(out) < SaidMost {
+// NewestReports returns the newest findings of different boxes, at most SaidMost, for forwarding.
+func NewestReports(list []FindingReport) []FindingReport {
+	var out []FindingReport
+	for len(list) > 0 && len(out) < MaxReports {
 		best := 0
 		for i, s := range list {
 			if s.Ago < list[best].Ago || s.Ago == list[best].Ago && s.Box < list[best].Box {
@@ -158,7 +158,7 @@
 			}
 		}
 		s := list[best]
-		list = append(append([]Said(nil), list[:best]...), list[best+1:]...)
+		list = append(append([]FindingReport(nil), list[:best]...), list[best+1:]...)
 		seen := false
 		for _, o := range out {
 			seen = seen || o.Box == s.Box
--- a/internal/decide/probes/pace_test.go
+++ b/internal/decide/probes/pace_test.go
@@ -15,7 +15,7 @@
 // dependencySim simulates a dependency, the boxes that send requests to it at their pace, and the findings that they exchange.
 type dependencySim struct {
 	now           time.Duration
-	boxes         []*Pace
+	boxes         []*Schedule
 	up            bool
 	prober        int                     // -1: none
 	blocked       func(from, to int) bool // nil: all messages arrive
@@ -25,7 +25,7 @@
 	inFlight      []struct {
 		at       time.Duration
 		from, to int
-		Said
+		FindingReport
 	}
 }
 
@@ -33,7 +33,7 @@
 	s := &dependencySim{now: time.Hour, up: true, requestsByBox: make([]int, n), lastSuccess: make([]time.Duration, n)}
 	r := rand.New(rand.NewPCG(9, uint64(n)))
 	for i := range n {
-		s.boxes = append(s.boxes, &Pace{Self: fmt.Sprint("b", i), Base: 700 * time.Millisecond, Most: 1300 * time.Millisecond, Each: 5 * time.Millisecond, Place: (float64(i) + r.Float64()) / float64(n)})
+		s.boxes = append(s.boxes, &Schedule{Self: fmt.Sprint("b", i), BaseInterval: 700 * time.Millisecond, MaxInterval: 1300 * time.Millisecond, CostPerBox: 5 * time.Millisecond, Place: (float64(i) + r.Float64()) / float64(n)})
 		s.lastSuccess[i] = s.now
 	}
 	return s
@@ -47,31 +47,31 @@
 		for len(s.inFlight) > 0 && s.inFlight[0].at <= s.now {
 			m := s.inFlight[0]
 			s.inFlight = s.inFlight[1:]
-			s.boxes[m.to].Heard(s.now, m.Said)
+			s.boxes[m.to].RecordReport(s.now, m.FindingReport)
 		}
 		for i, b := range s.boxes {
-			b.Fleet(len(s.boxes), i == s.prober)
+			b.SetFleet(len(s.boxes), i == s.prober)
 			if b.Due(s.now) {
 				s.requests++
 				s.requestsByBox[i]++
 				if s.up {
 					s.lastSuccess[i] = s.now
 				}
-				b.Told(s.now, s.up)
+				b.RecordResult(s.now, s.up)
 			}
 		}
 		if s.now%exchangeInterval != 0 {
 			continue
 		}
-		var all []Said
+		var all []FindingReport
 		from := map[string]int{}
 		for i, b := range s.boxes {
-			if w, ok := b.Say(s.now); ok {
+			if w, ok := b.Report(s.now); ok {
 				all = append(all, w)
 				from[w.Box] = i
 			}
 		}
-		newest := Newest(all)
+		newest := NewestReports(all)
 		for to := range s.boxes {
 			heard := newest
 			if s.blocked != nil {
@@ -81,14 +81,14 @@
 						heard = append(heard, w)
 					}
 				}
-				heard = Newest(heard)
+				heard = NewestReports(heard)
 			}
 			for _, w := range heard {
 				w.Ago += exchangeInterval
 				s.inFlight = append(s.inFlight, struct {
 					at       time.Duration
 					from, to int
-					Said
+					FindingReport
 				}{s.now + exchangeInterval, from[w.Box], to, w})
 			}
 		}
@@ -147,7 +147,7 @@
 	one := newDependencySim(8)
 	one.advance(5 * time.Second)
 	for range 40 { // box 3 repeatedly finds it down, the others find it up
-		one.boxes[3].Told(one.now, false)
+		one.boxes[3].RecordResult(one.now, false)
 		one.advance(250 * time.Millisecond)
 	}
 	for i, last := range one.lastSuccess {
@@ -161,25 +161,25 @@
 // an interval, and that without reports it sends one within twice the time for which a finding counts.
 func TestPaceRequestIntervals(t *testing.T) {
 	testkit.Check(t, 200, func(t *rapid.T) {
-		p := Pace{Self: "me", Base: 700 * time.Millisecond, Most: 1300 * time.Millisecond, Each: 5 * time.Millisecond, Place: rapid.Float64Range(0, 1).Draw(t, "place")}
+		p := Schedule{Self: "me", BaseInterval: 700 * time.Millisecond, MaxInterval: 1300 * time.Millisecond, CostPerBox: 5 * time.Millisecond, Place: rapid.Float64Range(0, 1).Draw(t, "place")}
 		now, last := time.Hour, time.Hour
 		quiet := rapid.Bool().Draw(t, "nobody is heard")
 		for range 400 {
 			now += time.Duration(rapid.IntRange(10, 300).Draw(t, "step")) * time.Millisecond
 			if rapid.IntRange(0, 9).Draw(t, "fleet") == 0 {
-				p.Fleet(rapid.IntRange(0, 1000).Draw(t, "boxes"), rapid.Bool().Draw(t, "prober"))
+				p.SetFleet(rapid.IntRange(0, 1000).Draw(t, "boxes"), rapid.Bool().Draw(t, "prober"))
 			}
 			if !quiet && rapid.IntRange(0, 3).Draw(t, "heard") == 0 {
-				p.Heard(now, Said{fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "box")), rapid.Bool().Draw(t, "up"), time.Duration(rapid.IntRange(-1000, 9000).Draw(t, "ago")) * time.Millisecond})
+				p.RecordReport(now, FindingReport{fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "box")), rapid.Bool().Draw(t, "up"), time.Duration(rapid.IntRange(-1000, 9000).Draw(t, "ago")) * time.Millisecond})
 			}
 			if p.Due(now) {
-				if last != time.Hour && now-last < p.Base/2 {
+				if last != time.Hour && now-last < p.BaseInterval/2 {
 					t.Fatalf("request only %v after the previous one", now-last)
 				}
 				last = now
-				p.Told(now, rapid.Bool().Draw(t, "up"))
+				p.RecordResult(now, rapid.Bool().Draw(t, "up"))
 			}
-			if quiet && now-last > 2*opinionIntervals*p.Base+time.Second {
+			if quiet && now-last > 2*opinionIntervals*p.BaseInterval+time.Second {
 				t.Fatalf("no reports received, and no request for %v", now-last)
 			}
 		}
@@ -192,32 +192,32 @@
 	var walk func(depth int, steps []int)
 	walk = func(depth int, steps []int) {
 		states++
-		a, b := Pace{Self: "a", Base: time.Second}, Pace{Self: "b", Base: time.Second}
+		a, b := Schedule{Self: "a", BaseInterval: time.Second}, Schedule{Self: "b", BaseInterval: time.Second}
 		now := time.Hour
 		found := map[string]bool{} // found down by the box's own request
 		for _, s := range steps {
 			now += 500 * time.Millisecond
-			a.Fleet(2, true)
-			b.Fleet(2, false)
+			a.SetFleet(2, true)
+			b.SetFleet(2, false)
 			switch s {
 			case 0, 1:
-				a.Told(now, s == 0)
+				a.RecordResult(now, s == 0)
 				found["a"] = s == 1 || found["a"]
 			case 2, 3:
-				b.Told(now, s == 2)
+				b.RecordResult(now, s == 2)
 				found["b"] = s == 3 || found["b"]
 			case 4:
-				if w, ok := a.Say(now); ok {
-					b.Heard(now, w)
+				if w, ok := a.Report(now); ok {
+					b.RecordReport(now, w)
 				}
 			case 5:
-				if w, ok := b.Say(now); ok {
-					a.Heard(now, w)
+				if w, ok := b.Report(now); ok {
+					a.RecordReport(now, w)
 				}
 			case 6:
 				now += 9 * time.Second
 			}
-			for _, p := range []*Pace{&a, &b} {
+			for _, p := range []*Schedule{&a, &b} {
 				if p.Verdict(now) == Down && !(found["a"] && found["b"]) {
 					t.Fatalf("steps %v: %s has verdict Down from one box's finding", steps, p.Self)
 				}
--- a/internal/decide/probes/probes.go
+++ b/internal/decide/probes/probes.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Every returns the probe interval of each of n boxes, where base is the interval of a single box. The fleet's total rate of probes grows with
+// Interval returns the probe interval of each of n boxes, where base is the interval of a single box. The fleet's total rate of probes grows with
 // the square root of its size. The result is at most most, 0 for no limit, and at least base.
-func Every(base time.Duration, n int, most time.Duration) time.Duration {
+func Interval(base time.Duration, n int, most time.Duration) time.Duration {
 	d := time.Duration(float64(base) * math.Sqrt(float64(max(1, n))))
 	if most > 0 {
 		d = min(d, most)
@@ -22,34 +22,34 @@
 	return max(d, base)
 }
 
-// First returns the time of a box's first probe after a start or an outage that all boxes saw. It lies at the box's place within an interval,
+// FirstProbe returns the time of a box's first probe after a start or an outage that all boxes saw. It lies at the box's place within an interval,
 // so that boxes started or disconnected together do not probe together. place is from 0 to 1.
-func First(now, every time.Duration, place float64) time.Duration {
+func FirstProbe(now, every time.Duration, place float64) time.Duration {
 	return now + time.Duration(clampUnit(place)*float64(every))
 }
 
 func clampUnit(u float64) float64 { return math.Max(0, math.Min(u, 1)) }
 
-// Return holds the parameters by which boxes reconnect to a dependency that was down.
-type Return struct {
-	Least time.Duration // upper bound of the delay before the first retry
-	Most  time.Duration // upper bound of the delay between two attempts
-	Each  time.Duration // time that the dependency needs per reconnecting box; n boxes need n times as long
+// ReconnectBackoff holds the parameters by which boxes reconnect to a dependency that was down.
+type ReconnectBackoff struct {
+	MinSpan    time.Duration // upper bound of the delay before the first retry
+	MaxSpan    time.Duration // upper bound of the delay between two attempts
+	CostPerBox time.Duration // time that the dependency needs per reconnecting box; n boxes need n times as long
 }
 
-// Next returns the delay before an attempt, counted from 0: full jitter over a span that doubles (Brooker, Exponential Backoff and
+// Delay returns the delay before an attempt, counted from 0: full jitter over a span that doubles (Brooker, Exponential Backoff and
 // Jitter) and is at least as long as n boxes need to reconnect. u is drawn uniformly from 0 to 1.
-func (r Return) Next(attempt, n int, u float64) time.Duration {
-	span := r.Most
+func (r ReconnectBackoff) Delay(attempt, n int, u float64) time.Duration {
+	span := r.MaxSpan
 	if attempt < 30 {
-		span = min(r.Most, r.Least<<attempt)
+		span = min(r.MaxSpan, r.MinSpan<<attempt)
 	}
-	span = min(max(span, time.Duration(max(0, n))*r.Each), max(r.Most, time.Duration(max(0, n))*r.Each))
+	span = min(max(span, time.Duration(max(0, n))*r.CostPerBox), max(r.MaxSpan, time.Duration(max(0, n))*r.CostPerBox))
 	return time.Duration(clampUnit(u) * float64(span))
 }
 
-// Opinion is one box's finding about a shared dependency.
-type Opinion struct {
+// Finding is one box's finding about a shared dependency.
+type Finding struct {
 	Box string
 	Up  bool
 	At  time.Duration // when this box learned of it, by its own clock
@@ -73,16 +73,16 @@
 // Judge keeps the latest finding of each box. Its clock is the box's own. The zero value with Age set is ready to use.
 type Judge struct {
 	Age      time.Duration // age up to which a finding counts
-	opinions map[string]Opinion
+	opinions map[string]Finding
 }
 
 // maxOpinions bounds the stored findings. Usually there is one prober at a time, and a second one after it found the dependency down.
 const maxOpinions = 64
 
-// Heard records a finding.
-func (j *Judge) Heard(o Opinion) {
+// Record records a finding.
+func (j *Judge) Record(o Finding) {
 	if j.opinions == nil {
-		j.opinions = map[string]Opinion{}
+		j.opinions = map[string]Finding{}
 	}
 	j.dropExpired(o.At)
 	if _, known := j.opinions[o.Box]; known || len(j.opinions) < maxOpinions {
@@ -126,10 +126,10 @@
 	return Unknown
 }
 
-// Asks reports whether a box is to probe now. The holder of the prober's lease probes at each interval. When the verdict is Doubtful another
+// ShouldProbe reports whether a box is to probe now. The holder of the prober's lease probes at each interval. When the verdict is Doubtful another
 // box probes for the second finding. A box without any finding for twice Age probes for itself, so that a fleet whose prober has failed is
 // not without findings.
-func (j *Judge) Asks(now time.Duration, self string, prober bool, last, every time.Duration) bool {
+func (j *Judge) ShouldProbe(now time.Duration, self string, prober bool, last, every time.Duration) bool {
 	if last != 0 && now-last < every {
 		return false
 	}
--- a/internal/decide/probes/probes_test.go
+++ b/internal/decide/probes/probes_test.go
@@ -16,15 +16,15 @@
 func TestProbeRateGrowsWithRootOfSize(t *testing.T) {
 	const base = time.Second
 	for _, n := range []int{1, 4, 100, 1000} {
-		every := Every(base, n, 0)
+		every := Interval(base, n, 0)
 		if rate := float64(n) / every.Seconds(); math.Abs(rate-math.Sqrt(float64(n))) > 1e-6 {
 			t.Errorf("%d boxes probe %v times per second", n, rate)
 		}
-		if got := Every(base, n, 3*time.Second); got > 3*time.Second || got < base {
+		if got := Interval(base, n, 3*time.Second); got > 3*time.Second || got < base {
 			t.Errorf("%d boxes: interval %v", n, got)
 		}
 	}
-	if Every(base, 0, 0) != base || Every(base, -5, 0) != base {
+	if Interval(base, 0, 0) != base || Interval(base, -5, 0) != base {
 		t.Error("the interval of no boxes differs from that of one box")
 	}
 }
@@ -34,7 +34,7 @@
 	r := rand.New(rand.NewPCG(1, 2))
 	var slots [10]int
 	for range 10000 {
-		at := First(time.Hour, time.Minute, r.Float64()) - time.Hour
+		at := FirstProbe(time.Hour, time.Minute, r.Float64()) - time.Hour
 		if at < 0 || at > time.Minute {
 			t.Fatal(at)
 		}
@@ -49,12 +49,12 @@
 
 // TestReconnectsStayWithinDependencyCapacity checks that reconnects in any second do not exceed what the dependency can handle by much.
 func TestReconnectsStayWithinDependencyCapacity(t *testing.T) {
-	r := Return{Least: 50 * time.Millisecond, Most: 5 * time.Second, Each: 10 * time.Millisecond}
+	r := ReconnectBackoff{MinSpan: 50 * time.Millisecond, MaxSpan: 5 * time.Second, CostPerBox: 10 * time.Millisecond}
 	for _, n := range []int{1, 10, 100, 1000} {
 		src := rand.New(rand.NewPCG(3, uint64(n)))
 		seconds := map[int]int{}
 		for range n {
-			seconds[int(r.Next(0, n, src.Float64())/time.Second)]++
+			seconds[int(r.Delay(0, n, src.Float64())/time.Second)]++
 		}
 		for s, k := range seconds {
 			if k > 150 {
@@ -63,7 +63,7 @@
 		}
 	}
 	for attempt, most := range map[int]time.Duration{0: 50 * time.Millisecond, 3: 400 * time.Millisecond, 20: 5 * time.Second, 90: 5 * time.Second} {
-		if got := r.Next(attempt, 1, 1); got != most {
+		if got := r.Delay(attempt, 1, 1); got != most {
 			t.Errorf("attempt %d waits up to %v, want %v", attempt, got, most)
 		}
 	}
@@ -89,7 +89,7 @@
 		for _, s := range steps {
 			now := time.Duration(s.sec) * time.Second
 			if s.box != "" {
-				j.Heard(Opinion{s.box, s.up, now})
+				j.Record(Finding{s.box, s.up, now})
 			}
 			if got := j.Verdict(now); got != s.want {
 				t.Errorf("%s: at %d s verdict %v, want %v", name, s.sec, got, s.want)
@@ -119,11 +119,11 @@
 				up = rapid.Bool().Draw(t, "up")
 			}
 			for i := range judges {
-				if judges[i].Asks(now, fmt.Sprint(i), i == prober, last[i], every) {
+				if judges[i].ShouldProbe(now, fmt.Sprint(i), i == prober, last[i], every) {
 					asked++
 					last[i] = now
 					for j := range judges {
-						judges[j].Heard(Opinion{fmt.Sprint(i), up, now})
+						judges[j].Record(Finding{fmt.Sprint(i), up, now})
 					}
 				}
 				if judges[i].Verdict(now) == Unknown {
--- a/internal/decide/rollout/box.go
+++ b/internal/decide/rollout/box.go
@@ -12,7 +12,7 @@
 	Checking                  // the body is being checked against the box's build
 	Waiting                   // the check has passed; the box waits for a slot to change
 	Changing                  // the version is being stored, which puts it in force
-	Refusing                  // the version was rejected
+	Rejected                  // the version was rejected
 )
 
 var stateNames = [...]string{"", "settled", "fetching", "checking", "waiting", "changing", "refusing"}
@@ -24,12 +24,12 @@
 
 // Actions.
 const (
-	Nothing Action = iota
-	Fetch          // fetch the body of Number from any peer that has it
-	Verify         // check the body against this build, then call Verified
-	GetSlot        // request a slot to change, and call Slotted when it is granted
-	Store          // store the version on disk as the one in force, then call Stored
-	Say            // report the box's Standing to the fleet, then call Told
+	Nothing     Action = iota
+	Fetch              // fetch the body of Number from any peer that has it
+	Verify             // check the body against this build, then call Verified
+	RequestSlot        // request a slot to change, and call Slotted when it is granted
+	Store              // store the version on disk as the one in force, then call Stored
+	SendStatus         // report the box's Standing to the fleet, then call Told
 )
 
 // Box is the local state machine by which a box changes its version. The new version is in force from the call of Stored on;
@@ -41,7 +41,7 @@
 	rejected     uint64 // last rejected version
 	rejectReason string // reason of the rejection
 	buildNumber  uint64 // build number
-	lastReported Standing
+	lastReported Status
 	reportAt     time.Duration // time of the next report, which is repeated so that the request counts are current
 	fetchAt      time.Duration // time of the next Fetch
 }
@@ -66,10 +66,10 @@
 // Number returns the version that the box is changing to.
 func (b *Box) Number() uint64 { return b.number }
 
-// Saw updates the state from the box's copy of the table. The copy must not be older than the one that the version in force
+// Update updates the state from the box's copy of the table. The copy must not be older than the one that the version in force
 // came from: otherwise a box that replays the ledger would go back to an old version.
-func (b *Box) Saw(t *Table, self string, has func(digest string) bool) {
-	want := t.Wants(self)
+func (b *Box) Update(t *Table, self string, has func(digest string) bool) {
+	want := t.WantedVersion(self)
 	v := t.Version(want)
 	switch {
 	case want == b.inForce:
@@ -79,7 +79,7 @@
 	case v == nil:
 		b.state, b.number = Settled, 0
 	case want == b.rejected:
-		b.state = Refusing
+		b.state = Rejected
 	case want != b.number: // also while changing to another version: parts of it that were stored are harmless
 		b.number, b.state, b.fetchAt = want, Fetching, 0
 		if has(v.Digest) {
@@ -97,11 +97,11 @@
 	if running {
 		next = now + reportInterval
 	}
-	s := b.Standing(session, good, bad)
+	s := b.Status(session, good, bad)
 	if session != 0 {
-		changed := s.Session != b.lastReported.Session || s.InForce != b.lastReported.InForce || s.Turned != b.lastReported.Turned
+		changed := s.Session != b.lastReported.Session || s.InForce != b.lastReported.InForce || s.Rejected != b.lastReported.Rejected
 		if changed || now >= b.reportAt {
-			return Say, now
+			return SendStatus, now
 		}
 		next = min(next, b.reportAt)
 	}
@@ -115,16 +115,16 @@
 	case Checking:
 		return Verify, now
 	case Waiting:
-		return GetSlot, next
+		return RequestSlot, next
 	case Changing:
 		return Store, now
 	}
 	return Nothing, next
 }
 
-// Standing returns the state that the box reports.
-func (b *Box) Standing(session, good, bad uint64) Standing {
-	return Standing{Session: session, InForce: b.inForce, Turned: b.rejected, Why: b.rejectReason, Number: b.buildNumber, Good: good, Bad: bad}
+// Status returns the state that the box reports.
+func (b *Box) Status(session, good, bad uint64) Status {
+	return Status{Session: session, InForce: b.inForce, Rejected: b.rejected, Reason: b.rejectReason, BuildNumber: b.buildNumber, GoodRequests: good, BadRequests: bad}
 }
 
 // Verified records the result of the check of version n. why is empty if the check has passed.
@@ -133,14 +133,14 @@
 		return
 	}
 	if why != "" {
-		b.state, b.rejected, b.rejectReason = Refusing, n, why[:min(len(why), maxTextLen)]
+		b.state, b.rejected, b.rejectReason = Rejected, n, why[:min(len(why), maxTextLen)]
 		return
 	}
 	b.state = Waiting
 }
 
-// Slotted records that the box has a slot to change to version n.
-func (b *Box) Slotted(n uint64) {
+// SlotGranted records that the box has a slot to change to version n.
+func (b *Box) SlotGranted(n uint64) {
 	if n == b.number && b.state == Waiting {
 		b.state = Changing
 	}
@@ -153,8 +153,8 @@
 	}
 }
 
-// Told records that s was reported to the fleet.
-func (b *Box) Told(now time.Duration, s Standing, running bool) {
+// Reported records that s was reported to the fleet.
+func (b *Box) Reported(now time.Duration, s Status, running bool) {
 	b.lastReported, b.reportAt = s, now+idleReportInterval
 	if running {
 		b.reportAt = now + reportInterval
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -23,7 +23,7 @@
 }
 
 func testPlan(change func(*Plan)) *Plan {
-	p := Plan{Canaries: 1, Share: 0.5, Pace: 10 * time.Second, Patience: time.Minute, Slots: 1}
+	p := Plan{Canaries: 1, Share: 0.5, ObserveFor: 10 * time.Second, Timeout: time.Minute, Slots: 1}
 	if change != nil {
 		change(&p)
 	}
@@ -31,7 +31,7 @@
 }
 
 func tellCommand(inForce, turned uint64) Command {
-	return Command{Kind: Tell, Standing: &Standing{InForce: inForce, Turned: turned, Why: "line 3"}}
+	return Command{Kind: ReportStatus, Status: &Status{InForce: inForce, Rejected: turned, Reason: "line 3"}}
 }
 
 // TestTableApply checks the results of sequences of commands. Each step names the sending box, whose session is 1. A "!" in
@@ -44,41 +44,43 @@
 		err error
 	}
 	started := []step{{"a", putCommand(0), nil}, {"a", Command{Kind: Start, N: 1, Plan: testPlan(nil)}, nil}}
-	done := slices.Concat(started, []step{{"!a", Command{Kind: Step, Roll: 2}, nil}, {"!a", Command{Kind: Step, Roll: 2, Wave: 1}, nil}})
+	done := slices.Concat(started, []step{{"!a", Command{Kind: Step, RolloutID: 2}, nil}, {"!a", Command{Kind: Step, RolloutID: 2, Wave: 1}, nil}})
 	for name, c := range map[string]struct {
 		before []step
 		steps  []step
 		want   func(*Table) bool
 	}{
-		"numbers increase":                   {nil, []step{{"a", putCommand(0), nil}, {"b", putCommand(0), nil}}, func(t *Table) bool { return t.Last == 2 && t.Versions[1].By == "b" && t.Target == 0 }},
-		"start of an unknown version":        {started, []step{{"a", Command{Kind: Start, N: 9, Plan: testPlan(nil)}, ErrUnknown}}, nil},
-		"second start is rejected":           {started, []step{{"b", putCommand(0), nil}, {"b", Command{Kind: Start, N: 2, Plan: testPlan(nil)}, ErrBusy}}, func(t *Table) bool { return t.Roll.To == 1 }},
-		"roll-out superseded":                {started, []step{{"b", putCommand(0), nil}, {"b", Command{Kind: Start, N: 2, Plan: testPlan(func(p *Plan) { p.Supersede = true })}, nil}}, func(t *Table) bool { return t.Roll.To == 2 && t.Past[0].Phase == Superseded }},
-		"canaries first":                     {started, nil, func(t *Table) bool { return t.Wants("a") == 1 && t.Wants("b") == 0 && len(t.Roll.Waves) == 2 }},
-		"step without the conductor's lease": {started, []step{{"a", Command{Kind: Step, Roll: 2}, ErrLease}}, nil},
-		"repeated step":                      {started, []step{{"!a", Command{Kind: Step, Roll: 2}, nil}, {"!b", Command{Kind: Step, Roll: 2}, ErrDone}}, func(t *Table) bool { return t.Roll.Wave == 1 && t.Wants("c") == 1 }},
-		"step of another roll-out":           {started, []step{{"!a", Command{Kind: Step, Roll: 1}, ErrNone}}, nil},
-		"held and resumed":                   {started, []step{{"c", Command{Kind: Hold, Roll: 2}, nil}, {"!a", Command{Kind: Step, Roll: 2}, ErrBusy}, {"c", Command{Kind: Hold, Roll: 2}, ErrDone}, {"c", Command{Kind: Resume, Roll: 2}, nil}, {"!a", Command{Kind: Step, Roll: 2}, nil}}, nil},
-		"aborted": {started, []step{{"c", Command{Kind: Abort, Roll: 2}, nil}, {"!a", Command{Kind: Halt, Roll: 2}, ErrDone}, {"!a", Command{Kind: Step, Roll: 2}, nil}}, func(t *Table) bool {
-			return t.Roll == nil && t.Past[0].Phase == Returned && t.Target == 0 && t.Lowest == 0
+		"numbers increase":            {nil, []step{{"a", putCommand(0), nil}, {"b", putCommand(0), nil}}, func(t *Table) bool { return t.Last == 2 && t.Versions[1].By == "b" && t.Target == 0 }},
+		"start of an unknown version": {started, []step{{"a", Command{Kind: Start, N: 9, Plan: testPlan(nil)}, ErrUnknown}}, nil},
+		"second start is rejected":    {started, []step{{"b", putCommand(0), nil}, {"b", Command{Kind: Start, N: 2, Plan: testPlan(nil)}, ErrBusy}}, func(t *Table) bool { return t.Current.To == 1 }},
+		"roll-out superseded":         {started, []step{{"b", putCommand(0), nil}, {"b", Command{Kind: Start, N: 2, Plan: testPlan(func(p *Plan) { p.Supersede = true })}, nil}}, func(t *Table) bool { return t.Current.To == 2 && t.Finished[0].Phase == Superseded }},
+		"canaries first": {started, nil, func(t *Table) bool {
+			return t.WantedVersion("a") == 1 && t.WantedVersion("b") == 0 && len(t.Current.Waves) == 2
 		}},
-		"resume without hold":                    {started, []step{{"c", Command{Kind: Resume, Roll: 2}, ErrDone}}, nil},
-		"done":                                   {done, nil, func(t *Table) bool { return t.Target == 1 && t.Lowest == 1 && t.Roll == nil && t.Behind("a", 1) }},
-		"start of the version in force":          {done, []step{{"a", Command{Kind: Start, N: 1, Plan: testPlan(nil)}, ErrSame}}, nil},
-		"invalid lowest versions":                {done, []step{{"a", Command{Kind: Lowest, N: 2}, ErrOlder}, {"a", Command{Kind: Lowest, N: 1}, ErrOlder}}, nil},
-		"box that is up to date is not shut out": {done, []step{{"a", tellCommand(1, 0), nil}, {"b", Command{Kind: ShutOut, Box: "a", Session: 1}, ErrCurrent}}, func(t *Table) bool { return !t.Behind("a", 1) && t.Behind("a", 2) }},
-		"shut out and let in again":              {done, []step{{"b", Command{Kind: ShutOut, Box: "a", Session: 1}, nil}, {"b", Command{Kind: ShutOut, Box: "a", Session: 1}, ErrDone}, {"a", tellCommand(0, 1), nil}, {"a", tellCommand(1, 0), nil}}, func(t *Table) bool { return len(t.Out) == 0 }},
-		"shut out with a wrong session":          {done, []step{{"b", Command{Kind: ShutOut, Box: "a", Session: 2}, ErrCurrent}}, nil},
+		"step without the conductor's lease": {started, []step{{"a", Command{Kind: Step, RolloutID: 2}, ErrLease}}, nil},
+		"repeated step":                      {started, []step{{"!a", Command{Kind: Step, RolloutID: 2}, nil}, {"!b", Command{Kind: Step, RolloutID: 2}, ErrAlreadyDone}}, func(t *Table) bool { return t.Current.Wave == 1 && t.WantedVersion("c") == 1 }},
+		"step of another roll-out":           {started, []step{{"!a", Command{Kind: Step, RolloutID: 1}, ErrNotRunning}}, nil},
+		"held and resumed":                   {started, []step{{"c", Command{Kind: Hold, RolloutID: 2}, nil}, {"!a", Command{Kind: Step, RolloutID: 2}, ErrBusy}, {"c", Command{Kind: Hold, RolloutID: 2}, ErrAlreadyDone}, {"c", Command{Kind: Resume, RolloutID: 2}, nil}, {"!a", Command{Kind: Step, RolloutID: 2}, nil}}, nil},
+		"aborted": {started, []step{{"c", Command{Kind: Abort, RolloutID: 2}, nil}, {"!a", Command{Kind: Halt, RolloutID: 2}, ErrAlreadyDone}, {"!a", Command{Kind: Step, RolloutID: 2}, nil}}, func(t *Table) bool {
+			return t.Current == nil && t.Finished[0].Phase == RolledBack && t.Target == 0 && t.Lowest == 0
+		}},
+		"resume without hold":                    {started, []step{{"c", Command{Kind: Resume, RolloutID: 2}, ErrAlreadyDone}}, nil},
+		"done":                                   {done, nil, func(t *Table) bool { return t.Target == 1 && t.Lowest == 1 && t.Current == nil && t.Behind("a", 1) }},
+		"start of the version in force":          {done, []step{{"a", Command{Kind: Start, N: 1, Plan: testPlan(nil)}, ErrNotNewer}}, nil},
+		"invalid lowest versions":                {done, []step{{"a", Command{Kind: Lowest, N: 2}, ErrInvalidLowest}, {"a", Command{Kind: Lowest, N: 1}, ErrInvalidLowest}}, nil},
+		"box that is up to date is not shut out": {done, []step{{"a", tellCommand(1, 0), nil}, {"b", Command{Kind: ShutOut, Box: "a", Session: 1}, ErrNotBehind}}, func(t *Table) bool { return !t.Behind("a", 1) && t.Behind("a", 2) }},
+		"shut out and let in again":              {done, []step{{"b", Command{Kind: ShutOut, Box: "a", Session: 1}, nil}, {"b", Command{Kind: ShutOut, Box: "a", Session: 1}, ErrAlreadyDone}, {"a", tellCommand(0, 1), nil}, {"a", tellCommand(1, 0), nil}}, func(t *Table) bool { return len(t.ShutOutBoxes) == 0 }},
+		"shut out with a wrong session":          {done, []step{{"b", Command{Kind: ShutOut, Box: "a", Session: 2}, ErrNotBehind}}, nil},
 		"shut out below the floor":               {done, []step{{"b", Command{Kind: ShutOut, Box: "a", Session: 1}, nil}, {"b", Command{Kind: ShutOut, Box: "c", Session: 1}, ErrFloor}}, nil},
-		"report of an unknown version":           {started, []step{{"a", tellCommand(7, 0), ErrBad}}, nil},
-		"report from a wrong session":            {started, []step{{"z", tellCommand(1, 0), ErrBad}}, nil},
-		"invalid commands":                       {nil, []step{{"a", Command{Kind: 99}, ErrBad}, {"a", Command{Kind: Put}, ErrBad}, {"a", Command{Kind: Start, Plan: testPlan(nil)}, ErrUnknown}, {"a", Command{Kind: Step}, ErrNone}}, nil},
+		"report of an unknown version":           {started, []step{{"a", tellCommand(7, 0), ErrInvalidCommand}}, nil},
+		"report from a wrong session":            {started, []step{{"z", tellCommand(1, 0), ErrInvalidCommand}}, nil},
+		"invalid commands":                       {nil, []step{{"a", Command{Kind: 99}, ErrInvalidCommand}, {"a", Command{Kind: Put}, ErrInvalidCommand}, {"a", Command{Kind: Start, Plan: testPlan(nil)}, ErrUnknown}, {"a", Command{Kind: Step}, ErrNotRunning}}, nil},
 	} {
 		table := NewTable()
 		for i, s := range slices.Concat(c.before, c.steps) {
 			box, conducts := strings.CutPrefix(s.box, "!")
 			known := 3
-			if err := table.Apply(s.c, Of{Index: uint64(i + 1), Box: box, Session: 1, Conducts: conducts, Living: all, Known: known}); err != s.err {
+			if err := table.Apply(s.c, CommandContext{Index: uint64(i + 1), Box: box, Session: 1, IsConductor: conducts, Living: all, KnownBoxes: known}); err != s.err {
 				t.Errorf("%s: step %d, %v: %v, want %v", name, i, s.c.Kind, err, s.err)
 			}
 			if err := table.Check(); err != nil {
@@ -86,7 +88,7 @@
 			}
 		}
 		if c.want != nil && !c.want(table) {
-			t.Errorf("%s: %+v %+v", name, table, table.Roll)
+			t.Errorf("%s: %+v %+v", name, table, table.Current)
 		}
 	}
 }
@@ -94,17 +96,17 @@
 // TestPlanCheckAndSpare checks the validation of plans, and that dead boxes count as known boxes for the floor.
 func TestPlanCheckAndSpare(t *testing.T) {
 	for name, change := range map[string]func(*Plan){"canaries": func(p *Plan) { p.Canaries = 0 }, "share": func(p *Plan) { p.Share = 0 }, "share above": func(p *Plan) { p.Share = 1.5 },
-		"pace": func(p *Plan) { p.Pace = -1 }, "patience": func(p *Plan) { p.Patience = 0 }, "turned": func(p *Plan) { p.Turned = -1 }, "slots": func(p *Plan) { p.Slots = 0 }} {
-		if testPlan(change).Check() == nil {
+		"pace": func(p *Plan) { p.ObserveFor = -1 }, "patience": func(p *Plan) { p.Timeout = 0 }, "turned": func(p *Plan) { p.MaxRejected = -1 }, "slots": func(p *Plan) { p.Slots = 0 }} {
+		if testPlan(change).Validate() == nil {
 			t.Errorf("invalid %s accepted", name)
 		}
 	}
-	if testPlan(nil).Check() != nil || DefaultPlan.Check() != nil {
+	if testPlan(nil).Validate() != nil || DefaultPlan.Validate() != nil {
 		t.Error("valid plan rejected")
 	}
 	table := NewTable()
 	living := map[string]uint64{"a": 1, "b": 1, "c": 1}
-	if !table.Spare(living, 3) || table.Spare(living, 5) {
+	if !table.MayShutOutOne(living, 3) || table.MayShutOutOne(living, 5) {
 		t.Error("Spare must allow to shut out one of three living boxes if three are known, but not if five are known")
 	}
 }
@@ -145,16 +147,16 @@
 }
 
 // apply executes a command and checks the invariants.
-func (p *simFleet) apply(c Command, of Of) error {
+func (p *simFleet) apply(c Command, of CommandContext) error {
 	p.index++
-	of.Index, of.Living, of.Known = p.index, maps.Clone(p.living), len(p.disk)
-	before, roll := *p.table, p.table.Roll
+	of.Index, of.Living, of.KnownBoxes = p.index, maps.Clone(p.living), len(p.disk)
+	before, roll := *p.table, p.table.Current
 	var to, at uint64
 	wave := 0
 	if roll != nil {
 		to, at, wave = roll.To, roll.ID, roll.Wave
 	}
-	out := len(p.table.Out)
+	out := len(p.table.ShutOutBoxes)
 	err := p.table.Apply(c, of)
 	fail := func(format string, a ...any) {
 		if p.violation == nil {
@@ -168,7 +170,7 @@
 		fail("after %v a version number decreased", c.Kind)
 	}
 	if c.Kind == Step && err == nil {
-		key := fmt.Sprint(at, "/", wave, "/", roll.Phase == Returned)
+		key := fmt.Sprint(at, "/", wave, "/", roll.Phase == RolledBack)
 		if p.appliedSteps[key]++; p.appliedSteps[key] > 1 {
 			fail("step %s was applied twice", key)
 		}
@@ -178,31 +180,31 @@
 		for _, w := range roll.Waves {
 			for _, b := range w {
 				s := p.table.Boxes[b]
-				if _, shut := p.table.Out[b]; p.living[b] == 0 || shut {
+				if _, shut := p.table.ShutOutBoxes[b]; p.living[b] == 0 || shut {
 					continue
 				}
 				switch {
 				case s.Session != p.living[b]:
 					fail("version %d is in force, but the version of %s is unknown", to, b)
 				case s.InForce == to:
-				case s.Turned == to:
+				case s.Rejected == to:
 					turned++
 				default:
 					fail("version %d is in force, but %s has %d", to, b, s.InForce)
 				}
 			}
 		}
-		if turned > roll.Plan.Turned {
+		if turned > roll.Plan.MaxRejected {
 			fail("version %d is in force, but %d boxes have rejected it", to, turned)
 		}
 	}
 	left := 0
 	for b := range p.living {
-		if _, shut := p.table.Out[b]; !shut {
+		if _, shut := p.table.ShutOutBoxes[b]; !shut {
 			left++
 		}
 	}
-	if len(p.table.Out) > out && float64(left) < 0.5*float64(len(p.disk)) {
+	if len(p.table.ShutOutBoxes) > out && float64(left) < 0.5*float64(len(p.disk)) {
 		fail("%d of %d boxes left", left, len(p.disk))
 	}
 	return err
@@ -232,33 +234,33 @@
 			return false
 		}
 		p.lastCommand = cmd
-		p.apply(*cmd, Of{Box: "a", Session: p.living["a"], Conducts: true})
+		p.apply(*cmd, CommandContext{Box: "a", Session: p.living["a"], IsConductor: true})
 	case "repeat": // a conductor that resumes after a pause repeats a command after steps of the other one
 		if p.lastCommand == nil || p.lastCommand.Kind != Step {
 			return false
 		}
-		if p.apply(*p.lastCommand, Of{Box: "b", Session: p.living["b"], Conducts: true}) == nil {
+		if p.apply(*p.lastCommand, CommandContext{Box: "b", Session: p.living["b"], IsConductor: true}) == nil {
 			p.violation = errors.New("repeated step was applied again")
 		}
 	case "update":
-		w := p.table.Wants(box)
+		w := p.table.WantedVersion(box)
 		if session == 0 || p.disk[box] == w || p.rejects[box] == w {
 			return false
 		}
 		p.disk[box] = w
 	case "reject":
-		w := p.table.Wants(box)
+		w := p.table.WantedVersion(box)
 		if session == 0 || w == 0 || p.disk[box] == w || p.rejects[box] == w {
 			return false
 		}
 		p.rejects[box] = w
-		p.apply(tellCommand(p.disk[box], w), Of{Box: box, Session: session})
+		p.apply(tellCommand(p.disk[box], w), CommandContext{Box: box, Session: session})
 	case "report":
 		s := p.table.Boxes[box]
-		if session == 0 || s.Session == session && s.InForce == p.disk[box] && s.Turned == p.rejects[box] {
+		if session == 0 || s.Session == session && s.InForce == p.disk[box] && s.Rejected == p.rejects[box] {
 			return false
 		}
-		p.apply(tellCommand(p.disk[box], p.rejects[box]), Of{Box: box, Session: session})
+		p.apply(tellCommand(p.disk[box], p.rejects[box]), CommandContext{Box: box, Session: session})
 	case "toggle": // stops the box, or starts it as a new incarnation
 		if session != 0 {
 			delete(p.living, box)
@@ -270,7 +272,7 @@
 		if session == 0 {
 			return false
 		}
-		p.apply(Command{Kind: ShutOut, Box: box, Session: session}, Of{Box: "a", Session: p.living["a"]})
+		p.apply(Command{Kind: ShutOut, Box: box, Session: session}, CommandContext{Box: "a", Session: p.living["a"]})
 	}
 	return true
 }
@@ -278,9 +280,9 @@
 // fingerprint returns a string that identifies the state.
 func (p *simFleet) fingerprint() string {
 	t := p.table
-	s := fmt.Sprint(t.Target, t.Lowest, t.Boxes, p.disk, p.rejects, p.leaseHolder, len(t.Out), slices.Sorted(maps.Keys(t.Out)), slices.Sorted(maps.Keys(p.living)), len(t.Past))
-	if t.Roll != nil {
-		s += fmt.Sprint(t.Roll.ID, t.Roll.Wave, t.Roll.Phase)
+	s := fmt.Sprint(t.Target, t.Lowest, t.Boxes, p.disk, p.rejects, p.leaseHolder, len(t.ShutOutBoxes), slices.Sorted(maps.Keys(t.ShutOutBoxes)), slices.Sorted(maps.Keys(p.living)), len(t.Finished))
+	if t.Current != nil {
+		s += fmt.Sprint(t.Current.ID, t.Current.Wave, t.Current.Phase)
 	}
 	for _, c := range p.conductors {
 		s += fmt.Sprint(c.roll, c.wave, c.phase, p.now-c.phaseSeen, c.allChangedSince != 0, p.now-c.allChangedSince, c.lastReading == 0)
@@ -301,13 +303,13 @@
 		p := first
 		p.disk[b] = 1
 	}
-	first.apply(putCommand(0), Of{Box: "a", Session: 1})
-	first.apply(putCommand(0), Of{Box: "a", Session: 1})
+	first.apply(putCommand(0), CommandContext{Box: "a", Session: 1})
+	first.apply(putCommand(0), CommandContext{Box: "a", Session: 1})
 	first.table.Target, first.table.Lowest = 1, 1
 	for _, b := range boxes {
-		first.apply(tellCommand(1, 0), Of{Box: b, Session: first.living[b]})
+		first.apply(tellCommand(1, 0), CommandContext{Box: b, Session: first.living[b]})
 	}
-	first.apply(Command{Kind: Start, N: 2, Plan: testPlan(func(p *Plan) { p.Pace, p.Turned, p.Died = 0, 1, 1 })}, Of{Box: "a", Session: 1})
+	first.apply(Command{Kind: Start, N: 2, Plan: testPlan(func(p *Plan) { p.ObserveFor, p.MaxRejected, p.MaxDead = 0, 1, 1 })}, CommandContext{Box: "a", Session: 1})
 	seen := map[string]bool{}
 	frontier := []*simFleet{first}
 	done := 0
@@ -347,10 +349,10 @@
 		moves := append(p.stepNames(boxes), "put", "start", "hold", "resume", "abort")
 		for range 300 {
 			m := rapid.SampledFrom(moves).Draw(t, "move")
-			of := Of{Box: "c", Session: p.living["c"]}
-			c := Command{N: p.table.Last, Plan: testPlan(func(q *Plan) { q.Supersede, q.Turned, q.Died = p.index%3 == 0, 1, 2 })}
-			if p.table.Roll != nil {
-				c.Roll = p.table.Roll.ID
+			of := CommandContext{Box: "c", Session: p.living["c"]}
+			c := Command{N: p.table.Last, Plan: testPlan(func(q *Plan) { q.Supersede, q.MaxRejected, q.MaxDead = p.index%3 == 0, 1, 2 })}
+			if p.table.Current != nil {
+				c.RolloutID = p.table.Current.ID
 			}
 			switch m {
 			case "put":
@@ -387,7 +389,7 @@
 	has := func(n uint64, boxes ...string) func(*simFleet) {
 		return func(p *simFleet) {
 			for _, b := range boxes {
-				p.apply(tellCommand(n, 0), Of{Box: b, Session: p.living[b]})
+				p.apply(tellCommand(n, 0), CommandContext{Box: b, Session: p.living[b]})
 			}
 		}
 	}
@@ -395,7 +397,7 @@
 		return func(p *simFleet) {
 			for _, b := range boxes {
 				s := p.table.Boxes[b]
-				p.apply(Command{Kind: Tell, Standing: &Standing{InForce: inForce, Good: s.Good + good, Bad: s.Bad + bad}}, Of{Box: b, Session: p.living[b]})
+				p.apply(Command{Kind: ReportStatus, Status: &Status{InForce: inForce, GoodRequests: s.GoodRequests + good, BadRequests: s.BadRequests + bad}}, CommandContext{Box: b, Session: p.living[b]})
 			}
 		}
 	}
@@ -414,27 +416,27 @@
 	}{
 		"pace":                           {nil, []at{{0, nil, 0, ""}, {5, has(1, "a"), 0, ""}, {14, nil, 0, ""}, {15, nil, Step, ""}}},
 		"patience":                       {nil, []at{{0, nil, 0, ""}, {59, nil, 0, ""}, {60, nil, Halt, "not all of wave 1"}}},
-		"rejected":                       {nil, []at{{0, nil, 0, ""}, {1, func(p *simFleet) { p.apply(tellCommand(0, 1), Of{Box: "a", Session: p.living["a"]}) }, Halt, "turned down by a: line 3"}}},
-		"rejected by as many as allowed": {func(p *Plan) { p.Turned = 1 }, []at{{0, nil, 0, ""}, {1, func(p *simFleet) { p.apply(tellCommand(0, 1), Of{Box: "a", Session: p.living["a"]}) }, 0, ""}, {11, nil, Step, ""}}},
+		"rejected":                       {nil, []at{{0, nil, 0, ""}, {1, func(p *simFleet) { p.apply(tellCommand(0, 1), CommandContext{Box: "a", Session: p.living["a"]}) }, Halt, "turned down by a: line 3"}}},
+		"rejected by as many as allowed": {func(p *Plan) { p.MaxRejected = 1 }, []at{{0, nil, 0, ""}, {1, func(p *simFleet) { p.apply(tellCommand(0, 1), CommandContext{Box: "a", Session: p.living["a"]}) }, 0, ""}, {11, nil, Step, ""}}},
 		"dead box":                       {nil, []at{{0, nil, 0, ""}, {1, func(p *simFleet) { delete(p.living, "a") }, Halt, "gone: a"}}},
-		"as many dead boxes as allowed":  {func(p *Plan) { p.Died = 1 }, []at{{0, nil, 0, ""}, {1, func(p *simFleet) { delete(p.living, "a") }, 0, ""}, {11, nil, Step, ""}}},
+		"as many dead boxes as allowed":  {func(p *Plan) { p.MaxDead = 1 }, []at{{0, nil, 0, ""}, {1, func(p *simFleet) { delete(p.living, "a") }, 0, ""}, {11, nil, Step, ""}}},
 		"waits for a new incarnation":    {nil, []at{{0, has(1, "a"), 0, ""}, {9, func(p *simFleet) { p.living["a"] = 99 }, 0, ""}, {12, nil, 0, ""}}},
-		"held":                           {nil, []at{{0, has(1, "a"), 0, ""}, {5, func(p *simFleet) { p.table.Roll.Phase = Held }, 0, ""}, {100, nil, 0, ""}, {101, func(p *simFleet) { p.table.Roll.Phase = Going }, 0, ""}, {111, nil, Step, ""}}},
-		"rolled back":                    {nil, []at{{0, has(1, "a"), 0, ""}, {1, func(p *simFleet) { p.table.Roll.Phase = Back }, 0, ""}, {30, nil, 0, ""}, {31, has(0, "a"), Step, ""}}},
+		"held":                           {nil, []at{{0, has(1, "a"), 0, ""}, {5, func(p *simFleet) { p.table.Current.Phase = Held }, 0, ""}, {100, nil, 0, ""}, {101, func(p *simFleet) { p.table.Current.Phase = Running }, 0, ""}, {111, nil, Step, ""}}},
+		"rolled back":                    {nil, []at{{0, has(1, "a"), 0, ""}, {1, func(p *simFleet) { p.table.Current.Phase = RollingBack }, 0, ""}, {30, nil, 0, ""}, {31, has(0, "a"), Step, ""}}},
 		"box that cannot go back": {nil, []at{{0, nil, 0, ""}, {1, func(p *simFleet) {
-			p.table.Roll.Phase, p.table.Roll.From, p.table.Target = Back, 1, 1
-			p.table.Roll.To, p.table.Last = 2, 2
-			p.apply(tellCommand(2, 1), Of{Box: "a", Session: p.living["a"]})
+			p.table.Current.Phase, p.table.Current.From, p.table.Target = RollingBack, 1, 1
+			p.table.Current.To, p.table.Last = 2, 2
+			p.apply(tellCommand(2, 1), CommandContext{Box: "a", Session: p.living["a"]})
 		}, Step, ""}}},
-		"worse in three readings":   {func(p *Plan) { p.Pace = time.Hour }, []at{{0, has(1, "a"), 0, ""}, {3, has(0, "b", "c"), 0, ""}, {6, worse, 0, ""}, {9, worse, 0, ""}, {12, worse, Halt, "serve worse"}}},
-		"worse in too few readings": {func(p *Plan) { p.Pace = time.Hour }, []at{{0, has(1, "a"), 0, ""}, {3, has(0, "b", "c"), 0, ""}, {6, worse, 0, ""}, {9, same, 0, ""}, {12, same, 0, ""}, {15, worse, 0, ""}, {18, same, 0, ""}, {21, same, 0, ""}, {24, worse, 0, ""}}},
+		"worse in three readings":   {func(p *Plan) { p.ObserveFor = time.Hour }, []at{{0, has(1, "a"), 0, ""}, {3, has(0, "b", "c"), 0, ""}, {6, worse, 0, ""}, {9, worse, 0, ""}, {12, worse, Halt, "serve worse"}}},
+		"worse in too few readings": {func(p *Plan) { p.ObserveFor = time.Hour }, []at{{0, has(1, "a"), 0, ""}, {3, has(0, "b", "c"), 0, ""}, {6, worse, 0, ""}, {9, same, 0, ""}, {12, same, 0, ""}, {15, worse, 0, ""}, {18, same, 0, ""}, {21, same, 0, ""}, {24, worse, 0, ""}}},
 	} {
 		p := newSimFleet("a", "b", "c")
 		for _, b := range []string{"a", "b", "c"} {
 			p.disk[b] = 0
 		}
-		p.apply(putCommand(0), Of{Box: "a", Session: 1})
-		p.apply(Command{Kind: Start, N: 1, Plan: testPlan(c.plan)}, Of{Box: "a", Session: 1})
+		p.apply(putCommand(0), CommandContext{Box: "a", Session: 1})
+		p.apply(Command{Kind: Start, N: 1, Plan: testPlan(c.plan)}, CommandContext{Box: "a", Session: 1})
 		for _, s := range c.steps {
 			if s.do != nil {
 				s.do(p)
@@ -461,7 +463,7 @@
 		table := NewTable()
 		living := map[string]uint64{"a": 1}
 		for range 4 {
-			table.Apply(putCommand(0), Of{Box: "a", Session: 1, Living: living, Known: 1})
+			table.Apply(putCommand(0), CommandContext{Box: "a", Session: 1, Living: living, KnownBoxes: 1})
 		}
 		b, has, now, stored := NewBox(0, 1), false, time.Duration(0), uint64(0)
 		for range 100 {
@@ -472,27 +474,27 @@
 			case 1:
 				has = !has
 			}
-			b.Saw(table, "a", func(string) bool { return has })
+			b.Update(table, "a", func(string) bool { return has })
 			act, next := b.Due(now, 1, false, 0, 0)
 			if act == Nothing && next <= now {
 				t.Fatalf("no action is due, but the next call is due immediately")
 			}
 			switch act {
-			case Say:
-				s := b.Standing(1, 0, 0)
+			case SendStatus:
+				s := b.Status(1, 0, 0)
 				if s.InForce != stored {
 					t.Fatalf("box reports version %d, but %d is stored", s.InForce, stored)
 				}
-				b.Told(now, s, false)
+				b.Reported(now, s, false)
 			case Verify:
 				why := ""
 				if rapid.Bool().Draw(t, "wrong") {
 					why = "wrong"
 				}
 				b.Verified(b.Number(), why)
-			case GetSlot:
+			case RequestSlot:
 				if rapid.Bool().Draw(t, "slot") {
-					b.Slotted(b.Number())
+					b.SlotGranted(b.Number())
 				}
 			case Store:
 				if b.InForce() != stored {
@@ -506,7 +508,7 @@
 			if b.InForce() != stored {
 				t.Fatalf("version %d is in force, but %d is stored", b.InForce(), stored)
 			}
-			if b.rejected != 0 && stored == b.rejected && b.State() == Refusing {
+			if b.rejected != 0 && stored == b.rejected && b.State() == Rejected {
 				t.Fatal("version is rejected and in force")
 			}
 		}
--- a/internal/decide/shed/manners.go
+++ b/internal/decide/shed/caller_compliance.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Manners tracks how far callers comply with the free value that they are sent. Rejecting a request costs a read, and a caller that goes on to
+// CallerCompliance tracks how far callers comply with the free value that they are sent. Rejecting a request costs a read, and a caller that goes on to
 // the next box regardless makes all boxes read what one box has rejected; serving the request costs less. Requests of such a caller are
 // therefore not ranked for rejection before others and not rejected as attempts beyond the budget. Only the module's own decision applies.
 //
 // Compliance shows in the ranks that a caller sends: a caller that complies sends nothing of a rank below the free value. The clock is the
 // box's own. The zero value is ready to use; it is not safe for concurrent use.
-type Manners struct {
+type CallerCompliance struct {
 	callers   map[int]float64
 	minFloors [2]float64    // lowest free value of the current and of the previous span; a caller may have received any value of either
 	spanEnd   time.Duration // end of the current span
@@ -22,8 +22,8 @@
 	maxCallers        = 4096
 )
 
-// Told records the free value that is sent with answers from now on.
-func (m *Manners) Told(now time.Duration, floor float64) {
+// SetFloor records the free value that is sent with answers from now on.
+func (m *CallerCompliance) SetFloor(now time.Duration, floor float64) {
 	if now >= m.spanEnd {
 		m.minFloors = [2]float64{floor, m.minFloors[0]}
 		if now >= m.spanEnd+floorSpan {
@@ -34,9 +34,9 @@
 	m.minFloors[0] = min(m.minFloors[0], floor)
 }
 
-// Saw records a request's rank and reports whether its caller counts as not complying. Of the requests of a caller that ignores the floor, the
+// Observe records a request's rank and reports whether its caller counts as not complying. Of the requests of a caller that ignores the floor, the
 // share below it equals the floor; half of that share is enough to raise the score.
-func (m *Manners) Saw(caller int, rank float64) (noncompliant bool) {
+func (m *CallerCompliance) Observe(caller int, rank float64) (noncompliant bool) {
 	floor := min(m.minFloors[0], m.minFloors[1])
 	score := m.callers[caller]
 	if floor >= minFloor {
--- a/internal/decide/shed/fleet_test.go
+++ b/internal/decide/shed/fleet_test.go
@@ -27,7 +27,7 @@
 		{900, 900, 900, 1, [3]float64{470.6, 352.9, 176.5}}, // the unassigned 150 are divided in the ratio of the shares
 		{900, 900, 900, 0.5, [3]float64{400, 300, 150}},
 	} {
-		got := r.Parts(map[string]float64{"a": c.a, "b": c.b, "c": c.c}, 1000, c.part)
+		got := r.Allocate(map[string]float64{"a": c.a, "b": c.b, "c": c.c}, 1000, c.part)
 		for j, n := range []string{"a", "b", "c"} {
 			if math.Abs(got[n]-c.want[j]) > 0.1 {
 				t.Errorf("case %d: %s gets %.1f, want %.1f", i, n, got[n], c.want[j])
@@ -51,7 +51,7 @@
 	}
 	calmly := run(over(0, 0), time.Second).Tenants["y"]
 	pressed := run(over(0.5, 0), 4*time.Second)
-	if pressed.Tenants["y"] < calmly+0.1 || pressed.Tenants["x"] != 0 || pressed.Mean != 0.5 {
+	if pressed.Tenants["y"] < calmly+0.1 || pressed.Tenants["x"] != 0 || pressed.MeanHoldBack != 0.5 {
 		t.Errorf("without pressure %v of the load beyond the share is shed; under pressure %+v", calmly, pressed)
 	}
 	if a := run(over(0, 0), time.Minute); math.Abs(a.Tenants["y"]-calmly) > 0.01 {
@@ -73,7 +73,7 @@
 		for range 200 {
 			now += time.Duration(rapid.IntRange(100, 2000).Draw(t, "step")) * time.Millisecond
 			v := healthySums(func(s *Sums) {
-				s.Lead, s.Shed = rapid.IntRange(0, 9).Draw(t, "lead") == 0, rapid.IntRange(0, 9).Draw(t, "shed")
+				s.IsLeader, s.LeaderLevel = rapid.IntRange(0, 9).Draw(t, "lead") == 0, rapid.IntRange(0, 9).Draw(t, "shed")
 				if rapid.IntRange(0, 5).Draw(t, "old") == 0 {
 					s.Age = time.Minute
 				}
@@ -90,44 +90,44 @@
 		}
 	})
 	var fresh Shedder
-	if a := fresh.Advise(time.Hour, healthySums(func(s *Sums) { s.Lead, s.Shed = false, 2 }), testRules, time.Second); a.Level != 2 || !a.Low[0] || !a.Low[1] || a.Low[2] {
+	if a := fresh.Advise(time.Hour, healthySums(func(s *Sums) { s.IsLeader, s.LeaderLevel = false, 2 }), testRules, time.Second); a.Level != 2 || !a.LowClasses[0] || !a.LowClasses[1] || a.LowClasses[2] {
 		t.Errorf("a box after its start has advice %+v", a)
 	}
 }
 
 // TestAdviceForRequests checks the probabilities, and that an advice without trust has no effect.
 func TestAdviceForRequests(t *testing.T) {
-	a := Advice{Version: 7, Trust: 1, Tenants: map[string]float64{"x": 0.3}, Low: []bool{true, false}, Further: 0.6, GiveUp: true, Later: [2]time.Duration{time.Second, 3 * time.Second}}
+	a := Advice{Version: 7, Trust: 1, Tenants: map[string]float64{"x": 0.3}, LowClasses: []bool{true, false}, Further: 0.6, GiveUp: true, RetryWindow: [2]time.Duration{time.Second, 3 * time.Second}}
 	r := rand.New(rand.NewPCG(1, 1))
 	const n = 20000
 	var over, low, beyond int
 	for range n {
-		x := a.For("x", 1, true, r.Float64)
+		x := a.ForRequest("x", 1, true, r.Float64)
 		if x.Order == OverShare {
 			over++
 		}
-		if x.Beyond {
+		if x.OverBudget {
 			beyond++
 		}
-		if a.For("y", 0, false, r.Float64).Order == LowClass {
+		if a.ForRequest("y", 0, false, r.Float64).Order == LowClass {
 			low++
 		}
-		if x.Version != 7 || !x.Known || !x.Full || x.Return < time.Second || x.Return > 3*time.Second {
+		if x.Version != 7 || !x.RetryValid || !x.FleetFull || x.RetryAfter < time.Second || x.RetryAfter > 3*time.Second {
 			t.Fatalf("%+v", x)
 		}
 	}
 	if math.Abs(float64(over)/n-0.3) > 0.02 || low != n || math.Abs(float64(beyond)/n-0.6) > 0.02 {
 		t.Errorf("of %d requests: %d over share, %d low class, %d beyond budget", n, over, low, beyond)
 	}
-	if w := a.For("y", 1, false, r.Float64); w.Order != Ordinary || w.Beyond {
+	if w := a.ForRequest("y", 1, false, r.Float64); w.Order != Ordinary || w.OverBudget {
 		t.Errorf("%+v", w)
 	}
 	half := a
 	half.Trust = 0.5
-	if w := half.For("x", 1, false, r.Float64); w.Known || w.Full || w.Return != 0 {
+	if w := half.ForRequest("x", 1, false, r.Float64); w.RetryValid || w.FleetFull || w.RetryAfter != 0 {
 		t.Errorf("advice with trust 0.5: %+v", w)
 	}
-	if w := (&Advice{Version: 7, Tenants: a.Tenants, Low: a.Low, Further: 1, GiveUp: true}).For("x", 0, true, r.Float64); w != (Word{Version: 7}) {
+	if w := (&Advice{Version: 7, Tenants: a.Tenants, LowClasses: a.LowClasses, Further: 1, GiveUp: true}).ForRequest("x", 0, true, r.Float64); w != (RequestAdvice{Version: 7}) {
 		t.Errorf("advice without trust: %+v", w)
 	}
 }
@@ -135,7 +135,7 @@
 // TestOrderByWorthPerTargetTime checks the order by worth per target time, and the order of the settings for equal ones.
 func TestOrderByWorthPerTargetTime(t *testing.T) {
 	worth, aim := []float64{1, 1, 2, 4, 1}, []time.Duration{1300, 2200, 2200, 1300, 2200}
-	got := Order(len(worth), func(i int) float64 { return worth[i] }, func(i int) time.Duration { return aim[i] * time.Millisecond })
+	got := SheddingOrder(len(worth), func(i int) float64 { return worth[i] }, func(i int) time.Duration { return aim[i] * time.Millisecond })
 	if want := []int{1, 4, 0, 2, 3}; !slices.Equal(got, want) {
 		t.Errorf("order %v, want %v", got, want)
 	}
@@ -144,7 +144,7 @@
 // TestMannersDetectsNoncompliance checks that a caller that sends ranks below the floor is detected, that a complying one is not, and that detection ends.
 func TestMannersDetectsNoncompliance(t *testing.T) {
 	testkit.Check(t, 100, func(t *rapid.T) {
-		var m Manners
+		var m CallerCompliance
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
 		floor, told := 0.4, 0.4 // the current floor, and the one that the complying caller received last
 		var falsePositives, found, asked int
@@ -155,11 +155,11 @@
 				told = floor
 				floor = min(0.9, max(0, floor+rapid.Float64Range(-0.15, 0.15).Draw(t, "floor")))
 			}
-			m.Told(now, floor)
-			if rank := r.Float64(); rank >= told && m.Saw(1, rank) {
+			m.SetFloor(now, floor)
+			if rank := r.Float64(); rank >= told && m.Observe(1, rank) {
 				falsePositives++
 			}
-			if rude := m.Saw(2, r.Float64()); i > 500 && floor > 0.3 {
+			if rude := m.Observe(2, r.Float64()); i > 500 && floor > 0.3 {
 				asked++
 				if rude {
 					found++
@@ -171,18 +171,18 @@
 		}
 		for range 200 {
 			now += 20 * time.Millisecond
-			m.Told(now, 0.5)
-			m.Saw(2, 0.5+r.Float64()/2)
+			m.SetFloor(now, 0.5)
+			m.Observe(2, 0.5+r.Float64()/2)
 		}
-		if m.Saw(2, 0.99) {
+		if m.Observe(2, 0.99) {
 			t.Fatal("a caller that complies again still counts as noncompliant")
 		}
 	})
-	var m Manners
-	m.Told(time.Second, 0.8)
-	m.Told(2*time.Second, 0.8)
+	var m CallerCompliance
+	m.SetFloor(time.Second, 0.8)
+	m.SetFloor(2*time.Second, 0.8)
 	for i := range 3 * maxCallers {
-		m.Saw(i, 0)
+		m.Observe(i, 0)
 	}
 	if len(m.callers) > maxCallers {
 		t.Errorf("%d callers are stored, above the limit", len(m.callers))
--- a/internal/decide/shed/shed.go
+++ b/internal/decide/shed/shed.go
@@ -19,19 +19,19 @@
 
 // Sums holds what a box knows of the whole fleet, including itself. Rates are in requests per second.
 type Sums struct {
-	Boxes    int                `cbor:"1,keyasint" json:"boxes"`                     // boxes with a fresh summary
-	Known    int                `cbor:"2,keyasint" json:"known"`                     // boxes of the fleet, except dead ones
-	Age      time.Duration      `cbor:"3,keyasint" json:"age_ns"`                    // age of the oldest summary included
-	Capacity float64            `cbor:"4,keyasint" json:"capacity"`                  // requests that can be served
-	Free     float64            `cbor:"5,keyasint" json:"free"`                      // part of the capacity that is free at other boxes
-	First    float64            `cbor:"6,keyasint" json:"first"`                     // first attempts received
-	Further  float64            `cbor:"7,keyasint" json:"further"`                   // further attempts received
-	Classes  []float64          `cbor:"8,keyasint" json:"classes"`                   // first attempts offered by class, in the order of the settings
-	Tenants  map[string]float64 `cbor:"9,keyasint" json:"tenants"`                   // first attempts offered by tenant
-	Level    float64            `cbor:"11,keyasint" json:"level"`                    // share that callers are asked to hold back, averaged by capacity
-	Said     []probes.Said      `cbor:"10,keyasint,omitempty" json:"said,omitempty"` // boxes' findings about the shared dependency
-	Shed     int                `cbor:"12,keyasint" json:"shed"`                     // level of the leader: the first relay by name
-	Lead     bool               `cbor:"-" json:"lead"`                               // this box is the leader
+	Boxes       int                    `cbor:"1,keyasint" json:"boxes"`                     // boxes with a fresh summary
+	Known       int                    `cbor:"2,keyasint" json:"known"`                     // boxes of the fleet, except dead ones
+	Age         time.Duration          `cbor:"3,keyasint" json:"age_ns"`                    // age of the oldest summary included
+	Capacity    float64                `cbor:"4,keyasint" json:"capacity"`                  // requests that can be served
+	Free        float64                `cbor:"5,keyasint" json:"free"`                      // part of the capacity that is free at other boxes
+	First       float64                `cbor:"6,keyasint" json:"first"`                     // first attempts received
+	Further     float64                `cbor:"7,keyasint" json:"further"`                   // further attempts received
+	Classes     []float64              `cbor:"8,keyasint" json:"classes"`                   // first attempts offered by class, in the order of the settings
+	Tenants     map[string]float64     `cbor:"9,keyasint" json:"tenants"`                   // first attempts offered by tenant
+	Level       float64                `cbor:"11,keyasint" json:"level"`                    // share that callers are asked to hold back, averaged by capacity
+	Reports     []probes.FindingReport `cbor:"10,keyasint,omitempty" json:"said,omitempty"` // boxes' findings about the shared dependency
+	LeaderLevel int                    `cbor:"12,keyasint" json:"shed"`                     // level of the leader: the first relay by name
+	IsLeader    bool                   `cbor:"-" json:"lead"`                               // this box is the leader
 }
 
 // Rules holds the overload rules of the fleet's configuration. They are the same on all boxes that have the same version in force.
@@ -42,9 +42,9 @@
 	Order   []int              // classes by their index in the settings, in the order in which they are shed
 }
 
-// Order returns the classes, by their index, in the order in which they are shed: ascending by worth per target time. The target time is the
+// SheddingOrder returns the classes, by their index, in the order in which they are shed: ascending by worth per target time. The target time is the
 // only measure of a class's cost that is the same on all boxes.
-func Order(n int, worth func(class int) float64, aim func(class int) time.Duration) []int {
+func SheddingOrder(n int, worth func(class int) float64, aim func(class int) time.Duration) []int {
 	list := make([]int, n)
 	for i := range list {
 		list[i] = i
@@ -57,50 +57,50 @@
 // Advice is what the fleet advises the box's module. The zero value is no advice: the box acts as if it had no fleet. An Advice is immutable once
 // it has been passed on.
 type Advice struct {
-	Version uint64             `json:"version"`           // number of the configuration whose rules it follows
-	Trust   float64            `json:"trust"`             // 0 to 1: the weight of the advice
-	Tenants map[string]float64 `json:"tenants,omitempty"` // probability that a tenant's request is beyond its share, if above 0
-	Level   int                `json:"level"`             // number of classes, in the order of shedding, that are shed before others
-	Low     []bool             `json:"low,omitempty"`     // whether a class is one of them, by its index in the settings
-	Further float64            `json:"further"`           // probability with which a further attempt is rejected when it is read
-	Mean    float64            `json:"mean"`              // share that callers are asked to hold back, averaged over the boxes
-	GiveUp  bool               `json:"give_up"`           // no other box has capacity for a rejected request
-	Later   [2]time.Duration   `json:"later_ns"`          // range from which the retry delay of a rejected request is drawn uniformly
+	Version      uint64             `json:"version"`           // number of the configuration whose rules it follows
+	Trust        float64            `json:"trust"`             // 0 to 1: the weight of the advice
+	Tenants      map[string]float64 `json:"tenants,omitempty"` // probability that a tenant's request is beyond its share, if above 0
+	Level        int                `json:"level"`             // number of classes, in the order of shedding, that are shed before others
+	LowClasses   []bool             `json:"low,omitempty"`     // whether a class is one of them, by its index in the settings
+	Further      float64            `json:"further"`           // probability with which a further attempt is rejected when it is read
+	MeanHoldBack float64            `json:"mean"`              // share that callers are asked to hold back, averaged over the boxes
+	GiveUp       bool               `json:"give_up"`           // no other box has capacity for a rejected request
+	RetryWindow  [2]time.Duration   `json:"later_ns"`          // range from which the retry delay of a rejected request is drawn uniformly
 }
 
 // The ranks in which requests are rejected if some must be. Requests beyond a tenant's share are rejected before those of a low class.
 const (
-	Last = iota - 1 // not rejected by chance: the next box would have to read the request again
+	NotByChance = iota - 1 // not rejected by chance: the next box would have to read the request again
 	Ordinary
 	LowClass  // of a class below the fleet's level
 	OverShare // beyond its tenant's share
 )
 
-// Word is the advice on one request. The zero value is no advice.
-type Word struct {
-	Version uint64
-	Known   bool          // Full and Return are valid
-	Full    bool          // no other box has capacity for it
-	Return  time.Duration // retry delay for the caller, if the request is rejected
-	Beyond  bool          // a further attempt beyond the fleet's budget
-	Order   int           // Last, Ordinary, LowClass or OverShare
+// RequestAdvice is the advice on one request. The zero value is no advice.
+type RequestAdvice struct {
+	Version    uint64
+	RetryValid bool          // Full and Return are valid
+	FleetFull  bool          // no other box has capacity for it
+	RetryAfter time.Duration // retry delay for the caller, if the request is rejected
+	OverBudget bool          // a further attempt beyond the fleet's budget
+	Order      int           // Last, Ordinary, LowClass or OverShare
 }
 
-// For returns the advice on a request of a tenant and a class, given by its index in the settings. draw returns uniform numbers from 0 to 1.
-func (a *Advice) For(tenant string, class int, further bool, draw func() float64) Word {
-	w := Word{Version: a.Version}
+// ForRequest returns the advice on a request of a tenant and a class, given by its index in the settings. draw returns uniform numbers from 0 to 1.
+func (a *Advice) ForRequest(tenant string, class int, further bool, draw func() float64) RequestAdvice {
+	w := RequestAdvice{Version: a.Version}
 	if a.Trust == 0 {
 		return w
 	}
-	w.Beyond = further && draw() < a.Further
+	w.OverBudget = further && draw() < a.Further
 	switch {
 	case draw() < a.Tenants[tenant]:
 		w.Order = OverShare
-	case class < len(a.Low) && a.Low[class] && draw() < a.Trust:
+	case class < len(a.LowClasses) && a.LowClasses[class] && draw() < a.Trust:
 		w.Order = LowClass
 	}
-	if w.Known = a.Trust == 1; w.Known {
-		w.Full, w.Return = a.GiveUp, a.Place(draw())
+	if w.RetryValid = a.Trust == 1; w.RetryValid {
+		w.FleetFull, w.RetryAfter = a.GiveUp, a.RetryDelay(draw())
 	}
 	return w
 }
@@ -123,14 +123,14 @@
 	fullTrustShare    = 0.5 // share of the boxes that must be heard for full trust; at half of it trust is 0
 )
 
-// SizeMost is the largest fleet that sheds as one. In a fleet of 1,000 boxes a caller contacts each box so rarely that no box learns which
+// MaxFleetSize is the largest fleet that sheds as one. In a fleet of 1,000 boxes a caller contacts each box so rarely that no box learns which
 // callers comply, and rejected requests move on through the list of boxes. There, shedding as a fleet gave worse results than the boxes on
 // their own (docs/experiments/overload.md).
-const SizeMost = 128
+const MaxFleetSize = 128
 
 // Trust returns the weight of sums: 1 if they are fresh and cover enough boxes, 0 if they are old or cover few, linear in between.
 func Trust(s Sums) float64 {
-	if s.Known < 2 || s.Known > SizeMost || s.Boxes < 2 || s.Capacity <= 0 {
+	if s.Known < 2 || s.Known > MaxFleetSize || s.Boxes < 2 || s.Capacity <= 0 {
 		return 0
 	}
 	age := 1 - float64(s.Age-freshAge)/float64(maxAge-freshAge)
@@ -138,9 +138,9 @@
 	return max(0, min(1, age, heard))
 }
 
-// Shares divides a capacity among tenants so that no tenant gets more than it offers, and tenants that get less share in the ratio of
+// MaxMinShares divides a capacity among tenants so that no tenant gets more than it offers, and tenants that get less share in the ratio of
 // their weights (weighted max-min fairness, Bertsekas and Gallager, Data Networks, 6.5).
-func Shares(offered map[string]float64, capacity float64, weight func(tenant string) float64) map[string]float64 {
+func MaxMinShares(offered map[string]float64, capacity float64, weight func(tenant string) float64) map[string]float64 {
 	need := func(n string) float64 { return offered[n] / weight(n) }
 	names := slices.SortedFunc(maps.Keys(offered), func(a, b string) int { return cmp.Or(cmp.Compare(need(a), need(b)), cmp.Compare(a, b)) })
 	rest := 0.0 // total weight of the tenants without an allocation yet
@@ -156,9 +156,9 @@
 	return got
 }
 
-// Parts divides a capacity among tenants: each gets what it offers up to its stated share, and what is left of the given part of the capacity
+// Allocate divides a capacity among tenants: each gets what it offers up to its stated share, and what is left of the given part of the capacity
 // is divided among those that offer more.
-func (r Rules) Parts(offered map[string]float64, capacity, part float64) map[string]float64 {
+func (r Rules) Allocate(offered map[string]float64, capacity, part float64) map[string]float64 {
 	weight := r.weights(offered)
 	sum := 0.0
 	for n := range offered {
@@ -171,7 +171,7 @@
 		more[n] = o - got[n]
 		rest -= got[n]
 	}
-	for n, g := range Shares(more, rest, weight) {
+	for n, g := range MaxMinShares(more, rest, weight) {
 		got[n] += g
 	}
 	return got
@@ -223,7 +223,7 @@
 		return a
 	}
 	if offered := sum(v.Tenants); offered > (fullLoad-s.squeeze)*v.Capacity {
-		shares := r.Parts(v.Tenants, v.Capacity, fullLoad-s.squeeze)
+		shares := r.Allocate(v.Tenants, v.Capacity, fullLoad-s.squeeze)
 		for name, o := range v.Tenants {
 			if o > shares[name] {
 				if a.Tenants == nil {
@@ -234,10 +234,10 @@
 		}
 	}
 	if s.level > 0 {
-		a.Low = make([]bool, len(r.Order))
+		a.LowClasses = make([]bool, len(r.Order))
 		for _, place := range r.Order[:min(s.level, len(r.Order))] {
-			if place < len(a.Low) {
-				a.Low[place] = true
+			if place < len(a.LowClasses) {
+				a.LowClasses[place] = true
 			}
 		}
 	}
@@ -249,7 +249,7 @@
 		a.Further = a.Trust * (1 - tries*v.First/v.Further)
 	}
 	a.GiveUp = a.Trust == 1 && v.Free < minFreeShare*v.Capacity
-	a.Later, a.Mean = retryWindow(v, later), min(v.Level, 1)
+	a.RetryWindow, a.MeanHoldBack = retryWindow(v, later), min(v.Level, 1)
 	return a
 }
 
@@ -280,9 +280,9 @@
 		}
 		return n / v.Capacity
 	}
-	if !v.Lead && trust > 0 { // the fleet has one level: a box follows the leader's, with the same minimum time between changes
-		if s.level != v.Shed && (s.levelChanged == 0 || now-s.levelChanged >= minLevelInterval) {
-			s.level, s.levelChanged = min(max(v.Shed, 0), max(len(r.Order)-1, 0)), max(now, 1)
+	if !v.IsLeader && trust > 0 { // the fleet has one level: a box follows the leader's, with the same minimum time between changes
+		if s.level != v.LeaderLevel && (s.levelChanged == 0 || now-s.levelChanged >= minLevelInterval) {
+			s.level, s.levelChanged = min(max(v.LeaderLevel, 0), max(len(r.Order)-1, 0)), max(now, 1)
 		}
 		s.aboveSince, s.belowSince = 0, 0
 		return
@@ -332,7 +332,7 @@
 	return n
 }
 
-// Place returns a retry delay within Later, for a uniform number u from 0 to 1.
-func (a Advice) Place(u float64) time.Duration {
-	return a.Later[0] + time.Duration(math.Max(0, math.Min(1, u))*float64(a.Later[1]-a.Later[0]))
+// RetryDelay returns a retry delay within Later, for a uniform number u from 0 to 1.
+func (a Advice) RetryDelay(u float64) time.Duration {
+	return a.RetryWindow[0] + time.Duration(math.Max(0, math.Min(1, u))*float64(a.RetryWindow[1]-a.RetryWindow[0]))
 }
--- a/internal/decide/shed/shed_test.go
+++ b/internal/decide/shed/shed_test.go
@@ -15,7 +15,7 @@
 
 // healthySums returns the sums of a healthy fleet of ten boxes with a capacity of 1,000 requests per second, adjusted by change.
 func healthySums(change func(*Sums)) Sums {
-	s := Sums{Boxes: 10, Known: 10, Lead: true, Capacity: 1000, Free: 200, First: 750, Further: 50, Classes: []float64{200, 200, 400}, Tenants: map[string]float64{"x": 400, "y": 400}}
+	s := Sums{Boxes: 10, Known: 10, IsLeader: true, Capacity: 1000, Free: 200, First: 750, Further: 50, Classes: []float64{200, 200, 400}, Tenants: map[string]float64{"x": 400, "y": 400}}
 	if change != nil {
 		change(&s)
 	}
@@ -29,13 +29,13 @@
 		want   float64
 	}{
 		{nil, 1}, {func(s *Sums) { s.Age = freshAge }, 1}, {func(s *Sums) { s.Age = 2 * time.Second }, 0.5}, {func(s *Sums) { s.Age = maxAge }, 0},
-		{func(s *Sums) { s.Boxes = 5 }, 0}, {func(s *Sums) { s.Boxes = 1 }, 0}, {func(s *Sums) { s.Known = 1 }, 0}, {func(s *Sums) { s.Known, s.Boxes = SizeMost, SizeMost }, 1}, {func(s *Sums) { s.Known, s.Boxes = SizeMost+1, SizeMost+1 }, 0}, {func(s *Sums) { s.Capacity = 0 }, 0},
+		{func(s *Sums) { s.Boxes = 5 }, 0}, {func(s *Sums) { s.Boxes = 1 }, 0}, {func(s *Sums) { s.Known = 1 }, 0}, {func(s *Sums) { s.Known, s.Boxes = MaxFleetSize, MaxFleetSize }, 1}, {func(s *Sums) { s.Known, s.Boxes = MaxFleetSize+1, MaxFleetSize+1 }, 0}, {func(s *Sums) { s.Capacity = 0 }, 0},
 	} {
 		if got := Trust(healthySums(c.change)); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("case %d: got %v, want %v", i, got, c.want)
 		}
 	}
-	if a := new(Shedder).Advise(0, healthySums(func(s *Sums) { s.Age = time.Minute; s.Further = 900; s.Tenants["x"] = 9000 }), testRules, time.Second); a.Trust != 0 || a.Tenants != nil || a.Further != 0 || a.GiveUp || a.Later[1] != 0 {
+	if a := new(Shedder).Advise(0, healthySums(func(s *Sums) { s.Age = time.Minute; s.Further = 900; s.Tenants["x"] = 9000 }), testRules, time.Second); a.Trust != 0 || a.Tenants != nil || a.Further != 0 || a.GiveUp || a.RetryWindow[1] != 0 {
 		t.Errorf("outdated sums have an effect: %+v", a)
 	}
 }
@@ -45,7 +45,7 @@
 	testkit.Check(t, 200, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "tenants")
 		capacity := rapid.Float64Range(100, 10000).Draw(t, "capacity")
-		s := Sums{Boxes: 10, Known: 10, Lead: true, Capacity: capacity, Tenants: map[string]float64{}}
+		s := Sums{Boxes: 10, Known: 10, IsLeader: true, Capacity: capacity, Tenants: map[string]float64{}}
 		at := map[string][]float64{} // offered load by box
 		total := 0.0
 		for i := range n {
@@ -75,7 +75,7 @@
 		if math.Abs(dropped-excess) > 0.05*excess+1e-6 {
 			t.Fatalf("all boxes shed %v, but the excess is %v", dropped, excess)
 		}
-		shares := r.Parts(s.Tenants, capacity, fullLoad)
+		shares := r.Allocate(s.Tenants, capacity, fullLoad)
 		even := map[string]float64{}
 		for name := range s.Tenants {
 			even[name] = capacity * weight(name)
@@ -123,8 +123,8 @@
 		{nil, time.Second}, {func(s *Sums) { s.First, s.Free = 1500, 100 }, 5500 * time.Millisecond}, {func(s *Sums) { s.First, s.Free = 1500, 0 }, most}, {func(s *Sums) { s.First, s.Free = 9000, 1 }, most},
 	} {
 		a := new(Shedder).Advise(0, healthySums(c.change), testRules, most)
-		if a.Later[1] != c.until || a.Place(0) == a.Place(1) || a.Place(-3) != a.Later[0] || a.Place(7) != a.Later[1] || a.Place(0.5) <= a.Place(0.2) {
-			t.Errorf("%d: %v", i, a.Later)
+		if a.RetryWindow[1] != c.until || a.RetryDelay(0) == a.RetryDelay(1) || a.RetryDelay(-3) != a.RetryWindow[0] || a.RetryDelay(7) != a.RetryWindow[1] || a.RetryDelay(0.5) <= a.RetryDelay(0.2) {
+			t.Errorf("%d: %v", i, a.RetryWindow)
 		}
 	}
 }
--- a/internal/decide/straggler/explore_test.go
+++ b/internal/decide/straggler/explore_test.go
@@ -20,7 +20,7 @@
 	now         time.Duration
 	living      map[string]uint64
 	disk        map[string]uint64
-	judges      [2]Judge
+	judges      [2]Detector
 	inFlight    []rollout.Command
 	index       uint64
 	behindSince map[string]time.Duration // when a box was first behind in its session; known only to the test
@@ -33,7 +33,7 @@
 	c := *s
 	c.table, c.living, c.disk, c.inFlight, c.behindSince = s.table.Clone(), maps.Clone(s.living), maps.Clone(s.disk), slices.Clone(s.inFlight), maps.Clone(s.behindSince)
 	for i := range c.judges {
-		c.judges[i] = Judge{maps.Clone(s.judges[i].behindSince), maps.Clone(s.judges[i].lastProposed)}
+		c.judges[i] = Detector{maps.Clone(s.judges[i].behindSince), maps.Clone(s.judges[i].lastProposed)}
 	}
 	return &c
 }
@@ -57,15 +57,15 @@
 // apply executes a command and checks that no box is shut out, or let in again, wrongly.
 func (s *simFleet) apply(c rollout.Command, box string) {
 	s.index++
-	before := maps.Clone(s.table.Out)
-	s.table.Apply(c, rollout.Of{Index: s.index, Box: box, Session: s.living[box], Living: s.living, Known: knownBoxes})
-	for b, o := range s.table.Out {
+	before := maps.Clone(s.table.ShutOutBoxes)
+	s.table.Apply(c, rollout.CommandContext{Index: s.index, Box: box, Session: s.living[box], Living: s.living, KnownBoxes: knownBoxes})
+	for b, o := range s.table.ShutOutBoxes {
 		if _, wasOut := before[b]; wasOut {
 			continue
 		}
 		left := 0
 		for l := range s.living {
-			if _, out := s.table.Out[l]; !out {
+			if _, out := s.table.ShutOutBoxes[l]; !out {
 				left++
 			}
 		}
@@ -74,12 +74,12 @@
 			s.violation = fmt.Errorf("%d of %d boxes left", left, knownBoxes)
 		case !s.table.Behind(b, s.living[b]) || o.Session != s.living[b]:
 			s.violation = fmt.Errorf("%s is shut out but not behind: %+v", b, o)
-		case s.now-s.behindSince[b] < LeastGrace(term):
+		case s.now-s.behindSince[b] < MinGrace(term):
 			s.violation = fmt.Errorf("%s was shut out %v after it fell behind", b, s.now-s.behindSince[b])
 		}
 	}
 	for b := range before {
-		if _, out := s.table.Out[b]; !out && s.table.Boxes[b].InForce < s.table.Lowest {
+		if _, out := s.table.ShutOutBoxes[b]; !out && s.table.Boxes[b].InForce < s.table.Lowest {
 			s.violation = fmt.Errorf("%s was let in again with version %d", b, s.table.Boxes[b].InForce)
 		}
 	}
@@ -91,14 +91,14 @@
 	session := s.living[box]
 	switch action {
 	case "wait":
-		s.now += LeastGrace(term) / 2
+		s.now += MinGrace(term) / 2
 	case "judge":
 		i, _ := strconv.Atoi(box)
 		list, _ := s.judges[i].Due(s.now, s.table, s.living, knownBoxes, term)
 		s.inFlight = append(s.inFlight, list...)
 		return len(list) > 0 || len(s.inFlight) == 0
 	case "forget":
-		s.judges[0].Forget()
+		s.judges[0].Reset()
 	case "deliver": // the command stays in flight, so it may arrive again
 		if len(s.inFlight) == 0 {
 			return false
@@ -118,7 +118,7 @@
 		if last := s.table.Boxes[box]; session == 0 || last.Session == session && last.InForce == s.disk[box] {
 			return false
 		}
-		s.apply(rollout.Command{Kind: rollout.Tell, Standing: &rollout.Standing{InForce: s.disk[box]}}, box)
+		s.apply(rollout.Command{Kind: rollout.ReportStatus, Status: &rollout.Status{InForce: s.disk[box]}}, box)
 	case "toggle": // stops the box, or starts it as a new incarnation
 		if delete(s.living, box); session == 0 {
 			s.index++
@@ -136,7 +136,7 @@
 
 // fingerprint returns a string that identifies the state.
 func (s *simFleet) fingerprint() string {
-	k := fmt.Sprint(s.table.Boxes, s.table.Out, s.living, s.disk, s.inFlight, s.behindSince)
+	k := fmt.Sprint(s.table.Boxes, s.table.ShutOutBoxes, s.living, s.disk, s.inFlight, s.behindSince)
 	for _, j := range s.judges {
 		for _, b := range slices.Sorted(maps.Keys(j.behindSince)) {
 			k += fmt.Sprint(b, j.behindSince[b].session, s.now-j.behindSince[b].firstSeen, s.now-j.lastProposed[b])
@@ -179,7 +179,7 @@
 				if k := n.fingerprint(); !seen[k] {
 					seen[k] = true
 					next = append(next, n)
-					if len(n.table.Out) > 0 {
+					if len(n.table.ShutOutBoxes) > 0 {
 						out++
 					}
 				}
--- a/internal/decide/straggler/straggler.go
+++ b/internal/decide/straggler/straggler.go
@@ -18,15 +18,15 @@
 	"cairnlane/internal/decide/rollout"
 )
 
-// LeastGrace returns the minimum grace period for a lease term. It ensures that a disconnected box has stopped acting before
+// MinGrace returns the minimum grace period for a lease term. It ensures that a disconnected box has stopped acting before
 // it is shut out.
-func LeastGrace(term time.Duration) time.Duration { return term * 2 }
+func MinGrace(term time.Duration) time.Duration { return term * 2 }
 
 // defaultGrace is the grace period if the configuration does not set one.
 const defaultGrace = 30 * time.Second
 
-// Judge proposes boxes to shut out. It is not safe for concurrent use.
-type Judge struct {
+// Detector proposes boxes to shut out. It is not safe for concurrent use.
+type Detector struct {
 	behindSince  map[string]observation   // when each box was first seen behind
 	lastProposed map[string]time.Duration // time of the last proposal for each box
 }
@@ -40,12 +40,12 @@
 // proposalInterval is the interval at which a proposal is repeated while the box has not been shut out.
 const proposalInterval = time.Second
 
-// Forget discards all observations. It is called when the box stops leading or its ledger was reopened.
-func (j *Judge) Forget() { j.behindSince, j.lastProposed = nil, nil }
+// Reset discards all observations. It is called when the box stops leading or its ledger was reopened.
+func (j *Detector) Reset() { j.behindSince, j.lastProposed = nil, nil }
 
 // Due returns the commands that shut out boxes now, and the latest time of the next call. known is the number of all boxes
 // of the fleet, including dead ones.
-func (j *Judge) Due(now time.Duration, t *rollout.Table, living map[string]uint64, known int, term time.Duration) (commands []rollout.Command, next time.Duration) {
+func (j *Detector) Due(now time.Duration, t *rollout.Table, living map[string]uint64, known int, term time.Duration) (commands []rollout.Command, next time.Duration) {
 	next = now + time.Minute
 	if j.behindSince == nil {
 		j.behindSince, j.lastProposed = map[string]observation{}, map[string]time.Duration{}
@@ -54,11 +54,11 @@
 	if v := t.Version(t.Target); v != nil && v.Rules.Grace > 0 {
 		grace = v.Rules.Grace
 	}
-	grace = max(grace, LeastGrace(term))
-	spare := t.Spare(living, known)
+	grace = max(grace, MinGrace(term))
+	spare := t.MayShutOutOne(living, known)
 	for _, box := range slices.Sorted(maps.Keys(living)) {
 		session := living[box]
-		_, out := t.Out[box]
+		_, out := t.ShutOutBoxes[box]
 		if out || !t.Behind(box, session) {
 			delete(j.behindSince, box)
 			continue
@@ -97,10 +97,10 @@
 
 // States of a box.
 const (
-	Level  State = iota + 1 // up to date: the box may act
-	Behind                  // below the lowest allowed version: the box is being updated and starts no fleet task until then
-	TooOld                  // the build of the box does not support the wanted version: a later build must be installed
-	Out                     // the box is shut out
+	UpToDate    State = iota + 1 // up to date: the box may act
+	Behind                       // below the lowest allowed version: the box is being updated and starts no fleet task until then
+	BuildTooOld                  // the build of the box does not support the wanted version: a later build must be installed
+	ShutOut                      // the box is shut out
 )
 
 var stateNames = [...]string{"", "level", "behind", "too old", "shut out"}
@@ -116,19 +116,19 @@
 	return nil
 }
 
-// Stands returns the state of a box, given its copy of the table, its version in force and its build number.
-func Stands(t *rollout.Table, box string, inForce, build uint64) State {
-	if _, out := t.Out[box]; out {
-		return Out
+// StateOf returns the state of a box, given its copy of the table, its version in force and its build number.
+func StateOf(t *rollout.Table, box string, inForce, build uint64) State {
+	if _, out := t.ShutOutBoxes[box]; out {
+		return ShutOut
 	}
 	if t.Lowest == 0 || inForce >= t.Lowest {
-		return Level
+		return UpToDate
 	}
-	if v := t.Version(t.Wants(box)); v != nil && v.Needs > build {
-		return TooOld
+	if v := t.Version(t.WantedVersion(box)); v != nil && v.Needs > build {
+		return BuildTooOld
 	}
 	return Behind
 }
 
-// MayBegin reports whether a box may start an action for the fleet.
-func (s State) MayBegin() bool { return s == Level }
+// MayAct reports whether a box may start an action for the fleet.
+func (s State) MayAct() bool { return s == UpToDate }
--- a/internal/decide/straggler/straggler_test.go
+++ b/internal/decide/straggler/straggler_test.go
@@ -18,8 +18,8 @@
 	for _, b := range slices.Sorted(maps.Keys(reported)) {
 		living[b] = uint64(len(living) + 1)
 	}
-	of := func(box string) rollout.Of {
-		return rollout.Of{Index: 1, Box: box, Session: living[box], Living: living, Known: len(living)}
+	of := func(box string) rollout.CommandContext {
+		return rollout.CommandContext{Index: 1, Box: box, Session: living[box], Living: living, KnownBoxes: len(living)}
 	}
 	for range 2 {
 		t.Apply(rollout.Command{Kind: rollout.Put, Digest: strings.Repeat("a", 64), Rules: &rollout.Rules{Grace: time.Minute, Floor: floor}}, of("a"))
@@ -27,7 +27,7 @@
 	t.Target, t.Lowest = 2, 2
 	for b, n := range reported {
 		if n > 0 {
-			t.Apply(rollout.Command{Kind: rollout.Tell, Standing: &rollout.Standing{InForce: n}}, of(b))
+			t.Apply(rollout.Command{Kind: rollout.ReportStatus, Status: &rollout.Status{InForce: n}}, of(b))
 		}
 	}
 	return t, living
@@ -40,7 +40,7 @@
 func TestJudgeDue(t *testing.T) {
 	type at struct {
 		sec  int
-		do   func(t *rollout.Table, living map[string]uint64, j *Judge)
+		do   func(t *rollout.Table, living map[string]uint64, j *Detector)
 		want string
 	}
 	for name, c := range map[string]struct {
@@ -52,19 +52,19 @@
 		"after the grace period": {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {59, nil, ""}, {60, nil, "a"}}},
 		"no box is behind":       {0.5, map[string]uint64{"a": 2, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {600, nil, ""}}},
 		"box without a report":   {0.5, map[string]uint64{"a": 0, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {60, nil, "a"}}},
-		"box that is updated in time": {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(t *rollout.Table, l map[string]uint64, _ *Judge) {
-			t.Boxes["a"] = rollout.Standing{Session: l["a"], InForce: 2}
+		"box that is updated in time": {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(t *rollout.Table, l map[string]uint64, _ *Detector) {
+			t.Boxes["a"] = rollout.Status{Session: l["a"], InForce: 2}
 		}, ""}, {600, nil, ""}}},
-		"new incarnation restarts the grace period": {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(_ *rollout.Table, l map[string]uint64, _ *Judge) { l["a"] = 9 }, ""}, {60, nil, ""}, {110, nil, "a"}}},
-		"new judge restarts the grace period":       {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(_ *rollout.Table, _ map[string]uint64, j *Judge) { j.Forget() }, ""}, {100, nil, ""}, {110, nil, "a"}}},
+		"new incarnation restarts the grace period": {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(_ *rollout.Table, l map[string]uint64, _ *Detector) { l["a"] = 9 }, ""}, {60, nil, ""}, {110, nil, "a"}}},
+		"new judge restarts the grace period":       {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(_ *rollout.Table, _ map[string]uint64, j *Detector) { j.Reset() }, ""}, {100, nil, ""}, {110, nil, "a"}}},
 		"one at a time":                             {0.3, map[string]uint64{"a": 1, "b": 1, "c": 2, "d": 2}, 4, []at{{0, nil, ""}, {60, nil, "a"}}},
 		"not below the floor":                       {0.9, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {600, nil, ""}}},
 		"dead boxes count against the floor":        {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 5, []at{{0, nil, ""}, {600, nil, ""}}},
 		"never the only box":                        {0, map[string]uint64{"a": 1}, 1, []at{{0, nil, ""}, {600, nil, ""}}},
-		"dead boxes are not shut out":               {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(_ *rollout.Table, l map[string]uint64, _ *Judge) { delete(l, "a") }, ""}, {600, nil, ""}}},
+		"dead boxes are not shut out":               {0.5, map[string]uint64{"a": 1, "b": 2, "c": 2}, 3, []at{{0, nil, ""}, {50, func(_ *rollout.Table, l map[string]uint64, _ *Detector) { delete(l, "a") }, ""}, {600, nil, ""}}},
 	} {
 		table, living := newTable(c.floor, c.told)
-		j := new(Judge)
+		j := new(Detector)
 		for _, s := range c.steps {
 			if s.do != nil {
 				s.do(table, living, j)
@@ -97,12 +97,12 @@
 	for i := range table.Versions {
 		table.Versions[i].Rules.Grace = time.Millisecond
 	}
-	j := new(Judge)
+	j := new(Detector)
 	j.Due(0, table, living, 3, term)
-	if list, _ := j.Due(LeastGrace(term)-1, table, living, 3, term); len(list) > 0 {
+	if list, _ := j.Due(MinGrace(term)-1, table, living, 3, term); len(list) > 0 {
 		t.Error("shut out before LeastGrace")
 	}
-	if list, _ := j.Due(LeastGrace(term), table, living, 3, term); len(list) != 1 {
+	if list, _ := j.Due(MinGrace(term), table, living, 3, term); len(list) != 1 {
 		t.Error("not shut out after LeastGrace")
 	}
 }
@@ -114,16 +114,16 @@
 		inForce      uint64
 		needs, build uint64
 		want         State
-	}{{false, 2, 0, 1, Level}, {false, 3, 0, 1, Level}, {false, 1, 0, 1, Behind}, {false, 1, 2, 1, TooOld}, {false, 1, 2, 2, Behind}, {true, 2, 0, 1, Out}, {true, 0, 9, 1, Out}} {
+	}{{false, 2, 0, 1, UpToDate}, {false, 3, 0, 1, UpToDate}, {false, 1, 0, 1, Behind}, {false, 1, 2, 1, BuildTooOld}, {false, 1, 2, 2, Behind}, {true, 2, 0, 1, ShutOut}, {true, 0, 9, 1, ShutOut}} {
 		table, _ := newTable(0.5, map[string]uint64{"a": 1})
 		for i := range table.Versions {
 			table.Versions[i].Needs = c.needs
 		}
 		if c.out {
-			table.Out["a"] = rollout.Out{}
+			table.ShutOutBoxes["a"] = rollout.ShutOutBox{}
 		}
-		got := Stands(table, "a", c.inForce, c.build)
-		if got != c.want || got.MayBegin() != (got == Level) || fmt.Sprint(got) == "" {
+		got := StateOf(table, "a", c.inForce, c.build)
+		if got != c.want || got.MayAct() != (got == UpToDate) || fmt.Sprint(got) == "" {
 			t.Errorf("case %d: %v, want %v", i, got, c.want)
 		}
 		var again State
@@ -132,7 +132,7 @@
 			t.Errorf("%v decodes as %v", got, again)
 		}
 	}
-	if Stands(rollout.NewTable(), "a", 0, 1) != Level {
+	if StateOf(rollout.NewTable(), "a", 0, 1) != UpToDate {
 		t.Error("box is behind in a fleet without a lowest version")
 	}
 }
--- a/internal/decide/voters/voters.go
+++ b/internal/decide/voters/voters.go
@@ -17,7 +17,7 @@
 // Roles.
 const (
 	Learner Role = iota + 1
-	Full
+	FullVoter
 	Removed
 )
 
@@ -32,37 +32,37 @@
 
 // Situation is the information from which the leader plans the next change.
 type Situation struct {
-	Want   []string             // boxes that are to vote, according to the ledger
-	Have   map[string]Voter     // current voters and learners by box name, according to the ledger
-	Old    []uint64             // identities that are still members although their box has a new one
-	Known  map[string]uint64    // identities that the boxes have reported
-	Caught func(id uint64) bool // whether the box has nearly all entries
-	Self   string               // name of the leader
+	Wanted   []string             // boxes that are to vote, according to the ledger
+	Members  map[string]Voter     // current voters and learners by box name, according to the ledger
+	Replaced []uint64             // identities that are still members although their box has a new one
+	Reported map[string]uint64    // identities that the boxes have reported
+	CaughtUp func(id uint64) bool // whether the box has nearly all entries
+	Self     string               // name of the leader
 }
 
 // Next returns the next change, if there is one. The order of changes is: wanted boxes become learners; replaced identities
 // are removed; learners that have caught up become voters; boxes that are not wanted are removed last. The only voter and
 // the leader itself are never removed; the leader is removed once another box leads.
 func (s Situation) Next() (Change, bool) {
-	want := slices.Clone(s.Want)
+	want := slices.Clone(s.Wanted)
 	slices.Sort(want)
 	for _, name := range want {
-		id, have := s.Known[name], s.Have[name]
+		id, have := s.Reported[name], s.Members[name]
 		if id != 0 && have.ID != id {
 			return Change{name, id, Learner}, true
 		}
 	}
-	for _, id := range s.Old {
+	for _, id := range s.Replaced {
 		return Change{"", id, Removed}, true
 	}
 	for _, name := range want {
-		if v, ok := s.Have[name]; ok && v.Learner && s.Caught(v.ID) {
-			return Change{name, v.ID, Full}, true
+		if v, ok := s.Members[name]; ok && v.Learner && s.CaughtUp(v.ID) {
+			return Change{name, v.ID, FullVoter}, true
 		}
 	}
 	full := 0
-	names := make([]string, 0, len(s.Have))
-	for name, v := range s.Have {
+	names := make([]string, 0, len(s.Members))
+	for name, v := range s.Members {
 		names = append(names, name)
 		if !v.Learner {
 			full++
@@ -70,7 +70,7 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		v := s.Have[name]
+		v := s.Members[name]
 		if slices.Contains(want, name) || name == s.Self || !v.Learner && full == 1 {
 			continue
 		}
--- a/internal/engine/lines.go
+++ b/internal/engine/codec.go
@@ -26,7 +26,7 @@
 	"fine":       policy.Succeeded, // with the result
 	"fault":      policy.Failed,
 	"broken_off": policy.Cancelled,
-	"late":       policy.Moot, // nothing was started because the request was over
+	"late":       policy.NotStarted, // nothing was started because the request was over
 }
 
 // notice is one line from the engine. kind determines which fields are set.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -25,7 +25,7 @@
 	r.events = append(r.events, fmt.Sprintf("%s %d %v %q", id, end, took, result))
 }
 func (r *recorder) Rejected(id string) { r.events = append(r.events, "no "+id) }
-func (r *recorder) Need(id string, number int64, body []byte) {
+func (r *recorder) CallRequested(id string, number int64, body []byte) {
 	r.events = append(r.events, fmt.Sprintf("need %s %d %q", id, number, body))
 }
 func (r *recorder) Gauges(v []float64)        { r.events = append(r.events, fmt.Sprint("gauges ", v)) }
--- a/internal/engine/link.go
+++ b/internal/engine/link.go
@@ -58,9 +58,9 @@
 	return l
 }
 
-// BoundOutput limits the bytes that may wait to be written to a link to limit, or maxOutput if that is less. It
+// LimitOutput limits the bytes that may wait to be written to a link to limit, or maxOutput if that is less. It
 // takes effect with the next link.
-func (l *Link) BoundOutput(limit int) { l.outputLimit.Store(int64(min(limit, maxOutput))) }
+func (l *Link) LimitOutput(limit int) { l.outputLimit.Store(int64(min(limit, maxOutput))) }
 
 // Move makes the link reconnect to addr. The present connection is used until the new one is accepted.
 func (l *Link) Move(addr string) {
@@ -83,23 +83,23 @@
 	return l.addr
 }
 
-// Pauses sets the function that returns the wait before a reconnection attempt, counted from 0; the function
+// SetBackoff sets the function that returns the wait before a reconnection attempt, counted from 0; the function
 // itself must not block. Without it the wait doubles from 10 to 100 ms.
-func (l *Link) Pauses(pause func(attempt int) time.Duration) { l.backoff.Store(&pause) }
+func (l *Link) SetBackoff(pause func(attempt int) time.Duration) { l.backoff.Store(&pause) }
 
 func (l *Link) nextBackoff(attempt int) time.Duration {
 	if p := l.backoff.Load(); p != nil {
 		return (*p)(attempt)
 	}
-	return Pause(attempt)
+	return DefaultBackoff(attempt)
 }
 
-// Pause returns the default wait before a reconnection attempt, for a box without a fleet.
-func Pause(attempt int) time.Duration { return min(minBackoff<<min(attempt, 10), maxBackoff) }
+// DefaultBackoff returns the default wait before a reconnection attempt, for a box without a fleet.
+func DefaultBackoff(attempt int) time.Duration { return min(minBackoff<<min(attempt, 10), maxBackoff) }
 
-// Keep opens the link, reopens it whenever it breaks and moves it, until ctx ends. Events are called from the
+// KeepOpen opens the link, reopens it whenever it breaks and moves it, until ctx ends. Events are called from the
 // connection's callbacks, and never before Keep is called.
-func (l *Link) Keep(ctx context.Context, events Events) {
+func (l *Link) KeepOpen(ctx context.Context, events Events) {
 	l.events = events
 	var open *connection
 	for attempt := 0; ctx.Err() == nil; attempt++ {
@@ -287,8 +287,8 @@
 	return true
 }
 
-// AskGauges requests the gauges unless too many requests are unanswered. It reports whether it sent a request.
-func (l *Link) AskGauges() bool {
+// RequestGauges requests the gauges unless too many requests are unanswered. It reports whether it sent a request.
+func (l *Link) RequestGauges() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.sess
--- a/internal/engine/link_test.go
+++ b/internal/engine/link_test.go
@@ -24,10 +24,10 @@
 func (e *eventChannels) Done(id string, _ policy.Outcome, _ time.Duration, result []byte) {
 	e.done <- id + " " + string(result)
 }
-func (e *eventChannels) Started(time.Duration)      {}
-func (e *eventChannels) Rejected(string)            {}
-func (e *eventChannels) Need(string, int64, []byte) {}
-func (e *eventChannels) Gauges([]float64)           {}
+func (e *eventChannels) Started(time.Duration)               {}
+func (e *eventChannels) Rejected(string)                     {}
+func (e *eventChannels) CallRequested(string, int64, []byte) {}
+func (e *eventChannels) Gauges([]float64)                    {}
 func (e *eventChannels) Attached(since time.Duration, open func()) {
 	open()
 	e.attached <- since
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	w.cancel = cancel
 	go func() {
-		w.Keep(ctx, w.eventChannels)
+		w.KeepOpen(ctx, w.eventChannels)
 		close(w.keepReturned)
 	}()
 	return w
@@ -158,24 +158,24 @@
 	w.clock.Advance(time.Minute) // the engine takes long to send the missed notices: the answer is still awaited
 	c.Says("STATS g1 0 0 0 0\r\n")
 	<-w.attached
-	if !w.AskGauges() {
+	if !w.RequestGauges() {
 		t.Fatal("the gauges were not requested")
 	}
 	c.Reads("STAT g2\r\n")
 	w.clock.Advance(maxSilence)
 	c.Says("DONE 1 aa fine 3 2\r\nok\r\n") // any input counts, not only the gauges
 	w.wantDone("aa ok")
-	if w.clock.Advance(maxSilence); !w.AskGauges() {
+	if w.clock.Advance(maxSilence); !w.RequestGauges() {
 		t.Fatal("the link was closed although the engine sends notices")
 	}
 	c.Reads("STAT g3\r\n")
-	if w.clock.Advance(time.Millisecond); w.AskGauges() {
+	if w.clock.Advance(time.Millisecond); w.RequestGauges() {
 		t.Error("a silent engine was sent another request")
 	}
 	c.Ends()
 	c = accept(t, w.ln, 1) // silent again, before all missed notices have been delivered
 	w.clock.Advance(maxSilence + time.Millisecond)
-	w.AskGauges()
+	w.RequestGauges()
 	c.Ends()
 	accept(t, w.ln, 1)
 	if n := w.counters.Get("engine_links_silent").Load(); n != 2 {
@@ -193,10 +193,10 @@
 		c := testkit.Accept(t, w.ln)
 		c.Reads(fmt.Sprintf("ATTACH %d\r\n", last))
 		w.clock.Advance(patience)
-		w.AskGauges()
+		w.RequestGauges()
 		c.Stays()
 		w.clock.Advance(time.Millisecond)
-		w.AskGauges()
+		w.RequestGauges()
 		c.Ends()
 	}
 	hangs(0, 4*maxSilence)
@@ -219,10 +219,10 @@
 	c, _ := w.attach(w.ln, 0)
 	w.clock.Advance(time.Second)
 	asked := w.clock.Now()
-	w.AskGauges()
+	w.RequestGauges()
 	c.Reads("STAT g2\r\n")
 	w.clock.Advance(time.Second)
-	w.AskGauges() // the engine does not read this request
+	w.RequestGauges() // the engine does not read this request
 	c.Says("STATS g2 0 0 0 0\r\nDONE 1 aa fine 3 0\r\n\r\n")
 	w.wantDone("aa ")
 	w.clock.Advance(time.Second) // the engine is heard again long after
--- a/internal/engine/session.go
+++ b/internal/engine/session.go
@@ -18,9 +18,9 @@
 	Done(id string, end policy.Outcome, took time.Duration, result []byte)
 	// Rejected reports that the engine did not execute the RUN of this request.
 	Rejected(id string)
-	// Need reports that a run waits for a call with this body; the body is valid only during the call. number is
+	// CallRequested reports that a run waits for a call with this body; the body is valid only during the call. number is
 	// that of the notice, and a SKIP of the call refers to it.
-	Need(id string, number int64, body []byte)
+	CallRequested(id string, number int64, body []byte)
 	// Gauges delivers the gauges, in the order of the settings.
 	Gauges(values []float64)
 	// Attached reports that the link is up and that all missed notices have been delivered. A run that is still
@@ -146,7 +146,7 @@
 		case "DONE":
 			s.events.Done(n.id, n.outcome, n.duration, n.result)
 		case "NEED":
-			s.events.Need(n.id, n.number, n.result)
+			s.events.CallRequested(n.id, n.number, n.result)
 		}
 	case "STATS":
 		s.statAnswered(n.tag)
