--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -38,21 +38,21 @@
 func (f *Fleet) writeAudit(e audit.Entry) uint64 {
 	n, err := f.cfg.Audit.Write(e)
 	if err != nil {
-		f.cfg.Told("%v", err)
+		f.cfg.Logf("%v", err)
 	}
 	return n
 }
 
-// Note writes an audit entry for an action outside of the fleet, such as a drain or an operator's command.
-func (f *Fleet) Note(kind audit.Kind, ok bool, text string) {
+// RecordAudit writes an audit entry for an action outside of the fleet, such as a drain or an operator's command.
+func (f *Fleet) RecordAudit(kind audit.Kind, ok bool, text string) {
 	f.recordAudit(audit.Entry{Kind: kind, OK: ok, Text: text})
 }
 
 // auditStanding logs and audits a change of the box's phase, session or standing. f.mu is held.
 func (f *Fleet) auditStanding() {
-	h, stands := f.node.Holder(), f.node.Stands()
+	h, stands := f.node.Holder(), f.node.Standing()
 	if stands != f.auditedStanding {
-		f.cfg.Told("standing to the fleet's configuration is now %v: %d in force, lowest allowed %d", stands, f.node.InForce(), f.node.Lowest())
+		f.cfg.Logf("standing to the fleet's configuration is now %v: %d in force, lowest allowed %d", stands, f.node.InForce(), f.node.Lowest())
 	}
 	if h.Phase() == f.auditedPhase && h.Session() == f.auditedSession && stands == f.auditedStanding {
 		return
@@ -83,14 +83,14 @@
 func (f *Fleet) reportAuditHead(reported uint64) uint64 {
 	m, err := f.cfg.Audit.Sync()
 	if err != nil {
-		f.cfg.Told("%v", err)
+		f.cfg.Logf("%v", err)
 	}
 	if m.N == reported || m.N == 0 {
 		return reported
 	}
 	ok := false
 	f.update(func(now time.Duration) {
-		ok = f.node.Report(now, lease.Mark{Chain: m.Chain, N: m.N, Sum: hex.EncodeToString(m.Sum[:]), First: m.First})
+		ok = f.node.ReportAuditHead(now, lease.Mark{Chain: m.Chain, N: m.N, Sum: hex.EncodeToString(m.Sum[:]), First: m.First})
 	})
 	if !ok {
 		return reported
@@ -98,8 +98,8 @@
 	return m.N
 }
 
-// Marks returns the heads of all boxes' audit chains, as recorded in the ledger.
-func (f *Fleet) Marks() map[string][]lease.Mark {
+// AuditHeads returns the heads of all boxes' audit chains, as recorded in the ledger.
+func (f *Fleet) AuditHeads() map[string][]lease.Mark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := map[string][]lease.Mark{}
@@ -109,8 +109,8 @@
 	return out
 }
 
-// Mark decodes a chain head recorded in the ledger.
-func Mark(m lease.Mark) (audit.Mark, error) {
+// DecodeAuditHead decodes a chain head recorded in the ledger.
+func DecodeAuditHead(m lease.Mark) (audit.Mark, error) {
 	raw, err := hex.DecodeString(m.Sum)
 	out := audit.Mark{Chain: m.Chain, N: m.N, Index: m.Index >> ledger.CommandBits, First: m.First}
 	copy(out.Sum[:], raw)
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -26,8 +26,8 @@
 	NotStarted  = 127 // the command cannot be started
 )
 
-// Desk holds slots for this package; the daemon implements it.
-type Desk interface {
+// SlotHolder holds slots for this package; the daemon implements it.
+type SlotHolder interface {
 	Begin(r lease.Request) (uint64, error)
 	Poll(id uint64, wait time.Duration) (fleet.RunStatus, error)
 	Command(id uint64, pgid int) error
@@ -51,7 +51,7 @@
 )
 
 // Run waits for the slot, runs the command and returns the exit code.
-func Run(d Desk, cfg Config) (code int) {
+func Run(d SlotHolder, cfg Config) (code int) {
 	// The parent-death signal is tied to the thread that forks, so that thread must live as long as the command.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -83,10 +83,10 @@
 			until = requestedAt + s.Left // counted from before the request, to be safe
 			break
 		}
-		switch s.Word {
-		case lease.Asked.String(), lease.Doubtful.String():
+		switch s.StateName {
+		case lease.Requested.String(), lease.Uncertain.String():
 		default:
-			logf("%s was not obtained: %s %s", cfg.Request.Task, s.Word, s.Why)
+			logf("%s was not obtained: %s %s", cfg.Request.Task, s.StateName, s.Why)
 			return NotObtained
 		}
 		if s.Place > 0 && s.Place != reportedPlace {
@@ -130,7 +130,7 @@
 	go func() { ended <- cmd.Wait() }()
 	if err := d.Command(id, pgid); err != nil || cfg.Now() >= until {
 		release.Close()
-		fleet.Groups{}.Kill(pgid)
+		fleet.SystemProcessGroups{}.Kill(pgid)
 		<-ended
 		logf("%s was lost before the command began: %v", cfg.Request.Task, err)
 		return Lost
@@ -154,7 +154,7 @@
 }
 
 // watch polls the lease while the command runs, and ends the process group before the lease ends.
-func watch(d Desk, cfg Config, id uint64, until time.Duration, pgid int, ended chan error, signals chan os.Signal, logf func(string, ...any)) int {
+func watch(d SlotHolder, cfg Config, id uint64, until time.Duration, pgid int, ended chan error, signals chan os.Signal, logf func(string, ...any)) int {
 	type answer struct {
 		s     fleet.RunStatus
 		asked time.Duration
@@ -195,12 +195,12 @@
 			terminate("the lease is about to expire and has not been renewed")
 		}
 		if now >= until || killAt >= 0 && now >= min(killAt, until) {
-			fleet.Groups{}.Kill(pgid)
+			fleet.SystemProcessGroups{}.Kill(pgid)
 		}
 		select {
 		case err := <-ended:
-			for (fleet.Groups{}).Alive(pgid) { // children that the command has left running
-				fleet.Groups{}.Kill(pgid)
+			for (fleet.SystemProcessGroups{}).Alive(pgid) { // children that the command has left running
+				fleet.SystemProcessGroups{}.Kill(pgid)
 				time.Sleep(time.Millisecond)
 			}
 			if lostReason != "" {
@@ -231,7 +231,7 @@
 			case a.err != nil: // the daemon may return before the lease ends
 			case a.s.Stop:
 				terminate("the holder was asked to stop early")
-			case a.s.Word == lease.Lost.String():
+			case a.s.StateName == lease.Lost.String():
 				until = min(until, now)
 				terminate("the fleet ended the lease")
 			case a.s.Left > 0:
--- a/internal/fleet/command/command_test.go
+++ b/internal/fleet/command/command_test.go
@@ -36,7 +36,7 @@
 		time.Sleep(2 * time.Millisecond)
 	}
 	s, err := d.answer(n, pgid)
-	s.Word = s.State.String()
+	s.StateName = s.State.String()
 	return s, err
 }
 
@@ -66,12 +66,12 @@
 		"own exit code":      {heldForever, nil, `exit 3`, 3, ""},
 		"success":            {heldForever, nil, `test "$CAIRNLANE_TOKEN" = 42 && test "$CAIRNLANE_TASK" = x`, 0, ""},
 		"by a signal":        {heldForever, nil, `kill -TERM $$`, 128 + 15, ""},
-		"no fleet":           {heldForever, fleet.ErrManyRuns, `true`, NoFleet, "already holds slots for the most runs"},
+		"no fleet":           {heldForever, fleet.ErrTooManyRuns, `true`, NoFleet, "already holds slots for the most runs"},
 		"the daemon is gone": {func(int, int) (fleet.RunStatus, error) { return fleet.RunStatus{}, fleet.ErrNoRun }, nil, `true`, NoFleet, "no such slot"},
 		"rejected": {func(int, int) (fleet.RunStatus, error) {
-			return fleet.RunStatus{State: lease.Refused, Why: "another number of slots"}, nil
+			return fleet.RunStatus{State: lease.Rejected, Why: "another number of slots"}, nil
 		}, nil, `true`, NotObtained, "another number of slots"},
-		"waits too long": {func(int, int) (fleet.RunStatus, error) { return fleet.RunStatus{State: lease.Asked, Place: 2}, nil }, nil, `true`, NotObtained, "place 2 in the queue"},
+		"waits too long": {func(int, int) (fleet.RunStatus, error) { return fleet.RunStatus{State: lease.Requested, Place: 2}, nil }, nil, `true`, NotObtained, "place 2 in the queue"},
 		"asked to stop": {func(n, pgid int) (fleet.RunStatus, error) {
 			s, _ := heldForever(n, pgid)
 			s.Stop = n > 2
@@ -111,7 +111,7 @@
 		if code != c.want || !strings.Contains(out.String(), c.says) || d.ended != (c.begin == nil) {
 			t.Errorf("%s: code %d, want %d; slot given back: %v; output %q", name, code, c.want, d.ended, out.String())
 		}
-		if d.pgid != 0 && (fleet.Groups{}).Alive(d.pgid) {
+		if d.pgid != 0 && (fleet.SystemProcessGroups{}).Alive(d.pgid) {
 			t.Errorf("%s: processes of the command are left", name)
 		}
 	}
--- a/internal/fleet/bodies.go
+++ b/internal/fleet/config_transfers.go
@@ -68,7 +68,7 @@
 				delete(v.fetches, d)
 			}
 		}
-		if len(v.fetches) >= maxFetches || size > rollout.SizeMost {
+		if len(v.fetches) >= maxFetches || size > rollout.MaxSize {
 			return
 		}
 		transfer = &fetch{size: size, startedAt: now, nextPeer: int(v.fleet.cfg.Now()/time.Millisecond) & 0xffff}
@@ -136,20 +136,20 @@
 		return
 	}
 	if configs.Digest(transfer.buffer) != b.Digest { // a peer has sent wrong data, so the whole body is fetched again
-		v.fleet.cfg.Told("configuration body fetched last from %s does not match the agreed digest; fetching it again", from)
+		v.fleet.cfg.Logf("configuration body fetched last from %s does not match the agreed digest; fetching it again", from)
 		transfer.buffer, transfer.source = nil, ""
 		return
 	}
 	delete(v.fetches, b.Digest)
 	if _, err := v.store.Put(transfer.buffer); err != nil {
-		v.fleet.cfg.Told("%v", err)
+		v.fleet.cfg.Logf("%v", err)
 	}
 }
 
 // Verify implements Configs.
 func (v *configTransfers) Verify(r rollout.Version) (why string) {
-	if v.fleet.cfg.Check != nil {
-		if _, _, err := v.fleet.cfg.Check(r.N, v.store.Body(r.Digest)); err != nil {
+	if v.fleet.cfg.CheckConfig != nil {
+		if _, _, err := v.fleet.cfg.CheckConfig(r.N, v.store.Body(r.Digest)); err != nil {
 			why = err.Error()
 		}
 	}
@@ -163,11 +163,11 @@
 
 // Store implements Configs. The audit entry precedes every effect under the new version: the fleet's lock is held from the entry to
 // the end of the change, and Act needs that lock to check an effect.
-func (v *configTransfers) Store(r rollout.Version, at Place) error {
+func (v *configTransfers) Store(r rollout.Version, at LedgerPosition) error {
 	if err := v.store.Enter(configs.InForce{N: r.N, Digest: r.Digest, Fleet: at.Fleet, Index: at.Index}); err != nil {
 		return err
 	}
-	acts := v.fleet.cfg.Acts
+	acts := v.fleet.cfg.AuditBuild
 	acts.Fleet, acts.Digest = r.N, r.Digest
 	v.fleet.recordAuditLocked(audit.Entry{Kind: audit.Version, Build: &acts})
 	return nil
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -24,27 +24,27 @@
 
 // Config holds what a box needs to take part in its fleet.
 type Config struct {
-	Name    string
-	Listen  string
-	Peers   map[string]string // addresses by name; this box's own may be among them
-	KeyFile string
-	Dir     string // for state that survives a restart
-	Build   string
-	Timing  ledger.Timing
-	Now     func() time.Duration                                                       // a clock that also runs while the machine sleeps: clock.Boot
-	Told    func(format string, args ...any)                                           // writes a log line
-	Audit   *audit.Log                                                                 // audit log of this box; may be nil
-	Acts    audit.Build                                                                // version of the box that the audit log records
-	Number  uint64                                                                     // number of this build
-	Configs *configs.Store                                                             // nil: the box takes no part in roll-outs
-	Check   func(n uint64, body []byte) (needs uint64, rules rollout.Rules, err error) // checks a configuration against this build
-	Served  func() (good, bad uint64)                                                  // counts of requests of this process; may be nil
-	Load    func() view.Totals                                                         // returns the load of this box; nil: the box publishes no load
+	Name        string
+	Listen      string
+	Peers       map[string]string // addresses by name; this box's own may be among them
+	KeyFile     string
+	Dir         string // for state that survives a restart
+	Build       string
+	Timing      ledger.Timing
+	Now         func() time.Duration                                                       // a clock that also runs while the machine sleeps: clock.Boot
+	Logf        func(format string, args ...any)                                           // writes a log line
+	Audit       *audit.Log                                                                 // audit log of this box; may be nil
+	AuditBuild  audit.Build                                                                // version of the box that the audit log records
+	BuildNumber uint64                                                                     // number of this build
+	Configs     *configs.Store                                                             // nil: the box takes no part in roll-outs
+	CheckConfig func(n uint64, body []byte) (needs uint64, rules rollout.Rules, err error) // checks a configuration against this build
+	Served      func() (good, bad uint64)                                                  // counts of requests of this process; may be nil
+	Load        func() view.Totals                                                         // returns the load of this box; nil: the box publishes no load
 	// Overload returns the shedding rules of configuration n; nil if it has none.
-	Overload func(n uint64, body []byte) *shed.Rules
-	Advise   func(*shed.Advice) // receives the fleet's current advice, nil for none; must not block; may be nil
-	Pacer    *Pacer             // paces probes of shared dependencies; may be nil
-	Later    time.Duration      // longest retry delay that a caller may be given
+	Overload      func(n uint64, body []byte) *shed.Rules
+	OnAdvice      func(*shed.Advice) // receives the fleet's current advice, nil for none; must not block; may be nil
+	Pacer         *Pacer             // paces probes of shared dependencies; may be nil
+	MaxRetryDelay time.Duration      // longest retry delay that a caller may be given
 }
 
 // The message kinds of the peer links, in descending order of priority.
@@ -55,11 +55,11 @@
 	kindLoad                 // load of boxes; dropped when late
 )
 
-var kinds = []peer.Kind{
-	kindLedger:  {Messages: 2048, Bytes: 16 << 20, Stale: 3 * time.Second},
-	kindRecords: {Messages: 256, Bytes: 32 << 20, Stale: 10 * time.Second},
-	kindBodies:  {Messages: 64, Bytes: 4 << 20, Stale: 5 * time.Second},
-	kindLoad:    {Messages: 16, Bytes: 1 << 20, Stale: time.Second},
+var kinds = []peer.KindLimits{
+	kindLedger:  {Messages: 2048, Bytes: 16 << 20, MaxAge: 3 * time.Second},
+	kindRecords: {Messages: 256, Bytes: 32 << 20, MaxAge: 10 * time.Second},
+	kindBodies:  {Messages: 64, Bytes: 4 << 20, MaxAge: 5 * time.Second},
+	kindLoad:    {Messages: 16, Bytes: 1 << 20, MaxAge: time.Second},
 }
 
 // maxInbox bounds the messages that wait for the node; further ones are dropped and counted, like messages lost on a network.
@@ -111,7 +111,7 @@
 
 // Open loads the box's state, listens for peers and starts the fleet's goroutines.
 func Open(cfg Config, set *counters.Set) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, counters: set, inbox: make(chan received, maxInbox), auditedStanding: straggler.Level, ended: make(chan struct{}), wake: make(chan struct{}, 1), changed: make(chan struct{}),
+	f := &Fleet{cfg: cfg, counters: set, inbox: make(chan received, maxInbox), auditedStanding: straggler.UpToDate, ended: make(chan struct{}), wake: make(chan struct{}, 1), changed: make(chan struct{}),
 		messagesLost: set.Get("fleet_messages_lost"), overtimeEffects: set.Get("fleet_effects_over_time")}
 	var err error
 	if f.store, err = ledger.OpenStore(cfg.Dir); err != nil {
@@ -122,17 +122,17 @@
 		seeds = append(seeds, name)
 	}
 	nc := NodeConfig{Name: cfg.Name, Build: cfg.Build, Seeds: seeds, Timing: cfg.Timing,
-		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Disk: f.store, Told: cfg.Told, Number: cfg.Number}
+		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Disk: f.store, Logf: cfg.Logf, BuildNumber: cfg.BuildNumber}
 	if cfg.Configs != nil {
 		now := cfg.Configs.InForce()
 		f.transfers = &configTransfers{fleet: f, store: cfg.Configs, fetches: map[string]*fetch{}, served: cfg.Served}
-		nc.Configs, nc.InForce, nc.Since = f.transfers, now.N, Place{now.Fleet, now.Index}
-		cfg.Acts.Fleet, cfg.Acts.Digest = now.N, now.Digest
+		nc.Configs, nc.InForce, nc.Since = f.transfers, now.N, LedgerPosition{now.Fleet, now.Index}
+		cfg.AuditBuild.Fleet, cfg.AuditBuild.Digest = now.N, now.Digest
 	}
 	// A peer may connect before the node exists; its messages wait in the inbox until the lock is released.
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.links, err = peer.Listen(peer.Config{Name: cfg.Name, Listen: cfg.Listen, Peers: cfg.Peers, Kinds: kinds, Now: cfg.Now, Set: set, Told: cfg.Told,
+	f.links, err = peer.Listen(peer.Config{Name: cfg.Name, Listen: cfg.Listen, Peers: cfg.Peers, Kinds: kinds, Now: cfg.Now, Counters: set, Logf: cfg.Logf,
 		Keys: func() ([][]byte, error) { return peer.LoadKeys(cfg.KeyFile) }}, f.enqueue)
 	if err == nil {
 		if f.node, err = NewNode(cfg.Now(), nc); err != nil {
@@ -145,7 +145,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	f.recordAuditLocked(audit.Entry{Kind: audit.Version, Build: &cfg.Acts})
+	f.recordAuditLocked(audit.Entry{Kind: audit.Version, Build: &cfg.AuditBuild})
 	go f.run(ctx)
 	go f.reportAuditHeads(ctx)
 	if cfg.Load != nil {
@@ -204,7 +204,7 @@
 		}
 		f.mu.Lock()
 		f.wakePending = false
-		wait := f.node.Next() - f.cfg.Now()
+		wait := f.node.NextTick() - f.cfg.Now()
 		f.mu.Unlock()
 		timer.Reset(max(wait, time.Millisecond))
 	}
@@ -219,7 +219,7 @@
 		f.node.Receive(now, r.from, r.message)
 	case f.transfers != nil:
 		f.transfers.receive(now, r.from, *r.body)
-		f.node.Poke(now)
+		f.node.RecheckRollout(now)
 	}
 }
 
@@ -232,7 +232,7 @@
 	}
 	do(f.cfg.Now())
 	f.auditStanding()
-	for _, e := range f.node.Take() {
+	for _, e := range f.node.TakeMessages() {
 		raw, err := cbor.Marshal(e.Message)
 		if err != nil {
 			continue // cannot happen: the type is our own
@@ -257,7 +257,7 @@
 // Close leaves the fleet, waits up to leaveTimeout until the ledger shows it, and closes the links. The caller must have stopped all
 // effects before.
 func (f *Fleet) Close() {
-	f.update(func(now time.Duration) { f.node.Part(now) })
+	f.update(func(now time.Duration) { f.node.LeaveFleet(now) })
 	for end := time.Now().Add(leaveTimeout); time.Now().Before(end); {
 		f.mu.Lock()
 		gone := f.node.Left()
@@ -378,7 +378,7 @@
 	for _, name := range t.TaskNames() {
 		task := t.Tasks[name]
 		for _, l := range task.Holders {
-			list = append(list, LeaseStatus{Task: name, Slots: task.Slots, Box: l.Box, Held: true, Token: l.Token, Priority: l.Priority, Sticky: l.Sticky, Orphan: l.Orphan, Stop: l.Stop})
+			list = append(list, LeaseStatus{Task: name, Slots: task.Slots, Box: l.Box, Held: true, Token: l.Token, Priority: l.Priority, Sticky: l.Sticky, Orphan: l.Orphan, Stop: l.StopRequested})
 		}
 		for i, w := range task.Queue {
 			list = append(list, LeaseStatus{Task: name, Slots: task.Slots, Box: w.Box, Place: i + 1, Priority: w.Priority, Sticky: w.Sticky})
@@ -406,7 +406,7 @@
 		if f.node.Ledger().State().Fleet == 0 {
 			err = ledger.ErrNoFleet
 		} else if want, err = change(f.node.Ledger().State().Want); err == nil {
-			err = f.node.Want(now, want)
+			err = f.node.SetWantedVoters(now, want)
 		}
 	})
 	return err
@@ -431,7 +431,7 @@
 		for _, task := range f.node.Ledger().State().Table.Tasks {
 			for _, l := range task.Holders {
 				if l.Token == c.Token {
-					return c.Kind == lease.Stop && l.Stop
+					return c.Kind == lease.Stop && l.StopRequested
 				}
 			}
 		}
@@ -440,7 +440,7 @@
 	known := false
 	f.update(func(now time.Duration) {
 		if known = !done() || c.Kind == lease.Stop && f.tokenHeld(c.Token); known {
-			f.node.Operator(now, c)
+			f.node.SubmitOperatorCommand(now, c)
 		}
 	})
 	if !known {
@@ -456,7 +456,7 @@
 		select {
 		case <-changed:
 		case <-time.After(operatorTimeout / 4):
-			f.update(func(now time.Duration) { f.node.Operator(now, c) })
+			f.update(func(now time.Duration) { f.node.SubmitOperatorCommand(now, c) })
 		}
 	}
 	return errors.New("the command was not committed within " + operatorTimeout.String() + "; 'cairnctl fleet status' shows why")
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -71,8 +71,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Configs: store, Number: 1, Check: a.check, Audit: log, Acts: audit.Build{Program: "test"}, Name: "a", Listen: "127.0.0.1:0", Peers: map[string]string{"a": ""}, KeyFile: key, Dir: filepath.Join(dir, "fleet"), Build: "test",
-		Timing: ledger.Timing{Beat: 20 * time.Millisecond, Election: 100 * time.Millisecond, Poll: 100 * time.Millisecond, Gather: time.Millisecond}, Now: a.now, Told: t.Logf}
+	cfg := Config{Configs: store, BuildNumber: 1, CheckConfig: a.check, Audit: log, AuditBuild: audit.Build{Program: "test"}, Name: "a", Listen: "127.0.0.1:0", Peers: map[string]string{"a": ""}, KeyFile: key, Dir: filepath.Join(dir, "fleet"), Build: "test",
+		Timing: ledger.Timing{Heartbeat: 20 * time.Millisecond, Election: 100 * time.Millisecond, Poll: 100 * time.Millisecond, BatchDelay: time.Millisecond}, Now: a.now, Logf: t.Logf}
 	change(&cfg)
 	if a.Fleet, err = Open(cfg, &a.counters); err != nil {
 		t.Fatal(err)
@@ -102,7 +102,7 @@
 	if err := k.Act(time.Millisecond, func(p Permit) error { token = p.Token; return nil }); err != nil || token == 0 {
 		t.Fatalf("token %d, %v", token, err)
 	}
-	if err := k.Act(testTerms.Term, func(Permit) error { t.Error("an effect that cannot end within the lease was made"); return nil }); !errors.Is(err, lease.ErrShort) {
+	if err := k.Act(testTerms.Term, func(Permit) error { t.Error("an effect that cannot end within the lease was made"); return nil }); !errors.Is(err, lease.ErrTooShort) {
 		t.Error(err)
 	}
 	effectErr := errors.New("error of the effect")
@@ -111,9 +111,9 @@
 	}
 	a.Fleet.mu.Lock() // simulates a stopped process, which renews nothing
 	a.clockOffset.Add(int64(testTerms.Term))
-	err := a.node.May(a.now(), k.ask, 0)
+	err := a.node.CheckEffect(a.now(), k.ask, 0)
 	a.Fleet.mu.Unlock()
-	if !errors.Is(err, lease.ErrLate) {
+	if !errors.Is(err, lease.ErrMayBeExpired) {
 		t.Errorf("after a stop of one lease term: %v", err)
 	}
 	k.Release()
@@ -141,7 +141,7 @@
 	if _, err := a.Acquire(ctx, lease.Request{Task: "x", Slots: 1}); !errors.Is(err, ErrWaiting) {
 		t.Error(err)
 	}
-	if _, err := a.Acquire(context.Background(), lease.Request{Task: "x", Slots: 2}); !errors.Is(err, lease.ErrSlots) {
+	if _, err := a.Acquire(context.Background(), lease.Request{Task: "x", Slots: 2}); !errors.Is(err, lease.ErrSlotMismatch) {
 		t.Error(err)
 	}
 	if err := a.Free(99); err != errUnknownToken {
@@ -157,7 +157,7 @@
 	if err := a.Free(list[0].Token); err != nil || len(a.Leases()) != 0 {
 		t.Errorf("%v %+v", err, a.Leases())
 	}
-	if m := a.Members(); len(m) != 1 || m[0].State != There || !m[0].Votes {
+	if m := a.Members(); len(m) != 1 || m[0].State != Present || !m[0].Votes {
 		t.Errorf("%+v", m)
 	}
 	if s := a.Status(); !s.Agrees || s.Reason != "" || s.Role != "leader" {
@@ -177,11 +177,11 @@
 	}
 	k.Act(time.Millisecond, func(Permit) error { return errors.New("went wrong") })
 	k.Act(testTerms.Term, func(Permit) error { return nil })
-	a.Note(audit.Drain, true, "by an operator")
+	a.RecordAudit(audit.Drain, true, "by an operator")
 	if a.reportAuditHead(0) == 0 {
 		t.Fatal("no audit head was reported")
 	}
-	waitFor(t, "the audit head in the ledger", func() bool { return len(a.Marks()["a"]) == 1 })
+	waitFor(t, "the audit head in the ledger", func() bool { return len(a.AuditHeads()["a"]) == 1 })
 	book, err := audit.Read(a.dir)
 	if err != nil {
 		t.Fatal(err)
@@ -201,8 +201,8 @@
 		t.Errorf("%v", kinds)
 	}
 	var marks []audit.Mark
-	for _, m := range a.Marks()["a"] {
-		mark, err := Mark(m)
+	for _, m := range a.AuditHeads()["a"] {
+		mark, err := DecodeAuditHead(m)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -245,7 +245,7 @@
 func TestDeskEndsRunsOfAbsentCallers(t *testing.T) {
 	a := startSolo(t)
 	g := new(fakeGroups)
-	d := NewDesk(a.Fleet, g)
+	d := NewProcessSupervisor(a.Fleet, g)
 	defer d.Close()
 	id, err := d.Begin(lease.Request{Task: "x", Slots: 1})
 	if err != nil {
@@ -259,7 +259,7 @@
 	if err := d.Command(id, 77); err != nil {
 		t.Fatal(err)
 	}
-	a.clockOffset.Add(int64(testTerms.Acting()/2 + time.Millisecond))
+	a.clockOffset.Add(int64(testTerms.HolderDuration()/2 + time.Millisecond))
 	waitFor(t, "the group to be killed", func() bool { return g.killed.Load() == 77 })
 	waitFor(t, "the slot to be released", func() bool { return len(a.Leases()) == 0 })
 	if _, err := d.Poll(id, 0); !errors.Is(err, ErrNoRun) {
@@ -272,7 +272,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.clockOffset.Add(int64(testTerms.Acting()/2 + time.Millisecond))
+	a.clockOffset.Add(int64(testTerms.HolderDuration()/2 + time.Millisecond))
 	time.Sleep(3 * sweepInterval)
 	if _, err := d.Poll(kept, 0); err != nil {
 		t.Errorf("the kept slot is gone: %v", err)
--- a/internal/fleet/ledger/core.go
+++ b/internal/fleet/ledger/core.go
@@ -18,14 +18,14 @@
 
 // Timing holds the intervals and time-outs of a ledger.
 type Timing struct {
-	Beat     time.Duration // interval of a leader's heartbeats
-	Election time.Duration // minimum election time-out; the time-out is drawn at random from once to twice this value
-	Poll     time.Duration // interval of Follow messages
-	Gather   time.Duration // time for which a leader waits for more commands while an entry is in progress
+	Heartbeat  time.Duration // interval of a leader's heartbeats
+	Election   time.Duration // minimum election time-out; the time-out is drawn at random from once to twice this value
+	Poll       time.Duration // interval of Follow messages
+	BatchDelay time.Duration // time for which a leader waits for more commands while an entry is in progress
 }
 
 // DefaultTiming is suitable for boxes at one site.
-var DefaultTiming = Timing{Beat: 100 * time.Millisecond, Election: time.Second, Poll: time.Second, Gather: 20 * time.Millisecond}
+var DefaultTiming = Timing{Heartbeat: 100 * time.Millisecond, Election: time.Second, Poll: time.Second, BatchDelay: 20 * time.Millisecond}
 
 const (
 	// noElectionTicks is the library's election time-out in ticks. It is never reached because core starts the elections itself.
@@ -76,7 +76,7 @@
 func (silentLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
 // newCore returns a Raft node with the state stored on the disk.
-func newCore(now time.Duration, s Saved, disk Disk, t Timing, r *rand.Rand) (*core, error) {
+func newCore(now time.Duration, s StoredData, disk Disk, t Timing, r *rand.Rand) (*core, error) {
 	c := &core{id: s.ID, timing: t, rand: r, disk: disk, log: raft.NewMemoryStorage(), lastHeard: map[uint64]time.Duration{}, conf: new(raftpb.ConfState)}
 	if !raft.IsEmptySnap(s.Snapshot) {
 		if err := c.log.ApplySnapshot(s.Snapshot); err != nil {
@@ -176,7 +176,7 @@
 func (c *core) tick(now time.Duration) time.Duration {
 	if c.isLeader() {
 		if now >= c.nextBeat {
-			c.nextBeat = now + c.timing.Beat
+			c.nextBeat = now + c.timing.Heartbeat
 			if c.hasQuorum(now) {
 				c.node.Tick()
 			} else if now >= c.nextProbe {
@@ -221,7 +221,7 @@
 
 // proposeChange proposes a change of voters. Only the leader may call it.
 func (c *core) proposeChange(ch voters.Change) error {
-	kind := map[voters.Role]raftpb.ConfChangeType{voters.Learner: raftpb.ConfChangeAddLearnerNode, voters.Full: raftpb.ConfChangeAddNode, voters.Removed: raftpb.ConfChangeRemoveNode}[ch.Role]
+	kind := map[voters.Role]raftpb.ConfChangeType{voters.Learner: raftpb.ConfChangeAddLearnerNode, voters.FullVoter: raftpb.ConfChangeAddNode, voters.Removed: raftpb.ConfChangeRemoveNode}[ch.Role]
 	context, err := encoding.Marshal(ch)
 	if err != nil {
 		return err
@@ -285,7 +285,7 @@
 		c.node.Advance(rd)
 		c.probing = c.probing && c.node.HasReady()
 		if !led && c.isLeader() {
-			c.nextBeat = now + c.timing.Beat
+			c.nextBeat = now + c.timing.Heartbeat
 			for _, id := range c.conf.GetVoters() {
 				c.lastHeard[id] = now // they have just voted, or have Timing.Election to respond
 			}
--- a/internal/fleet/ledger/disk.go
+++ b/internal/fleet/ledger/disk.go
@@ -9,11 +9,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Saved is the content of a box's disk.
+// StoredData is the content of a box's disk.
 //
 // A Save that returned nil is durable; one that did not return is stored completely or not at all. A box that has lost its
 // disk has lost its identity as well.
-type Saved struct {
+type StoredData struct {
 	// ID is this box's voting identity. It is 0 if the disk is new or a copy of another one. A copy is only used for its
 	// snapshot, which holds committed state.
 	ID       uint64
@@ -35,7 +35,7 @@
 
 // Disk stores the data of a Ledger. Its methods are not called concurrently.
 type Disk interface {
-	Load() (Saved, error)
+	Load() (StoredData, error)
 	Save(w Write) error
 }
 
@@ -45,7 +45,7 @@
 // Memory is a Disk in memory for tests and simulations. Like a real disk, it stores copies of the data as bytes.
 type Memory struct {
 	Full    bool  // Save returns ErrFull
-	Moved   bool  // the disk is a copy of another one
+	Copied  bool  // the disk is a copy of another one
 	Saves   int   // number of saves
 	Written int64 // total size of the saved entries in bytes
 	id      uint64
@@ -61,8 +61,8 @@
 }
 
 // Load implements Disk.
-func (m *Memory) Load() (s Saved, err error) {
-	if s.ID = m.id; m.Moved {
+func (m *Memory) Load() (s StoredData, err error) {
+	if s.ID = m.id; m.Copied {
 		s.ID = 0
 	}
 	if m.hard != nil {
@@ -97,7 +97,7 @@
 		m.Written += int64(len(e.GetData()))
 	}
 	if w.ID != 0 {
-		m.Moved = false
+		m.Copied = false
 		m.id, m.hard, m.snap, m.log = w.ID, nil, nil, nil
 	}
 	if w.Hard != nil {
@@ -126,7 +126,7 @@
 
 // Copy returns another disk with the same content, like a folder that was copied or restored from a backup.
 func (m *Memory) Copy() *Memory {
-	return &Memory{id: m.id, hard: m.hard, snap: m.snap, log: slices.Clone(m.log), Moved: true} // shallow copies are enough: stored bytes are never modified
+	return &Memory{id: m.id, hard: m.hard, snap: m.snap, log: slices.Clone(m.log), Copied: true} // shallow copies are enough: stored bytes are never modified
 }
 
 // encode returns the deterministic encoding of a message of the Raft library.
@@ -138,5 +138,5 @@
 	return raw
 }
 
-// Lose empties the disk, as if it had been replaced.
-func (m *Memory) Lose() { *m = Memory{Full: m.Full} }
+// Erase empties the disk, as if it had been replaced.
+func (m *Memory) Erase() { *m = Memory{Full: m.Full} }
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -59,7 +59,7 @@
 type Applied struct {
 	Index    uint64
 	Commands []lease.Command
-	Why      []error
+	Results  []error
 }
 
 const (
@@ -79,7 +79,7 @@
 	Timing Timing
 	Rand   *rand.Rand
 	Disk   Disk
-	Told   func(format string, args ...any) // logs a message for operators; may be nil
+	Logf   func(format string, args ...any) // logs a message for operators; may be nil
 }
 
 // Ledger is the replica of the ledger on one box. Times are those of the box's own clock. It is not safe for concurrent use.
@@ -133,15 +133,15 @@
 // Errors of a Ledger.
 var (
 	ErrNoFleet      = errors.New("this box is not part of a fleet yet; start one with 'cairnctl fleet init' on one box, or connect this box to a box of a fleet")
-	ErrThere        = errors.New("this box is already part of a fleet")
+	ErrFleetExists  = errors.New("this box is already part of a fleet")
 	ErrFailed       = errors.New("ledger disk failure")
 	errStateDiffers = errors.New("the state of this box differs from the leader's; the box does not act for the fleet until it is started with an empty folder")
 )
 
 // Open returns a Ledger with the state stored on the disk.
 func Open(now time.Duration, cfg Config) (*Ledger, error) {
-	if cfg.Told == nil {
-		cfg.Told = func(string, ...any) {}
+	if cfg.Logf == nil {
+		cfg.Logf = func(string, ...any) {}
 	}
 	l := &Ledger{cfg: cfg, namesByID: map[uint64]string{}, identities: map[string]identity{}, followers: map[string]follower{}}
 	return l, l.load(now)
@@ -165,7 +165,7 @@
 		if err := l.saveState(); err != nil {
 			return err
 		}
-		saved = Saved{ID: l.id}
+		saved = StoredData{ID: l.id}
 	}
 	l.stateChanged = true
 	if l.wasMember = saved.Hard != nil || len(saved.Entries) > 0; l.wasMember {
@@ -178,7 +178,7 @@
 func (l *Ledger) randomID() uint64 { return l.cfg.Rand.Uint64()>>1 | 1 }
 
 // startRaft starts Raft on this box.
-func (l *Ledger) startRaft(now time.Duration, s Saved) (err error) {
+func (l *Ledger) startRaft(now time.Duration, s StoredData) (err error) {
 	l.core, err = newCore(now, s, l.cfg.Disk, l.cfg.Timing, l.cfg.Rand)
 	return err
 }
@@ -252,16 +252,16 @@
 // Init starts a fleet with this box as its first voter. The boxes in want become voters as they connect.
 func (l *Ledger) Init(now time.Duration, terms lease.Terms, want []string) error {
 	if l.state.Fleet != 0 {
-		return ErrThere
+		return ErrFleetExists
 	}
-	if err := terms.Check(); err != nil {
+	if err := terms.Validate(); err != nil {
 		return err
 	}
 	if err := checkWant(want); err != nil {
 		return err
 	}
 	id := l.randomID()
-	return l.startFrom(now, id, Begin(l.randomID(), terms, want, l.cfg.Name, id))
+	return l.startFrom(now, id, NewState(l.randomID(), terms, want, l.cfg.Name, id))
 }
 
 // checkWant returns an error if a list of voters is invalid.
@@ -285,11 +285,11 @@
 		return ErrNoFleet
 	}
 	id := l.randomID()
-	return l.startFrom(now, id, l.state.Anew(l.cfg.Name, id))
+	return l.startFrom(now, id, l.state.NextEra(l.cfg.Name, id))
 }
 
-// Want requests another set of voters.
-func (l *Ledger) Want(now time.Duration, want []string) error {
+// SetVoters requests another set of voters.
+func (l *Ledger) SetVoters(now time.Duration, want []string) error {
 	if err := checkWant(want); err != nil {
 		return err
 	}
@@ -297,10 +297,10 @@
 	return nil
 }
 
-// Ask sends commands to the leader. They may be lost; the caller has to repeat them.
-func (l *Ledger) Ask(now time.Duration, list []lease.Command) {
+// Submit sends commands to the leader. They may be lost; the caller has to repeat them.
+func (l *Ledger) Submit(now time.Duration, list []lease.Command) {
 	for len(list) > 0 {
-		n := min(len(list), CommandsMost)
+		n := min(len(list), MaxCommands)
 		l.propose(now, Message{Kind: Propose, Commands: list[:n:n]})
 		list = list[n:]
 	}
@@ -354,8 +354,8 @@
 		return
 	}
 	last, _ := l.core.log.LastIndex()
-	for len(l.queued) > 0 && (last == l.core.applied || len(l.queued) >= CommandsMost || now >= l.queuedSince+l.cfg.Timing.Gather) {
-		n := min(len(l.queued), CommandsMost)
+	for len(l.queued) > 0 && (last == l.core.applied || len(l.queued) >= MaxCommands || now >= l.queuedSince+l.cfg.Timing.BatchDelay) {
+		n := min(len(l.queued), MaxCommands)
 		if !l.proposeEntry(Entry{Version: versionOf(l.queued[:n]), Commands: l.queued[:n]}) {
 			l.queued = nil // the senders repeat them
 			return
@@ -377,7 +377,7 @@
 		return
 	}
 	if m.Fleet != 0 && l.state.Fleet != 0 && m.Fleet != l.state.Fleet {
-		l.cfg.Told("ignoring message from %s: it belongs to fleet %x, this box to fleet %x", from, m.Fleet, l.state.Fleet)
+		l.cfg.Logf("ignoring message from %s: it belongs to fleet %x, this box to fleet %x", from, m.Fleet, l.state.Fleet)
 		return
 	}
 	switch m.Kind {
@@ -410,7 +410,7 @@
 		if m.GetType() != raftpb.MsgApp && m.GetType() != raftpb.MsgHeartbeat && m.GetType() != raftpb.MsgSnap {
 			return
 		}
-		if l.startRaft(now, Saved{ID: l.id}) != nil {
+		if l.startRaft(now, StoredData{ID: l.id}) != nil {
 			return
 		}
 	}
@@ -499,7 +499,7 @@
 	}
 	if m.Differs && from == m.Leader && m.Era == l.state.Era {
 		if l.alarm == nil {
-			l.cfg.Told("%v", errStateDiffers)
+			l.cfg.Logf("%v", errStateDiffers)
 		}
 		l.alarm = errStateDiffers
 	}
@@ -509,7 +509,7 @@
 	if len(m.Snapshot) > 0 {
 		s, err := Decode(m.Snapshot)
 		if err != nil {
-			l.cfg.Told("what %s sent: %v", from, err)
+			l.cfg.Logf("what %s sent: %v", from, err)
 			return
 		}
 		if s.Era != m.Era || s.Fleet != m.Fleet || s.Index <= l.state.Index {
@@ -541,7 +541,7 @@
 // adoptEra installs the state of a later era and discards the box's identity of the earlier one, whose votes are void.
 func (l *Ledger) adoptEra(s *State) error {
 	if l.state.Fleet != 0 {
-		l.cfg.Told("switching to era %d of the fleet", s.Era)
+		l.cfg.Logf("switching to era %d of the fleet", s.Era)
 		l.id = l.randomID()
 	}
 	l.core, l.alarm, l.laterEraBox = nil, nil, ""
@@ -565,7 +565,7 @@
 	if err != nil {
 		if errors.Is(err, ErrVersion) && l.alarm == nil {
 			l.alarm = err
-			l.cfg.Told("%v", err)
+			l.cfg.Logf("%v", err)
 		}
 		return err
 	}
@@ -601,7 +601,7 @@
 	}
 	l.process(now)
 	if len(l.queued) > 0 {
-		next = min(next, l.queuedSince+l.cfg.Timing.Gather)
+		next = min(next, l.queuedSince+l.cfg.Timing.BatchDelay)
 	}
 	return min(next, l.nextPoll)
 }
@@ -678,9 +678,9 @@
 			known[name] = k.id
 		}
 	}
-	s := voters.Situation{Want: l.state.Want, Have: l.state.Voters, Old: l.state.Old, Known: known, Caught: l.core.caughtUp, Self: l.cfg.Name}
+	s := voters.Situation{Wanted: l.state.Want, Members: l.state.Voters, Replaced: l.state.ReplacedIDs, Reported: known, CaughtUp: l.core.caughtUp, Self: l.cfg.Name}
 	if c, ok := s.Next(); ok {
-		l.cfg.Told("changing voters: %s (%x) becomes %v", c.Name, c.ID, c.Role)
+		l.cfg.Logf("changing voters: %s (%x) becomes %v", c.Name, c.ID, c.Role)
 		l.core.proposeChange(c)
 	}
 }
@@ -721,7 +721,7 @@
 func (l *Ledger) failDisk(err error) {
 	l.diskErr = fmt.Errorf("%w: %w", ErrFailed, err)
 	l.outbox, l.core = nil, nil
-	l.cfg.Told("%v", l.diskErr)
+	l.cfg.Logf("%v", l.diskErr)
 }
 
 // retire stops Raft on this box once the ledger shows that the box's identity was replaced or removed. The identity never votes
@@ -740,7 +740,7 @@
 	if behind := l.core.isMember(l.id); behind && l.state.Index == l.core.applied || !behind && !l.wasMember {
 		return
 	}
-	l.cfg.Told("this box is no longer a voter")
+	l.cfg.Logf("this box is no longer a voter")
 	l.core, l.wasMember, l.id = nil, false, l.randomID()
 	if err := l.saveState(); err != nil {
 		l.failDisk(err)
@@ -756,8 +756,8 @@
 	return nil
 }
 
-// Take returns the messages to send, the entries applied since the last call, and whether the state has changed since then.
-func (l *Ledger) Take() (out []Envelope, applied []Applied, changed bool) {
+// TakeOutput returns the messages to send, the entries applied since the last call, and whether the state has changed since then.
+func (l *Ledger) TakeOutput() (out []Envelope, applied []Applied, changed bool) {
 	out, applied, changed = l.outbox, l.applied, l.stateChanged
 	l.outbox, l.applied, l.stateChanged = nil, nil, false
 	return out, applied, changed
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -54,7 +54,7 @@
 		for again := true; again; {
 			again = false
 			for name, l := range f.ledgers {
-				out, _, _ := l.Take()
+				out, _, _ := l.TakeOutput()
 				f.sentCount[name] += len(out)
 				for _, e := range out {
 					if to := f.ledgers[e.To]; to != nil && !f.disconnected[name] && !f.disconnected[e.To] {
@@ -95,7 +95,7 @@
 	f.disconnected[lead] = true
 	for end := f.now + 10*time.Second; f.now < end && l.Failed() == nil; f.now += 10 * time.Millisecond {
 		l.Tick(f.now)
-		out, _, _ := l.Take()
+		out, _, _ := l.TakeOutput()
 		for _, e := range out {
 			if m := e.Message; m.Kind == Raft && l.Failed() != nil {
 				vote = true
@@ -104,11 +104,11 @@
 		// The third box requests a vote in a later term, which the box has to store before it responds.
 		third := f.third(lead, other)
 		f.ledgers[third].Tick(f.now)
-		sent, _, _ := f.ledgers[third].Take()
+		sent, _, _ := f.ledgers[third].TakeOutput()
 		for _, e := range sent {
 			if e.To == other {
 				l.Receive(f.now, third, e.Message)
-				answer, _, _ := l.Take()
+				answer, _, _ := l.TakeOutput()
 				for _, a := range answer {
 					if a.Kind == Raft && l.Failed() != nil {
 						vote = true
@@ -124,7 +124,7 @@
 	if l.Failed() == nil || vote {
 		t.Fatalf("failed: %v, sent a message after the failure: %v", l.Failed(), vote)
 	}
-	if out, _, _ := l.Take(); len(out) > 0 {
+	if out, _, _ := l.TakeOutput(); len(out) > 0 {
 		t.Errorf("failed ledger sends %v", out)
 	}
 	f.disks[other].Full = false
@@ -159,7 +159,7 @@
 	ask := func(from string) (granted bool) {
 		m := &raftpb.Message{Type: raftpb.MsgVote.Enum(), From: new(f.ledgers[from].ID()), To: new(c.ID()), Term: &term, Index: &last, LogTerm: &logTerm}
 		c.Receive(f.now, from, Message{Kind: Raft, Fleet: c.State().Fleet, Era: c.State().Era, Raft: encode(m)})
-		out, _, _ := c.Take()
+		out, _, _ := c.TakeOutput()
 		for _, e := range out {
 			a := new(raftpb.Message)
 			if e.Kind == Raft && proto.Unmarshal(e.Raft, a) == nil && a.GetType() == raftpb.MsgVoteResp && e.To == from {
@@ -187,7 +187,7 @@
 	f := newCluster(t, "a", "b", "c", "d")
 	f.ledgers["d"].State().Table.Ticket++
 	for i := range 2 * digestInterval {
-		f.ledgers[f.leader()].Ask(f.now, []lease.Command{{Kind: lease.Join, Box: fmt.Sprint("box", i), Nonce: 1, Try: 1}})
+		f.ledgers[f.leader()].Submit(f.now, []lease.Command{{Kind: lease.Join, Box: fmt.Sprint("box", i), Nonce: 1, JoinAttempt: 1}})
 		f.advance(30 * time.Millisecond)
 	}
 	f.advance(5 * time.Second)
@@ -212,7 +212,7 @@
 		"zero lease term":         lonely.Init(0, lease.Terms{}, []string{"x"}),
 		"drift out of range":      lonely.Init(0, lease.Terms{Term: time.Second, Drift: 0.5}, []string{"x"}),
 		"recover without a fleet": lonely.Recover(0),
-		"four voters":             f.ledgers["a"].Want(f.now, []string{"a", "b", "c", "d"}),
+		"four voters":             f.ledgers["a"].SetVoters(f.now, []string{"a", "b", "c", "d"}),
 	} {
 		if err == nil {
 			t.Errorf("%s accepted", name)
--- a/internal/fleet/ledger/state.go
+++ b/internal/fleet/ledger/state.go
@@ -30,7 +30,7 @@
 // versionOf returns the minimum version that is required to apply the commands.
 func versionOf(list []lease.Command) uint64 {
 	for _, c := range list {
-		if c.Kind == lease.Carry {
+		if c.Kind == lease.CarryPayload {
 			return 2
 		}
 	}
@@ -43,15 +43,15 @@
 
 // State is the replicated state. Its encoding is identical on all boxes after the same index.
 type State struct {
-	Version uint64                  `cbor:"1,keyasint"`
-	Fleet   uint64                  `cbor:"2,keyasint"` // random ID of the fleet; 0: no fleet
-	Era     uint64                  `cbor:"3,keyasint"` // increases when an operator restarts the ledger
-	Index   uint64                  `cbor:"4,keyasint"` // last applied entry
-	Table   *lease.Table            `cbor:"5,keyasint"`
-	Want    []string                `cbor:"6,keyasint"` // names of the boxes that are to vote
-	Voters  map[string]voters.Voter `cbor:"7,keyasint"`
-	Old     []uint64                `cbor:"8,keyasint"`           // identities that are still members although their box has a new one
-	Rollout *rollout.Table          `cbor:"9,keyasint,omitempty"` // nil before the first configuration
+	Version     uint64                  `cbor:"1,keyasint"`
+	Fleet       uint64                  `cbor:"2,keyasint"` // random ID of the fleet; 0: no fleet
+	Era         uint64                  `cbor:"3,keyasint"` // increases when an operator restarts the ledger
+	Index       uint64                  `cbor:"4,keyasint"` // last applied entry
+	Table       *lease.Table            `cbor:"5,keyasint"`
+	Want        []string                `cbor:"6,keyasint"` // names of the boxes that are to vote
+	Voters      map[string]voters.Voter `cbor:"7,keyasint"`
+	ReplacedIDs []uint64                `cbor:"8,keyasint"`           // identities that are still members although their box has a new one
+	Rollout     *rollout.Table          `cbor:"9,keyasint,omitempty"` // nil before the first configuration
 }
 
 // Entry is the data of one log entry.
@@ -82,22 +82,22 @@
 	return mode
 }()
 
-// Begin returns the initial state of a fleet.
-func Begin(fleet uint64, terms lease.Terms, want []string, self string, id uint64) *State {
+// NewState returns the initial state of a fleet.
+func NewState(fleet uint64, terms lease.Terms, want []string, self string, id uint64) *State {
 	s := &State{Version: 1, Fleet: fleet, Era: 1, Index: 1 << eraShift, Table: lease.NewTable(terms), Want: slices.Clone(want),
 		Voters: map[string]voters.Voter{self: {ID: id}}}
 	s.Table.Token = 1 << eraShift
 	return s
 }
 
-// Anew returns the state from which the ledger is restarted after the loss of a majority: the state of this box, with indexes
+// NextEra returns the state from which the ledger is restarted after the loss of a majority: the state of this box, with indexes
 // and tokens above all that were ever issued, and with grants suspended until all former holders have stopped acting.
-func (s *State) Anew(self string, id uint64) *State {
+func (s *State) NextEra(self string, id uint64) *State {
 	n := s.Clone()
 	n.Era++
 	n.Index = n.Era << eraShift
-	n.Table.Close(n.Index, n.Era<<eraShift)
-	n.Voters, n.Old = map[string]voters.Voter{self: {ID: id}}, nil
+	n.Table.SuspendGrants(n.Index, n.Era<<eraShift)
+	n.Voters, n.ReplacedIDs = map[string]voters.Voter{self: {ID: id}}, nil
 	n.Want = []string{self}
 	return n
 }
@@ -105,7 +105,7 @@
 // Clone returns a copy that shares only immutable data with s.
 func (s *State) Clone() *State {
 	n := *s
-	n.Table, n.Want, n.Voters, n.Old = s.Table.Clone(), slices.Clone(s.Want), maps.Clone(s.Voters), slices.Clone(s.Old)
+	n.Table, n.Want, n.Voters, n.ReplacedIDs = s.Table.Clone(), slices.Clone(s.Want), maps.Clone(s.Voters), slices.Clone(s.ReplacedIDs)
 	if s.Rollout != nil {
 		n.Rollout = s.Rollout.Clone()
 	}
@@ -136,23 +136,23 @@
 	if s.Table.Sessions == nil {
 		s.Table.Sessions = map[uint64]*lease.Session{}
 	}
-	if s.Table.Names == nil {
-		s.Table.Names = map[string]uint64{}
+	if s.Table.CurrentSessions == nil {
+		s.Table.CurrentSessions = map[string]uint64{}
 	}
 	if s.Table.Marks == nil {
 		s.Table.Marks = map[string][]lease.Mark{}
 	}
-	if s.Table.Left == nil {
-		s.Table.Left = map[string]lease.Ended{}
+	if s.Table.EndedSessions == nil {
+		s.Table.EndedSessions = map[string]lease.EndedSession{}
 	}
 	if s.Table.Tasks == nil {
 		s.Table.Tasks = map[string]*lease.Task{}
 	}
 	if s.Rollout != nil && s.Rollout.Boxes == nil {
-		s.Rollout.Boxes = map[string]rollout.Standing{}
+		s.Rollout.Boxes = map[string]rollout.Status{}
 	}
-	if s.Rollout != nil && s.Rollout.Out == nil {
-		s.Rollout.Out = map[string]rollout.Out{}
+	if s.Rollout != nil && s.Rollout.ShutOutBoxes == nil {
+		s.Rollout.ShutOutBoxes = map[string]rollout.ShutOutBox{}
 	}
 	if s.Voters == nil {
 		s.Voters = map[string]voters.Voter{}
@@ -195,7 +195,7 @@
 		for i, c := range e.Commands {
 			// Each command has a unique index, so that two sessions started by one entry have different IDs.
 			at := r.Index<<CommandBits | uint64(i)
-			if results[i] = s.Table.Apply(at, c); results[i] == nil && c.Kind == lease.Carry {
+			if results[i] = s.Table.Apply(at, c); results[i] == nil && c.Kind == lease.CarryPayload {
 				results[i] = s.applyPayload(at, c)
 			}
 		}
@@ -212,26 +212,26 @@
 	s.Version = max(s.Version, 2)
 	var r rollout.Command
 	if err := decoding.Unmarshal([]byte(c.Payload), &r); err != nil {
-		return rollout.ErrBad
+		return rollout.ErrInvalidCommand
 	}
 	box := s.Table.Sessions[c.Session].Box
-	if s.Table.Barred[box] && r.Kind != rollout.Tell { // a barred box may only report its own state
+	if s.Table.Barred[box] && r.Kind != rollout.ReportStatus { // a barred box may only report its own state
 		return lease.ErrBarred
 	}
 	if s.Rollout == nil {
 		s.Rollout = rollout.NewTable()
 	}
-	of := rollout.Of{Index: index, Box: box, Session: c.Session, Living: s.Table.Names, Known: s.Known()}
+	of := rollout.CommandContext{Index: index, Box: box, Session: c.Session, Living: s.Table.CurrentSessions, KnownBoxes: s.Known()}
 	if task := s.Table.Tasks[Conductor]; task != nil {
-		of.Conducts = slices.ContainsFunc(task.Holders, func(l lease.Lease) bool { return l.Session == c.Session && !l.Orphan })
+		of.IsConductor = slices.ContainsFunc(task.Holders, func(l lease.Lease) bool { return l.Session == c.Session && !l.Orphan })
 	}
 	if err := s.Rollout.Apply(r, of); err != nil {
 		return err
 	}
-	switch _, out := s.Rollout.Out[box]; {
+	switch _, out := s.Rollout.ShutOutBoxes[box]; {
 	case r.Kind == rollout.ShutOut:
 		s.Table.Bar(r.Box)
-	case r.Kind == rollout.Tell && !out && s.Table.Barred[box]:
+	case r.Kind == rollout.ReportStatus && !out && s.Table.Barred[box]:
 		s.Table.Unbar(box)
 	}
 	return nil
@@ -239,17 +239,17 @@
 
 // Known returns the number of boxes of the fleet, including dead ones, without those that have left in order.
 func (s *State) Known() int {
-	n := len(s.Table.Names)
-	for _, e := range s.Table.Left {
-		if !e.Parted {
+	n := len(s.Table.CurrentSessions)
+	for _, e := range s.Table.EndedSessions {
+		if !e.LeftInOrder {
 			n++
 		}
 	}
 	return n
 }
 
-// Carry encodes a roll-out command as the payload of a Carry command.
-func Carry(c rollout.Command) cbor.ByteString {
+// EncodePayload encodes a roll-out command as the payload of a Carry command.
+func EncodePayload(c rollout.Command) cbor.ByteString {
 	raw, err := encoding.Marshal(c)
 	if err != nil {
 		panic(err) // cannot happen: all fields can be encoded
@@ -257,8 +257,8 @@
 	return cbor.ByteString(raw)
 }
 
-// CommandsMost is the maximum number of commands in an entry; see State.apply.
-const CommandsMost = 1 << CommandBits
+// MaxCommands is the maximum number of commands in an entry; see State.apply.
+const MaxCommands = 1 << CommandBits
 
 // CommandBits is the number of low bits of a command's index that hold its position in the entry. The other bits hold the
 // index of the entry.
@@ -278,13 +278,13 @@
 	switch c.Role {
 	case voters.Learner:
 		if v, ok := s.Voters[c.Name]; ok && v.ID != c.ID {
-			s.Old = append(s.Old, v.ID)
+			s.ReplacedIDs = append(s.ReplacedIDs, v.ID)
 		}
 		s.Voters[c.Name] = voters.Voter{ID: c.ID, Learner: true}
-	case voters.Full:
+	case voters.FullVoter:
 		s.Voters[c.Name] = voters.Voter{ID: c.ID}
 	case voters.Removed:
-		s.Old = slices.DeleteFunc(s.Old, func(id uint64) bool { return id == c.ID })
+		s.ReplacedIDs = slices.DeleteFunc(s.ReplacedIDs, func(id uint64) bool { return id == c.ID })
 		if v, ok := s.Voters[c.Name]; ok && v.ID == c.ID {
 			delete(s.Voters, c.Name)
 		}
--- a/internal/fleet/ledger/state_test.go
+++ b/internal/fleet/ledger/state_test.go
@@ -13,13 +13,13 @@
 // sampleState returns a state with sessions, a holder and waiters.
 func sampleState(t *testing.T) *State {
 	t.Helper()
-	s := Begin(5, lease.Terms{Term: time.Second, Drift: 0.01}, []string{"a"}, "a", 9)
-	for i, c := range []lease.Command{{Kind: lease.Join, Box: "a", Nonce: 1, Try: 1}, {Kind: lease.Join, Box: "b", Nonce: 2, Try: 1}} {
+	s := NewState(5, lease.Terms{Term: time.Second, Drift: 0.01}, []string{"a"}, "a", 9)
+	for i, c := range []lease.Command{{Kind: lease.Join, Box: "a", Nonce: 1, JoinAttempt: 1}, {Kind: lease.Join, Box: "b", Nonce: 2, JoinAttempt: 1}} {
 		if err := s.Table.Apply(s.Index<<8|uint64(i), c); err != nil {
 			t.Fatal(err)
 		}
 	}
-	a, b := s.Table.Names["a"], s.Table.Names["b"]
+	a, b := s.Table.CurrentSessions["a"], s.Table.CurrentSessions["b"]
 	for _, c := range []lease.Command{{Kind: lease.Acquire, Session: a, Seq: 1, Task: "x", Slots: 1}, {Kind: lease.Acquire, Session: b, Seq: 1, Task: "x", Slots: 1}, {Kind: lease.Acquire, Session: b, Seq: 2, Task: "y", Slots: 2, Sticky: true}} {
 		if err := s.Table.Apply(0, c); err != nil {
 			t.Fatal(err)
@@ -62,9 +62,9 @@
 
 func TestNewEraStartsAboveAllIssuedNumbers(t *testing.T) {
 	s := sampleState(t)
-	n := s.Anew("b", 11)
-	if n.Index <= s.Index+1<<39 || n.Table.Token <= s.Table.Token+1<<39 || n.Table.Closed == 0 {
-		t.Errorf("index %d after %d, token %d after %d, closed at %d", n.Index, s.Index, n.Table.Token, s.Table.Token, n.Table.Closed)
+	n := s.NextEra("b", 11)
+	if n.Index <= s.Index+1<<39 || n.Table.Token <= s.Table.Token+1<<39 || n.Table.SuspendedAt == 0 {
+		t.Errorf("index %d after %d, token %d after %d, closed at %d", n.Index, s.Index, n.Table.Token, s.Table.Token, n.Table.SuspendedAt)
 	}
 	if len(n.Voters) != 1 || n.Voters["b"] != (voters.Voter{ID: 11}) || s.Voters["a"].ID != 9 {
 		t.Errorf("voters %v, and before %v", n.Voters, s.Voters)
@@ -77,7 +77,7 @@
 	if v := versionOf([]lease.Command{{Kind: lease.Renew}, {Kind: lease.Report}}); v != 1 {
 		t.Errorf("commands of version 1 require version %d", v)
 	}
-	if v := versionOf([]lease.Command{{Kind: lease.Renew}, {Kind: lease.Carry}}); v != 2 {
+	if v := versionOf([]lease.Command{{Kind: lease.Renew}, {Kind: lease.CarryPayload}}); v != 2 {
 		t.Errorf("roll-out command requires version %d, want 2", v)
 	}
 	s := sampleState(t)
--- a/internal/fleet/ledger/store.go
+++ b/internal/fleet/ledger/store.go
@@ -92,7 +92,7 @@
 func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // Load implements Disk.
-func (s *Store) Load() (out Saved, err error) {
+func (s *Store) Load() (out StoredData, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 		if meta == nil || log == nil {
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -30,33 +30,33 @@
 	Advice *shed.Advice `json:"advice,omitempty"`
 	Since  string       `json:"level_since,omitempty"`
 	// Refused counts the requests that this box rejected on the fleet's advice.
-	Refused Refused `json:"refused"`
-	Pacing  *Pacing `json:"pacing,omitempty"`
+	Refused RejectionCounts `json:"refused"`
+	Pacing  *Pacing         `json:"pacing,omitempty"`
 }
 
-// Refused counts rejections on the fleet's advice, by reason.
-type Refused struct {
-	OverShare int64 `json:"over_share"`
-	LowClass  int64 `json:"low_class"`
-	Beyond    int64 `json:"beyond_tries"`
+// RejectionCounts counts rejections on the fleet's advice, by reason.
+type RejectionCounts struct {
+	OverShare  int64 `json:"over_share"`
+	LowClass   int64 `json:"low_class"`
+	OverBudget int64 `json:"beyond_tries"`
 }
 
 // Load returns the load of the fleet, as far as this box knows.
 func (f *Fleet) Load() LoadStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := LoadStatus{Own: f.load.Own, Fleet: f.load.Sums, Rules: f.load.rules, Advice: f.load.Advice, Pacing: f.load.pacing, Refused: Refused{f.counters.Get("refused_over_share").Load(), f.counters.Get("refused_low_class").Load(), f.counters.Get("refused_beyond_tries").Load()}}
-	if f.load.Level != 0 {
-		s.Since = (f.cfg.Now() - f.load.Level).Round(time.Second).String()
+	s := LoadStatus{Own: f.load.Own, Fleet: f.load.Sums, Rules: f.load.rules, Advice: f.load.Advice, Pacing: f.load.pacing, Refused: RejectionCounts{f.counters.Get("refused_over_share").Load(), f.counters.Get("refused_low_class").Load(), f.counters.Get("refused_beyond_tries").Load()}}
+	if f.load.LevelChanged != 0 {
+		s.Since = (f.cfg.Now() - f.load.LevelChanged).Round(time.Second).String()
 	}
 	return s
 }
 
 // membership returns the membership recorded in the ledger. Boxes that are shut out do not count as members.
-func (f *Fleet) membership() view.Place {
+func (f *Fleet) membership() view.Membership {
 	st := f.node.Ledger().State()
-	p := view.Place{Self: f.cfg.Name, Session: f.node.Holder().Session(), Known: len(st.Table.Names), Member: func(box string) bool {
-		return st.Table.Names[box] != 0 && !st.Table.Barred[box]
+	p := view.Membership{Self: f.cfg.Name, Session: f.node.Holder().Session(), Known: len(st.Table.CurrentSessions), Member: func(box string) bool {
+		return st.Table.CurrentSessions[box] != 0 && !st.Table.Barred[box]
 	}}
 	for name, v := range st.Voters {
 		if !v.Learner && p.Member(name) {
@@ -64,7 +64,7 @@
 		}
 	}
 	for name := range st.Table.Barred {
-		if st.Table.Names[name] != 0 {
+		if st.Table.CurrentSessions[name] != 0 {
 			p.Known--
 		}
 	}
@@ -89,7 +89,7 @@
 
 // publishLoad publishes this box's load at each interval and passes on the resulting advice.
 func (f *Fleet) publishLoad(ctx context.Context) {
-	tick := time.NewTicker(view.Each)
+	tick := time.NewTicker(view.ExchangeInterval)
 	defer tick.Stop()
 	var lease proberLease
 	for {
@@ -102,9 +102,9 @@
 		f.mu.Lock()
 		f.refreshRules()
 		now, p, rules := f.cfg.Now(), f.membership(), f.load.rules
-		findings := f.load.Sums.Said
+		findings := f.load.Sums.Reports
 		f.mu.Unlock()
-		var finding *probes.Said
+		var finding *probes.FindingReport
 		if f.cfg.Pacer != nil {
 			boxes := 1
 			if rules != nil {
@@ -118,11 +118,11 @@
 			f.mu.Unlock()
 		}
 		f.mu.Lock()
-		out := f.load.Tick(f.cfg.Now(), view.Turn{Place: p, Totals: totals, Rules: rules, Later: f.cfg.Later, Said: finding, Out: f.node.Stands() == straggler.Out})
+		out := f.load.Tick(f.cfg.Now(), view.TickInputs{Membership: p, Totals: totals, Rules: rules, MaxRetryDelay: f.cfg.MaxRetryDelay, Finding: finding, ShutOut: f.node.Standing() == straggler.ShutOut})
 		advice := f.load.Advice
 		f.mu.Unlock()
-		if f.cfg.Advise != nil {
-			f.cfg.Advise(advice)
+		if f.cfg.OnAdvice != nil {
+			f.cfg.OnAdvice(advice)
 		}
 		for _, o := range out {
 			if raw, err := cbor.Marshal(o.Message); err == nil {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -23,12 +23,12 @@
 	Timing ledger.Timing
 	Rand   *rand.Rand
 	Disk   ledger.Disk
-	Told   func(format string, args ...any)
+	Logf   func(format string, args ...any)
 
-	Configs Configs // nil: the box takes no part in roll-outs
-	InForce uint64  // number of the configuration in force on disk; 0: none
-	Since   Place   // ledger position at which it came into force; an older ledger state is not followed back
-	Number  uint64  // number of this build
+	Configs     Configs        // nil: the box takes no part in roll-outs
+	InForce     uint64         // number of the configuration in force on disk; 0: none
+	Since       LedgerPosition // ledger position at which it came into force; an older ledger state is not followed back
+	BuildNumber uint64         // number of this build
 }
 
 // Node is one box's part in the fleet without I/O: it takes messages and the time, and returns messages. A process (Fleet) and the
@@ -37,7 +37,7 @@
 	cfg        NodeConfig
 	ledger     *ledger.Ledger
 	holder     *lease.Holder
-	judge      lease.Judge
+	judge      lease.ExpiryDetector
 	rejections map[uint64]error // why commands of this session were rejected, by their number
 	outbox     []ledger.Envelope
 	next       time.Duration
@@ -56,11 +56,11 @@
 
 // NewNode returns a node with the state that is on disk.
 func NewNode(now time.Duration, cfg NodeConfig) (*Node, error) {
-	l, err := ledger.Open(now, ledger.Config{Name: cfg.Name, Seeds: cfg.Seeds, Timing: cfg.Timing, Rand: cfg.Rand, Disk: cfg.Disk, Told: cfg.Told})
+	l, err := ledger.Open(now, ledger.Config{Name: cfg.Name, Seeds: cfg.Seeds, Timing: cfg.Timing, Rand: cfg.Rand, Disk: cfg.Disk, Logf: cfg.Logf})
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, ledger: l, rejections: map[uint64]error{}, rollouts: rolloutState{box: rollout.NewBox(cfg.InForce, cfg.Number)}}
+	n := &Node{cfg: cfg, ledger: l, rejections: map[uint64]error{}, rollouts: rolloutState{box: rollout.NewBox(cfg.InForce, cfg.BuildNumber)}}
 	n.holder = lease.NewHolder(cfg.Name, cfg.Build, cfg.Rand.Uint64()|1, l.State().Table.Terms)
 	n.process(now)
 	return n, nil
@@ -84,11 +84,11 @@
 // Tick does the work that is due.
 func (n *Node) Tick(now time.Duration) { n.process(now) }
 
-// Next returns the latest time for the next call of Tick.
-func (n *Node) Next() time.Duration { return n.next }
+// NextTick returns the latest time for the next call of Tick.
+func (n *Node) NextTick() time.Duration { return n.next }
 
-// Take returns the messages to be sent and removes them from the node.
-func (n *Node) Take() []ledger.Envelope {
+// TakeMessages returns the messages to be sent and removes them from the node.
+func (n *Node) TakeMessages() []ledger.Envelope {
 	out := n.outbox
 	n.outbox = nil
 	n.counts.Said += int64(len(out))
@@ -102,7 +102,7 @@
 	}
 	n.next = n.ledger.Tick(now)
 	for range 8 { // a sole voter's own commands are applied at once
-		out, applied, changed := n.ledger.Take()
+		out, applied, changed := n.ledger.TakeOutput()
 		n.outbox = append(n.outbox, out...)
 		if changed {
 			n.applyLedger(now, applied)
@@ -125,7 +125,7 @@
 	}
 	n.reopenAt = now + reopenInterval
 	if n.ledger.Reopen(now) == nil {
-		n.judge.Forget()
+		n.judge.Reset()
 	}
 }
 
@@ -135,8 +135,8 @@
 		n.counts.Entries++
 		n.counts.Commands += int64(len(a.Commands))
 		for i, c := range a.Commands {
-			if c.Session == n.holder.Session() && c.Session != 0 && a.Why[i] != nil && !errors.Is(a.Why[i], lease.ErrOrder) {
-				n.rejections[c.Seq] = a.Why[i]
+			if c.Session == n.holder.Session() && c.Session != 0 && a.Results[i] != nil && !errors.Is(a.Results[i], lease.ErrOrder) {
+				n.rejections[c.Seq] = a.Results[i]
 			}
 		}
 	}
@@ -145,11 +145,11 @@
 		return
 	}
 	session := n.holder.Session()
-	n.holder.Saw(now, state.Table, func(seq uint64) error { return n.rejections[seq] })
-	if n.holder.Session() != session || len(n.rejections) > lease.AsksMost {
+	n.holder.Update(now, state.Table, func(seq uint64) error { return n.rejections[seq] })
+	if n.holder.Session() != session || len(n.rejections) > lease.MaxRequests {
 		clear(n.rejections)
 	}
-	n.judge.Saw(now, state.Table)
+	n.judge.Update(now, state.Table)
 }
 
 // submit submits this box's due commands to the ledger and reports whether there were any.
@@ -161,7 +161,7 @@
 	n.advanceRollout(now)
 	list, next := n.holder.Due(now)
 	n.next = min(n.next, next)
-	if until := n.holder.Until(); until > now {
+	if until := n.holder.ActDeadline(); until > now {
 		n.next = min(n.next, until) // the holder must learn of the end in time
 	}
 	if n.ledger.Leads(now) {
@@ -169,7 +169,7 @@
 		n.next = min(n.next, next)
 		list = append(list, ends...)
 	}
-	n.ledger.Ask(now, list)
+	n.ledger.Submit(now, list)
 	return len(list) > 0
 }
 
@@ -177,17 +177,17 @@
 func (n *Node) Members(now time.Duration) (list []Member) {
 	t := n.ledger.State().Table
 	voters := n.ledger.State().Voters
-	for name, id := range t.Names {
+	for name, id := range t.CurrentSessions {
 		s := t.Sessions[id]
-		m := Member{Name: name, Incarnation: id, Build: s.Build, State: There}
-		if n.judge.Silent(now, id) > t.Terms.Term/2 {
+		m := Member{Name: name, Incarnation: id, Build: s.Build, State: Present}
+		if n.judge.TimeSinceSeen(now, id) > t.Terms.Term/2 {
 			m.State = Suspected
 		}
 		list = append(list, m)
 	}
-	for name, e := range t.Left {
+	for name, e := range t.EndedSessions {
 		m := Member{Name: name, Incarnation: e.Session, State: Dead}
-		if e.Parted {
+		if e.LeftInOrder {
 			m.State = Left
 		}
 		list = append(list, m)
@@ -206,7 +206,7 @@
 
 // The states of a box's membership.
 const (
-	There     Presence = "there"
+	Present   Presence = "there"
 	Suspected Presence = "suspected" // this box has seen no sign of it for half a lease term
 	Dead      Presence = "dead"      // its session was ended after a lease term without a sign of it
 	Left      Presence = "left"      // it ended its session itself
@@ -222,7 +222,7 @@
 }
 
 // Acquire requests a slot.
-func (n *Node) Acquire(now time.Duration, r lease.Request) (*lease.Ask, error) {
+func (n *Node) Acquire(now time.Duration, r lease.Request) (*lease.TrackedRequest, error) {
 	if n.ledger.State().Fleet == 0 {
 		return nil, ledger.ErrNoFleet
 	}
@@ -231,46 +231,46 @@
 	return a, err
 }
 
-// GiveUp gives a slot back. The caller must not act under it any more.
-func (n *Node) GiveUp(now time.Duration, a *lease.Ask) {
-	n.holder.GiveUp(now, a)
+// ReleaseSlot gives a slot back. The caller must not act under it any more.
+func (n *Node) ReleaseSlot(now time.Duration, a *lease.TrackedRequest) {
+	n.holder.Release(now, a)
 	n.process(now)
 }
 
-// Drop forgets a finished request.
-func (n *Node) Drop(a *lease.Ask) { n.holder.Drop(a) }
+// ForgetRequest forgets a finished request.
+func (n *Node) ForgetRequest(a *lease.TrackedRequest) { n.holder.Remove(a) }
 
-// May returns nil if an effect that takes at most need may begin now.
-func (n *Node) May(now time.Duration, a *lease.Ask, need time.Duration) error {
+// CheckEffect returns nil if an effect that takes at most need may begin now.
+func (n *Node) CheckEffect(now time.Duration, a *lease.TrackedRequest, need time.Duration) error {
 	if err := n.ledger.Alarm(); err != nil {
 		return err
 	}
-	if s := n.Stands(); !s.MayBegin() {
+	if s := n.Standing(); !s.MayAct() {
 		return fmt.Errorf("%w: state %v, configuration %d in force, lowest allowed %d", ErrBehind, s, n.InForce(), n.Lowest())
 	}
-	return n.holder.May(now, a, need)
+	return n.holder.CheckPermit(now, a, need)
 }
 
-// Operator submits an operator's command: Free, or Stop with the token of a lease.
-func (n *Node) Operator(now time.Duration, c lease.Command) {
+// SubmitOperatorCommand submits an operator's command: Free, or Stop with the token of a lease.
+func (n *Node) SubmitOperatorCommand(now time.Duration, c lease.Command) {
 	if c.Kind == lease.Stop {
 		n.holder.Stop(now, c.Token)
 	} else {
-		n.ledger.Ask(now, []lease.Command{c})
+		n.ledger.Submit(now, []lease.Command{c})
 	}
 	n.process(now)
 }
 
-// Report records the head of the box's audit chain in the ledger. It reports whether the box has a session to do so.
-func (n *Node) Report(now time.Duration, m lease.Mark) bool {
+// ReportAuditHead records the head of the box's audit chain in the ledger. It reports whether the box has a session to do so.
+func (n *Node) ReportAuditHead(now time.Duration, m lease.Mark) bool {
 	told := n.holder.Report(now, m)
 	n.process(now)
 	return told
 }
 
-// Part has the box leave its fleet. It must not act any more.
-func (n *Node) Part(now time.Duration) {
-	n.holder.Part(now)
+// LeaveFleet has the box leave its fleet. It must not act any more.
+func (n *Node) LeaveFleet(now time.Duration) {
+	n.holder.Leave(now)
 	n.process(now)
 }
 
@@ -287,14 +287,14 @@
 // Recover starts a new era of the ledger; see ledger.Recover.
 func (n *Node) Recover(now time.Duration) error {
 	err := n.ledger.Recover(now)
-	n.judge.Forget()
+	n.judge.Reset()
 	n.process(now)
 	return err
 }
 
-// Want sets the wanted voters; see ledger.Want.
-func (n *Node) Want(now time.Duration, voters []string) error {
-	err := n.ledger.Want(now, voters)
+// SetWantedVoters sets the wanted voters; see ledger.Want.
+func (n *Node) SetWantedVoters(now time.Duration, voters []string) error {
+	err := n.ledger.SetVoters(now, voters)
 	n.process(now)
 	return err
 }
--- a/internal/fleet/pacer.go
+++ b/internal/fleet/pacer.go
@@ -18,7 +18,7 @@
 	soloBackoff func(try int) time.Duration // reconnect delays of a box without a fleet
 
 	mu      sync.Mutex
-	pace    probes.Pace
+	pace    probes.Schedule
 	boxes   int
 	reports uint64
 }
@@ -37,7 +37,7 @@
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	z := h.Sum64() * 0x9e3779b97f4a7c15 // spreads hashes of names that differ by one letter
-	return &Pacer{now: now, soloBackoff: soloBackoff, boxes: 1, pace: probes.Pace{Self: name, Base: reportInterval, Most: maxReportInterval, Each: reportCost, Place: float64(z>>11) / (1 << 53)}}
+	return &Pacer{now: now, soloBackoff: soloBackoff, boxes: 1, pace: probes.Schedule{Self: name, BaseInterval: reportInterval, MaxInterval: maxReportInterval, CostPerBox: reportCost, Place: float64(z>>11) / (1 << 53)}}
 }
 
 // Due implements catalog.Pace.
@@ -51,11 +51,11 @@
 	return due
 }
 
-// Told implements catalog.Pace.
-func (p *Pacer) Told(ok bool) {
+// RecordResult implements catalog.Pace.
+func (p *Pacer) RecordResult(ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pace.Told(p.now(), ok)
+	p.pace.RecordResult(p.now(), ok)
 }
 
 // Reconnect returns the delay before a reconnect attempt. It uses full jitter over a span that grows with the square root of the fleet's
@@ -68,20 +68,20 @@
 		return p.soloBackoff(attempt)
 	}
 	longest := min(time.Duration(float64(p.soloBackoff(math.MaxInt16))*math.Sqrt(float64(n))), maxReconnectDelay)
-	return probes.Return{Least: minReconnectDelay, Most: longest}.Next(attempt, 0, rand.Float64())
+	return probes.ReconnectBackoff{MinSpan: minReconnectDelay, MaxSpan: longest}.Delay(attempt, 0, rand.Float64())
 }
 
 // exchange takes the fleet's findings and returns this box's own finding, nil for none. boxes is 1 if the fleet has no overload rules.
-func (p *Pacer) exchange(boxes int, prober bool, findings []probes.Said) *probes.Said {
+func (p *Pacer) exchange(boxes int, prober bool, findings []probes.FindingReport) *probes.FindingReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	p.boxes = max(boxes, 1)
-	p.pace.Fleet(p.boxes, prober)
+	p.pace.SetFleet(p.boxes, prober)
 	for _, s := range findings {
-		p.pace.Heard(now, s)
+		p.pace.RecordReport(now, s)
 	}
-	if s, ok := p.pace.Say(now); ok {
+	if s, ok := p.pace.Report(now); ok {
 		return &s
 	}
 	return nil
@@ -98,11 +98,11 @@
 func (p *Pacer) status(prober bool) Pacing {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Pacing{Verdict: p.pace.Verdict(p.now()).String(), Every: p.pace.Every().Round(time.Millisecond).String(), Prober: prober, Asked: p.reports}
+	return Pacing{Verdict: p.pace.Verdict(p.now()).String(), Every: p.pace.Interval().Round(time.Millisecond).String(), Prober: prober, Asked: p.reports}
 }
 
-// Prober is the lease whose holder continues to probe a dependency that is down.
-const Prober = "fleet/prober"
+// ProberTask is the lease whose holder continues to probe a dependency that is down.
+const ProberTask = "fleet/prober"
 
 // proberLease holds the Prober lease, which voters request while the fleet has overload rules. It is used by one goroutine.
 type proberLease struct {
@@ -115,8 +115,8 @@
 
 func (b *proberLease) update(f *Fleet, now time.Duration, want bool) bool {
 	if b.task != nil {
-		ask, left, _ := b.task.Look()
-		if want && !ask.State.Over() && !ask.Stop {
+		ask, left, _ := b.task.Status()
+		if want && !ask.State.Final() && !ask.StopRequested {
 			return left > 0
 		}
 		b.task.Release()
@@ -125,7 +125,7 @@
 	}
 	if want && now >= b.retryAt {
 		b.retryAt = now + proberRetryInterval
-		if t, err := f.Ask(lease.Request{Task: Prober, Slots: 1}); err == nil {
+		if t, err := f.Request(lease.Request{Task: ProberTask, Slots: 1}); err == nil {
 			b.task = t
 		}
 	}
--- a/internal/fleet/pacer_test.go
+++ b/internal/fleet/pacer_test.go
@@ -20,7 +20,7 @@
 		for end := now + span; now < end; now += 50 * time.Millisecond {
 			if p.Due() {
 				n++
-				p.Told(false)
+				p.RecordResult(false)
 			}
 		}
 		return n
@@ -33,7 +33,7 @@
 			t.Errorf("without a fleet it waits %v before attempt %d", p.Reconnect(attempt), attempt)
 		}
 	}
-	hear := func() { p.exchange(9, false, []probes.Said{{Box: "n2", Up: false, Ago: 0}}) }
+	hear := func() { p.exchange(9, false, []probes.FindingReport{{Box: "n2", Up: false, Ago: 0}}) }
 	hear()
 	if n := ask(3 * time.Second); n != 0 {
 		t.Errorf("two boxes found the catalog down, but a box that is not the prober reported %d times", n)
@@ -67,7 +67,7 @@
 			return nil
 		}
 		c.Load = func() view.Totals { return view.Totals{} }
-		c.Advise = func(a *shed.Advice) {
+		c.OnAdvice = func(a *shed.Advice) {
 			select {
 			case advised <- a:
 			default:
@@ -96,7 +96,7 @@
 			until(body, func(v *shed.Advice) bool { return v != nil && v.Version == n })
 			for end := time.Now().Add(20 * time.Second); !a.Load().Pacing.Prober; time.Sleep(10 * time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("round %d: no box holds %s: %+v", i, Prober, a.Leases())
+					t.Fatalf("round %d: no box holds %s: %+v", i, ProberTask, a.Leases())
 				}
 			}
 		} else {
--- a/internal/fleet/peer/links.go
+++ b/internal/fleet/peer/links.go
@@ -19,14 +19,14 @@
 
 // Config configures Links.
 type Config struct {
-	Name   string
-	Listen string
-	Peers  map[string]string // addresses by name
-	Keys   func() ([][]byte, error)
-	Kinds  []Kind
-	Now    func() time.Duration
-	Set    *counters.Set
-	Told   func(format string, args ...any) // writes a log line for operators; called at a limited rate
+	Name     string
+	Listen   string
+	Peers    map[string]string // addresses by name
+	Keys     func() ([][]byte, error)
+	Kinds    []KindLimits
+	Now      func() time.Duration
+	Counters *counters.Set
+	Logf     func(format string, args ...any) // writes a log line for operators; called at a limited rate
 }
 
 const (
@@ -45,7 +45,7 @@
 )
 
 // reasons lists the reasons whose log lines are limited separately.
-var reasons = [...]error{ErrGarbage, ErrKey, ErrStranger, ErrVersion, ErrSelf, ErrMAC, ErrTooLong}
+var reasons = [...]error{ErrProtocol, ErrKey, ErrUnknownBox, ErrVersion, ErrOwnName, ErrMAC, ErrFrameTooLong}
 
 // reasonOf returns the index of a reason; all reasons that are not listed share the last one.
 func reasonOf(err error) int {
@@ -115,8 +115,8 @@
 // Listen accepts peers' connections at cfg.Listen. receive is called for one message of a link at a time, but concurrently for several
 // links. The payload is valid only during the call.
 func Listen(cfg Config, receive func(from string, kind byte, payload []byte)) (*Links, error) {
-	if cfg.Told == nil {
-		cfg.Told = func(string, ...any) {}
+	if cfg.Logf == nil {
+		cfg.Logf = func(string, ...any) {}
 	}
 	if _, err := cfg.Keys(); err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 	}
 	for name, c := range map[string]**counters.Counter{"up": &l.count.up, "ended": &l.count.ended, "refused": &l.count.rejected, "messages_in": &l.count.in,
 		"messages_out": &l.count.out, "bytes_out": &l.count.bytes, "messages_dropped": &l.count.dropped, "messages_flooded": &l.count.flooded} {
-		*c = cfg.Set.Get("fleet_links_" + name)
+		*c = cfg.Counters.Get("fleet_links_" + name)
 	}
 	for name := range cfg.Peers {
 		if name != cfg.Name {
@@ -192,14 +192,14 @@
 	if full {
 		l.count.rejected.Inc()
 		l.logLimits[len(reasons)].Do(func() {
-			l.cfg.Told("closing connection from %s: %d unauthenticated connections already open", c.RemoteAddr(), maxUnauthenticated)
+			l.cfg.Logf("closing connection from %s: %d unauthenticated connections already open", c.RemoteAddr(), maxUnauthenticated)
 		})
 		return context.Background() // closed in the OnConnect callback
 	}
 	k, err := l.attach(c)
 	if err != nil {
 		l.addUnauthenticated(-1)
-		l.cfg.Told("%v", err)
+		l.cfg.Logf("%v", err)
 		return context.Background()
 	}
 	return context.WithValue(context.Background(), linkKey{}, k)
@@ -268,7 +268,7 @@
 	if !k.limits.messages.AllowN(now, 1) || !k.limits.bytes.AllowN(now, len(payload)) {
 		k.links.count.flooded.Inc()
 		k.links.logLimits[len(reasons)+1].Do(func() {
-			k.links.cfg.Told("%s sends more than %d messages or %d MB per second; dropping some", k.sess.peer, maxMessageRate, maxByteRate>>20)
+			k.links.cfg.Logf("%s sends more than %d messages or %d MB per second; dropping some", k.sess.peer, maxMessageRate, maxByteRate>>20)
 		})
 		return
 	}
@@ -285,7 +285,7 @@
 	p := l.peers[k.sess.peer]
 	if p == nil || l.closed {
 		l.mu.Unlock()
-		return ErrStranger
+		return ErrUnknownBox
 	}
 	old := p.link
 	if old != nil && old.sess.peerRun == k.sess.peerRun && l.cfg.Now()-old.since < simultaneousDialWindow && old.sess.isDialer != k.sess.isDialer {
@@ -358,7 +358,7 @@
 		if !authenticated {
 			l.count.rejected.Inc()
 		}
-		l.logLimits[reasonOf(reason)].Do(func() { l.cfg.Told("link with %q at %s: %v", k.sess.peer, k.RemoteAddr(), reason) })
+		l.logLimits[reasonOf(reason)].Do(func() { l.cfg.Logf("link with %q at %s: %v", k.sess.peer, k.RemoteAddr(), reason) })
 	}
 	go k.Connection.Close() // netpoll's Close waits for its callback, which may be the caller of end
 }
@@ -371,7 +371,7 @@
 		late := !k.authenticated
 		k.mu.Unlock()
 		if late {
-			k.end(fmt.Errorf("%w: no authentication within %v", ErrGarbage, handshakeTimeout))
+			k.end(fmt.Errorf("%w: no authentication within %v", ErrProtocol, handshakeTimeout))
 		}
 	})
 	defer shake.Stop()
@@ -514,8 +514,8 @@
 			k.end(nil)
 		}
 	}
-	k.end(ErrGarbage)
-	return ErrGarbage
+	k.end(ErrProtocol)
+	return ErrProtocol
 }
 
 // Status returns the state of the links, by the peer's name.
--- a/internal/fleet/peer/links_test.go
+++ b/internal/fleet/peer/links_test.go
@@ -57,13 +57,13 @@
 	return ln.Addr().String()
 }
 
-func startNode(t *testing.T, name string, peers map[string]string, key []byte, kinds []Kind) *testNode {
+func startNode(t *testing.T, name string, peers map[string]string, key []byte, kinds []KindLimits) *testNode {
 	t.Helper()
 	n := &testNode{counters: new(counters.Set)}
 	n.keys.Store([][]byte{key})
 	var err error
-	n.Links, err = Listen(Config{Name: name, Listen: peers[name], Peers: peers, Keys: func() ([][]byte, error) { return n.keys.Load().([][]byte), nil }, Kinds: kinds, Now: testClock, Set: n.counters,
-		Told: func(f string, a ...any) {
+	n.Links, err = Listen(Config{Name: name, Listen: peers[name], Peers: peers, Keys: func() ([][]byte, error) { return n.keys.Load().([][]byte), nil }, Kinds: kinds, Now: testClock, Counters: n.counters,
+		Logf: func(f string, a ...any) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.logLines = append(n.logLines, fmt.Sprintf(f, a...))
@@ -78,7 +78,7 @@
 	return n
 }
 
-var testKinds = []Kind{{Messages: 1000, Bytes: 1 << 20, Stale: time.Minute}, {Messages: 10, Bytes: 16 << 20}}
+var testKinds = []KindLimits{{Messages: 1000, Bytes: 1 << 20, MaxAge: time.Minute}, {Messages: 10, Bytes: 16 << 20}}
 
 func TestLinksDeliverMessagesAndReconnect(t *testing.T) {
 	peers := map[string]string{"a": freeAddress(t), "b": freeAddress(t)}
@@ -122,7 +122,7 @@
 // TestMessagesAboveRateAreDroppedAndLogged lets an authenticated peer exceed the message rate; the excess must be dropped, counted and logged.
 func TestMessagesAboveRateAreDroppedAndLogged(t *testing.T) {
 	peers := map[string]string{"a": freeAddress(t), "b": freeAddress(t)}
-	wide := []Kind{{Messages: 1 << 20, Bytes: 64 << 20}}
+	wide := []KindLimits{{Messages: 1 << 20, Bytes: 64 << 20}}
 	a, b := startNode(t, "a", peers, testKey(1), wide), startNode(t, "b", peers, testKey(1), wide)
 	const sent = 4 * maxMessageRate
 	for i := range sent {
@@ -220,7 +220,7 @@
 			t.Log(a.log())
 		}
 	})
-	waitFor(t, "the log line about invalid data", func() bool { return strings.Contains(a.log(), ErrGarbage.Error()) })
+	waitFor(t, "the log line about invalid data", func() bool { return strings.Contains(a.log(), ErrProtocol.Error()) })
 	b := startNode(t, "b", peers, testKey(1), testKinds)
 	b.Send("a", 0, []byte("still well"))
 	waitFor(t, "a peer's message", func() bool { return a.lastMessage.Load() == "b 0 still well" })
@@ -235,7 +235,7 @@
 	block := make(chan struct{})
 	b := &testNode{counters: new(counters.Set)}
 	var err error
-	b.Links, err = Listen(Config{Name: "b", Listen: peers["b"], Peers: peers, Keys: func() ([][]byte, error) { return [][]byte{testKey(1)}, nil }, Kinds: testKinds, Now: testClock, Set: b.counters}, func(string, byte, []byte) { <-block })
+	b.Links, err = Listen(Config{Name: "b", Listen: peers["b"], Peers: peers, Keys: func() ([][]byte, error) { return [][]byte{testKey(1)}, nil }, Kinds: testKinds, Now: testClock, Counters: b.counters}, func(string, byte, []byte) { <-block })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/peer/queue.go
+++ b/internal/fleet/peer/queue.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Kind limits the messages of one kind that wait for a peer. The oldest messages beyond a limit, and those that have waited longer than
+// KindLimits limits the messages of one kind that wait for a peer. The oldest messages beyond a limit, and those that have waited longer than
 // Stale, are dropped. Senders that need delivery must repeat the message.
-type Kind struct {
+type KindLimits struct {
 	Messages int           // limit of waiting messages
 	Bytes    int           // limit of waiting bytes
-	Stale    time.Duration // age after which a message is useless; 0: never
+	MaxAge   time.Duration // age after which a message is useless; 0: never
 }
 
 type queuedMessage struct {
@@ -17,13 +17,13 @@
 
 // queue holds the messages that wait for one peer, by kind. Lower kinds are sent first. It is not safe for concurrent use.
 type queue struct {
-	kinds   []Kind
+	kinds   []KindLimits
 	waiting [][]queuedMessage
 	bytes   []int
 	dropped int
 }
 
-func newQueue(kinds []Kind) *queue {
+func newQueue(kinds []KindLimits) *queue {
 	return &queue{kinds: kinds, waiting: make([][]queuedMessage, len(kinds)), bytes: make([]int, len(kinds))}
 }
 
@@ -53,7 +53,7 @@
 		kind = byte(i)
 		for len(q.waiting[i]) > 0 {
 			m := q.waiting[i][0]
-			if s := q.kinds[i].Stale; s > 0 && now-m.queuedAt > s {
+			if s := q.kinds[i].MaxAge; s > 0 && now-m.queuedAt > s {
 				q.drop(kind)
 				continue
 			}
--- a/internal/fleet/peer/session.go
+++ b/internal/fleet/peer/session.go
@@ -36,13 +36,13 @@
 
 // The reasons for which a session ends.
 var (
-	ErrGarbage  = errors.New("data is not of the fleet protocol")
-	ErrKey      = errors.New("the other end does not know the fleet's key")
-	ErrStranger = errors.New("box name is not in the configuration")
-	ErrVersion  = errors.New("the other end supports no common protocol version")
-	ErrSelf     = errors.New("the other end uses this box's name")
-	ErrMAC      = errors.New("message authentication failed: altered or out of order")
-	ErrTooLong  = errors.New("message exceeds the frame limit")
+	ErrProtocol     = errors.New("data is not of the fleet protocol")
+	ErrKey          = errors.New("the other end does not know the fleet's key")
+	ErrUnknownBox   = errors.New("box name is not in the configuration")
+	ErrVersion      = errors.New("the other end supports no common protocol version")
+	ErrOwnName      = errors.New("the other end uses this box's name")
+	ErrMAC          = errors.New("message authentication failed: altered or out of order")
+	ErrFrameTooLong = errors.New("message exceeds the frame limit")
 )
 
 // session is one end of a link as a state machine over bytes, without I/O.
@@ -148,10 +148,10 @@
 	for len(p) >= headerBytes {
 		n := int(binary.BigEndian.Uint32(p))
 		if s.phase != established && n > maxHelloBytes {
-			return ErrGarbage
+			return ErrProtocol
 		}
 		if n > maxFrameBytes {
-			return ErrTooLong
+			return ErrFrameTooLong
 		}
 		if len(p) < headerBytes+n {
 			break
@@ -181,7 +181,7 @@
 		return s.establish()
 	}
 	if len(b) < 1+macBytes {
-		return ErrGarbage
+		return ErrProtocol
 	}
 	body, sum := b[:len(b)-macBytes], b[len(b)-macBytes:]
 	if !hmac.Equal(sum, messageMAC(s.receiveMAC, s.receivedCount, body)) {
@@ -202,7 +202,7 @@
 func (s *session) handleHello(b []byte) error {
 	r := &reader{b: b}
 	if string(r.take(len(magic))) != magic || r.truncated {
-		return ErrGarbage
+		return ErrProtocol
 	}
 	versions := r.take(2)
 	if versions[0] > maxVersion || versions[1] < minVersion {
@@ -213,20 +213,20 @@
 	nonce := append([]byte(nil), r.take(nonceBytes)...)
 	n := int(r.take(1)[0])
 	if n > maxKeys {
-		return ErrGarbage
+		return ErrProtocol
 	}
 	hints := r.take(n * hintBytes)
 	name, wanted := r.name(), r.name()
 	if r.truncated || len(r.b) > 0 {
-		return ErrGarbage
+		return ErrProtocol
 	}
 	switch s.peer = name; {
 	case name == s.self:
-		return ErrSelf
+		return ErrOwnName
 	case wanted != s.self:
-		return fmt.Errorf("%w: the dialer wants %q, but this box is %q", ErrStranger, wanted, s.self)
+		return fmt.Errorf("%w: the dialer wants %q, but this box is %q", ErrUnknownBox, wanted, s.self)
 	case !s.isKnown(name):
-		return fmt.Errorf("%w: %q", ErrStranger, name)
+		return fmt.Errorf("%w: %q", ErrUnknownBox, name)
 	}
 	for _, k := range s.keys {
 		hint := mac(k, []byte("hint"), nonce)[:hintBytes]
@@ -254,9 +254,9 @@
 	nonce, sum, name := r.take(nonceBytes), r.take(sha256.Size), r.name()
 	switch {
 	case r.truncated || len(r.b) > 0 || version < minVersion || version > maxVersion:
-		return ErrGarbage
+		return ErrProtocol
 	case name != s.peer:
-		return fmt.Errorf("%w: %q answers for %q", ErrStranger, name, s.peer)
+		return fmt.Errorf("%w: %q answers for %q", ErrUnknownBox, name, s.peer)
 	}
 	s.transcript = handshakeTranscript(s.nonce, nonce, s.self, name, version)
 	for _, k := range s.keys {
--- a/internal/fleet/peer/session_test.go
+++ b/internal/fleet/peer/session_test.go
@@ -84,22 +84,22 @@
 		at     int // the end that detects it
 	}{
 		"another key":             {func(p *sessionPair) { p.ends[0].keys = [][]byte{testKey(9)}; p.written[0] = nil; p.ends[0].begin("b") }, ErrKey, 1},
-		"the listener's own name": {func(p *sessionPair) { p.ends[0].self = "b"; p.written[0] = nil; p.ends[0].begin("b") }, ErrSelf, 1},
-		"an unknown name":         {func(p *sessionPair) { p.ends[0].self = "x"; p.written[0] = nil; p.ends[0].begin("b") }, ErrStranger, 1},
-		"another box is wanted":   {func(p *sessionPair) { p.written[0] = nil; p.ends[0].begin("c") }, ErrStranger, 1},
+		"the listener's own name": {func(p *sessionPair) { p.ends[0].self = "b"; p.written[0] = nil; p.ends[0].begin("b") }, ErrOwnName, 1},
+		"an unknown name":         {func(p *sessionPair) { p.ends[0].self = "x"; p.written[0] = nil; p.ends[0].begin("b") }, ErrUnknownBox, 1},
+		"another box is wanted":   {func(p *sessionPair) { p.written[0] = nil; p.ends[0].begin("c") }, ErrUnknownBox, 1},
 		"a later build": {func(p *sessionPair) {
 			p.written[0][headerBytes+len(magic)] = maxVersion + 1
 			p.written[0][headerBytes+len(magic)+1] = 99
 		}, ErrVersion, 1},
-		"garbage":                {func(p *sessionPair) { p.written[0] = bytes.Repeat([]byte("GET / HTTP/1.1\r\n"), 40) }, ErrGarbage, 1},
-		"a first frame too long": {func(p *sessionPair) { p.written[0] = []byte{0, 1, 0, 0} }, ErrGarbage, 1},
+		"garbage":                {func(p *sessionPair) { p.written[0] = bytes.Repeat([]byte("GET / HTTP/1.1\r\n"), 40) }, ErrProtocol, 1},
+		"a first frame too long": {func(p *sessionPair) { p.written[0] = []byte{0, 1, 0, 0} }, ErrProtocol, 1},
 		"a listener without the key": {func(p *sessionPair) {
 			p.ends[1].keys[0] = testKey(1)
 			p.ends[1].feed(p.written[0])
 			p.written[0] = nil
 			p.written[1][headerBytes+1+8+nonceBytes] ^= 1 // the listener's proof
 		}, ErrKey, 0},
-		"another box answers": {func(p *sessionPair) { p.ends[0].peer = "c" }, ErrStranger, 0},
+		"another box answers": {func(p *sessionPair) { p.ends[0].peer = "c" }, ErrUnknownBox, 0},
 		"a dialer without the key": {func(p *sessionPair) {
 			p.ends[1].feed(p.written[0])
 			p.written[0], p.written[1] = nil, nil
@@ -173,7 +173,7 @@
 }
 
 func TestQueueBounds(t *testing.T) {
-	q := newQueue([]Kind{{Messages: 3, Bytes: 100, Stale: 10}, {Messages: 100, Bytes: 10}})
+	q := newQueue([]KindLimits{{Messages: 3, Bytes: 100, MaxAge: 10}, {Messages: 100, Bytes: 10}})
 	for i := range 5 {
 		q.put(0, 0, []byte{byte(i)})
 		q.put(0, 1, []byte("four"))
--- a/internal/fleet/group.go
+++ b/internal/fleet/process_groups.go
@@ -8,19 +8,19 @@
 	"syscall"
 )
 
-// Groups implements Group with the system's process groups.
-type Groups struct{}
+// SystemProcessGroups implements Group with the system's process groups.
+type SystemProcessGroups struct{}
 
 // Kill sends SIGKILL to a group. The system does not reuse a group's number while a process of the group exists, and the caller
 // must know that one existed.
-func (Groups) Kill(pgid int) {
+func (SystemProcessGroups) Kill(pgid int) {
 	if pgid > 1 {
 		syscall.Kill(-pgid, syscall.SIGKILL)
 	}
 }
 
 // Alive reports whether the group has a process that may still act. A zombie, which waits for its parent, does not count.
-func (Groups) Alive(pgid int) bool {
+func (SystemProcessGroups) Alive(pgid int) bool {
 	if err := syscall.Kill(-pgid, 0); errors.Is(err, syscall.ESRCH) {
 		return false
 	}
--- a/internal/fleet/desk.go
+++ b/internal/fleet/process_supervisor.go
@@ -10,16 +10,16 @@
 	"cairnlane/internal/state/audit"
 )
 
-// Desk holds slots on behalf of other processes on this machine: a command that an operator runs, or an operator's drain. Callers
+// ProcessSupervisor holds slots on behalf of other processes on this machine: a command that an operator runs, or an operator's drain. Callers
 // must poll their slots; a caller that does not poll for the allowed time is treated as dead.
 //
 // A command runs in a process group of its own. Its starter and the desk each guarantee alone that the whole group is killed
 // before another box can hold the lease. If both are stopped at once and the command is not, it goes on running. This case
 // remains, so whatever the command acts upon should compare tokens.
 // that is what is left, and why what it acts upon should compare tokens.
-type Desk struct {
+type ProcessSupervisor struct {
 	f     *Fleet
-	group Group
+	group ProcessGroups
 	stop  chan struct{}
 	ended chan struct{}
 
@@ -28,8 +28,8 @@
 	last uint64
 }
 
-// Group checks and kills process groups. Groups is the implementation for the system.
-type Group interface {
+// ProcessGroups checks and kills process groups. Groups is the implementation for the system.
+type ProcessGroups interface {
 	Alive(pgid int) bool
 	Kill(pgid int)
 }
@@ -47,21 +47,21 @@
 
 // RunStatus describes a slot held at the desk.
 type RunStatus struct {
-	ID    uint64        `json:"id"`
-	Task  string        `json:"task"`
-	State lease.State   `json:"-"`
-	Word  string        `json:"state"`
-	Token uint64        `json:"token,omitempty"`
-	Left  time.Duration `json:"left_ns"` // how long effects under the slot are still allowed
-	Place int           `json:"place,omitempty"`
-	Stop  bool          `json:"stop,omitempty"` // the holder is asked to stop early
-	Why   string        `json:"why,omitempty"`
+	ID        uint64        `json:"id"`
+	Task      string        `json:"task"`
+	State     lease.State   `json:"-"`
+	StateName string        `json:"state"`
+	Token     uint64        `json:"token,omitempty"`
+	Left      time.Duration `json:"left_ns"` // how long effects under the slot are still allowed
+	Place     int           `json:"place,omitempty"`
+	Stop      bool          `json:"stop,omitempty"` // the holder is asked to stop early
+	Why       string        `json:"why,omitempty"`
 }
 
 // Errors of a desk.
 var (
-	ErrNoRun    = errors.New("there is no such slot at this box any more")
-	ErrManyRuns = errors.New("this box already holds slots for the most runs allowed")
+	ErrNoRun       = errors.New("there is no such slot at this box any more")
+	ErrTooManyRuns = errors.New("this box already holds slots for the most runs allowed")
 )
 
 const (
@@ -70,22 +70,22 @@
 	sweepInterval = 20 * time.Millisecond
 )
 
-// NewDesk returns a desk and starts its periodic check.
-func NewDesk(f *Fleet, g Group) *Desk {
-	d := &Desk{f: f, group: g, stop: make(chan struct{}), ended: make(chan struct{}), runs: map[uint64]*run{}}
+// NewProcessSupervisor returns a desk and starts its periodic check.
+func NewProcessSupervisor(f *Fleet, g ProcessGroups) *ProcessSupervisor {
+	d := &ProcessSupervisor{f: f, group: g, stop: make(chan struct{}), ended: make(chan struct{}), runs: map[uint64]*run{}}
 	go d.sweep()
 	return d
 }
 
 // Begin requests a slot and returns the number by which the caller polls it.
-func (d *Desk) Begin(r lease.Request) (uint64, error) {
+func (d *ProcessSupervisor) Begin(r lease.Request) (uint64, error) {
 	d.mu.Lock()
 	full := len(d.runs) >= maxRuns
 	d.mu.Unlock()
 	if full {
-		return 0, ErrManyRuns
+		return 0, ErrTooManyRuns
 	}
-	t, err := d.f.Ask(r)
+	t, err := d.f.Request(r)
 	if err != nil {
 		return 0, err
 	}
@@ -98,9 +98,11 @@
 }
 
 // pollLimit returns the longest allowed time between a caller's polls.
-func (d *Desk) pollLimit() time.Duration { return min(maxPollLimit, d.f.Terms().Acting()/2) }
+func (d *ProcessSupervisor) pollLimit() time.Duration {
+	return min(maxPollLimit, d.f.Terms().HolderDuration()/2)
+}
 
-func (d *Desk) find(id uint64) (*run, error) {
+func (d *ProcessSupervisor) find(id uint64) (*run, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r := d.runs[id]
@@ -111,29 +113,29 @@
 }
 
 // Poll returns a slot's status as soon as a change is relevant to its caller, or after wait.
-func (d *Desk) Poll(id uint64, wait time.Duration) (RunStatus, error) {
+func (d *ProcessSupervisor) Poll(id uint64, wait time.Duration) (RunStatus, error) {
 	r, err := d.find(id)
 	if err != nil {
 		return RunStatus{}, err
 	}
 	timeout := time.NewTimer(min(wait, r.pollLimit/2))
 	defer timeout.Stop()
-	ask, left, changed := r.task.Look()
+	ask, left, changed := r.task.Status()
 	for first, waiting := ask, wait > 0; waiting && sameForCaller(first, ask); {
 		select {
 		case <-changed:
-			ask, left, changed = r.task.Look()
+			ask, left, changed = r.task.Status()
 		case <-timeout.C:
-			ask, left, _ = r.task.Look()
+			ask, left, _ = r.task.Status()
 			waiting = false
 		}
 	}
 	d.mu.Lock()
 	r.lastPoll = d.f.cfg.Now()
 	d.mu.Unlock()
-	s := RunStatus{ID: id, Task: ask.Task, State: ask.State, Word: ask.State.String(), Token: ask.Token, Left: left, Place: ask.Place, Stop: ask.Stop}
-	if ask.Why != nil {
-		s.Why = ask.Why.Error()
+	s := RunStatus{ID: id, Task: ask.Task, State: ask.State, StateName: ask.State.String(), Token: ask.Token, Left: left, Place: ask.QueuePosition, Stop: ask.StopRequested}
+	if ask.Reason != nil {
+		s.Why = ask.Reason.Error()
 	} else if held := ask.State == lease.Held || ask.State == lease.Renewing; held && left == 0 {
 		s.Why = r.task.blockedReason()
 	}
@@ -141,18 +143,18 @@
 }
 
 // sameForCaller reports whether two statuses mean the same to a caller. A renewal in progress counts as held.
-func sameForCaller(a, b lease.Ask) bool {
+func sameForCaller(a, b lease.TrackedRequest) bool {
 	held := func(s lease.State) lease.State {
 		if s == lease.Renewing {
 			return lease.Held
 		}
 		return s
 	}
-	return held(a.State) == held(b.State) && a.Place == b.Place && a.Stop == b.Stop
+	return held(a.State) == held(b.State) && a.QueuePosition == b.QueuePosition && a.StopRequested == b.StopRequested
 }
 
 // Keep keeps a slot without further polls by its caller.
-func (d *Desk) Keep(id uint64) error {
+func (d *ProcessSupervisor) Keep(id uint64) error {
 	r, err := d.find(id)
 	if err != nil {
 		return err
@@ -164,7 +166,7 @@
 }
 
 // Command registers the process group that acts under a slot.
-func (d *Desk) Command(id uint64, pgid int) error {
+func (d *ProcessSupervisor) Command(id uint64, pgid int) error {
 	r, err := d.find(id)
 	if err != nil {
 		return err
@@ -178,7 +180,7 @@
 }
 
 // End kills what is left of the slot's process group and gives the slot back.
-func (d *Desk) End(id uint64) error {
+func (d *ProcessSupervisor) End(id uint64) error {
 	r, err := d.find(id)
 	if err != nil {
 		return err
@@ -191,7 +193,7 @@
 }
 
 // finish kills a run's group, and gives its slot back once no process of the group is left. If some are left it must be called again.
-func (d *Desk) finish(r *run) {
+func (d *ProcessSupervisor) finish(r *run) {
 	if r.pgid != 0 {
 		d.group.Kill(r.pgid)
 		if d.group.Alive(r.pgid) {
@@ -205,7 +207,7 @@
 }
 
 // sweep checks all runs at each interval.
-func (d *Desk) sweep() {
+func (d *ProcessSupervisor) sweep() {
 	defer close(d.ended)
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -228,13 +230,13 @@
 }
 
 // killMargin returns how long before the end of a lease its process group is killed.
-func killMargin(t lease.Terms) time.Duration { return min(t.Acting()/8, 2*time.Second) }
+func killMargin(t lease.Terms) time.Duration { return min(t.HolderDuration()/8, 2*time.Second) }
 
-func (d *Desk) check(r *run) {
-	ask, left, _ := r.task.Look()
+func (d *ProcessSupervisor) check(r *run) {
+	ask, left, _ := r.task.Status()
 	d.mu.Lock()
 	absent := !r.detached && d.f.cfg.Now()-r.lastPoll > r.pollLimit
-	pgid, ending, granted := r.pgid, r.ending, ask.State != lease.Asked
+	pgid, ending, granted := r.pgid, r.ending, ask.State != lease.Requested
 	if absent {
 		r.ending = true
 	}
@@ -250,7 +252,7 @@
 }
 
 // Close stops the checks and kills all process groups that run under slots of this box.
-func (d *Desk) Close() {
+func (d *ProcessSupervisor) Close() {
 	close(d.stop)
 	<-d.ended
 	d.mu.Lock()
--- a/internal/fleet/rollouts.go
+++ b/internal/fleet/rollouts.go
@@ -13,7 +13,7 @@
 var (
 	ErrNoConfigs = errors.New("this box does not store the fleet's configurations")
 	ErrNoBody    = errors.New("the contents of this configuration are not on this box yet; retry shortly, or ask the box that took it ('cairnctl fleet config list' names it)")
-	ErrNoRoll    = errors.New("no roll-out is under way")
+	ErrNoRollout = errors.New("no roll-out is under way")
 )
 
 // Rollouts describes configurations and roll-outs, as far as this box knows.
@@ -33,13 +33,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.cfg.Now()
-	r := Rollouts{Index: f.node.Ledger().State().Index, Table: rollout.NewTable(), InForce: f.node.InForce(), State: f.node.rollouts.box.State().String(), Stands: f.node.Stands(), Number: f.cfg.Number,
+	r := Rollouts{Index: f.node.Ledger().State().Index, Table: rollout.NewTable(), InForce: f.node.InForce(), State: f.node.rollouts.box.State().String(), Stands: f.node.Standing(), Number: f.cfg.BuildNumber,
 		Stragglers: f.node.Stragglers(now)}
 	if t := f.node.Ledger().State().Rollout; t != nil {
 		r.Table = t.Clone()
 	}
 	if l := f.node.rollouts.conductorLease; l != nil {
-		r.Conducts = f.node.Holder().May(now, l, 0) == nil
+		r.Conducts = f.node.Holder().CheckPermit(now, l, 0) == nil
 	}
 	return r
 }
@@ -63,20 +63,20 @@
 
 // PutConfig checks and stores a configuration and has the fleet assign it a number.
 func (f *Fleet) PutConfig(src []byte, caller string) (uint64, error) {
-	if f.transfers == nil || f.cfg.Check == nil {
+	if f.transfers == nil || f.cfg.CheckConfig == nil {
 		return 0, ErrNoConfigs
 	}
-	if len(src) > rollout.SizeMost {
-		return 0, fmt.Errorf("configuration has %d bytes; the limit is %d", len(src), rollout.SizeMost)
+	if len(src) > rollout.MaxSize {
+		return 0, fmt.Errorf("configuration has %d bytes; the limit is %d", len(src), rollout.MaxSize)
 	}
-	needs, rules, err := f.cfg.Check(0, src)
+	needs, rules, err := f.cfg.CheckConfig(0, src)
 	if err != nil {
 		return 0, err
 	}
-	if needs > f.cfg.Number {
-		return 0, fmt.Errorf("configuration needs a build of number %d, but this box runs %d: submit it to a box with a later build", needs, f.cfg.Number)
+	if needs > f.cfg.BuildNumber {
+		return 0, fmt.Errorf("configuration needs a build of number %d, but this box runs %d: submit it to a box with a later build", needs, f.cfg.BuildNumber)
 	}
-	if least := straggler.LeastGrace(f.Terms().Term); rules.Grace < least {
+	if least := straggler.MinGrace(f.Terms().Term); rules.Grace < least {
 		return 0, fmt.Errorf("stragglers: grace of %v is too short; this fleet's lease term requires at least %v, so that an unreachable box has stopped before it is shut out", rules.Grace, least)
 	}
 	digest, err := f.transfers.store.Put(src)
@@ -94,25 +94,25 @@
 	return n, err
 }
 
-// StartRoll starts the roll-out of configuration n.
-func (f *Fleet) StartRoll(n uint64, p rollout.Plan, caller string) error {
-	if err := p.Check(); err != nil {
+// StartRollout starts the roll-out of configuration n.
+func (f *Fleet) StartRollout(n uint64, p rollout.Plan, caller string) error {
+	if err := p.Validate(); err != nil {
 		return err
 	}
 	p.Caller = caller
 	return f.submitRolloutCommand(rollout.Command{Kind: rollout.Start, N: n, Plan: &p}, nil)
 }
 
-// ChangeRoll holds, resumes or aborts the current roll-out.
-func (f *Fleet) ChangeRoll(kind rollout.Kind, why, caller string) error {
-	r := f.Rollouts().Table.Roll
+// ChangeRollout holds, resumes or aborts the current roll-out.
+func (f *Fleet) ChangeRollout(kind rollout.Kind, why, caller string) error {
+	r := f.Rollouts().Table.Current
 	if r == nil {
-		return ErrNoRoll
+		return ErrNoRollout
 	}
 	if why != "" {
 		caller += ": " + why
 	}
-	return f.submitRolloutCommand(rollout.Command{Kind: kind, Roll: r.ID, Why: caller}, nil)
+	return f.submitRolloutCommand(rollout.Command{Kind: kind, RolloutID: r.ID, Why: caller}, nil)
 }
 
 // SetLowest sets the lowest configuration that the fleet allows.
@@ -120,22 +120,22 @@
 	return f.submitRolloutCommand(rollout.Command{Kind: rollout.Lowest, N: n}, nil)
 }
 
-// Leaves reports whether this box is shut out and the fleet's configuration tells such a box to leave service.
-func (f *Fleet) Leaves() bool {
+// LeavesServiceWhenShutOut reports whether this box is shut out and the fleet's configuration tells such a box to leave service.
+func (f *Fleet) LeavesServiceWhenShutOut() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t := f.node.Ledger().State().Rollout
-	if t == nil || f.node.Stands() != straggler.Out {
+	if t == nil || f.node.Standing() != straggler.ShutOut {
 		return false
 	}
 	v := t.Version(t.Target)
-	return v != nil && v.Rules.Leave
+	return v != nil && v.Rules.LeaveService
 }
 
 // submitRolloutCommand submits an operator's command once and waits for its outcome. On success, after is called with the resulting table.
 func (f *Fleet) submitRolloutCommand(c rollout.Command, after func(*rollout.Table)) error {
 	var session, seq uint64
-	f.update(func(now time.Duration) { session, seq = f.node.Carry(now, c) })
+	f.update(func(now time.Duration) { session, seq = f.node.SubmitRolloutCommand(now, c) })
 	for end := time.Now().Add(operatorTimeout); ; {
 		f.mu.Lock()
 		known, why := f.node.Outcome(session, seq)
--- a/internal/fleet/rollouts_test.go
+++ b/internal/fleet/rollouts_test.go
@@ -16,7 +16,7 @@
 	end := time.Now().Add(20 * time.Second)
 	for {
 		r := a.Rollouts()
-		if r.Table.Roll == nil && r.InForce == inForce && r.Table.Boxes["a"].InForce == inForce {
+		if r.Table.Current == nil && r.InForce == inForce && r.Table.Boxes["a"].InForce == inForce {
 			return
 		}
 		if time.Now().After(end) {
@@ -31,7 +31,7 @@
 	t.Helper()
 	n, err := a.PutConfig([]byte(body), "x")
 	if err == nil {
-		err = a.StartRoll(n, rollout.Plan{Canaries: 1, Share: 1, Patience: time.Minute, Slots: 1}, "x")
+		err = a.StartRollout(n, rollout.Plan{Canaries: 1, Share: 1, Timeout: time.Minute, Slots: 1}, "x")
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 // TestConfigRolloutReachesPermitsAndAudit follows a configuration from submission to the permit of an effect and the audit log.
 func TestConfigRolloutReachesPermitsAndAudit(t *testing.T) {
 	a := startSolo(t)
-	fast := rollout.Plan{Canaries: 1, Share: 1, Patience: time.Minute, Slots: 1}
+	fast := rollout.Plan{Canaries: 1, Share: 1, Timeout: time.Minute, Slots: 1}
 	if _, err := a.PutConfig([]byte("wrong"), "x"); err == nil || !strings.Contains(err.Error(), "line 1") {
 		t.Errorf("an invalid configuration: %v", err)
 	}
@@ -53,7 +53,7 @@
 	if _, err := a.PutConfig([]byte("later"), "x"); err == nil || !strings.Contains(err.Error(), "build of number 9") {
 		t.Errorf("a configuration for a later build: %v", err)
 	}
-	if _, err := a.PutConfig(make([]byte, rollout.SizeMost+1), "x"); err == nil {
+	if _, err := a.PutConfig(make([]byte, rollout.MaxSize+1), "x"); err == nil {
 		t.Error("a configuration above the size limit was accepted")
 	}
 	var n uint64
@@ -63,10 +63,10 @@
 			t.Fatalf("number %d, %v", n, err)
 		}
 	}
-	if err := a.StartRoll(9, fast, "x"); !errors.Is(err, rollout.ErrUnknown) {
+	if err := a.StartRollout(9, fast, "x"); !errors.Is(err, rollout.ErrUnknown) {
 		t.Error(err)
 	}
-	if err := a.ChangeRoll(rollout.Abort, "", "x"); !errors.Is(err, ErrNoRoll) {
+	if err := a.ChangeRollout(rollout.Abort, "", "x"); !errors.Is(err, ErrNoRollout) {
 		t.Error(err)
 	}
 	k := a.acquire(t, "task")
@@ -77,7 +77,7 @@
 	if p, err := permit(); err != nil || p.Version != 0 || p.Lowest != 0 {
 		t.Errorf("before: %+v, %v", p, err)
 	}
-	if err := a.StartRoll(1, fast, "x"); err != nil {
+	if err := a.StartRollout(1, fast, "x"); err != nil {
 		t.Fatal(err)
 	}
 	a.waitInForce(t, 1)
@@ -88,11 +88,11 @@
 		t.Errorf("%q, %v", b, err)
 	}
 	a.rejectConfigs.Store(true) // as with another build: the configuration is rejected here and rolled back
-	if err := a.StartRoll(2, fast, "x"); err != nil {
+	if err := a.StartRollout(2, fast, "x"); err != nil {
 		t.Fatal(err)
 	}
 	a.waitInForce(t, 1)
-	if past := a.Rollouts().Table.Past; past[len(past)-1].Phase != rollout.Returned || !strings.Contains(past[len(past)-1].Why, "turned down by a") {
+	if past := a.Rollouts().Table.Finished; past[len(past)-1].Phase != rollout.RolledBack || !strings.Contains(past[len(past)-1].Why, "turned down by a") {
 		t.Errorf("%+v", past)
 	}
 	b, err := audit.Read(a.dir)
@@ -133,12 +133,12 @@
 	table.Target, table.Lowest = 1, 1 // the fleet has moved on, and this box rejects the target
 	a.node.rollouts.dueAt = 0
 	a.node.advanceRollout(a.now())
-	err := a.node.May(a.now(), k.ask, 0)
-	stands := a.node.Stands()
+	err := a.node.CheckEffect(a.now(), k.ask, 0)
+	stands := a.node.Standing()
 	list := a.node.Stragglers(a.now())
 	table.Target, table.Lowest = 0, 0
 	a.Fleet.mu.Unlock()
-	if !errors.Is(err, ErrBehind) || stands.MayBegin() || !k.ask.Stop || len(list) != 1 || list[0].Box != "a" {
+	if !errors.Is(err, ErrBehind) || stands.MayAct() || !k.ask.StopRequested || len(list) != 1 || list[0].Box != "a" {
 		t.Errorf("%v, %v, %+v", err, stands, list)
 	}
 }
@@ -146,12 +146,12 @@
 // TestBoxDoesNotRevertDuringLedgerReplay covers a restarted voter that replays its log: the older target in it must not be followed.
 func TestBoxDoesNotRevertDuringLedgerReplay(t *testing.T) {
 	a := startSolo(t)
-	fast := rollout.Plan{Canaries: 1, Share: 1, Patience: time.Minute, Slots: 1}
+	fast := rollout.Plan{Canaries: 1, Share: 1, Timeout: time.Minute, Slots: 1}
 	for n, body := range []string{"one", "two"} {
 		if _, err := a.PutConfig([]byte(body), "x"); err != nil {
 			t.Fatal(err)
 		}
-		if err := a.StartRoll(uint64(n+1), fast, "x"); err != nil {
+		if err := a.StartRollout(uint64(n+1), fast, "x"); err != nil {
 			t.Fatal(err)
 		}
 		a.waitInForce(t, uint64(n+1))
--- a/internal/fleet/task.go
+++ b/internal/fleet/task.go
@@ -16,7 +16,7 @@
 // the slot. A target that compares tokens detects this. For a target that cannot, the risk remains; no call of this package removes it.
 type Task struct {
 	f   *Fleet
-	ask *lease.Ask
+	ask *lease.TrackedRequest
 }
 
 // Permit is the permission for one effect.
@@ -33,7 +33,7 @@
 
 // Acquire waits for a slot of a task. If ctx ends first, the request is withdrawn.
 func (f *Fleet) Acquire(ctx context.Context, r lease.Request) (*Task, error) {
-	t, err := f.Ask(r)
+	t, err := f.Request(r)
 	if err != nil {
 		return nil, err
 	}
@@ -42,10 +42,10 @@
 		switch {
 		case state.State == lease.Held || state.State == lease.Renewing:
 			return t, nil
-		case state.State == lease.Refused:
+		case state.State == lease.Rejected:
 			t.Release()
-			return nil, fmt.Errorf("%s was rejected: %w", r.Task, state.Why)
-		case state.State.Over():
+			return nil, fmt.Errorf("%s was rejected: %w", r.Task, state.Reason)
+		case state.State.Final():
 			t.Release()
 			return nil, fmt.Errorf("%s is %v", r.Task, state.State)
 		}
@@ -58,44 +58,44 @@
 	}
 }
 
-// Ask requests a slot without waiting for it.
-func (f *Fleet) Ask(r lease.Request) (t *Task, err error) {
+// Request requests a slot without waiting for it.
+func (f *Fleet) Request(r lease.Request) (t *Task, err error) {
 	t = &Task{f: f}
 	f.update(func(now time.Duration) { t.ask, err = f.node.Acquire(now, r) })
 	if err != nil {
 		return nil, err
 	}
 	if t.ask == nil {
-		return nil, lease.ErrOut
+		return nil, lease.ErrNotMember
 	}
 	return t, nil
 }
 
-// Taken lists the sticky slots that this process inherited from the box's previous process.
-func (f *Fleet) Taken() (list []*Task) {
+// InheritedTasks lists the sticky slots that this process inherited from the box's previous process.
+func (f *Fleet) InheritedTasks() (list []*Task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, a := range f.node.Holder().Asks() {
-		if a.Taken() && !a.State.Over() {
+	for _, a := range f.node.Holder().Requests() {
+		if a.TakenOver() && !a.State.Final() {
 			list = append(list, &Task{f, a})
 		}
 	}
 	return list
 }
 
-func (t *Task) current() (lease.Ask, <-chan struct{}) {
+func (t *Task) current() (lease.TrackedRequest, <-chan struct{}) {
 	t.f.mu.Lock()
 	defer t.f.mu.Unlock()
 	return *t.ask, t.f.changed
 }
 
-// Look returns the state of the request, how long its box may still act, and a channel that is closed at the next change.
-func (t *Task) Look() (ask lease.Ask, left time.Duration, changed <-chan struct{}) {
+// Status returns the state of the request, how long its box may still act, and a channel that is closed at the next change.
+func (t *Task) Status() (ask lease.TrackedRequest, left time.Duration, changed <-chan struct{}) {
 	t.f.mu.Lock()
 	defer t.f.mu.Unlock()
 	now := t.f.cfg.Now()
-	if t.f.node.May(now, t.ask, 0) == nil {
-		left = t.f.node.Holder().Until() - now
+	if t.f.node.CheckEffect(now, t.ask, 0) == nil {
+		left = t.f.node.Holder().ActDeadline() - now
 	}
 	return *t.ask, left, t.f.changed
 }
@@ -104,7 +104,7 @@
 func (t *Task) blockedReason() string {
 	t.f.mu.Lock()
 	defer t.f.mu.Unlock()
-	if err := t.f.node.May(t.f.cfg.Now(), t.ask, 0); err != nil {
+	if err := t.f.node.CheckEffect(t.f.cfg.Now(), t.ask, 0); err != nil {
 		return err.Error()
 	}
 	return ""
@@ -120,8 +120,8 @@
 	ask := *t.ask
 	ref := t.f.recordAuditLocked(audit.Entry{Kind: audit.Effect, Task: ask.Task, Token: ask.Token})
 	now := t.f.cfg.Now()
-	err := t.f.node.May(now, t.ask, need)
-	p := Permit{Token: t.ask.Token, Left: t.f.node.Holder().Until() - now, Version: t.f.node.InForce(), Lowest: t.f.node.Lowest()}
+	err := t.f.node.CheckEffect(now, t.ask, need)
+	p := Permit{Token: t.ask.Token, Left: t.f.node.Holder().ActDeadline() - now, Version: t.f.node.InForce(), Lowest: t.f.node.Lowest()}
 	t.f.mu.Unlock()
 	if err != nil {
 		t.f.recordAudit(audit.Entry{Kind: audit.Done, Task: ask.Task, Token: ask.Token, Ref: ref, Text: "not made: " + err.Error()})
@@ -142,7 +142,7 @@
 // Release gives the slot back or withdraws the request. The caller must not act under it any more.
 func (t *Task) Release() {
 	t.f.update(func(now time.Duration) {
-		t.f.node.GiveUp(now, t.ask)
-		t.f.node.Drop(t.ask)
+		t.f.node.ReleaseSlot(now, t.ask)
+		t.f.node.ForgetRequest(t.ask)
 	})
 }
--- a/internal/fleet/versions.go
+++ b/internal/fleet/versions.go
@@ -15,14 +15,14 @@
 // for another box.
 type Configs interface {
 	Has(digest string) bool
-	Fetch(digest string, size int)           // starts a fetch from any peer that has the body
-	Verify(v rollout.Version) (why string)   // checks the body against this build; "" when it is valid
-	Store(v rollout.Version, at Place) error // puts it in force on disk before it returns; number 0: none in force
-	Served() (good, bad uint64)              // requests of this process: within their deadline, and not
+	Fetch(digest string, size int)                    // starts a fetch from any peer that has the body
+	Verify(v rollout.Version) (why string)            // checks the body against this build; "" when it is valid
+	Store(v rollout.Version, at LedgerPosition) error // puts it in force on disk before it returns; number 0: none in force
+	Served() (good, bad uint64)                       // requests of this process: within their deadline, and not
 }
 
-// Place is a position in a fleet's ledger.
-type Place struct{ Fleet, Index uint64 }
+// LedgerPosition is a position in a fleet's ledger.
+type LedgerPosition struct{ Fleet, Index uint64 }
 
 // ErrBehind reports that the box's configuration is below the lowest one allowed. The box may make no effects until it has a newer one.
 var ErrBehind = errors.New("this box is behind the fleet's configuration")
@@ -31,9 +31,9 @@
 type rolloutState struct {
 	box            *rollout.Box
 	conductor      rollout.Conductor
-	judge          straggler.Judge
-	conductorLease *lease.Ask // the conductor's lease
-	changeSlot     *lease.Ask // the slot in which this box changes
+	judge          straggler.Detector
+	conductorLease *lease.TrackedRequest // the conductor's lease
+	changeSlot     *lease.TrackedRequest // the slot in which this box changes
 	retryAt        time.Duration
 	stepSession    uint64 // session in which step was submitted
 	step           uint64 // number of the conductor's last command; none is submitted before its outcome is known
@@ -67,8 +67,8 @@
 	n.next = min(n.next, next)
 }
 
-// Poke repeats the roll-out decisions at once, because the body of a configuration has arrived.
-func (n *Node) Poke(now time.Duration) {
+// RecheckRollout repeats the roll-out decisions at once, because the body of a configuration has arrived.
+func (n *Node) RecheckRollout(now time.Duration) {
 	n.rollouts.dueAt = 0
 	n.process(now)
 }
@@ -78,19 +78,19 @@
 		n.followRollout(now, t)
 	}
 	n.conductRollout(now, t)
-	if n.Stands() != straggler.Level { // it may begin no effect until it is up to date, so it gives its slots to others
-		for _, a := range n.holder.Asks() {
-			a.Stop = true
+	if n.Standing() != straggler.UpToDate { // it may begin no effect until it is up to date, so it gives its slots to others
+		for _, a := range n.holder.Requests() {
+			a.StopRequested = true
 		}
 	}
 	if !n.ledger.Leads(now) {
-		n.rollouts.judge.Forget()
+		n.rollouts.judge.Reset()
 		return
 	}
-	out, next := n.rollouts.judge.Due(now, t, n.ledger.State().Table.Names, n.ledger.State().Known(), n.ledger.State().Table.Terms.Term)
+	out, next := n.rollouts.judge.Due(now, t, n.ledger.State().Table.CurrentSessions, n.ledger.State().Known(), n.ledger.State().Table.Terms.Term)
 	n.next = min(n.next, next)
 	for _, c := range out {
-		n.holder.Carry(now, ledger.Carry(c))
+		n.holder.SendPayload(now, ledger.EncodePayload(c))
 	}
 }
 
@@ -100,25 +100,25 @@
 	if v := t.Version(t.Last); v != nil && !n.cfg.Configs.Has(v.Digest) {
 		n.cfg.Configs.Fetch(v.Digest, v.Size) // fetched before it is needed, so that it outlives the box that received it
 	}
-	c.box.Saw(t, n.cfg.Name, n.cfg.Configs.Has)
+	c.box.Update(t, n.cfg.Name, n.cfg.Configs.Has)
 	if c.box.State() != rollout.Waiting && c.box.State() != rollout.Changing {
 		n.releaseAsk(now, &c.changeSlot)
 	}
 	good, bad := n.cfg.Configs.Served()
 	session := uint64(0)
-	if n.holder.Phase() == lease.In {
+	if n.holder.Phase() == lease.Joined {
 		session = n.holder.Session()
 	}
 	for range 8 {
-		act, next := c.box.Due(now, session, t.Roll != nil, good, bad)
-		if act == rollout.Nothing || now < c.retryAt && act != rollout.Say {
+		act, next := c.box.Due(now, session, t.Current != nil, good, bad)
+		if act == rollout.Nothing || now < c.retryAt && act != rollout.SendStatus {
 			n.next = min(n.next, max(next, min(c.retryAt, now+retryInterval)))
 			return
 		}
-		if act == rollout.Say {
-			s := c.box.Standing(session, good, bad)
-			n.holder.Carry(now, ledger.Carry(rollout.Command{Kind: rollout.Tell, Standing: &s}))
-			c.box.Told(now, s, t.Roll != nil)
+		if act == rollout.SendStatus {
+			s := c.box.Status(session, good, bad)
+			n.holder.SendPayload(now, ledger.EncodePayload(rollout.Command{Kind: rollout.ReportStatus, Status: &s}))
+			c.box.Reported(now, s, t.Current != nil)
 			continue
 		}
 		v := t.Version(c.box.Number())
@@ -133,22 +133,22 @@
 			n.cfg.Configs.Fetch(v.Digest, v.Size)
 		case rollout.Verify:
 			why := ""
-			if v.Needs > n.cfg.Number {
-				why = fmt.Sprintf("the configuration needs a build of number %d, but this box runs %d: install a later build", v.Needs, n.cfg.Number)
+			if v.Needs > n.cfg.BuildNumber {
+				why = fmt.Sprintf("the configuration needs a build of number %d, but this box runs %d: install a later build", v.Needs, n.cfg.BuildNumber)
 			} else {
 				why = n.cfg.Configs.Verify(*v)
 			}
 			c.box.Verified(v.N, why)
-		case rollout.GetSlot:
+		case rollout.RequestSlot:
 			if !n.mayChange(now, t) {
 				n.next = min(n.next, next)
 				return
 			}
-			c.box.Slotted(v.N)
+			c.box.SlotGranted(v.N)
 		case rollout.Store:
-			at := Place{n.ledger.State().Fleet, n.ledger.State().Index}
+			at := LedgerPosition{n.ledger.State().Fleet, n.ledger.State().Index}
 			if err := n.cfg.Configs.Store(*v, at); err != nil {
-				n.cfg.Told("configuration %d is not in force, as it cannot be stored: %v", v.N, err)
+				n.cfg.Logf("configuration %d is not in force, as it cannot be stored: %v", v.N, err)
 				c.retryAt = now + retryInterval
 				n.next = min(n.next, c.retryAt)
 				return
@@ -164,26 +164,26 @@
 // catches up without a roll-out, or is shut out, needs no slot.
 func (n *Node) mayChange(now time.Duration, t *rollout.Table) bool {
 	c := &n.rollouts
-	if _, out := t.Out[n.cfg.Name]; t.Roll == nil || out {
+	if _, out := t.ShutOutBoxes[n.cfg.Name]; t.Current == nil || out {
 		return true
 	}
-	if c.changeSlot != nil && c.changeSlot.State.Over() {
+	if c.changeSlot != nil && c.changeSlot.State.Final() {
 		n.releaseAsk(now, &c.changeSlot)
 		c.retryAt = now + retryInterval
 		return false
 	}
 	if c.changeSlot == nil {
-		c.changeSlot, _ = n.holder.Acquire(now, lease.Request{Task: fmt.Sprintf("fleet/change-%d", t.Roll.ID), Slots: t.Roll.Plan.Slots})
+		c.changeSlot, _ = n.holder.Acquire(now, lease.Request{Task: fmt.Sprintf("fleet/change-%d", t.Current.ID), Slots: t.Current.Plan.Slots})
 		return false
 	}
-	return n.holder.May(now, c.changeSlot, 0) == nil
+	return n.holder.CheckPermit(now, c.changeSlot, 0) == nil
 }
 
 // releaseAsk gives back a slot that the node holds for its own use.
-func (n *Node) releaseAsk(now time.Duration, a **lease.Ask) {
+func (n *Node) releaseAsk(now time.Duration, a **lease.TrackedRequest) {
 	if *a != nil {
-		n.holder.GiveUp(now, *a)
-		n.holder.Drop(*a)
+		n.holder.Release(now, *a)
+		n.holder.Remove(*a)
 		*a = nil
 	}
 }
@@ -191,42 +191,42 @@
 // conductRollout submits the roll-out's next command if this box holds the conductor's lease. Only voters request that lease.
 func (n *Node) conductRollout(now time.Duration, t *rollout.Table) {
 	c := &n.rollouts
-	if t.Roll == nil {
+	if t.Current == nil {
 		n.releaseAsk(now, &c.conductorLease)
 		c.conductor = rollout.Conductor{}
 		return
 	}
 	table := n.ledger.State().Table
-	if c.conductorLease != nil && c.conductorLease.State.Over() {
+	if c.conductorLease != nil && c.conductorLease.State.Final() {
 		n.releaseAsk(now, &c.conductorLease)
 	}
 	if c.conductorLease == nil {
-		if v, ok := n.ledger.State().Voters[n.cfg.Name]; ok && !v.Learner && n.holder.Phase() == lease.In && !table.Barred[n.cfg.Name] && now >= c.retryAt {
+		if v, ok := n.ledger.State().Voters[n.cfg.Name]; ok && !v.Learner && n.holder.Phase() == lease.Joined && !table.Barred[n.cfg.Name] && now >= c.retryAt {
 			c.conductorLease, _ = n.holder.Acquire(now, lease.Request{Task: ledger.Conductor, Slots: 1})
 		}
 		return
 	}
-	if n.holder.May(now, c.conductorLease, 0) != nil {
+	if n.holder.CheckPermit(now, c.conductorLease, 0) != nil {
 		c.conductor = rollout.Conductor{} // another box may have taken steps, so the conductor's times are invalid
 		return
 	}
 	if s := table.Sessions[c.stepSession]; s != nil && c.stepSession == n.holder.Session() && s.Seq < c.step {
 		return
 	}
-	cmd, next := c.conductor.Due(now, t, table.Names)
+	cmd, next := c.conductor.Due(now, t, table.CurrentSessions)
 	n.next = min(n.next, next)
 	if cmd != nil {
-		c.stepSession, c.step = n.holder.Session(), n.holder.Carry(now, ledger.Carry(*cmd))
+		c.stepSession, c.step = n.holder.Session(), n.holder.SendPayload(now, ledger.EncodePayload(*cmd))
 	}
 }
 
-// Stands returns this box's state relative to the lowest configuration allowed.
-func (n *Node) Stands() straggler.State {
+// Standing returns this box's state relative to the lowest configuration allowed.
+func (n *Node) Standing() straggler.State {
 	t := n.ledger.State().Rollout
 	if t == nil || n.cfg.Configs == nil {
-		return straggler.Level
+		return straggler.UpToDate
 	}
-	return straggler.Stands(t, n.cfg.Name, n.rollouts.box.InForce(), n.cfg.Number)
+	return straggler.StateOf(t, n.cfg.Name, n.rollouts.box.InForce(), n.cfg.BuildNumber)
 }
 
 // InForce returns the number of the configuration in force on this box; 0 for none.
@@ -240,10 +240,10 @@
 	return 0
 }
 
-// Carry submits an operator's command in this box's session. Outcome tells its result.
-func (n *Node) Carry(now time.Duration, c rollout.Command) (session, seq uint64) {
+// SubmitRolloutCommand submits an operator's command in this box's session. Outcome tells its result.
+func (n *Node) SubmitRolloutCommand(now time.Duration, c rollout.Command) (session, seq uint64) {
 	session = n.holder.Session()
-	seq = n.holder.Carry(now, ledger.Carry(c))
+	seq = n.holder.SendPayload(now, ledger.EncodePayload(c))
 	n.process(now)
 	return session, seq
 }
@@ -274,7 +274,7 @@
 	}
 	for _, m := range n.Members(now) {
 		s, reported := t.Boxes[m.Name]
-		_, out := t.Out[m.Name]
+		_, out := t.ShutOutBoxes[m.Name]
 		x := Straggler{Box: m.Name, InForce: s.InForce, Lowest: t.Lowest}
 		switch {
 		case out && (m.State == Dead || m.State == Left):
@@ -286,8 +286,8 @@
 			x.State, x.What = string(m.State), "the box is updated when it returns"
 		case !out && !t.Behind(m.Name, m.Incarnation):
 			continue
-		case reported && s.Turned == t.Wants(m.Name):
-			x.State, x.What = "turned it down", s.Why
+		case reported && s.Rejected == t.WantedVersion(m.Name):
+			x.State, x.What = "turned it down", s.Reason
 		case out:
 			x.State, x.What = "shut out", "the box is updated and then rejoins by itself; if it does not, see its log"
 		case !reported || s.Session != m.Incarnation:
--- a/internal/fleet/view/exchange.go
+++ b/internal/fleet/view/exchange.go
@@ -10,12 +10,12 @@
 	"cairnlane/internal/decide/shed"
 )
 
-// Each is the interval at which a box sends its summary to one relay, which answers with the sums of the whole fleet.
+// ExchangeInterval is the interval at which a box sends its summary to one relay, which answers with the sums of the whole fleet.
 //
 // Boxes do not all send to each other. The voters act as relays, so no separate list of relays is needed. Each box sends its summary to one
 // relay; each relay adds up its boxes, sends this part to the other relays, and sends its boxes the sum of all parts. A box sends and receives
 // four messages a second whatever the size of the fleet; one of r relays for n boxes sends 8n/r and 8r.
-const Each = 250 * time.Millisecond
+const ExchangeInterval = 250 * time.Millisecond
 
 // Message is a load message between boxes. One of Summary, Part and All is set.
 type Message struct {
@@ -26,14 +26,14 @@
 	Session uint64     `cbor:"5,keyasint,omitempty"`
 }
 
-// Out is a message and its recipient.
-type Out struct {
+// OutgoingMessage is a message and its recipient.
+type OutgoingMessage struct {
 	To string
 	Message
 }
 
-// Place is a box's view of its fleet's membership at one time.
-type Place struct {
+// Membership is a box's view of its fleet's membership at one time.
+type Membership struct {
 	Self    string
 	Session uint64   // this box's incarnation; 0: it has none and sends nothing
 	Relays  []string // the voters
@@ -62,7 +62,7 @@
 
 // relay returns the relay of this box, chosen by a hash of its name. The box moves to the next relay when the current one has sent nothing
 // for as long as sums have full weight.
-func (x *Exchange) relay(p Place) string {
+func (x *Exchange) relay(p Membership) string {
 	if len(p.Relays) == 0 {
 		return ""
 	}
@@ -76,7 +76,7 @@
 }
 
 // Tick must be called at each interval Each with this box's summary. It returns the messages to be sent.
-func (x *Exchange) Tick(now time.Duration, p Place, own Summary) (list []Out) {
+func (x *Exchange) Tick(now time.Duration, p Membership, own Summary) (list []OutgoingMessage) {
 	if p.Session == 0 {
 		return nil
 	}
@@ -94,7 +94,7 @@
 			to = x.relay(p)
 		}
 		if to != "" {
-			list = append(list, Out{to, Message{Summary: &own}})
+			list = append(list, OutgoingMessage{to, Message{Summary: &own}})
 		}
 		return list
 	}
@@ -108,25 +108,25 @@
 	if x.parts == nil {
 		x.parts = map[string]relayPart{}
 	}
-	mine.Shed = x.level
+	mine.LeaderLevel = x.level
 	x.parts[p.Self] = relayPart{mine, p.Session, x.seq, now}
 	all := x.addParts(now, p)
 	x.all = relayPart{all, p.Session, x.seq, now}
 	for _, r := range p.Relays {
 		if r != p.Self {
-			list = append(list, Out{r, Message{Part: &mine, Session: p.Session, Seq: x.seq}})
+			list = append(list, OutgoingMessage{r, Message{Part: &mine, Session: p.Session, Seq: x.seq}})
 		}
 	}
 	for _, box := range slices.Sorted(maps.Keys(x.view.boxes)) {
 		if h := x.view.boxes[box]; box != p.Self && now-h.at <= freshAge && !slices.Contains(p.Relays, box) {
-			list = append(list, Out{box, Message{All: &all, Session: p.Session, Seq: x.seq}})
+			list = append(list, OutgoingMessage{box, Message{All: &all, Session: p.Session, Seq: x.seq}})
 		}
 	}
 	return list
 }
 
 // addParts adds up the parts of the relays that have weight now.
-func (x *Exchange) addParts(now time.Duration, p Place) shed.Sums {
+func (x *Exchange) addParts(now time.Duration, p Membership) shed.Sums {
 	out := shed.Sums{Known: p.Known, Tenants: map[string]float64{}}
 	hasLeader := false
 	for _, r := range slices.Sorted(maps.Keys(x.parts)) {
@@ -137,13 +137,13 @@
 		}
 		weight := min(1, max(0, 1-float64(now-q.at-freshAge)/float64(maxAge-freshAge)))
 		if !hasLeader && now-q.at <= freshAge { // the first by name with a current part
-			out.Shed, hasLeader = q.sums.Shed, true
+			out.LeaderLevel, hasLeader = q.sums.LeaderLevel, true
 		}
 		if now-q.at <= freshAge {
 			out.Boxes += q.sums.Boxes
 		}
-		for _, s := range q.sums.Said {
-			out.Said = append(out.Said, withAge(s, now-q.at))
+		for _, s := range q.sums.Reports {
+			out.Reports = append(out.Reports, withAge(s, now-q.at))
 		}
 		out.Capacity += weight * q.sums.Capacity
 		out.Level += weight * q.sums.Capacity * min(q.sums.Level, 1)
@@ -157,18 +157,18 @@
 			out.Classes[i] += weight * c
 		}
 		for name, o := range q.sums.Tenants {
-			if _, known := out.Tenants[name]; known || len(out.Tenants) < 4*TenantsMost {
+			if _, known := out.Tenants[name]; known || len(out.Tenants) < 4*MaxTenants {
 				out.Tenants[name] += weight * o
 			}
 		}
 	}
 	out.Level /= max(out.Capacity, 1e-9)
-	out.Boxes, out.Said = min(out.Boxes, max(p.Known, 0)), probes.Newest(out.Said)
+	out.Boxes, out.Reports = min(out.Boxes, max(p.Known, 0)), probes.NewestReports(out.Reports)
 	return out
 }
 
 // Take handles another box's message. It returns false for a rejected one.
-func (x *Exchange) Take(now time.Duration, from string, m Message, p Place) bool {
+func (x *Exchange) Take(now time.Duration, from string, m Message, p Membership) bool {
 	relay := slices.Contains(p.Relays, from)
 	switch {
 	case p.Member != nil && !p.Member(from):
@@ -197,17 +197,17 @@
 
 // validSums reports whether a relay's sums are within the limits.
 func validSums(s *shed.Sums) bool {
-	for _, w := range s.Said {
+	for _, w := range s.Reports {
 		if w.Ago < 0 || len(w.Box) > maxNameBytes {
 			return false
 		}
 	}
-	return len(s.Classes) <= ClassesMost && len(s.Said) <= probes.SaidMost && s.Shed >= 0 && s.Shed <= ClassesMost && len(s.Tenants) <= 4*TenantsMost && s.Boxes >= 0 && s.Boxes <= BoxesMost &&
+	return len(s.Classes) <= MaxClasses && len(s.Reports) <= probes.MaxReports && s.LeaderLevel >= 0 && s.LeaderLevel <= MaxClasses && len(s.Tenants) <= 4*MaxTenants && s.Boxes >= 0 && s.Boxes <= MaxBoxes &&
 		validSummary(Summary{Capacity: s.Capacity, Running: s.Free, Level: s.Level, First: s.First, Further: s.Further, Classes: s.Classes})
 }
 
 // isLeader reports whether this box's level is the fleet's: it is the first by name of the relays with a current part.
-func (x *Exchange) isLeader(now time.Duration, p Place) bool {
+func (x *Exchange) isLeader(now time.Duration, p Membership) bool {
 	if !slices.Contains(p.Relays, p.Self) {
 		return false
 	}
@@ -220,17 +220,17 @@
 }
 
 // Sums returns the sums of the whole fleet, as this box knows them.
-func (x *Exchange) Sums(now time.Duration, p Place) shed.Sums {
+func (x *Exchange) Sums(now time.Duration, p Membership) shed.Sums {
 	s := x.all.sums
 	s.Known = p.Known
 	if x.all.at == 0 && x.all.seq == 0 {
 		return shed.Sums{Known: p.Known}
 	}
-	s.Lead = x.isLeader(now, p)
+	s.IsLeader = x.isLeader(now, p)
 	s.Age = now - x.all.at
-	s.Said = slices.Clone(s.Said)
-	for i := range s.Said {
-		s.Said[i].Ago += s.Age
+	s.Reports = slices.Clone(s.Reports)
+	for i := range s.Reports {
+		s.Reports[i].Ago += s.Age
 	}
 	if !x.own.Full {
 		s.Free = max(0, s.Free-max(0, x.own.Capacity-x.own.Running)) // this box's own free capacity is not elsewhere
--- a/internal/fleet/view/exchange_test.go
+++ b/internal/fleet/view/exchange_test.go
@@ -20,7 +20,7 @@
 	cut      map[string]bool
 	inFlight []struct {
 		from string
-		Out
+		OutgoingMessage
 	}
 	sent    map[string]int
 	shutOut map[string]bool // shut out
@@ -39,13 +39,13 @@
 	return w
 }
 
-func (w *fleetSim) place(box string) Place {
-	return Place{Self: box, Session: 1, Relays: w.relays, Known: len(w.names) - len(w.shutOut), Member: func(b string) bool { return !w.shutOut[b] }}
+func (w *fleetSim) place(box string) Membership {
+	return Membership{Self: box, Session: 1, Relays: w.relays, Known: len(w.names) - len(w.shutOut), Member: func(b string) bool { return !w.shutOut[b] }}
 }
 
 func (w *fleetSim) advance(span time.Duration) {
 	for end := w.now + span; w.now < end; {
-		w.now += Each
+		w.now += ExchangeInterval
 		wire := w.inFlight
 		w.inFlight = nil
 		for _, m := range wire {
@@ -58,7 +58,7 @@
 				w.sent[b]++
 				w.inFlight = append(w.inFlight, struct {
 					from string
-					Out
+					OutgoingMessage
 				}{b, o})
 			}
 		}
@@ -76,7 +76,7 @@
 		w.advance(10 * time.Second)
 		for i, b := range w.names {
 			s := w.sums(b)
-			if math.Abs(s.Capacity-float64(100*n)) > 1 || s.Boxes != n || math.Abs(s.First-float64(70*n)) > 1 || math.Abs(s.Free-float64(20*(n-1))) > 1 || math.Abs(s.Tenants["t"]-float64(80*n)) > 1 || (shed.Trust(s) == 1) != (n <= shed.SizeMost) {
+			if math.Abs(s.Capacity-float64(100*n)) > 1 || s.Boxes != n || math.Abs(s.First-float64(70*n)) > 1 || math.Abs(s.Free-float64(20*(n-1))) > 1 || math.Abs(s.Tenants["t"]-float64(80*n)) > 1 || (shed.Trust(s) == 1) != (n <= shed.MaxFleetSize) {
 				t.Fatalf("%d boxes: %s has %+v", n, b, s)
 			}
 			most := 4.0
@@ -121,7 +121,7 @@
 // TestExchangeRejectsInvalidMessages checks which messages are rejected, by sender and content.
 func TestExchangeRejectsInvalidMessages(t *testing.T) {
 	x := new(Exchange)
-	p := Place{Self: "z", Session: 1, Relays: []string{"a"}, Known: 3, Member: func(b string) bool { return b != "out" }}
+	p := Membership{Self: "z", Session: 1, Relays: []string{"a"}, Known: 3, Member: func(b string) bool { return b != "out" }}
 	good := &shed.Sums{Boxes: 3, Capacity: 300}
 	for name, c := range map[string]struct {
 		from string
@@ -132,7 +132,7 @@
 		"not a relay":      {"b", Message{All: good, Session: 2, Seq: 9}, false},
 		"shut out":         {"out", Message{All: good, Session: 2, Seq: 9}, false},
 		"below 0":          {"a", Message{All: &shed.Sums{Capacity: -1}, Session: 2, Seq: 9}, false},
-		"too many boxes":   {"a", Message{All: &shed.Sums{Boxes: BoxesMost + 1}, Session: 2, Seq: 9}, false},
+		"too many boxes":   {"a", Message{All: &shed.Sums{Boxes: MaxBoxes + 1}, Session: 2, Seq: 9}, false},
 		"a summary":        {"b", Message{Summary: &Summary{Session: 1, Seq: 1}}, false}, // this box is not a relay
 		"a part":           {"b", Message{Part: good, Session: 2, Seq: 9}, false},
 		"an empty message": {"a", Message{}, false},
@@ -169,13 +169,15 @@
 		loads[n], totals[n] = new(Load), new(Totals)
 	}
 	rules := &shed.Rules{Version: 7, Order: []int{0}, Shares: map[string]float64{"hot": 0.3, "x": 0.6}}
-	place := func(n string) Place { return Place{Self: n, Session: 1, Relays: names[:2], Known: len(names)} }
+	place := func(n string) Membership {
+		return Membership{Self: n, Session: 1, Relays: names[:2], Known: len(names)}
+	}
 	type message struct {
 		from string
-		Out
+		OutgoingMessage
 	}
 	var wire []message
-	for now := Each; now < 20*time.Second; now += Each {
+	for now := ExchangeInterval; now < 20*time.Second; now += ExchangeInterval {
 		for _, m := range wire {
 			loads[m.To].Take(now, m.from, m.Message, place(m.To))
 		}
@@ -190,7 +192,7 @@
 				c.Tenants["hot"] += 100
 				c.First, c.Further, c.Classes[0] = c.First+75, c.Further+25, c.Classes[0]+100
 			}
-			for _, o := range loads[n].Tick(now, Turn{Place: place(n), Totals: c.copy(), Rules: rules, Later: time.Second}) {
+			for _, o := range loads[n].Tick(now, TickInputs{Membership: place(n), Totals: c.copy(), Rules: rules, MaxRetryDelay: time.Second}) {
 				wire = append(wire, message{n, o})
 			}
 		}
@@ -201,10 +203,10 @@
 			t.Errorf("%s: %+v of %+v", n, a, loads[n].Sums)
 		}
 	}
-	if out := loads["a"].Tick(time.Hour, Turn{Place: place("a"), Rules: rules, Out: true}); out != nil || loads["a"].Advice != nil {
+	if out := loads["a"].Tick(time.Hour, TickInputs{Membership: place("a"), Rules: rules, ShutOut: true}); out != nil || loads["a"].Advice != nil {
 		t.Error("a box that is shut out sends messages or has advice")
 	}
-	if loads["b"].Tick(time.Hour, Turn{Place: place("b")}); loads["b"].Advice != nil {
+	if loads["b"].Tick(time.Hour, TickInputs{Membership: place("b")}); loads["b"].Advice != nil {
 		t.Error("there is advice without rules")
 	}
 }
--- a/internal/fleet/view/load.go
+++ b/internal/fleet/view/load.go
@@ -14,44 +14,44 @@
 	meter    Meter
 	shedder  shed.Shedder
 
-	Own    Summary
-	Sums   shed.Sums
-	Advice *shed.Advice  // nil while the configuration has no rules or the box is shut out; immutable
-	Level  time.Duration // time of the last change of the level; 0: it has not changed
+	Own          Summary
+	Sums         shed.Sums
+	Advice       *shed.Advice  // nil while the configuration has no rules or the box is shut out; immutable
+	LevelChanged time.Duration // time of the last change of the level; 0: it has not changed
 }
 
-// Turn holds the inputs of one Tick.
-type Turn struct {
-	Place
-	Totals Totals
-	Rules  *shed.Rules   // nil: the fleet has no overload rules
-	Later  time.Duration // longest retry delay that a caller may be given
-	Said   *probes.Said  // the box's own finding about the shared dependency
-	Out    bool          // the box is shut out: it sends nothing and has no advice
+// TickInputs holds the inputs of one Tick.
+type TickInputs struct {
+	Membership
+	Totals        Totals
+	Rules         *shed.Rules           // nil: the fleet has no overload rules
+	MaxRetryDelay time.Duration         // longest retry delay that a caller may be given
+	Finding       *probes.FindingReport // the box's own finding about the shared dependency
+	ShutOut       bool                  // the box is shut out: it sends nothing and has no advice
 }
 
 // Tick must be called at each interval Each. It returns the messages to be sent.
-func (l *Load) Tick(now time.Duration, t Turn) (out []Out) {
+func (l *Load) Tick(now time.Duration, t TickInputs) (out []OutgoingMessage) {
 	l.Own = l.meter.Read(now, t.Totals)
-	l.Own.Said = t.Said
-	if !t.Out {
-		out = l.exchange.Tick(now, t.Place, l.Own)
+	l.Own.Finding = t.Finding
+	if !t.ShutOut {
+		out = l.exchange.Tick(now, t.Membership, l.Own)
 	}
-	l.Sums = l.exchange.Sums(now, t.Place)
-	if t.Rules == nil || t.Out {
+	l.Sums = l.exchange.Sums(now, t.Membership)
+	if t.Rules == nil || t.ShutOut {
 		l.Advice, l.shedder = nil, shed.Shedder{}
 		return out
 	}
 	was := l.shedder.Level()
-	a := l.shedder.Advise(now, l.Sums, *t.Rules, t.Later)
+	a := l.shedder.Advise(now, l.Sums, *t.Rules, t.MaxRetryDelay)
 	if a.Level != was {
-		l.Level = now
+		l.LevelChanged = now
 	}
 	l.Advice, l.exchange.level = &a, a.Level
 	return out
 }
 
 // Take handles another box's message. It returns false for a rejected one.
-func (l *Load) Take(now time.Duration, from string, m Message, p Place) bool {
+func (l *Load) Take(now time.Duration, from string, m Message, p Membership) bool {
 	return l.exchange.Take(now, from, m, p)
 }
--- a/internal/fleet/view/meter.go
+++ b/internal/fleet/view/meter.go
@@ -11,25 +11,25 @@
 
 // Totals holds a box's counts since its process started.
 type Totals struct {
-	First, Further uint64            // attempts received
-	Served, Late   uint64            // answers, and those after their target time
-	Refused        uint64            // rejected because of the box's own load
-	Advised        uint64            // rejected on the fleet's advice, whatever the box's own load
-	Busy           float64           // recent share of the cores in demand, 0 to 1; 0: unknown
-	Level          float64           // the free value that is sent with answers
-	Classes        []uint64          // first attempts, by class in the order of the settings
-	Tenants        map[string]uint64 // first attempts
+	First, Further  uint64            // attempts received
+	Served, Late    uint64            // answers, and those after their target time
+	RejectedLocally uint64            // rejected because of the box's own load
+	RejectedByFleet uint64            // rejected on the fleet's advice, whatever the box's own load
+	Busy            float64           // recent share of the cores in demand, 0 to 1; 0: unknown
+	Level           float64           // the free value that is sent with answers
+	Classes         []uint64          // first attempts, by class in the order of the settings
+	Tenants         map[string]uint64 // first attempts
 }
 
 // TotalsOf returns a replica's totals, with its free value.
 func TotalsOf(f replica.Figures, level float64) Totals {
-	t := Totals{First: uint64(max(0, f.Read-f.Further)), Further: uint64(f.Further), Advised: uint64(f.Beyond), Busy: f.Busy, Level: level, Tenants: make(map[string]uint64, len(f.Tenants))}
+	t := Totals{First: uint64(max(0, f.Attempts-f.Retries)), Further: uint64(f.Retries), RejectedByFleet: uint64(f.RejectedOverBudget), Busy: f.CoreDemand, Level: level, Tenants: make(map[string]uint64, len(f.FirstByTenant))}
 	for _, c := range f.Classes {
-		t.Served, t.Late, t.Refused = t.Served+uint64(c.Served), t.Late+uint64(c.Late), t.Refused+uint64(c.Refused)
+		t.Served, t.Late, t.RejectedLocally = t.Served+uint64(c.Served), t.Late+uint64(c.Late), t.RejectedLocally+uint64(c.Rejected)
 		t.Classes = append(t.Classes, uint64(c.Wanted))
 	}
-	t.Refused -= min(t.Refused, t.Advised)
-	for name, n := range f.Wanted {
+	t.RejectedLocally -= min(t.RejectedLocally, t.RejectedByFleet)
+	for name, n := range f.WantedByTenant {
 		t.Tenants[name] = uint64(n)
 	}
 	return t
@@ -72,8 +72,8 @@
 	mix(&s.Further, rate(t.Further, was.Further))
 	mix(&s.Running, rate(t.Served, was.Served))
 	mix(&s.Late, rate(t.Late, was.Late))
-	mix(&s.Refused, rate(t.Refused, was.Refused)+rate(t.Advised, was.Advised))
-	own, served := rate(t.Refused, was.Refused), rate(t.Served, was.Served)
+	mix(&s.Refused, rate(t.RejectedLocally, was.RejectedLocally)+rate(t.RejectedByFleet, was.RejectedByFleet))
+	own, served := rate(t.RejectedLocally, was.RejectedLocally), rate(t.Served, was.Served)
 	if own+served > 0 {
 		mix(&m.rejectedShare, own/(own+served))
 	}
@@ -113,12 +113,12 @@
 
 // topTenants returns the tenants with the highest offered rates, as many as a summary may contain.
 func topTenants(all map[string]float64) map[string]float64 {
-	if len(all) <= TenantsMost {
+	if len(all) <= MaxTenants {
 		return maps.Clone(all)
 	}
 	names := slices.SortedFunc(maps.Keys(all), func(a, b string) int { return cmp.Or(cmp.Compare(all[b], all[a]), cmp.Compare(a, b)) })
-	out := make(map[string]float64, TenantsMost)
-	for _, n := range names[:TenantsMost] {
+	out := make(map[string]float64, MaxTenants)
+	for _, n := range names[:MaxTenants] {
 		out[n] = all[n]
 	}
 	return out
--- a/internal/fleet/view/view.go
+++ b/internal/fleet/view/view.go
@@ -14,26 +14,26 @@
 
 // Summary is a box's report of its load, sent a few times a second. Rates are per second.
 type Summary struct {
-	Session  uint64             `cbor:"1,keyasint" json:"session"`  // the box's incarnation in the ledger
-	Seq      uint64             `cbor:"2,keyasint" json:"seq"`      // increases within an incarnation
-	Capacity float64            `cbor:"3,keyasint" json:"capacity"` // requests it can serve
-	Running  float64            `cbor:"4,keyasint" json:"running"`  // requests it serves
-	Refused  float64            `cbor:"9,keyasint" json:"refused"`
-	Late     float64            `cbor:"10,keyasint" json:"late"`  // served after their target time
-	Full     bool               `cbor:"11,keyasint" json:"full"`  // the box rejects requests because it has no free capacity itself
-	Level    float64            `cbor:"12,keyasint" json:"level"` // its free value, as sent with answers
-	First    float64            `cbor:"5,keyasint" json:"first"`
-	Further  float64            `cbor:"6,keyasint" json:"further"`
-	Classes  []float64          `cbor:"7,keyasint" json:"classes"`                   // first attempts, by class in the order of the settings
-	Tenants  map[string]float64 `cbor:"8,keyasint" json:"tenants,omitempty"`         // first attempts, of the tenants with most
-	Said     *probes.Said       `cbor:"13,keyasint,omitempty" json:"said,omitempty"` // the box's own finding about the shared dependency
+	Session  uint64                `cbor:"1,keyasint" json:"session"`  // the box's incarnation in the ledger
+	Seq      uint64                `cbor:"2,keyasint" json:"seq"`      // increases within an incarnation
+	Capacity float64               `cbor:"3,keyasint" json:"capacity"` // requests it can serve
+	Running  float64               `cbor:"4,keyasint" json:"running"`  // requests it serves
+	Refused  float64               `cbor:"9,keyasint" json:"refused"`
+	Late     float64               `cbor:"10,keyasint" json:"late"`  // served after their target time
+	Full     bool                  `cbor:"11,keyasint" json:"full"`  // the box rejects requests because it has no free capacity itself
+	Level    float64               `cbor:"12,keyasint" json:"level"` // its free value, as sent with answers
+	First    float64               `cbor:"5,keyasint" json:"first"`
+	Further  float64               `cbor:"6,keyasint" json:"further"`
+	Classes  []float64             `cbor:"7,keyasint" json:"classes"`                   // first attempts, by class in the order of the settings
+	Tenants  map[string]float64    `cbor:"8,keyasint" json:"tenants,omitempty"`         // first attempts, of the tenants with most
+	Finding  *probes.FindingReport `cbor:"13,keyasint,omitempty" json:"said,omitempty"` // the box's own finding about the shared dependency
 }
 
 // The limits of a view.
 const (
-	BoxesMost    = 4096
-	ClassesMost  = 32
-	TenantsMost  = 64 // per summary
+	MaxBoxes     = 4096
+	MaxClasses   = 32
+	MaxTenants   = 64 // per summary
 	maxNameBytes = 128
 	freshAge     = time.Second     // age up to which a summary has full weight
 	maxAge       = 3 * time.Second // age from which it has no weight
@@ -54,11 +54,11 @@
 
 // Take stores a box's summary. It returns false for a rejected one: invalid, out of order, or of an earlier incarnation.
 func (v *View) Take(now time.Duration, box string, s Summary) bool {
-	if !validSummary(s) || len(box) > maxNameBytes || s.Said != nil && s.Said.Box != box { // a box reports only its own findings
+	if !validSummary(s) || len(box) > maxNameBytes || s.Finding != nil && s.Finding.Box != box { // a box reports only its own findings
 		return false
 	}
 	was, known := v.boxes[box]
-	if known && (s.Session < was.Session || s.Session == was.Session && s.Seq <= was.Seq) || !known && len(v.boxes) >= BoxesMost {
+	if known && (s.Session < was.Session || s.Session == was.Session && s.Seq <= was.Seq) || !known && len(v.boxes) >= MaxBoxes {
 		return false
 	}
 	if v.boxes == nil {
@@ -74,7 +74,7 @@
 // validSummary reports whether a summary is within the limits and has valid numbers.
 func validSummary(s Summary) bool {
 	number := func(x float64) bool { return x >= 0 && !math.IsInf(x, 0) && !math.IsNaN(x) }
-	if len(s.Classes) > ClassesMost || len(s.Tenants) > TenantsMost || !number(s.Capacity) || !number(s.Running) || !number(s.First) || !number(s.Further) ||
+	if len(s.Classes) > MaxClasses || len(s.Tenants) > MaxTenants || !number(s.Capacity) || !number(s.Running) || !number(s.First) || !number(s.Further) ||
 		!number(s.Refused) || !number(s.Late) || !number(s.Level) {
 		return false
 	}
@@ -83,7 +83,7 @@
 			return false
 		}
 	}
-	if s.Said != nil && (s.Said.Ago < 0 || len(s.Said.Box) > maxNameBytes) {
+	if s.Finding != nil && (s.Finding.Ago < 0 || len(s.Finding.Box) > maxNameBytes) {
 		return false
 	}
 	for name, o := range s.Tenants {
@@ -119,8 +119,8 @@
 			out.Boxes++
 		}
 		out.Age = max(out.Age, min(now-h.at, freshAge))
-		if h.Said != nil {
-			out.Said = append(out.Said, withAge(*h.Said, now-h.at))
+		if h.Finding != nil {
+			out.Reports = append(out.Reports, withAge(*h.Finding, now-h.at))
 		}
 		capacity := min(h.Capacity, cap)
 		// All parts of the offered load are scaled alike, so that they still add up.
@@ -145,13 +145,13 @@
 			out.Tenants[name] += offered * min(o, h.First+h.Further)
 		}
 	}
-	out.Said = probes.Newest(out.Said)
+	out.Reports = probes.NewestReports(out.Reports)
 	out.Level /= max(out.Capacity, 1e-9)
 	return out
 }
 
 // withAge returns a finding with its age increased.
-func withAge(s probes.Said, by time.Duration) probes.Said {
+func withAge(s probes.FindingReport, by time.Duration) probes.FindingReport {
 	s.Ago += by
 	return s
 }
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -19,7 +19,7 @@
 func TestViewRejectsInvalidSummaries(t *testing.T) {
 	var v View
 	many := map[string]float64{}
-	for i := range TenantsMost + 1 {
+	for i := range MaxTenants + 1 {
 		many[fmt.Sprint(i)] = 1
 	}
 	for name, c := range map[string]struct {
@@ -34,7 +34,7 @@
 		"not a number":       {Summary{Session: 7, Seq: 9, Capacity: math.NaN()}, false},
 		"infinite":           {Summary{Session: 7, Seq: 9, Running: math.Inf(1)}, false},
 		"a class below 0":    {Summary{Session: 7, Seq: 9, Classes: []float64{-1}}, false},
-		"many classes":       {Summary{Session: 7, Seq: 9, Classes: make([]float64, ClassesMost+1)}, false},
+		"many classes":       {Summary{Session: 7, Seq: 9, Classes: make([]float64, MaxClasses+1)}, false},
 		"many tenants":       {Summary{Session: 7, Seq: 9, Tenants: many}, false},
 		"a long name":        {Summary{Session: 7, Seq: 9, Tenants: map[string]float64{string(make([]byte, maxNameBytes+1)): 1}}, false},
 	} {
@@ -47,10 +47,10 @@
 		}
 	}
 	v = View{}
-	for i := range BoxesMost + 10 {
+	for i := range MaxBoxes + 10 {
 		v.Take(0, fmt.Sprint(i), testSummary(1, 1, 1))
 	}
-	if len(v.boxes) != BoxesMost {
+	if len(v.boxes) != MaxBoxes {
 		t.Errorf("%d boxes are kept, want the limit", len(v.boxes))
 	}
 }
@@ -117,8 +117,8 @@
 	busy := 0.0
 	run := func(seconds int, first, further, served, refused uint64) (s Summary) {
 		for range seconds * 4 {
-			now += Each
-			sum.First, sum.Further, sum.Served, sum.Refused = sum.First+first/4, sum.Further+further/4, sum.Served+served/4, sum.Refused+refused/4
+			now += ExchangeInterval
+			sum.First, sum.Further, sum.Served, sum.RejectedLocally = sum.First+first/4, sum.Further+further/4, sum.Served+served/4, sum.RejectedLocally+refused/4
 			sum.Classes, sum.Tenants, sum.Busy = []uint64{sum.First / 2, sum.First / 2}, map[string]uint64{"t": sum.First}, busy
 			s = m.Read(now, sum)
 		}
@@ -154,8 +154,8 @@
 		t.Error("the box rejects requests but does not count as full")
 	}
 	for range 8 * 4 { // rejections on the fleet's advice indicate nothing about the capacity
-		now += Each
-		sum.First, sum.Served, sum.Advised, sum.Busy = sum.First+100, sum.Served+50, sum.Advised+50, 0.5
+		now += ExchangeInterval
+		sum.First, sum.Served, sum.RejectedByFleet, sum.Busy = sum.First+100, sum.Served+50, sum.RejectedByFleet+50, 0.5
 		s = m.Read(now, sum)
 	}
 	near("rejects on the fleet's advice", s.Capacity, 400)
@@ -163,7 +163,7 @@
 		t.Error("the box rejects on the fleet's advice alone but counts as full")
 	}
 	was := s.First
-	if s := m.Read(now+Each, Totals{}); s.First > was || s.Capacity < 0 {
+	if s := m.Read(now+ExchangeInterval, Totals{}); s.First > was || s.Capacity < 0 {
 		t.Errorf("after a restart of the counts: %+v", s)
 	}
 }
--- a/internal/front/ends_test.go
+++ b/internal/front/ends_test.go
@@ -100,8 +100,8 @@
 	k.came <- struct{}{}
 	return nil
 }
-func (k *keeper) Turned()                       {}
-func (k *keeper) Gone(string)                   {} // its routers do not give up
+func (k *keeper) CountMalformed()               {}
+func (k *keeper) CallerGone(string)             {} // its routers do not give up
 func (k *keeper) Healthy() bool                 { return true }
 func (k *keeper) CurrentSignal() replica.Signal { return replica.Signal{} }
 
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -27,8 +27,8 @@
 // Core takes requests and gives their answers. The replica is one.
 type Core interface {
 	Arrive(q replica.Request) error
-	Gone(txn string) // the router has stopped waiting for this try
-	Turned()         // a call was malformed
+	CallerGone(txn string) // the router has stopped waiting for this try
+	CountMalformed()       // a call was malformed
 	Healthy() bool
 	CurrentSignal() replica.Signal
 }
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -146,7 +146,7 @@
 			err = s.core.Arrive(q)
 		}
 		if err != nil {
-			s.core.Turned()
+			s.core.CountMalformed()
 			c.finish(func(dst []byte) []byte { return appendFault(dst, h, thrift.ProtocolError, err.Error()) })
 			return nil
 		}
@@ -192,7 +192,7 @@
 	txn, open := s.tries[seq]
 	s.mu.Unlock()
 	if found && open && r.Err() == nil {
-		s.core.Gone(txn)
+		s.core.CallerGone(txn)
 	}
 }
 
--- a/internal/front/session_test.go
+++ b/internal/front/session_test.go
@@ -29,8 +29,8 @@
 	c.requests = append(c.requests, q)
 	return nil
 }
-func (c *core) Turned()                       { c.turned++ }
-func (c *core) Gone(txn string)               { c.gone = append(c.gone, txn) }
+func (c *core) CountMalformed()               { c.turned++ }
+func (c *core) CallerGone(txn string)         { c.gone = append(c.gone, txn) }
 func (c *core) Healthy() bool                 { return true }
 func (c *core) CurrentSignal() replica.Signal { return replica.Signal{Value: 0.25, Set: true} }
 
@@ -79,7 +79,7 @@
 	q := r.core.requests[0]
 	q.Reply = nil
 	want := replica.Request{Txn: "9b1f03aa5c7e2d41", Class: "page", Tenant: "x", Body: []byte("\x00body"), Caller: 4, Retry: true,
-		KB: 24.5, Rank: 0.625, Door: time.UnixMilli(1764576000123), Limit: 480 * time.Millisecond, Unique: "k"}
+		KB: 24.5, Rank: 0.625, ArrivedAt: time.UnixMilli(1764576000123), WaitLimit: 480 * time.Millisecond, IdempotencyKey: "k"}
 	if got := fmt.Sprintf("%+v", q); got != fmt.Sprintf("%+v", want) {
 		t.Errorf("got  %s\nwant %+v", got, want)
 	}
@@ -127,7 +127,7 @@
 	if err := r.feed(message("serve", 1, without, "")); err != nil {
 		t.Fatal(err)
 	}
-	if q := r.core.requests; len(q) != 1 || q[0].Limit != 0 || !q[0].LimitUnknown {
+	if q := r.core.requests; len(q) != 1 || q[0].WaitLimit != 0 || !q[0].WaitLimitUnknown {
 		t.Errorf("taken %+v, turned %d", q, r.core.turned)
 	}
 }
@@ -142,7 +142,7 @@
 	if err := r.feed(message("serve", 2, fields([2]string{"verb", name}), "")); err != nil {
 		t.Fatal(err)
 	}
-	if q := r.core.requests; len(q) != 1 || q[0].Tenant != name || q[0].Limit != 90*time.Second {
+	if q := r.core.requests; len(q) != 1 || q[0].Tenant != name || q[0].WaitLimit != 90*time.Second {
 		t.Errorf("taken %+v", q)
 	}
 	if h, text := r.next(); h.Type != thrift.Exception || !strings.Contains(text, "unknown class") {
@@ -158,9 +158,9 @@
 		not    string
 	}{
 		{replica.Answer{Kind: replica.Served, Body: []byte("result"), Signal: signal}, []string{"result", "feedback", "0.5"}, "later"},
-		{replica.Answer{Kind: replica.Refused, Later: 1500 * time.Microsecond, GiveUp: true, Signal: signal},
+		{replica.Answer{Kind: replica.Rejected, RetryAfter: 1500 * time.Microsecond, GiveUp: true, Signal: signal},
 			[]string{"later\x00\x00\x00\x012", "giveup\x00\x00\x00\x011", "feedback"}, "result"},
-		{replica.Answer{Kind: replica.Refused}, nil, "later"},
+		{replica.Answer{Kind: replica.Rejected}, nil, "later"},
 		{replica.Answer{Kind: replica.Failed, Signal: signal}, []string{"feedback"}, "giveup"},
 	} {
 		r := newRouter()
--- a/internal/front/thrift.go
+++ b/internal/front/thrift.go
@@ -57,16 +57,16 @@
 func request(fields map[string]string) (replica.Request, error) {
 	p := parser{fields: fields}
 	q := replica.Request{
-		Txn: fields["txn"], Class: fields["verb"], Tenant: fields["team"], Unique: fields["unique"], Item: fields["item"],
-		Retry: fields["second"] == "1",
-		Door:  time.UnixMilli(int64(p.number("door", 1, 1e14))),
-		KB:    p.number("ram", math.SmallestNonzeroFloat64, below(2000)),
-		Rank:  p.number("standing", 0, below(1)),
+		Txn: fields["txn"], Class: fields["verb"], Tenant: fields["team"], IdempotencyKey: fields["unique"], Item: fields["item"],
+		Retry:     fields["second"] == "1",
+		ArrivedAt: time.UnixMilli(int64(p.number("door", 1, 1e14))),
+		KB:        p.number("ram", math.SmallestNonzeroFloat64, below(2000)),
+		Rank:      p.number("standing", 0, below(1)),
 	}
 	if _, told := fields["limit"]; told { // routers at some sites do not say how long they wait
-		q.Limit = time.Duration(p.number("limit", 0, maxLimit) * float64(time.Millisecond))
+		q.WaitLimit = time.Duration(p.number("limit", 0, maxLimit) * float64(time.Millisecond))
 	} else {
-		q.LimitUnknown = true
+		q.WaitLimitUnknown = true
 	}
 	q.Caller = int(p.number("lb", 0, 1<<31))
 	for _, name := range []string{"unique", "item"} {
@@ -123,9 +123,9 @@
 		switch a.Kind {
 		case replica.Served:
 			dst = appendGood(dst, a.Body, fields, true)
-		case replica.Refused:
-			if a.Later > 0 {
-				ms := max(1, (a.Later+time.Millisecond/2)/time.Millisecond)
+		case replica.Rejected:
+			if a.RetryAfter > 0 {
+				ms := max(1, (a.RetryAfter+time.Millisecond/2)/time.Millisecond)
 				fields = append(fields, [2]string{"later", strconv.FormatInt(int64(ms), 10)})
 			}
 			if a.GiveUp {
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -110,7 +110,7 @@
 			c.stop(old) // otherwise the index would not learn that the call was replaced
 		}
 		c.callsTurnedAway.Inc()
-		c.finish(k, policy.TurnedAway)
+		c.finish(k, policy.Rejected)
 		return
 	}
 	l := c.linkFor(id)
--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -20,7 +20,7 @@
 		reply   string
 		outcome policy.Outcome
 	}{
-		{"SHED", policy.TurnedAway}, {"NOBODY", policy.TurnedAway}, {"BROKEN", policy.Failed},
+		{"SHED", policy.Rejected}, {"NOBODY", policy.Rejected}, {"BROKEN", policy.Failed},
 		{"SLOW", policy.TimedOut},
 	}
 	f := newFakeIndex(t)
@@ -107,7 +107,7 @@
 	c.Get(callID(1), longWait, nil)
 	p.expect("GET", callID(1))
 	p.send(callID(1) + " SHED\r\n")
-	r.expect(t, callID(1), policy.TurnedAway) // replies are read in order, so the late one was read before
+	r.expect(t, callID(1), policy.Rejected) // replies are read in order, so the late one was read before
 	r.expectNone(t)
 	if n := set.Get("index_replies_unknown").Load(); n != 1 {
 		t.Fatalf("%d unknown replies counted, want 1", n)
@@ -130,7 +130,7 @@
 	c.Get(callID(1), longWait, nil)
 	p.expect("GET", callID(1))
 	p.send(callID(1) + " NOBODY\r\n")
-	r.expect(t, callID(1), policy.TurnedAway)
+	r.expect(t, callID(1), policy.Rejected)
 	r.expectNone(t) // the replaced call gets no Reply
 }
 
@@ -200,7 +200,7 @@
 	c.Get(callID(1), longWait, nil)
 	p.expect("GET", callID(1))
 	p.send(callID(1) + " SHED\r\n")
-	r.expect(t, callID(1), policy.TurnedAway)
+	r.expect(t, callID(1), policy.Rejected)
 	r.expectNone(t)
 	if n := set.Get("index_calls_timed_out").Load(); n != 1 {
 		t.Fatalf("%d calls timed out, want 1", n)
@@ -214,7 +214,7 @@
 		c.Get(callID(n), longWait, nil)
 	}
 	c.Get(callID(maxOpenCalls), longWait, nil)
-	r.expect(t, callID(maxOpenCalls), policy.TurnedAway) // at once, without asking the index
+	r.expect(t, callID(maxOpenCalls), policy.Rejected) // at once, without asking the index
 	p := f.next()
 	for n := range maxOpenCalls {
 		p.expect("GET", callID(n))
@@ -222,7 +222,7 @@
 	c.Get(callID(0), longWait, []byte("again")) // replaces an open call, so their number does not grow
 	p.expect("GET", callID(0))
 	p.send(callID(5) + " SHED\r\n")
-	r.expect(t, callID(5), policy.TurnedAway)
+	r.expect(t, callID(5), policy.Rejected)
 	c.Get(callID(maxOpenCalls+1), longWait, nil) // the number of open calls is below the limit again
 	p.expect("GET", callID(maxOpenCalls+1))
 	c.Close()
@@ -244,7 +244,7 @@
 	f := newFakeIndex(t)
 	c, r, _ := newTestClient(t, f.addr())
 	c.Get(callID(0), longWait, make([]byte, maxPendingBytes))
-	r.expect(t, callID(0), policy.TurnedAway)
+	r.expect(t, callID(0), policy.Rejected)
 	c.Get(callID(1), longWait, []byte("fits"))
 	p := f.next()
 	p.expect("GET", callID(1)) // nothing of the call that was turned away was written
@@ -254,14 +254,14 @@
 	f := newFakeIndex(t)
 	c, r, _ := newTestClient(t, f.addr())
 	c.Get("9b1f03aa5c7e2d4", longWait, nil) // 15 digits
-	r.expect(t, "9b1f03aa5c7e2d4", policy.TurnedAway)
+	r.expect(t, "9b1f03aa5c7e2d4", policy.Rejected)
 	c.Get("9b1f03aa5c7e2d4g", longWait, nil)
-	r.expect(t, "9b1f03aa5c7e2d4g", policy.TurnedAway)
+	r.expect(t, "9b1f03aa5c7e2d4g", policy.Rejected)
 	c.Get(callID(0), 0, nil)
-	r.expect(t, callID(0), policy.TurnedAway)
+	r.expect(t, callID(0), policy.Rejected)
 	c.Close()
 	c.Get(callID(1), longWait, nil)
-	r.expect(t, callID(1), policy.TurnedAway)
+	r.expect(t, callID(1), policy.Rejected)
 	select {
 	case p := <-f.accepted:
 		t.Fatalf("a connection was made from %v for calls that were turned away", p.socket.RemoteAddr())
@@ -349,7 +349,7 @@
 	p := f.next()
 	p.expect("GET", callID(0))
 	p.send(callID(0) + " SHED\r\n")
-	r.expect(t, callID(0), policy.TurnedAway)
+	r.expect(t, callID(0), policy.Rejected)
 	p.socket.Close() // the index closes the connection, which is idle now
 	select {
 	case <-ended:
--- a/internal/index/link.go
+++ b/internal/index/link.go
@@ -28,7 +28,7 @@
 
 // outcomes maps the words of replies to outcomes.
 var outcomes = map[string]policy.Outcome{
-	"HIT": policy.Succeeded, "SHED": policy.TurnedAway, "NOBODY": policy.TurnedAway,
+	"HIT": policy.Succeeded, "SHED": policy.Rejected, "NOBODY": policy.Rejected,
 	"BROKEN": policy.Failed, "SLOW": policy.TimedOut,
 }
 
--- a/internal/lab/actor/actor.go
+++ b/internal/lab/actor/actor.go
@@ -117,7 +117,7 @@
 		if lost != nil {
 			return lost
 		}
-		if ask, _, _ := t.Look(); err != nil && ask.State.Over() || ask.Stop {
+		if ask, _, _ := t.Status(); err != nil && ask.State.Final() || ask.StopRequested {
 			return nil
 		}
 		if !a.pause(ctx, 40*time.Millisecond) {
--- a/internal/lab/audits/audits.go
+++ b/internal/lab/audits/audits.go
@@ -93,8 +93,8 @@
 	samples map[int][]sample // by box
 	rises   map[uint64]time.Duration
 	waves   map[uint64]place // of roll-outs, by ID
-	ends    map[uint64]rollout.Roll
-	outs    map[string]rollout.Out
+	ends    map[uint64]rollout.Rollout
+	outs    map[string]rollout.ShutOutBox
 }
 
 type place struct {
@@ -122,7 +122,7 @@
 	}
 	defer res.Close()
 	t := &trial{cfg: cfg, res: res, fig: &Figures{Processes: cfg.Boxes}, rand: rand.New(rand.NewPCG(cfg.Seed, 11)), from: time.Now().Add(-res.Now()),
-		samples: map[int][]sample{}, rises: map[uint64]time.Duration{}, waves: map[uint64]place{}, ends: map[uint64]rollout.Roll{}, outs: map[string]rollout.Out{}}
+		samples: map[int][]sample{}, rises: map[uint64]time.Duration{}, waves: map[uint64]place{}, ends: map[uint64]rollout.Rollout{}, outs: map[string]rollout.ShutOutBox{}}
 	t.site, err = rig.NewSite(rig.SiteConfig{Seed: cfg.Seed, Dir: cfg.Dir, Boxes: cfg.Boxes, Voters: []int{0, 1, 2}, Terms: cfg.Terms, Election: cfg.Election, Example: cfg.Example,
 		Serve: func(path string) *exec.Cmd { return cfg.Serve(boxOf(cfg.Dir, path), path) }, Load: true, Env: func(box int) []string {
 			return actor.Env(res, cfg.Seed, box)
@@ -242,12 +242,12 @@
 	if _, ok := t.rises[table.Lowest]; !ok {
 		t.rises[table.Lowest] = t.now()
 	}
-	list := table.Past
-	if table.Roll != nil {
-		list = append(list[:len(list):len(list)], *table.Roll)
+	list := table.Finished
+	if table.Current != nil {
+		list = append(list[:len(list):len(list)], *table.Current)
 	}
 	for _, x := range list {
-		over := x.Phase > rollout.Back
+		over := x.Phase > rollout.RollingBack
 		p, known := t.waves[x.ID]
 		// Of two tables the one at the later index is the later one: a wave that goes back there was made twice.
 		if known && r.Index > p.index && (x.Wave < p.wave || p.over && !over) {
@@ -263,7 +263,7 @@
 			t.ends[x.ID] = x
 		}
 	}
-	for box, o := range table.Out {
+	for box, o := range table.ShutOutBoxes {
 		key := fmt.Sprint(box, o.Index)
 		if _, ok := t.outs[key]; ok {
 			continue
@@ -275,7 +275,7 @@
 		}
 		living := 0
 		for _, b := range t.site.Boxes {
-			if _, out := table.Out[b.Name]; !out {
+			if _, out := table.ShutOutBoxes[b.Name]; !out {
 				living++
 			}
 		}
@@ -338,12 +338,12 @@
 	return n, err
 }
 
-var planOf = rollout.Plan{Canaries: 1, Share: 0.35, Pace: 300 * time.Millisecond, Patience: 12 * time.Second, Died: 9, Slots: 3, Supersede: true}
+var planOf = rollout.Plan{Canaries: 1, Share: 0.35, ObserveFor: 300 * time.Millisecond, Timeout: 12 * time.Second, MaxDead: 9, Slots: 3, Supersede: true}
 
 // roll plays a script.
 func (t *trial) roll(s Script) error {
 	plan := planOf
-	plan.Turned = s.Turned
+	plan.MaxRejected = s.Turned
 	n, err := t.put(s, s.Name)
 	if err != nil {
 		return err
@@ -355,12 +355,12 @@
 		}
 	}
 	if s.Do == "supersede" || s.Do == "abort" || s.Do == "kill" || s.Do == "stop" {
-		plan.Pace = time.Second // there is time to do it
+		plan.ObserveFor = time.Second // there is time to do it
 	}
 	start := func(n uint64, p rollout.Plan) error {
 		return t.someone(20*time.Second, anyone, func(b *rig.Box) error {
 			err := b.Control().Fleet().StartRoll(n, p)
-			if r, e := ask(b); err != nil && e == nil && (r.Table.Roll != nil && r.Table.Roll.To >= n || r.Table.Target >= n) {
+			if r, e := ask(b); err != nil && e == nil && (r.Table.Current != nil && r.Table.Current.To >= n || r.Table.Target >= n) {
 				return nil // it was taken, and only the answer was lost; or another one is further
 			}
 			return err
@@ -392,7 +392,7 @@
 		if err != nil {
 			return err
 		}
-		if r.Table.Roll != nil || r.Table.Last < n {
+		if r.Table.Current != nil || r.Table.Last < n {
 			return errors.New("it goes on")
 		}
 		return nil
@@ -463,7 +463,7 @@
 		err = nil
 		for _, b := range t.site.Boxes {
 			r, e := ask(b)
-			if e != nil || r.InForce != n || r.Table.Roll != nil || len(r.Table.Out) > 0 || len(r.Stragglers) > 0 || r.Table.Lowest != n {
+			if e != nil || r.InForce != n || r.Table.Current != nil || len(r.Table.ShutOutBoxes) > 0 || len(r.Stragglers) > 0 || r.Table.Lowest != n {
 				err = fmt.Errorf("the fleet does not come to rest on %d: %s has %d, %v, out %v, stragglers %+v, %v", n, b.Name, r.InForce, r.State, r.Table, r.Stragglers, e)
 			}
 		}
@@ -498,7 +498,7 @@
 		return err
 	}
 	plan := planOf
-	plan.Share, plan.Turned = 1, 1
+	plan.Share, plan.MaxRejected = 1, 1
 	if err := t.someone(20*time.Second, anyone, func(b *rig.Box) error { return b.Control().Fleet().StartRoll(n, plan) }); err != nil {
 		return err
 	}
@@ -507,7 +507,7 @@
 		if err != nil {
 			return err
 		}
-		if _, out := r.Table.Out[box]; !out {
+		if _, out := r.Table.ShutOutBoxes[box]; !out {
 			return fmt.Errorf("%s has turned %d down and is not shut out: %+v", box, n, r.Stragglers)
 		}
 		return nil
--- a/internal/lab/audits/audits_test.go
+++ b/internal/lab/audits/audits_test.go
@@ -48,11 +48,11 @@
 
 // TestAWantedEndThatDoesNotComeIsCounted, when no faults decide on it.
 func TestAWantedEndThatDoesNotComeIsCounted(t *testing.T) {
-	late, done := errors.New("it goes on"), map[uint64]rollout.Roll{1: {To: 7, Phase: rollout.Done}}
+	late, done := errors.New("it goes on"), map[uint64]rollout.Rollout{1: {To: 7, Phase: rollout.Done}}
 	for name, x := range map[string]struct {
 		want      string
 		faults    int
-		ends      map[uint64]rollout.Roll
+		ends      map[uint64]rollout.Rollout
 		late      error
 		unsettled int
 	}{
--- a/internal/lab/audits/cost.go
+++ b/internal/lab/audits/cost.go
@@ -97,7 +97,7 @@
 		return 0, err
 	}
 	cfg := fleet.Config{Name: "a", Listen: "127.0.0.1:0", Peers: map[string]string{"a": ""}, KeyFile: key, Dir: filepath.Join(dir, "fleet"), Build: "cost",
-		Timing: ledger.Timing{Beat: 20 * time.Millisecond, Election: 100 * time.Millisecond, Poll: 100 * time.Millisecond, Gather: time.Millisecond}, Now: clock.Boot, Told: func(string, ...any) {}}
+		Timing: ledger.Timing{Heartbeat: 20 * time.Millisecond, Election: 100 * time.Millisecond, Poll: 100 * time.Millisecond, BatchDelay: time.Millisecond}, Now: clock.Boot, Logf: func(string, ...any) {}}
 	if on {
 		log, _, err := audit.Open(filepath.Join(dir, "audit"), "a", audit.DefaultLimits, func() time.Duration { return time.Duration(clock.Wall().UnixNano()) })
 		if err != nil {
--- a/internal/lab/audits/judge.go
+++ b/internal/lab/audits/judge.go
@@ -43,7 +43,7 @@
 		switch x.Phase {
 		case rollout.Done:
 			f.Done++
-		case rollout.Returned:
+		case rollout.RolledBack:
 			f.Returned++
 		case rollout.Superseded:
 			f.Superseded++
@@ -130,7 +130,7 @@
 	}
 	for box, list := range told {
 		for _, m := range list {
-			mark, err := fleet.Mark(m)
+			mark, err := fleet.DecodeAuditHead(m)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/lab/fleetsim/cases_test.go
+++ b/internal/lab/fleetsim/cases_test.go
@@ -27,7 +27,7 @@
 func (w *World) whole() bool {
 	for i, b := range w.boxes {
 		s := b.node.Ledger().State()
-		if len(s.Voters) < w.cfg.Voters || b.node.Holder().Phase() != lease.In {
+		if len(s.Voters) < w.cfg.Voters || b.node.Holder().Phase() != lease.Joined {
 			return false
 		}
 		if i < w.cfg.Voters && (s.Voters[b.name].Learner || s.Voters[b.name].ID != b.node.Ledger().ID()) {
@@ -96,9 +96,9 @@
 		"links that flap at a renewal's pace": {4, 3, nil, func(w *World) {
 			for range 30 {
 				w.both(3, true)
-				w.Advance(w.now + w.cfg.Terms.Pause())
+				w.Advance(w.now + w.cfg.Terms.RenewInterval())
 				w.both(3, false)
-				w.Advance(w.now + w.cfg.Terms.Pause())
+				w.Advance(w.now + w.cfg.Terms.RenewInterval())
 			}
 		}},
 		"renewals whose answers are lost": {4, 3, nil, func(w *World) {
@@ -142,7 +142,7 @@
 			for i := range w.boxes {
 				if i > 2 || i == lost {
 					w.kill(i)
-					w.boxes[i].disk.Lose()
+					w.boxes[i].disk.Erase()
 				}
 			}
 			for i := range w.boxes {
@@ -179,7 +179,7 @@
 			want = append(want, fmt.Sprintf("box%d", i))
 		}
 	}
-	w.run(l, w.boxes[l].life, func() { w.boxes[l].node.Want(w.boxes[l].clock(w), want) })
+	w.run(l, w.boxes[l].life, func() { w.boxes[l].node.SetWantedVoters(w.boxes[l].clock(w), want) })
 	w.Advance(w.now + 12*time.Second)
 	w.start(gone)
 	w.Advance(w.now + 10*time.Second)
@@ -202,7 +202,7 @@
 	a, _ := hold.node.Acquire(hold.clock(w), lease.Request{Task: "x", Slots: 1})
 	w.after(3)
 	w.Advance(w.now + time.Second)
-	if hold.node.May(hold.clock(w), a, 0) != nil {
+	if hold.node.CheckEffect(hold.clock(w), a, 0) != nil {
 		t.Fatal("not held")
 	}
 	token := a.Token
@@ -220,7 +220,7 @@
 	granted := time.Duration(0)
 	for end := w.now + 10*time.Second; w.now < end; {
 		w.Advance(w.now + 10*time.Millisecond)
-		one, other := hold.node.May(hold.clock(w), a, 0) == nil, op.node.May(op.clock(w), b, 0) == nil
+		one, other := hold.node.CheckEffect(hold.clock(w), a, 0) == nil, op.node.CheckEffect(op.clock(w), b, 0) == nil
 		if one && other {
 			t.Fatal("both act")
 		}
@@ -256,7 +256,7 @@
 	w.after(2)
 	w.both(3, true)
 	for end := w.now + 8*time.Second; w.now < end; w.Advance(w.now + 10*time.Millisecond) {
-		if slow.node.May(slow.clock(w), a, 0) == nil && other.node.May(other.clock(w), b, 0) == nil {
+		if slow.node.CheckEffect(slow.clock(w), a, 0) == nil && other.node.CheckEffect(other.clock(w), b, 0) == nil {
 			if b.Token <= a.Token {
 				t.Errorf("tokens %d and %d", a.Token, b.Token)
 			}
--- a/internal/lab/fleetsim/cost.go
+++ b/internal/lab/fleetsim/cost.go
@@ -21,12 +21,12 @@
 		b := w.boxes[0]
 		b.copies.has[d] = true
 		w.run(0, b.life, func() {
-			b.node.Carry(b.clock(w), rollout.Command{Kind: rollout.Put, Digest: d, Size: 100, Rules: &rollout.Rules{Grace: time.Hour, Floor: 0.1}})
+			b.node.SubmitRolloutCommand(b.clock(w), rollout.Command{Kind: rollout.Put, Digest: d, Size: 100, Rules: &rollout.Rules{Grace: time.Hour, Floor: 0.1}})
 		})
 		w.Advance(w.now + time.Second)
 		w.run(0, b.life, func() {
-			b.node.Carry(b.clock(w), rollout.Command{Kind: rollout.Start, N: b.node.Ledger().State().Rollout.Last,
-				Plan: &rollout.Plan{Canaries: 9, Share: 1, Patience: time.Minute, Turned: 9, Died: 9, Slots: 9, Supersede: true}})
+			b.node.SubmitRolloutCommand(b.clock(w), rollout.Command{Kind: rollout.Start, N: b.node.Ledger().State().Rollout.Last,
+				Plan: &rollout.Plan{Canaries: 9, Share: 1, Timeout: time.Minute, MaxRejected: 9, MaxDead: 9, Slots: 9, Supersede: true}})
 		})
 		w.Advance(w.now + 4*time.Second)
 	}
@@ -63,14 +63,14 @@
 		if on {
 			w.boxes[0].copies.has[digestOf(5)] = true
 			w.run(0, w.boxes[0].life, func() {
-				w.boxes[0].node.Carry(w.boxes[0].clock(w), rollout.Command{Kind: rollout.Put, Digest: digestOf(5), Size: 100, Rules: &rollout.Rules{Grace: time.Hour, Floor: 0.1}})
+				w.boxes[0].node.SubmitRolloutCommand(w.boxes[0].clock(w), rollout.Command{Kind: rollout.Put, Digest: digestOf(5), Size: 100, Rules: &rollout.Rules{Grace: time.Hour, Floor: 0.1}})
 			})
 			w.Advance(w.now + 5*time.Second)
 			var mark func(i int, n uint64)
 			mark = func(i int, n uint64) {
 				b := w.boxes[i]
 				w.run(i, b.life, func() {
-					b.node.Report(b.clock(w), lease.Mark{Chain: "01a233d09ba0bff584b4", N: n, Sum: digestOf(int(n)), First: 1})
+					b.node.ReportAuditHead(b.clock(w), lease.Mark{Chain: "01a233d09ba0bff584b4", N: n, Sum: digestOf(int(n)), First: 1})
 				})
 				w.at(5*time.Second, func() { mark(i, n+1) })
 			}
--- a/internal/lab/fleetsim/faults.go
+++ b/internal/lab/fleetsim/faults.go
@@ -63,8 +63,8 @@
 			}
 			switch kind {
 			case "disk lost":
-				b.disk.Lose()
-				b.copies.inForce, b.copies.since, b.copies.has = 0, fleet.Place{}, map[string]bool{}
+				b.disk.Erase()
+				b.copies.inForce, b.copies.since, b.copies.has = 0, fleet.LedgerPosition{}, map[string]bool{}
 			case "old disk":
 				*b.disk = *old
 				b.copies.inForce, b.copies.since = oldCopy.inForce, oldCopy.since
@@ -133,7 +133,7 @@
 			continue
 		}
 		s := o.node.Ledger().State()
-		if len(s.Old) > 0 || len(s.Voters) != w.cfg.Voters {
+		if len(s.ReplacedIDs) > 0 || len(s.Voters) != w.cfg.Voters {
 			return false
 		}
 		for _, v := range s.Voters {
@@ -229,7 +229,7 @@
 
 // rest2 checks what has to hold once all is healed: everybody is in, agrees, has the same state, and a task can be got.
 func (w *World) rest2() {
-	asks := make([]*lease.Ask, len(w.boxes))
+	asks := make([]*lease.TrackedRequest, len(w.boxes))
 	for i, b := range w.boxes {
 		if b.node == nil {
 			w.broken("%s is not there", b.name)
@@ -247,7 +247,7 @@
 		w.Advance(w.now + 25*time.Millisecond)
 		all := true
 		for i, b := range w.boxes {
-			if b.node != nil && level(b) && (asks[i] == nil || b.node.May(b.clock(w), asks[i], 0) != nil) {
+			if b.node != nil && level(b) && (asks[i] == nil || b.node.CheckEffect(b.clock(w), asks[i], 0) != nil) {
 				all = false
 			}
 		}
@@ -262,7 +262,7 @@
 			continue
 		}
 		l := b.node.Ledger()
-		if level(b) && (asks[i] == nil || b.node.May(b.clock(w), asks[i], 0) != nil) {
+		if level(b) && (asks[i] == nil || b.node.CheckEffect(b.clock(w), asks[i], 0) != nil) {
 			name, agrees := l.Leader(b.clock(w))
 			w.broken("%s did not get a slot that is free: %v, leader %q, agrees %v, phase %v, index %d", b.name, l.Role(), name, agrees, b.node.Holder().Phase(), l.State().Index)
 		}
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -52,7 +52,7 @@
 		}
 	}
 	before := map[string]uint64{}
-	for name, id := range w.boxes[0].node.Ledger().State().Table.Names {
+	for name, id := range w.boxes[0].node.Ledger().State().Table.CurrentSessions {
 		before[name] = id
 	}
 	for i := range boxes / 5 {
@@ -61,7 +61,7 @@
 		}
 	}
 	w.Advance(w.now + 2*span)
-	now := w.boxes[boxes/2].node.Ledger().State().Table.Names
+	now := w.boxes[boxes/2].node.Ledger().State().Table.CurrentSessions
 	for name, id := range before {
 		if now[name] != id {
 			f.FalseAlarms++
--- a/internal/lab/fleetsim/rollouts.go
+++ b/internal/lab/fleetsim/rollouts.go
@@ -15,7 +15,7 @@
 	w       *World
 	b       *box
 	inForce uint64
-	since   fleet.Place
+	since   fleet.LedgerPosition
 	has     map[string]bool
 }
 
@@ -28,7 +28,7 @@
 func (c *copies) Fetch(digest string, _ int) {
 	life, i := c.b.life, c.w.index(c.b.name)
 	c.w.at(time.Duration(c.b.rand.IntN(400))*time.Millisecond, func() {
-		c.w.run(i, life, func() { c.has[digest] = true; c.b.node.Poke(c.b.clock(c.w)) })
+		c.w.run(i, life, func() { c.has[digest] = true; c.b.node.RecheckRollout(c.b.clock(c.w)) })
 	})
 }
 
@@ -42,7 +42,7 @@
 }
 
 // Store implements fleet.Configs.
-func (c *copies) Store(v rollout.Version, at fleet.Place) error {
+func (c *copies) Store(v rollout.Version, at fleet.LedgerPosition) error {
 	if c.b.disk.Full {
 		return fmt.Errorf("the disk is full")
 	}
@@ -71,8 +71,8 @@
 func (w *World) say(r *rand.Rand, b *box) {
 	t := b.node.Ledger().State().Rollout
 	c := rollout.Command{Kind: rollout.Put, Rules: &rollout.Rules{Grace: 4 * time.Second, Floor: 0.4}}
-	if t != nil && t.Roll != nil {
-		c.Roll = t.Roll.ID
+	if t != nil && t.Current != nil {
+		c.RolloutID = t.Current.ID
 	}
 	switch k := r.IntN(10); {
 	case t == nil || t.Last == t.Target || k < 3:
@@ -81,18 +81,20 @@
 		b.copies.has[c.Digest] = true
 	case k < 8:
 		c.Kind, c.N = rollout.Start, t.Last
-		c.Plan = &rollout.Plan{Canaries: 1, Share: 0.5, Pace: time.Second, Patience: 5 * time.Second, Turned: r.IntN(2), Died: r.IntN(3), Slots: 1 + r.IntN(2), Supersede: r.IntN(3) == 0}
+		c.Plan = &rollout.Plan{Canaries: 1, Share: 0.5, ObserveFor: time.Second, Timeout: 5 * time.Second, MaxRejected: r.IntN(2), MaxDead: r.IntN(3), Slots: 1 + r.IntN(2), Supersede: r.IntN(3) == 0}
 	case k == 8:
 		c.Kind, c.Why = rollout.Abort, "an operator"
 	default:
 		c.Kind = rollout.Hold
 		w.at(time.Duration(r.IntN(2000))*time.Millisecond, func() { // whoever holds resumes
 			i := w.index(b.name)
-			w.run(i, b.life, func() { b.node.Carry(b.clock(w), rollout.Command{Kind: rollout.Resume, Roll: c.Roll}) })
+			w.run(i, b.life, func() {
+				b.node.SubmitRolloutCommand(b.clock(w), rollout.Command{Kind: rollout.Resume, RolloutID: c.RolloutID})
+			})
 		})
 	}
 	w.trace("an operator at %s: %v %d", b.name, c.Kind, c.N)
-	b.node.Carry(b.clock(w), c)
+	b.node.SubmitRolloutCommand(b.clock(w), c)
 }
 
 // watch follows what the fleet agrees on from entry to entry, by whichever box has it first.
@@ -110,20 +112,20 @@
 	if err := t.Check(); err != nil {
 		w.broken("%s: %v", b.name, err)
 	}
-	for box := range t.Out {
+	for box := range t.ShutOutBoxes {
 		if !w.out[box] {
 			w.res.ShutOut++
-			w.trace("%s is shut out: %+v", box, t.Out[box])
+			w.trace("%s is shut out: %+v", box, t.ShutOutBoxes[box])
 		}
 		w.out[box] = true
 	}
 	for box := range w.out {
-		if _, out := t.Out[box]; !out {
+		if _, out := t.ShutOutBoxes[box]; !out {
 			delete(w.out, box)
 			w.res.BackIn++
 		}
 	}
-	for _, r := range t.Past {
+	for _, r := range t.Finished {
 		if w.ends[r.ID] == "" {
 			w.ends[r.ID] = r.Phase.String()
 			w.res.Rollouts[r.Phase.String()]++
@@ -141,22 +143,22 @@
 		if t == nil {
 			continue
 		}
-		if t.Roll != nil && t.Roll.Phase != rollout.Held {
-			w.broken("%s: a roll-out does not end: %+v, boxes %v, out %v", b.name, *t.Roll, t.Boxes, t.Out)
+		if t.Current != nil && t.Current.Phase != rollout.Held {
+			w.broken("%s: a roll-out does not end: %+v, boxes %v, out %v", b.name, *t.Current, t.Boxes, t.ShutOutBoxes)
 		}
 		s := t.Boxes[b.name]
-		turned := s.Turned == t.Wants(b.name)
+		turned := s.Rejected == t.WantedVersion(b.name)
 		if b.copies.inForce < t.Lowest && !turned || s.InForce != b.copies.inForce && b.node.Holder().Session() == s.Session {
 			w.broken("%s has %d in force, has told %+v, and %d is the lowest", b.name, b.copies.inForce, s, t.Lowest)
 		}
-		if _, out := t.Out[b.name]; out && !turned {
+		if _, out := t.ShutOutBoxes[b.name]; out && !turned {
 			w.broken("%s is shut out for no reason any more: %+v", b.name, s)
 		}
-		if stands := b.node.Stands(); stands != straggler.Level && !turned {
+		if stands := b.node.Standing(); stands != straggler.UpToDate && !turned {
 			w.broken("%s is %v", b.name, stands)
 		}
 	}
 }
 
 // level tells whether a box may act for the fleet. One that has turned down what the fleet allows may not.
-func level(b *box) bool { return b.node.Stands() == straggler.Level }
+func level(b *box) bool { return b.node.Standing() == straggler.UpToDate }
--- a/internal/lab/fleetsim/sim.go
+++ b/internal/lab/fleetsim/sim.go
@@ -36,7 +36,7 @@
 // Default is a small fleet with many faults.
 func Default(seed uint64) Config {
 	return Config{Seed: seed, Boxes: 4, Voters: 3, Terms: lease.Terms{Term: 2 * time.Second, Drift: 0.02}, Span: 24 * time.Second, Settle: 12 * time.Second,
-		Timing: ledger.Timing{Beat: 250 * time.Millisecond, Election: time.Second, Poll: time.Second, Gather: 20 * time.Millisecond},
+		Timing: ledger.Timing{Heartbeat: 250 * time.Millisecond, Election: time.Second, Poll: time.Second, BatchDelay: 20 * time.Millisecond},
 		Faults: 10, Tasks: 2, Busy: true, Delay: 5 * time.Millisecond, Loss: 0.01}
 }
 
@@ -90,7 +90,7 @@
 	stopped bool
 	backlog []func() // what came while it was stopped
 	wake    time.Duration
-	asks    map[*lease.Ask]*work
+	asks    map[*lease.TrackedRequest]*work
 	rand    *rand.Rand
 	copies  *copies
 }
@@ -196,9 +196,9 @@
 		seeds = append(seeds, fmt.Sprintf("box%d", j))
 	}
 	cfg := fleet.NodeConfig{Name: b.name, Build: "sim", Seeds: seeds, Timing: w.cfg.Timing, Rand: b.rand, Disk: b.disk,
-		Told: func(format string, args ...any) { w.trace("%s: %s", b.name, fmt.Sprintf(format, args...)) }}
+		Logf: func(format string, args ...any) { w.trace("%s: %s", b.name, fmt.Sprintf(format, args...)) }}
 	if w.cfg.Rollouts > 0 {
-		cfg.Configs, cfg.InForce, cfg.Since, cfg.Number = b.copies, b.copies.inForce, b.copies.since, 1
+		cfg.Configs, cfg.InForce, cfg.Since, cfg.BuildNumber = b.copies, b.copies.inForce, b.copies.since, 1
 	}
 	node, err := fleet.NewNode(b.clock(w), cfg)
 	if err != nil {
@@ -211,7 +211,7 @@
 		})
 		return
 	}
-	b.node, b.stopped, b.backlog, b.asks = node, false, nil, map[*lease.Ask]*work{}
+	b.node, b.stopped, b.backlog, b.asks = node, false, nil, map[*lease.TrackedRequest]*work{}
 	b.life++
 	b.wake = 0
 	w.after(i)
@@ -249,10 +249,10 @@
 	if w.cfg.Rollouts > 0 {
 		w.watch(b)
 	}
-	for _, e := range b.node.Take() {
+	for _, e := range b.node.TakeMessages() {
 		w.send(i, e)
 	}
-	due := w.now + max(time.Millisecond, time.Duration(float64(b.node.Next()-b.clock(w))/b.rate))
+	due := w.now + max(time.Millisecond, time.Duration(float64(b.node.NextTick()-b.clock(w))/b.rate))
 	if b.wake > w.now && b.wake <= due {
 		return
 	}
@@ -324,7 +324,7 @@
 }
 
 // work has a box act under an ask, effect after effect, and give it back.
-func (w *World) work(i, life int, a *lease.Ask) {
+func (w *World) work(i, life int, a *lease.TrackedRequest) {
 	b := w.boxes[i]
 	pause := time.Duration(20+b.rand.IntN(100)) * time.Millisecond
 	if k := b.asks[a]; k != nil {
@@ -336,18 +336,18 @@
 			k := b.asks[a]
 			now := b.clock(w)
 			switch {
-			case a.State.Over():
+			case a.State.Final():
 				delete(b.asks, a)
-				b.node.Drop(a)
+				b.node.ForgetRequest(a)
 				return
-			case k.left == 0 || a.State != lease.Asked && b.rand.IntN(12) == 0:
-				b.node.GiveUp(now, a)
+			case k.left == 0 || a.State != lease.Requested && b.rand.IntN(12) == 0:
+				b.node.ReleaseSlot(now, a)
 				delete(b.asks, a)
-				b.node.Drop(a)
+				b.node.ForgetRequest(a)
 				return
 			}
 			need := time.Duration(20+b.rand.IntN(200)) * time.Millisecond
-			if b.node.May(now, a, need) == nil {
+			if b.node.CheckEffect(now, a, need) == nil {
 				k.left--
 				k.busy = need // it gives nothing back before the effect is over
 				w.act(i, life, k.task, a.Token, need)
--- a/internal/lab/fleetsim/trial.go
+++ b/internal/lab/fleetsim/trial.go
@@ -144,7 +144,7 @@
 	f := &ScaleFigures{Members: members}
 	for f.AllIn == 0 && w.now < 5*time.Minute {
 		w.Advance(w.now + 100*time.Millisecond)
-		if len(w.boxes[0].node.Ledger().State().Table.Names) == members {
+		if len(w.boxes[0].node.Ledger().State().Table.CurrentSessions) == members {
 			f.AllIn = w.now
 		}
 	}
@@ -152,7 +152,7 @@
 	clear(w.talk)
 	commands := w.boxes[0].node.Counts().Commands
 	sessions := map[string]uint64{}
-	for name, id := range w.boxes[0].node.Ledger().State().Table.Names {
+	for name, id := range w.boxes[0].node.Ledger().State().Table.CurrentSessions {
 		sessions[name] = id
 	}
 	w.Advance(w.now + span)
@@ -169,7 +169,7 @@
 	f.RenewalsSecond = float64(w.boxes[0].node.Counts().Commands-commands) / seconds
 	f.StateBytes = len(state.Encode())
 	for name, id := range sessions {
-		if state.Table.Names[name] != id {
+		if state.Table.CurrentSessions[name] != id {
 			f.Lost++
 		}
 	}
@@ -190,11 +190,11 @@
 	began := w.now
 	last := len(w.boxes) - 1
 	b := w.boxes[last]
-	var a *lease.Ask
+	var a *lease.TrackedRequest
 	w.run(last, b.life, func() { a, _ = b.node.Acquire(b.clock(w), lease.Request{Task: "after the loss", Slots: 1}) })
 	for w.now < began+time.Minute {
 		w.Advance(w.now + 10*time.Millisecond)
-		if a != nil && b.node.May(b.clock(w), a, 0) == nil {
+		if a != nil && b.node.CheckEffect(b.clock(w), a, 0) == nil {
 			break
 		}
 	}
--- a/internal/lab/leases/crowd.go
+++ b/internal/lab/leases/crowd.go
@@ -44,7 +44,7 @@
 	}
 	f.AllIn = time.Since(began)
 	fmt.Fprintf(cfg.Progress, "%d boxes are in after %v\n", cfg.Boxes, f.AllIn.Round(time.Millisecond))
-	time.Sleep(cfg.Terms.Pause())
+	time.Sleep(cfg.Terms.RenewInterval())
 	type box struct {
 		messages, bytes int64
 		session         uint64
--- a/internal/lab/model/day.go
+++ b/internal/lab/model/day.go
@@ -16,7 +16,7 @@
 
 // Order are the classes in the order in which the fleet sheds them.
 func (s Site) Order() []int {
-	return shed.Order(len(s.Classes), func(i int) float64 { return s.Classes[i].Worth }, func(i int) time.Duration { return s.Classes[i].Aim })
+	return shed.SheddingOrder(len(s.Classes), func(i int) float64 { return s.Classes[i].Worth }, func(i int) time.Duration { return s.Classes[i].Aim })
 }
 
 // Shares are the tenants' parts of the capacity, by name.
--- a/internal/lab/model/index.go
+++ b/internal/lab/model/index.go
@@ -61,7 +61,7 @@
 		return
 	}
 	delete(b.calls, c.txn)
-	b.rep.Called(c.txn, outcome, b.p.now-c.from, c.body)
+	b.rep.CallEnded(c.txn, outcome, b.p.now-c.from, c.body)
 }
 
 // indexOf is the index as one process calls it.
@@ -132,7 +132,7 @@
 			r.waits = true
 			b.notice++
 			r.notice = b.notice
-			b.rep.Need(txn, r.notice, []byte(txn))
+			b.rep.CallRequested(txn, r.notice, []byte(txn))
 		}
 	})
 }
--- a/internal/lab/model/play.go
+++ b/internal/lab/model/play.go
@@ -124,7 +124,7 @@
 	flows  map[string]*flow
 	load   view.Load
 	life   uint64 // incarnation
-	pace   probes.Pace
+	pace   probes.Schedule
 	level  int
 	turns  []time.Duration       // of its level
 	since  time.Duration         // the catalog is back, and it has not reported; 0: it has
@@ -271,7 +271,7 @@
 	for _, t := range p.day.Tenants {
 		tenants = append(tenants, t.Name)
 	}
-	rep, err := replica.New(replica.Config{Policy: cfg, Tenants: tenants, ResultBytes: 1 << 20, Index: b.indexFor()}, life{p, b, b.life}, engineOf{b, b.life}, new(counters.Set))
+	rep, err := replica.New(replica.Config{Policy: cfg, Tenants: tenants, MaxResultBytes: 1 << 20, Index: b.indexFor()}, life{p, b, b.life}, engineOf{b, b.life}, new(counters.Set))
 	if err != nil {
 		panic("model: the site's figures are no settings: " + err.Error())
 	}
@@ -281,9 +281,9 @@
 	b.load = view.Load{}
 	p.res.LevelChanges = max(p.res.LevelChanges, Most(b.turns, 10*time.Second)) // of the process before
 	b.turns, b.level = nil, 0
-	b.pace = probes.Pace{Self: p.names[b.i], Base: reportEach, Most: reportMost, Each: returnEach, Place: place(b.i)}
+	b.pace = probes.Schedule{Self: p.names[b.i], BaseInterval: reportEach, MaxInterval: reportMost, CostPerBox: returnEach, Place: place(b.i)}
 	mine := b.life
-	p.each(view.Each, place(b.i), func() bool { return b.life == mine && !b.dead }, b.turn)
+	p.each(view.ExchangeInterval, place(b.i), func() bool { return b.life == mine && !b.dead }, b.turn)
 	p.each(reportEach/8, place(b.i), func() bool { return b.life == mine && !b.dead }, b.report)
 	if b.life > 1 {
 		p.At(p.now+p.day.ListLag, p.list)
@@ -404,8 +404,8 @@
 	return true
 }
 
-// AskGauges implements replica.Engine.
-func (e engineOf) AskGauges() bool {
+// RequestGauges implements replica.Engine.
+func (e engineOf) RequestGauges() bool {
 	b := e.b
 	b.p.At(b.p.now, func() {
 		if !b.dead && b.life == e.life {
@@ -456,11 +456,11 @@
 	p, q := b.p, f.q
 	k := p.day.Classes[q.Class]
 	in := replica.Request{Txn: f.txn, Class: k.Name, Tenant: p.day.Tenants[q.Tenant].Name, Body: []byte(fmt.Sprint(q.N)), Caller: q.Router, Retry: f.tries > 1,
-		KB: 16, Rank: q.Rank, Door: time.Unix(0, int64(door)), Limit: start + p.day.Due(q) - door, Reply: &reply{b, f, f.txn}}
+		KB: 16, Rank: q.Rank, ArrivedAt: time.Unix(0, int64(door)), WaitLimit: start + p.day.Due(q) - door, Reply: &reply{b, f, f.txn}}
 	if k.Semantics == policy.Keyed {
-		in.Unique = fmt.Sprintf("%032x", q.N)
+		in.IdempotencyKey = fmt.Sprintf("%032x", q.N)
 	}
-	if in.Limit <= 0 {
+	if in.WaitLimit <= 0 {
 		delete(b.flows, f.txn)
 		return
 	}
@@ -496,7 +496,7 @@
 		return
 	}
 	delete(b.flows, r.txn)
-	if f.txn == r.txn && f.inside && a.Kind == replica.Refused {
+	if f.txn == r.txn && f.inside && a.Kind == replica.Rejected {
 		f.inside = false // refused at read
 	}
 	if a.GiveUp {
@@ -505,7 +505,7 @@
 			p.res.Wrongly++
 		}
 	}
-	told := Told{Later: a.Later, GiveUp: a.GiveUp, Signal: a.Signal.Value, Set: a.Signal.Set}
+	told := Told{Later: a.RetryAfter, GiveUp: a.GiveUp, Signal: a.Signal.Value, Set: a.Signal.Set}
 	p.At(p.now+hop, func() { p.heard(f, r.txn, b.i, a.Kind, told) })
 }
 
@@ -529,7 +529,7 @@
 	switch {
 	case kind == replica.Served:
 		p.end(f, true)
-	case kind == replica.Refused && r.Again(f.tries, told):
+	case kind == replica.Rejected && r.Again(f.tries, told):
 		p.try(f)
 	default:
 		p.end(f, false)
@@ -566,25 +566,25 @@
 		t.Served, t.First, t.Further = t.Served*100, 0, 0
 	}
 	if p.is(Nothing, b.i) {
-		t.Served, t.Refused, t.Busy = 0, t.First, 1
+		t.Served, t.RejectedLocally, t.Busy = 0, t.First, 1
 	}
-	out := b.load.Tick(p.now, view.Turn{Place: p.place(b), Totals: t, Rules: p.rules, Later: p.day.MaxLater, Said: b.said()})
+	out := b.load.Tick(p.now, view.TickInputs{Membership: p.place(b), Totals: t, Rules: p.rules, MaxRetryDelay: p.day.MaxLater, Finding: b.said()})
 	b.rep.Advise(b.load.Advice)
 	if l := b.load.Advice.Level; l != b.level {
 		b.level = l
 		b.turns = append(b.turns, p.now-start)
 	}
-	b.pace.Fleet(len(p.names), b.i == p.prober())
-	for _, s := range b.load.Sums.Said {
-		b.pace.Heard(p.now, s)
+	b.pace.SetFleet(len(p.names), b.i == p.prober())
+	for _, s := range b.load.Sums.Reports {
+		b.pace.RecordReport(p.now, s)
 	}
 	for _, o := range out {
 		p.send(b, o)
 	}
 }
 
-func (b *box) said() *probes.Said {
-	if s, ok := b.pace.Say(b.p.now); ok {
+func (b *box) said() *probes.FindingReport {
+	if s, ok := b.pace.Report(b.p.now); ok {
 		return &s
 	}
 	return nil
@@ -600,17 +600,17 @@
 	return 0
 }
 
-func (p *play) place(b *box) view.Place {
+func (p *play) place(b *box) view.Membership {
 	known := 0
 	for _, g := range p.gone {
 		if !g {
 			known++
 		}
 	}
-	return view.Place{Self: p.names[b.i], Session: b.life, Relays: p.relays, Known: known}
+	return view.Membership{Self: p.names[b.i], Session: b.life, Relays: p.relays, Known: known}
 }
 
-func (p *play) send(from *box, o view.Out) {
+func (p *play) send(from *box, o view.OutgoingMessage) {
 	p.said++
 	if p.said%16 == 1 {
 		if raw, err := cbor.Marshal(o.Message); err == nil {
@@ -663,5 +663,5 @@
 	} else {
 		p.down++
 	}
-	b.pace.Told(p.now, up)
+	b.pace.RecordResult(p.now, up)
 }
--- a/internal/lab/model/site.go
+++ b/internal/lab/model/site.go
@@ -111,7 +111,7 @@
 
 func (w world) site(told *settings.Settings) (Site, error) {
 	c := told.Policy(0)
-	s := Site{Quota: w.Quota, Over: w.Over, MaxLater: c.MaxHoldOff, Heeded: c.Heeded, ListLag: millis(w.ListLagMS), Hot: -1, read: w.Read, told: *told,
+	s := Site{Quota: w.Quota, Over: w.Over, MaxLater: c.MaxHoldOff, Heeded: c.SignalLifetime, ListLag: millis(w.ListLagMS), Hot: -1, read: w.Read, told: *told,
 		Index:   Index{Slots: w.Index.Slots, Takes: millis(w.Index.TakesMS)},
 		Machine: Machine{Cores: c.Cores, ThrashAt: w.ThrashAt, Thrash: w.Thrash, ColdFrom: c.ColdFrom, ColdFor: c.ColdFor}}
 	for _, k := range c.Classes {
@@ -153,7 +153,7 @@
 	span := func(d time.Duration) time.Duration { return millis(float64(d) / float64(time.Millisecond) / times) }
 	classes := make([]Class, len(s.Classes))
 	for i, c := range s.Classes {
-		c.Work, c.Aim, c.Deadline, c.Window = span(c.Work), span(c.Aim), span(c.Deadline), span(c.Window)
+		c.Work, c.Aim, c.Deadline, c.DedupWindow = span(c.Work), span(c.Aim), span(c.Deadline), span(c.DedupWindow)
 		classes[i] = c
 	}
 	s.Classes = classes
@@ -179,7 +179,7 @@
 // Policy is what a box's module is told of the site.
 func (s Site) Policy(seed int64, routers int) policy.Config {
 	c := s.told.Policy(seed)
-	c.Cores, c.ColdFrom, c.ColdFor, c.Callers, c.Heeded, c.MaxHoldOff = s.Cores, s.ColdFrom, s.ColdFor, routers, s.Heeded, s.MaxLater
+	c.Cores, c.ColdFrom, c.ColdFor, c.Callers, c.SignalLifetime, c.MaxHoldOff = s.Cores, s.ColdFrom, s.ColdFor, routers, s.Heeded, s.MaxLater
 	c.Classes = nil
 	for _, k := range s.Classes {
 		c.Classes = append(c.Classes, k.Class)
--- a/internal/lab/model/site_test.go
+++ b/internal/lab/model/site_test.go
@@ -40,18 +40,18 @@
 	if !slices.Equal(names, []string{"view-scan", "save-label", "cut-tiles", "move-scan"}) || len(s.Tenants) != 5 || s.Tenants[s.Hot].Name != "river-rooms" {
 		t.Errorf("classes %v, tenants %v, hot %d", names, s.Tenants, s.Hot)
 	}
-	if k := s.Classes[1]; k.Semantics != policy.Keyed || k.Window != 27600*ms || k.Work != 170*ms || k.Calls != 1.5 || s.Read != time.Duration(0.045*float64(s.MeanWork())) {
+	if k := s.Classes[1]; k.Semantics != policy.Keyed || k.DedupWindow != 27600*ms || k.Work != 170*ms || k.Calls != 1.5 || s.Read != time.Duration(0.045*float64(s.MeanWork())) {
 		t.Errorf("%+v, read %v", k, s.Read)
 	}
-	if c := s.Policy(1, 9); c.Dependency != policy.SharedDependency || c.FairCalls != 1.4 || c.Callers != 9 || c.Cores != 4 || c.MaxHoldOff != 1500*ms || len(c.Tenants) != 5 {
+	if c := s.Policy(1, 9); c.Dependency != policy.SharedDependency || c.MeanCallLimit != 1.4 || c.Callers != 9 || c.Cores != 4 || c.MaxHoldOff != 1500*ms || len(c.Tenants) != 5 {
 		t.Errorf("the module is told %+v", c)
 	}
 	l := open(lectures)
-	if c := l.Policy(1, 5); c.ColdFor != 12*time.Second || c.ColdFrom != 0.35 || c.RunFactor != 16 || c.Dependency != policy.NoDependency {
+	if c := l.Policy(1, 5); c.ColdFor != 12*time.Second || c.ColdFrom != 0.35 || c.RunMemoryFactor != 16 || c.Dependency != policy.NoDependency {
 		t.Errorf("what is laid over the settings is not told: %+v", c)
 	}
 	f := l.Faster(2)
-	if f.Classes[3].Window != l.Classes[3].Window/2 || f.Classes[0].Work != l.Classes[0].Work/2 || f.ColdFor != 6*time.Second || f.ListLag != l.ListLag || f.Capacity(3) < 1.99*l.Capacity(3) {
+	if f.Classes[3].DedupWindow != l.Classes[3].DedupWindow/2 || f.Classes[0].Work != l.Classes[0].Work/2 || f.ColdFor != 6*time.Second || f.ListLag != l.ListLag || f.Capacity(3) < 1.99*l.Capacity(3) {
 		t.Errorf("twice as fast: %+v", f)
 	}
 }
--- a/internal/lab/mutants/crossings.go
+++ b/internal/lab/mutants/crossings.go
@@ -2,10 +2,10 @@
 
 // Crossings are those of docs/crossings.md: what holds when two events cross.
 var Crossings = []Mutant{
-	{"a save in doubt is sent again", "internal/replica/host.go", "lost && req.class.Semantics == policy.Safe {", "lost {", "./internal/replica", "TestOnlySafeRunsAreResentAfterLinkLoss"},
-	{"a save in doubt is sent again, at random", "internal/replica/host.go", "lost && req.class.Semantics == policy.Safe {", "lost {", "./internal/replica", "TestInvariantsHoldOverRandomSteps"},
-	{"a run in doubt that never ends", "internal/replica/host.go", "	case req.inDoubt: // nobody", "	case false: // nobody", "./internal/replica", "TestOnlySafeRunsAreResentAfterLinkLoss"},
-	{"a run that is owed counts as written", "internal/replica/host.go", "				req.pending = true\n			} else if lost", "				r.sendRun(req)\n			} else if lost", "./internal/replica", "TestUnwrittenRunIsSentOnNextLink"},
+	{"a save in doubt is sent again", "internal/replica/policy_host.go", "lost && req.class.Semantics == policy.Safe {", "lost {", "./internal/replica", "TestOnlySafeRunsAreResentAfterLinkLoss"},
+	{"a save in doubt is sent again, at random", "internal/replica/policy_host.go", "lost && req.class.Semantics == policy.Safe {", "lost {", "./internal/replica", "TestInvariantsHoldOverRandomSteps"},
+	{"a run in doubt that never ends", "internal/replica/policy_host.go", "	case req.inDoubt: // nobody", "	case false: // nobody", "./internal/replica", "TestOnlySafeRunsAreResentAfterLinkLoss"},
+	{"a run that is owed counts as written", "internal/replica/policy_host.go", "				req.pending = true\n			} else if lost", "				r.sendRun(req)\n			} else if lost", "./internal/replica", "TestUnwrittenRunIsSentOnNextLink"},
 	{"read because the engine talks", "internal/engine/session.go", "max(s.memory.confirmedAt, written)", "max(written, s.now())", "./internal/engine", "TestAnsweredStatConfirmsEarlierWrites"},
 	{"a move without its last question", "internal/engine/link.go", "	c.sess.sendStat()\n", "", "./internal/engine", "TestMoveNeitherLosesNorDuplicatesRuns"},
 	{"a HELLO without end", "internal/engine/session.go", "	s.silentSince.Store(int64(s.now()))\n	s.send", "	s.send", "./internal/engine", "TestHelloTimeoutDoublesWithEachLink"},
@@ -17,7 +17,7 @@
 	{"a tenant's name in the program", "internal/replica/replica.go", "		q.Tenant = r.cfg.Tenants[tenant]\n", "		if q.Tenant = r.cfg.Tenants[tenant]; q.Tenant == \"{tenant}\" {\n			q.Retry = false\n		}\n", "./internal/settings", "TestThePlatformsProgramNamesNoSite"},
 	{"tenants of a new file", "internal/settings/replica.go", "\"tenants\": slices.Equal(next.Policy.Tenants, r.Policy.Tenants), ", "", "./internal/settings", "TestAReloadTakesTheAddressesOnly"},
 	{"a name that is too long", "internal/front/thrift.go", "[]string{\"unique\", \"item\"}", "[]string{\"verb\", \"team\", \"unique\", \"item\"}", "./internal/front", "TestNamesAndWaitsAreBoundedByTheSettings"},
-	{"a read that is shared for too long", "internal/replica/host.go", "			k.windowEnd = now + r.cfg.Policy.ShareFor\n", "", "./internal/replica", "TestReadResultIsSharedForConfiguredTime"},
+	{"a read that is shared for too long", "internal/replica/policy_host.go", "			k.windowEnd = now + r.cfg.Policy.AnswerReuseTime\n", "", "./internal/replica", "TestReadResultIsSharedForConfiguredTime"},
 	{"names held as they came", "internal/replica/replica.go", "		q.Tenant = r.cfg.Tenants[tenant]\n", "", "./internal/replica", "TestRequestsUseInternedSettingsNames"},
 	{"accepts beside the poller", "internal/front/accept.go", "if !errors.Is(err, unix.EMFILE) && !errors.Is(err, unix.ENFILE) {", "if errors.Is(err, unix.EBADF) || true {", "./internal/front", "TestWithoutDescriptorsThePollerTurnsAway"},
 	{"a panic that nobody counts", "internal/front/server.go", "if p := recover(); p != nil {", "if p := any(nil); p != nil {", "./internal/front", "TestAPanicEndsOneConnectionAndIsCounted"},
@@ -29,7 +29,7 @@
 	{"half a request keeps its connection", "internal/decide/conns/ending.go", "return v.Kernel == 0 && ", "return !v.Partial && v.Kernel == 0 && ", "./cmd/cairnlane", "TestHalfARequestDoesNotTakeTheLastAnswer"},
 	{"signals once the configuration is read", "cmd/cairnlane/main.go", "	daemon.Catch()\n", "", "./cmd/cairnlane", "TestSignalsWhileTheConfigurationIsRead"},
 	{"the notice to leave waits for a file", "internal/daemon/daemon.go", "			reload, read = nil, s.read()\n", "			r := <-s.read()\n			s.reload(r.next, r.err)\n", "./cmd/cairnlane", "TestTheNoticeToLeaveWaitsForNothing"},
-	{"an engine's end word that is not known is fine", "internal/engine/lines.go", "		if !known {", "		if false && !known {", "./internal/engine", "TestMalformedInputEndsLink"},
+	{"an engine's end word that is not known is fine", "internal/engine/codec.go", "		if !known {", "		if false && !known {", "./internal/engine", "TestMalformedInputEndsLink"},
 	{"an end that is carried out twice", "internal/front/ends.go", "	case conns.Close:\n		c.mu.Lock()\n		first := !c.shut", "	case conns.Close:\n		c.mu.Lock()\n		first := true", "./internal/front", "TestAnEndIsCarriedOutOnce"},
 	{"an address that is taken ends the start", "internal/daemon/daemon.go", "if !errors.Is(err, syscall.EADDRINUSE) || ", "if err == nil || errors.Is(err, syscall.EADDRINUSE) || ", "./cmd/cairnlane", "TestAnAddressThatIsStillTakenIsWaitedFor"},
 	{"claims given up before the engine", "internal/daemon/daemon.go", "		s.endEngine()\n		s.endClaims()\n", "		s.endClaims()\n		s.endEngine()\n", "./internal/daemon", "TestTheClaimsAreGivenUpWhenNothingCanBeRun"},
