--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -28,7 +28,7 @@
 
 // Leases are those of the leases.
 var Leases = []Mutant{
-	{"lease counted from the answer", "internal/decide/lease/holder.go", "h.actUntil = max(h.actUntil, h.pending[0].createdAt+h.terms.Acting())", "h.actUntil = max(h.actUntil, now+h.terms.Acting())", "./internal/decide/lease", "TestActingPeriodStartsAtCommandCreation"},
+	{"lease counted from the answer", "internal/decide/lease/holder.go", "h.actUntil = max(h.actUntil, h.pending[0].createdAt+h.terms.HolderDuration())", "h.actUntil = max(h.actUntil, now+h.terms.HolderDuration())", "./internal/decide/lease", "TestActingPeriodStartsAtCommandCreation"},
 	{"no drift margin", "internal/decide/lease/lease.go", "return time.Duration(float64(t.Term) * (1 - t.Drift) / (1 + t.Drift))", "return t.Term", "./internal/decide/lease", "TestRandomStepsNeverExceedSlots"},
 	{"token not raised at a takeover", "internal/decide/lease/lease.go", "		t.Token++\n		task.Holders = append", "		t.Token = max(t.Token, 1)\n		task.Holders = append", "./internal/decide/lease", "TestTableApply"},
 	{"token checked after the effect", "internal/fleet/task.go", "		return err\n	}\n	err = effect(p)\n", "	}\n	if e := effect(p); err == nil {\n		err = e\n	}\n", "./internal/fleet", "TestEffectRequiresValidPermit"},
@@ -38,16 +38,16 @@
 	{"goes on although the disk is full", "internal/fleet/ledger/core.go", "if err := c.disk.Save(w); err != nil {\n				return err\n			}\n		}\n		if w.Snapshot", "if err := c.disk.Save(w); err != nil {\n			}\n		}\n		if w.Snapshot", "./internal/fleet/ledger", "TestNoMessageAfterFailedSave"},
 	{"slot of a dead box given out at once", "internal/decide/lease/lease.go", "			case !l.Sticky:\n", "			case true:\n", "./internal/decide/lease", "TestTableApply"},
 	{"old voter let back in by a copy", "internal/fleet/ledger/store.go", "copied := string(meta.Get(placeKey)) != s.fileID", "copied := false", "./internal/fleet/ledger", "TestCopiedStoreLosesVotingIdentity"},
-	{"removed voter goes on", "internal/fleet/ledger/ledger.go", "	l.cfg.Told(\"this box is no longer a voter\")\n", "	if l.id != 0 {\n		return\n	}\n", "./internal/lab/fleetsim", "TestARemovedVoterThatComesBackVotesNoMore"},
+	{"removed voter goes on", "internal/fleet/ledger/ledger.go", "	l.cfg.Logf(\"this box is no longer a voter\")\n", "	if l.id != 0 {\n		return\n	}\n", "./internal/lab/fleetsim", "TestARemovedVoterThatComesBackVotesNoMore"},
 	{"queue that forgets", "internal/decide/lease/lease.go", "func(w Waiter) bool { return w.Session == s.ID })\n		kept", "func(w Waiter) bool { return true })\n		kept", "./internal/decide/lease", "TestTableApply"},
 	{"permit cached over a stop", "internal/decide/lease/holder.go", "		if now >= h.actUntil {\n			h.checkDeadline(now)\n		} else if", "		if false {\n			h.checkDeadline(now)\n		} else if now < h.actUntil &&", "./internal/decide/lease", "TestRandomStepsNeverExceedSlots"},
-	{"command's children left alive", "internal/fleet/command/command.go", "			for (fleet.Groups{}).Alive(pgid) {", "			for false && (fleet.Groups{}).Alive(pgid) {", "./internal/fleet/command", "TestRemainingChildrenAreKilled"},
+	{"command's children left alive", "internal/fleet/command/command.go", "			for (fleet.SystemProcessGroups{}).Alive(pgid) {", "			for false && (fleet.SystemProcessGroups{}).Alive(pgid) {", "./internal/fleet/command", "TestRemainingChildrenAreKilled"},
 	{"command begins before its guard knows", "internal/fleet/command/command.go", "`read -r -n1 go <&3 || exit 125; exec", "`exec", "./internal/fleet/command", "TestCommandStartsAfterDeskKnowsIt"},
-	{"desk does not end who is not looked after", "internal/fleet/desk.go", "	absent := !r.detached && ", "	absent := false && !r.detached && ", "./internal/fleet", "TestDeskEndsRunsOfAbsentCallers"},
-	{"end of a session that was renewed", "internal/decide/lease/lease.go", "		if s.Seq != c.Seq {\n			return ErrRenewed\n		}\n", "", "./internal/decide/lease", "TestTableApply"},
+	{"desk does not end who is not looked after", "internal/fleet/process_supervisor.go", "	absent := !r.detached && ", "	absent := false && !r.detached && ", "./internal/fleet", "TestDeskEndsRunsOfAbsentCallers"},
+	{"end of a session that was renewed", "internal/decide/lease/lease.go", "		if s.Seq != c.Seq {\n			return ErrStale\n		}\n", "", "./internal/decide/lease", "TestTableApply"},
 	{"judge in a hurry", "internal/decide/lease/judge.go", "j.observed[id] = observation{seq: s.Seq, seenAt: now, sendAt: now + t.Terms.Term}", "j.observed[id] = observation{seq: s.Seq, seenAt: now, sendAt: now + t.Terms.Term/2}", "./internal/decide/lease", "TestRandomStepsNeverExceedSlots"},
-	{"a new process takes over at once", "internal/decide/lease/lease.go", "		old.Past = true\n", "		t.end(old, false)\n", "./internal/decide/lease", "TestTableApply"},
-	{"a new era grants at once", "internal/decide/lease/lease.go", "t.Token, t.Closed = max(t.Token, token), index", "t.Token = max(t.Token, token)", "./internal/lab/fleetsim", "TestANewEraIsAboveAllNumbersAndGrantsNothingForATerm"},
+	{"a new process takes over at once", "internal/decide/lease/lease.go", "		old.NotRenewable = true\n", "		t.end(old, false)\n", "./internal/decide/lease", "TestTableApply"},
+	{"a new era grants at once", "internal/decide/lease/lease.go", "t.Token, t.SuspendedAt = max(t.Token, token), index", "t.Token = max(t.Token, token)", "./internal/lab/fleetsim", "TestANewEraIsAboveAllNumbersAndGrantsNothingForATerm"},
 	{"numbers begin again in a new era", "internal/fleet/ledger/state.go", "	n.Era++\n", "", "./internal/fleet/ledger", "TestNewEraStartsAboveAllIssuedNumbers"},
 	{"message taken without its MAC", "internal/fleet/peer/session.go", "	if !hmac.Equal(sum, messageMAC(s.receiveMAC, s.receivedCount, body)) {", "	if false && !hmac.Equal(sum, messageMAC(s.receiveMAC, s.receivedCount, body)) {", "./internal/fleet/peer", "TestAlteredMessageEndsSession"},
 }
--- a/internal/lab/overloads/cost.go
+++ b/internal/lab/overloads/cost.go
@@ -105,7 +105,7 @@
 	c := v.site.Boxes[0].Control().Fleet()
 	n, err := c.PutConfig(fmt.Appendf(nil, "needs = 2\noverload {\n shares = { %q = 0.5 }\n}\n", v.tenant))
 	if err == nil {
-		err = c.StartRoll(n, rollout.Plan{Canaries: 1, Share: 1, Patience: 12 * time.Second, Slots: 2})
+		err = c.StartRoll(n, rollout.Plan{Canaries: 1, Share: 1, Timeout: 12 * time.Second, Slots: 2})
 	}
 	if err == nil {
 		_, err = v.round(2000) // so that there is a capacity to trust
--- a/internal/lab/overloads/play.go
+++ b/internal/lab/overloads/play.go
@@ -138,7 +138,7 @@
 	set["policy-limits"].(map[string]any)["max-retry-after"] = us(d.MaxLater)
 	for i, l := range set["lanes"].([]any) { // the day's classes are the settings'
 		k, lane := d.Classes[i], l.(map[string]any)
-		lane["aim"], lane["deadline"], lane["dedup-window"] = us(k.Aim), us(k.Deadline), us(k.Window)
+		lane["aim"], lane["deadline"], lane["dedup-window"] = us(k.Aim), us(k.Deadline), us(k.DedupWindow)
 	}
 }
 
@@ -173,7 +173,7 @@
 	c := p.rig.Boxes[0].Control().Fleet()
 	n, err := c.PutConfig([]byte(src.String()))
 	if err == nil {
-		err = c.StartRoll(n, rollout.Plan{Canaries: 1, Share: 1, Patience: 12 * time.Second, Slots: p.cfg.Day.Boxes})
+		err = c.StartRoll(n, rollout.Plan{Canaries: 1, Share: 1, Timeout: 12 * time.Second, Slots: p.cfg.Day.Boxes})
 	}
 	if err != nil {
 		return fmt.Errorf("overloads: the rules are not taken: %w", err)
--- a/internal/lab/overloads/site_test.go
+++ b/internal/lab/overloads/site_test.go
@@ -54,13 +54,13 @@
 		t.Fatal(err)
 	}
 	got := told.Policy(1)
-	if got.FallFactor != 5 || got.Cores != boxCores || got.Dependency != policy.SharedDependency || len(got.Classes) != 4 {
+	if got.MaxRunsPerCore != 5 || got.Cores != boxCores || got.Dependency != policy.SharedDependency || len(got.Classes) != 4 {
 		t.Errorf("%+v", got)
 	}
 	for i, k := range got.Classes {
 		want := s.Classes[i]
 		if near := func(a, b time.Duration) bool { return (a - b).Abs() <= time.Microsecond }; k.Name != want.Name || k.Worth != want.Worth || k.SkipWorth != want.SkipWorth ||
-			k.Semantics != want.Semantics || !near(k.Window, want.Window) || !near(k.Deadline, want.Deadline) || !near(k.Aim, want.Aim) {
+			k.Semantics != want.Semantics || !near(k.DedupWindow, want.DedupWindow) || !near(k.Deadline, want.Deadline) || !near(k.Aim, want.Aim) {
 			t.Errorf("class %d: %+v, not %+v", i, k, want.Class)
 		}
 	}
--- a/internal/lab/rig/play.go
+++ b/internal/lab/rig/play.go
@@ -304,7 +304,7 @@
 		time.Sleep(f.For)
 		both(func(f *Flow) { f.Refuse = false })
 	case Flap:
-		each := s.cfg.Terms.Pause()
+		each := s.cfg.Terms.RenewInterval()
 		for end := time.Now().Add(f.For + 4*each); time.Now().Before(end); {
 			all(true, true, cut)
 			time.Sleep(each)
--- a/internal/lab/rig/traffic.go
+++ b/internal/lab/rig/traffic.go
@@ -40,7 +40,7 @@
 	for _, k := range c.Classes {
 		switch {
 		case k.Semantics == policy.Keyed:
-			t.Keyed = append(t.Keyed, KeyedClass{k.Name, k.Window})
+			t.Keyed = append(t.Keyed, KeyedClass{k.Name, k.DedupWindow})
 		case k.Semantics == policy.Safe && t.Safe == "":
 			t.Safe = k.Name
 		}
--- a/internal/operator/session.go
+++ b/internal/operator/session.go
@@ -71,13 +71,13 @@
 		for _, o := range []struct {
 			name string
 			n    int64
-		}{{"passed", c.Served}, {"dropped", c.Refused}, {"bad_gateway", c.Failed}} {
+		}{{"passed", c.Served}, {"dropped", c.Rejected}, {"bad_gateway", c.Failed}} {
 			dst = append(append(dst, `edge_relay_handled{category="`...), label(c.Name)...)
 			dst = append(append(append(dst, `",outcome="`...), o.name...), `"} `...)
 			dst = append(strconv.AppendInt(dst, o.n, 10), '\n')
 		}
 	}
-	dst = fmt.Appendf(dst, "edge_relay_upstream_tries %d\nedge_relay_in_progress %d\n", f.Tries, f.Open)
+	dst = fmt.Appendf(dst, "edge_relay_upstream_tries %d\nedge_relay_in_progress %d\n", f.Runs, f.Open)
 	return append(dst, "--\n"...)
 }
 
--- a/internal/operator/session_test.go
+++ b/internal/operator/session_test.go
@@ -66,7 +66,7 @@
 
 // The figures are read by what operators use, and each is the number that was counted.
 func TestVarsAreInThePrometheusTextForm(t *testing.T) {
-	f := &fake{figures: replica.Figures{Tries: 7, Open: 3, Classes: []replica.ClassFigures{{Name: "a", Served: 1, Refused: 2, Failed: 4}, {Name: "b\"\\\n", Served: 9}}}}
+	f := &fake{figures: replica.Figures{Runs: 7, Open: 3, Classes: []replica.ClassFigures{{Name: "a", Served: 1, Rejected: 2, Failed: 4}, {Name: "b\"\\\n", Served: 9}}}}
 	text := string(new(session).feed([]byte("vars\n"), f))
 	body, ok := strings.CutSuffix(text, "\n--\n")
 	if !ok {
--- a/internal/replica/advice_test.go
+++ b/internal/replica/advice_test.go
@@ -11,13 +11,13 @@
 
 // adviceWithDelay returns advice of a version that tells rejected callers to come back after that delay.
 func adviceWithDelay(version uint64, after time.Duration) *shed.Advice {
-	return &shed.Advice{Version: version, Trust: 1, Later: [2]time.Duration{after, after}}
+	return &shed.Advice{Version: version, Trust: 1, RetryWindow: [2]time.Duration{after, after}}
 }
 
 // TestRequestKeepsAdviceVersionItWasReadUnder checks that a held request is rejected under the advice it was read
 // under, although other advice, or none, comes into force meanwhile.
 func TestRequestKeepsAdviceVersionItWasReadUnder(t *testing.T) {
-	for name, next := range map[string]*shed.Advice{"another version": adviceWithDelay(8, 900*ms), "no advice": nil, "untrusted advice": {Version: 9, Later: [2]time.Duration{ms, ms}}} {
+	for name, next := range map[string]*shed.Advice{"another version": adviceWithDelay(8, 900*ms), "no advice": nil, "untrusted advice": {Version: 9, RetryWindow: [2]time.Duration{ms, ms}}} {
 		broken := assert.Failures()
 		b := newHarness(t)
 		b.Gauges([]float64{0, 2}) // the cores are busy, so the module does not raise its concurrency
@@ -32,10 +32,10 @@
 			b.Gauges([]float64{0, 2})
 			b.clock.Advance(20 * ms)
 		}
-		if len(held.answers) != 1 || held.answers[0].Kind != Refused || held.answers[0].Later != 70*ms {
+		if len(held.answers) != 1 || held.answers[0].Kind != Rejected || held.answers[0].RetryAfter != 70*ms {
 			t.Errorf("%s: the request read under version 7 was answered %+v", name, held.answers)
 		}
-		if len(after.answers) != 1 || after.answers[0].Kind != Refused || after.answers[0].Later == 70*ms {
+		if len(after.answers) != 1 || after.answers[0].Kind != Rejected || after.answers[0].RetryAfter == 70*ms {
 			t.Errorf("%s: the request read after version 7 was answered %+v", name, after.answers)
 		}
 		if n := assert.Failures() - broken; n != 0 || len(b.violations) > 0 {
@@ -55,7 +55,7 @@
 	b.attempts[again.txn], b.attempts[further.txn] = again, further
 	for q, class := range map[*attempt]string{again: "save", further: "read"} {
 		body := "body of k"
-		if err := b.Arrive(Request{Txn: q.txn, Class: class, Body: []byte(body), KB: 10, Door: time.Unix(0, int64(q.arrivedAt)), Limit: time.Second, Unique: q.unique, Retry: true, Reply: q}); err != nil {
+		if err := b.Arrive(Request{Txn: q.txn, Class: class, Body: []byte(body), KB: 10, ArrivedAt: time.Unix(0, int64(q.arrivedAt)), WaitLimit: time.Second, IdempotencyKey: q.unique, Retry: true, Reply: q}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -63,12 +63,12 @@
 	if len(again.answers) != 1 || again.answers[0].Kind != Served {
 		t.Errorf("the repeat of a keyed request that ran was answered %+v", again.answers)
 	}
-	if len(further.answers) != 1 || further.answers[0].Kind != Refused || b.count.overBudget.Load() != 1 {
+	if len(further.answers) != 1 || further.answers[0].Kind != Rejected || b.count.overBudget.Load() != 1 {
 		t.Errorf("an attempt over the retry budget was answered %+v; %d counted", further.answers, b.count.overBudget.Load())
 	}
 	f := b.Figures()
-	if f.Classes[1].First != 1 || f.Classes[0].First != 0 || f.Tenants[""] != 1 || f.Tenants["uni"] != 0 {
-		t.Errorf("first attempts: by class %+v, by tenant %v", f.Classes, f.Tenants)
+	if f.Classes[1].FirstAttempts != 1 || f.Classes[0].FirstAttempts != 0 || f.FirstByTenant[""] != 1 || f.FirstByTenant["uni"] != 0 {
+		t.Errorf("first attempts: by class %+v, by tenant %v", f.Classes, f.FirstByTenant)
 	}
 	if len(b.violations) > 0 {
 		t.Error(b.violations)
@@ -90,7 +90,7 @@
 
 // BenchmarkRead measures a request from its read to its answer, without and with a fleet's advice.
 func BenchmarkRead(b *testing.B) {
-	full := &shed.Advice{Version: 7, Trust: 1, Tenants: map[string]float64{"uni": 0}, Low: []bool{false, false}, Later: [2]time.Duration{ms, time.Second}}
+	full := &shed.Advice{Version: 7, Trust: 1, Tenants: map[string]float64{"uni": 0}, LowClasses: []bool{false, false}, RetryWindow: [2]time.Duration{ms, time.Second}}
 	for name, a := range map[string]*shed.Advice{"alone": nil, "advised": full} {
 		b.Run(name, func(b *testing.B) {
 			r := newHarness(b)
@@ -108,7 +108,7 @@
 	const txn = "00000000000000ff"
 	q := &attempt{harness: b, txn: txn, arrivedAt: clock.Now(), deadline: clock.Now() + time.Second}
 	b.attempts[txn] = q
-	r.Arrive(Request{Txn: txn, Class: "read", Tenant: "uni", KB: 10, Door: time.Unix(0, int64(q.arrivedAt)), Limit: time.Second, Reply: q})
+	r.Arrive(Request{Txn: txn, Class: "read", Tenant: "uni", KB: 10, ArrivedAt: time.Unix(0, int64(q.arrivedAt)), WaitLimit: time.Second, Reply: q})
 	b.runs = b.runs[:0]
 	r.Done(txn, 0, ms, nil)
 }
--- a/internal/replica/calls_test.go
+++ b/internal/replica/calls_test.go
@@ -24,7 +24,7 @@
 func newIndexHarness(t *testing.T) (*harness, *fakeIndex) {
 	x := new(fakeIndex)
 	b := newHarnessWith(t, &harness{clock: newHarness(t).clock, attempts: map[string]*attempt{}}, Config{Index: x}, func(c *policy.Config) {
-		c.Dependency, c.FairCalls, c.CallsOver, c.CallLinger = policy.SharedDependency, 8, time.Second, 100*ms
+		c.Dependency, c.MeanCallLimit, c.MeanCallWindow, c.CallLinger = policy.SharedDependency, 8, time.Second, 100*ms
 		c.Classes[0].SkipWorth = 0.5
 	})
 	return b, x
@@ -42,13 +42,13 @@
 	b, x := newIndexHarness(t)
 	read := b.arrive("", 0, 3*time.Second)
 	wantList(t, "runs", b.runs, read.txn)
-	b.Need(read.txn, 1, []byte("call\r\nbody"))
+	b.CallRequested(read.txn, 1, []byte("call\r\nbody"))
 	wantList(t, "calls", x.gets, read.txn+" call\r\nbody")
-	b.Called(read.txn, policy.Succeeded, 5*ms, []byte("reply\x00"))
+	b.CallEnded(read.txn, policy.Succeeded, 5*ms, []byte("reply\x00"))
 	wantList(t, "written to the engine", b.callCommands, "FEED "+read.txn+" reply\x00")
 	b.end(read.txn, policy.Succeeded)
 	read.want(t, Served, "result of "+read.txn)
-	b.Called(read.txn, policy.Succeeded, 5*ms, nil) // the end of an unknown call is ignored
+	b.CallEnded(read.txn, policy.Succeeded, 5*ms, nil) // the end of an unknown call is ignored
 	wantList(t, "written to the engine", b.callCommands, "FEED "+read.txn+" reply\x00")
 	if len(b.violations) > 0 {
 		t.Error(strings.Join(b.violations, "; "))
@@ -59,9 +59,9 @@
 func TestIndexReplyIsSentOnNextLink(t *testing.T) {
 	b, _ := newIndexHarness(t)
 	read := b.arrive("", 0, 3*time.Second)
-	b.Need(read.txn, 4, []byte("q"))
+	b.CallRequested(read.txn, 4, []byte("q"))
 	b.linkUp = false
-	b.Called(read.txn, policy.Succeeded, 5*ms, []byte("r"))
+	b.CallEnded(read.txn, policy.Succeeded, 5*ms, []byte("r"))
 	wantList(t, "written without a link", b.callCommands)
 	b.Attached(b.clock.Now(), func() { b.linkUp = true })
 	wantList(t, "written after the link", b.callCommands, "FEED "+read.txn+" r")
@@ -72,8 +72,8 @@
 func TestFailedCallIsRetriedThenSkipped(t *testing.T) {
 	b, x := newIndexHarness(t)
 	read := b.arrive("", 0, 3*time.Second)
-	b.Need(read.txn, 7, []byte("q"))
-	b.Called(read.txn, policy.Failed, 5*ms, nil) // a safe class may call again
+	b.CallRequested(read.txn, 7, []byte("q"))
+	b.CallEnded(read.txn, policy.Failed, 5*ms, nil) // a safe class may call again
 	for i := 0; i < 10 && len(x.gets) < 2; i++ {
 		b.clock.Advance(60 * ms)
 	}
@@ -81,7 +81,7 @@
 		t.Fatalf("calls %q: a failed call of a safe class was not made again", x.gets)
 	}
 	for len(b.callCommands) == 0 && len(x.gets) < 10 {
-		b.Called(read.txn, policy.Failed, 5*ms, nil)
+		b.CallEnded(read.txn, policy.Failed, 5*ms, nil)
 		b.clock.Advance(200 * ms)
 	}
 	wantList(t, "written to the engine", b.callCommands, "SKIP "+read.txn+" 7")
@@ -91,7 +91,7 @@
 func TestEndOfRunStopsItsCall(t *testing.T) {
 	b, x := newIndexHarness(t)
 	read := b.arrive("", 0, 3*time.Second)
-	b.Need(read.txn, 1, []byte("q"))
+	b.CallRequested(read.txn, 1, []byte("q"))
 	b.end(read.txn, policy.Cancelled)
 	wantList(t, "stopped", x.stops, read.txn)
 }
@@ -111,9 +111,9 @@
 		t.Fatalf("%d of %d attempts run: the test needs some of them held", running, len(attempts))
 	}
 	last := attempts[len(attempts)-1]
-	b.Gone(last.txn)
-	last.want(t, Refused, "")
-	b.Gone(attempts[0].txn) // it runs and is answered at its end
+	b.CallerGone(last.txn)
+	last.want(t, Rejected, "")
+	b.CallerGone(attempts[0].txn) // it runs and is answered at its end
 	if len(attempts[0].answers) != 0 {
 		t.Errorf("a running attempt was answered when its caller was gone: %+v", attempts[0].answers)
 	}
@@ -149,9 +149,9 @@
 	if slices.Contains(b.runs, first.txn) || len(first.answers)+len(repeat.answers) != 0 {
 		t.Fatalf("runs %q: the test needs a held attempt and its repeat", b.runs)
 	}
-	b.Gone(first.txn)
-	first.want(t, Refused, "")
-	repeat.want(t, Refused, "")
+	b.CallerGone(first.txn)
+	first.want(t, Rejected, "")
+	repeat.want(t, Rejected, "")
 	later := b.arrive("k", 0, 3*time.Second) // a new request: the key is free
 	if later.answers != nil || b.txns[later.txn].waitsOn != nil {
 		t.Errorf("a later attempt was answered %+v, or waits for the removed one", later.answers)
--- a/internal/replica/figures.go
+++ b/internal/replica/figures.go
@@ -100,39 +100,39 @@
 
 // ClassFigures are the request counts of one class since the start of the process.
 type ClassFigures struct {
-	Name                    string
-	Served, Refused, Failed int64
-	Late                    int64 // served after the aim
-	Share, Low, Beyond      int64 // of Refused, by the reason in the fleet's advice: tenant over its share, low class, beyond the retry budget
-	First                   int64 // accepted first attempts
-	Wanted                  int64 // estimated first attempts if callers held nothing back; counted while a fleet advises
+	Name                                                    string
+	Served, Rejected, Failed                                int64
+	Late                                                    int64 // served after the aim
+	RejectedOverShare, RejectedLowClass, RejectedOverBudget int64 // of Refused, by the reason in the fleet's advice: tenant over its share, low class, beyond the retry budget
+	FirstAttempts                                           int64 // accepted first attempts
+	Wanted                                                  int64 // estimated first attempts if callers held nothing back; counted while a fleet advises
 }
 
 // Figures are the request counts and the demand for cores shown to operators.
 type Figures struct {
-	Classes []ClassFigures
-	Tries   int64            // runs that were sent to the engine
-	Open    int64            // accepted requests that have no answer yet
-	Read    int64            // accepted attempts
-	Further int64            // accepted attempts that were marked as retries
-	Beyond  int64            // rejected because they exceeded the fleet's retry budget
-	Tenants map[string]int64 // accepted first attempts, by tenant
-	Wanted  map[string]int64 // estimated first attempts by tenant if callers held nothing back; counted while a fleet advises
-	Busy    float64          // recent demand for cores as a share of them, 0 to 1
+	Classes            []ClassFigures
+	Runs               int64            // runs that were sent to the engine
+	Open               int64            // accepted requests that have no answer yet
+	Attempts           int64            // accepted attempts
+	Retries            int64            // accepted attempts that were marked as retries
+	RejectedOverBudget int64            // rejected because they exceeded the fleet's retry budget
+	FirstByTenant      map[string]int64 // accepted first attempts, by tenant
+	WantedByTenant     map[string]int64 // estimated first attempts by tenant if callers held nothing back; counted while a fleet advises
+	CoreDemand         float64          // recent demand for cores as a share of them, 0 to 1
 }
 
 // Figures returns the current figures without taking a lock.
 func (r *Replica) Figures() Figures {
-	f := Figures{Tries: r.figures.runs.Load(), Open: r.figures.open.Load(),
-		Read: r.count.read.Load(), Further: r.count.retries.Load(), Beyond: r.count.overBudget.Load(), Tenants: make(map[string]int64, len(r.figures.firstByTenant)), Busy: math.Float64frombits(r.figures.coreDemand.Load())}
-	f.Wanted = make(map[string]int64, len(r.figures.wantedByTenant))
+	f := Figures{Runs: r.figures.runs.Load(), Open: r.figures.open.Load(),
+		Attempts: r.count.read.Load(), Retries: r.count.retries.Load(), RejectedOverBudget: r.count.overBudget.Load(), FirstByTenant: make(map[string]int64, len(r.figures.firstByTenant)), CoreDemand: math.Float64frombits(r.figures.coreDemand.Load())}
+	f.WantedByTenant = make(map[string]int64, len(r.figures.wantedByTenant))
 	for name, n := range r.figures.firstByTenant {
-		f.Tenants[name], f.Wanted[name] = n.Load(), r.figures.wantedByTenant[name].Load()/wantedUnit
+		f.FirstByTenant[name], f.WantedByTenant[name] = n.Load(), r.figures.wantedByTenant[name].Load()/wantedUnit
 	}
 	for i, name := range r.figures.names {
 		e := &r.figures.outcomes[i]
-		f.Classes = append(f.Classes, ClassFigures{Name: name, Served: e[Served].Load(), Refused: e[Refused].Load(), Failed: e[Failed].Load(), Late: r.figures.lateByClass[i].Load(),
-			Share: r.figures.fleetRejections[i][reasonOverShare].Load(), Low: r.figures.fleetRejections[i][reasonLowClass].Load(), Beyond: r.figures.fleetRejections[i][reasonOverBudget].Load(), First: r.figures.firstAttempts[i].Load(), Wanted: r.figures.wantedByClass[i].Load() / wantedUnit})
+		f.Classes = append(f.Classes, ClassFigures{Name: name, Served: e[Served].Load(), Rejected: e[Rejected].Load(), Failed: e[Failed].Load(), Late: r.figures.lateByClass[i].Load(),
+			RejectedOverShare: r.figures.fleetRejections[i][reasonOverShare].Load(), RejectedLowClass: r.figures.fleetRejections[i][reasonLowClass].Load(), RejectedOverBudget: r.figures.fleetRejections[i][reasonOverBudget].Load(), FirstAttempts: r.figures.firstAttempts[i].Load(), Wanted: r.figures.wantedByClass[i].Load() / wantedUnit})
 	}
 	return f
 }
--- a/internal/replica/calls.go
+++ b/internal/replica/index_calls.go
@@ -19,8 +19,8 @@
 	writtenAt   time.Duration
 }
 
-// Need handles the engine's notice that a run waits for an index call with this body.
-func (r *Replica) Need(txn string, notice int64, body []byte) {
+// CallRequested handles the engine's notice that a run waits for an index call with this body.
+func (r *Replica) CallRequested(txn string, notice int64, body []byte) {
 	r.locked(func(now time.Duration) {
 		req := r.txns[txn]
 		if req == nil || !req.running {
@@ -32,9 +32,9 @@
 	})
 }
 
-// Called handles the end of a call to the index: a reply is passed to the run unchanged, and the module is
+// CallEnded handles the end of a call to the index: a reply is passed to the run unchanged, and the module is
 // informed.
-func (r *Replica) Called(txn string, outcome policy.Outcome, took time.Duration, reply []byte) {
+func (r *Replica) CallEnded(txn string, outcome policy.Outcome, took time.Duration, reply []byte) {
 	r.locked(func(now time.Duration) {
 		req := r.txns[txn]
 		if req == nil || !req.call.outstanding {
@@ -47,7 +47,7 @@
 			req.call.skip = false
 			r.sendCallOutcome(req)
 		}
-		r.callModule(func() { r.ctl.Called(now, req.id, outcome, took) })
+		r.callModule(func() { r.ctl.CallDone(now, req.id, outcome, took) })
 	})
 }
 
--- a/internal/replica/keys.go
+++ b/internal/replica/key_table.go
@@ -52,7 +52,7 @@
 func keyName(req *request) string {
 	switch {
 	case req.class.Semantics == policy.Keyed:
-		return "u " + req.Unique
+		return "u " + req.IdempotencyKey
 	case req.class.Semantics == policy.Safe && req.Item != "":
 		return "i " + req.Class + " " + req.Item
 	}
--- a/internal/replica/shared.go
+++ b/internal/replica/peer.go
@@ -9,10 +9,10 @@
 	"cairnlane/policy"
 )
 
-// Peer is the link to the other process of a replacement. Send never blocks. A message accepted by Send reaches
+// PeerLink is the link to the other process of a replacement. Send never blocks. A message accepted by Send reaches
 // the other process even if this process is killed immediately afterwards, or else the other process learns that
 // it missed messages.
-type Peer interface{ Send(m *handover.Message) }
+type PeerLink interface{ Send(m *handover.Message) }
 
 // claimTimeout is how long an attempt waits for permission to run its key. The other process normally answers
 // within milliseconds; otherwise the attempt fails, well before its caller stops waiting.
@@ -22,7 +22,7 @@
 type peerState struct {
 	enabled bool // there may be another process
 	claims  handover.Book
-	peer    Peer                  // nil while there is no link
+	peer    PeerLink              // nil while there is no link
 	waiting map[string][]*request // attempts whose key is claimed, by key; the module does not know them yet
 }
 
@@ -53,7 +53,7 @@
 // sendDrop informs the peer that a key is free again because its attempt never ran.
 func (r *Replica) sendDrop(k *key) {
 	if !k.remote && k.name[0] == 'u' {
-		r.sendToPeer(&handover.Message{Kind: handover.Drop, Key: k.name, Seq: k.claimSeq, Later: k.rejection.Later, GiveUp: k.rejection.GiveUp})
+		r.sendToPeer(&handover.Message{Kind: handover.Drop, Key: k.name, Seq: k.claimSeq, Later: k.rejection.RetryAfter, GiveUp: k.rejection.GiveUp})
 	}
 }
 
@@ -70,7 +70,7 @@
 		return
 	case handover.Ask:
 		r.sendToPeer(&handover.Message{Kind: handover.Claim, Key: key, Seq: seq, Digest: req.digest,
-			Until: req.arrivedAt + req.class.Window + keyMargin, N: int64(req.arrivedAt)})
+			Until: req.arrivedAt + req.class.DedupWindow + keyMargin, N: int64(req.arrivedAt)})
 	}
 	r.peerState.waiting[key] = append(r.peerState.waiting[key], req)
 	r.clock.AfterFunc(min(claimTimeout, max(req.arrivedAt+r.callerWait(req)-now, 0)), func() {
@@ -139,20 +139,20 @@
 
 // Share sets the share of the replica's capacity that this process may use, while another process uses the rest.
 func (r *Replica) Share(share float64) {
-	r.locked(func(now time.Duration) { r.callModule(func() { r.ctl.Share(now, share) }) })
+	r.locked(func(now time.Duration) { r.callModule(func() { r.ctl.SetServerShare(now, share) }) })
 }
 
 // StopAt sets the time at which this process ends while the replica continues in another one; all requests are
 // answered by then.
 func (r *Replica) StopAt(at time.Duration) {
-	r.locked(func(now time.Duration) { r.callModule(func() { r.ctl.StopAt(now, at) }) })
+	r.locked(func(now time.Duration) { r.callModule(func() { r.ctl.SetStopTime(now, at) }) })
 }
 
-// Follow declares that this process succeeds another one. It is called before any request is accepted.
-func (r *Replica) Follow() { r.locked(func(time.Duration) { r.peerState.claims.Follow() }) }
+// FollowPredecessor declares that this process succeeds another one. It is called before any request is accepted.
+func (r *Replica) FollowPredecessor() { r.locked(func(time.Duration) { r.peerState.claims.Follow() }) }
 
-// Joined handles a new link to the other process. Everything this process knows about keys is sent there first.
-func (r *Replica) Joined(p Peer) {
+// PeerConnected handles a new link to the other process. Everything this process knows about keys is sent there first.
+func (r *Replica) PeerConnected(p PeerLink) {
 	r.locked(func(now time.Duration) {
 		r.peerState.peer = p
 		r.peerState.claims.Joined()
@@ -169,15 +169,15 @@
 	})
 }
 
-// Owner reports whether this process owns the claims on keys.
-func (r *Replica) Owner() bool {
+// OwnsClaims reports whether this process owns the claims on keys.
+func (r *Replica) OwnsClaims() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.peerState.claims.Role() == handover.Owner
 }
 
-// Parted handles the end of the link. The outcome of anything the guest may have run is then unknown.
-func (r *Replica) Parted() {
+// PeerDisconnected handles the end of the link. The outcome of anything the guest may have run is then unknown.
+func (r *Replica) PeerDisconnected() {
 	r.locked(func(now time.Duration) {
 		owner := r.peerState.claims.Role() == handover.Owner
 		r.peerState.peer = nil
@@ -189,12 +189,12 @@
 	})
 }
 
-// TookOver handles the end of the preceding process; complete says whether every message of that process was received.
-func (r *Replica) TookOver(complete bool) {
+// PredecessorEnded handles the end of the preceding process; complete says whether every message of that process was received.
+func (r *Replica) PredecessorEnded(complete bool) {
 	r.locked(func(now time.Duration) {
 		window := time.Duration(0)
 		for _, c := range r.cfg.Policy.Classes {
-			window = max(window, c.Window+c.Deadline)
+			window = max(window, c.DedupWindow+c.Deadline)
 		}
 		r.peerState.peer = nil
 		r.peerState.claims.TookOver(complete, now+window+keyMargin)
@@ -222,8 +222,8 @@
 	}
 }
 
-// Told handles a message about a key from the other process.
-func (r *Replica) Told(m *handover.Message) {
+// ReceiveFromPeer handles a message about a key from the other process.
+func (r *Replica) ReceiveFromPeer(m *handover.Message) {
 	r.locked(func(now time.Duration) {
 		if r.peerState.peer == nil {
 			return
@@ -278,7 +278,7 @@
 	}
 	r.keys.drop(k)
 	if owner {
-		r.releaseWaiting(k, Answer{Kind: Refused, Later: m.Later, GiveUp: m.GiveUp}, policy.Failed)
+		r.releaseWaiting(k, Answer{Kind: Rejected, RetryAfter: m.Later, GiveUp: m.GiveUp}, policy.Failed)
 	} else {
 		r.releaseWaiting(k, Answer{Kind: Failed}, policy.Failed)
 	}
--- a/internal/replica/peer_test.go
+++ b/internal/replica/peer_test.go
@@ -47,15 +47,15 @@
 // start starts a new process beside the old one.
 func (p *pair) start(t interface{ Fatal(...any) }) {
 	p.new = newPeerHarness(t, p.old, true)
-	p.new.Follow()
+	p.new.FollowPredecessor()
 	p.link()
 }
 
 func (p *pair) link() {
 	p.synced = false
 	p.toOld, p.toNew = peerLink{from: p.new}, peerLink{from: p.old}
-	p.new.Joined(&p.toOld)
-	p.old.Joined(&p.toNew)
+	p.new.PeerConnected(&p.toOld)
+	p.old.PeerConnected(&p.toNew)
 }
 
 func (p *pair) cut() {
@@ -75,7 +75,7 @@
 			p.synced = true
 		}
 		if !to.killed {
-			to.Told(m)
+			to.ReceiveFromPeer(m)
 		}
 	}
 }
@@ -91,14 +91,14 @@
 func (p *pair) killOld() {
 	p.old.killed, p.old.linkUp = true, false
 	p.deliver(&p.toNew, -1)
-	p.new.Parted()
-	p.new.TookOver(p.synced && !p.toNew.cut)
+	p.new.PeerDisconnected()
+	p.new.PredecessorEnded(p.synced && !p.toNew.cut)
 }
 
 func (p *pair) killNew() {
 	p.new.killed, p.new.linkUp = true, false
 	p.deliver(&p.toOld, -1)
-	p.old.Parted()
+	p.old.PeerDisconnected()
 }
 
 func (p *pair) violations() []string {
@@ -265,8 +265,8 @@
 	p.settle()
 	a := p.old.arrive("k", 0, time.Second)
 	other := &attempt{harness: p.new, txn: "a", deadline: p.new.clock.Now() + time.Second}
-	if err := p.new.Arrive(Request{Txn: "a", Class: "save", Body: []byte("other"), KB: 10, Door: p.new.clock.Unix(), Limit: time.Second,
-		Unique: "k", Reply: other}); err != nil {
+	if err := p.new.Arrive(Request{Txn: "a", Class: "save", Body: []byte("other"), KB: 10, ArrivedAt: p.new.clock.Unix(), WaitLimit: time.Second,
+		IdempotencyKey: "k", Reply: other}); err != nil {
 		t.Fatal(err)
 	}
 	p.settle()
@@ -307,13 +307,13 @@
 					linked = false
 					p.cut()
 					if rapid.Bool().Draw(rt, "old process notices first") {
-						p.old.Parted()
+						p.old.PeerDisconnected()
 						p.deliver(&p.toNew, -1)
-						p.new.Parted()
+						p.new.PeerDisconnected()
 					} else {
-						p.new.Parted()
+						p.new.PeerDisconnected()
 						p.deliver(&p.toOld, -1)
-						p.old.Parted()
+						p.old.PeerDisconnected()
 					}
 				}
 			},
--- a/internal/replica/host.go
+++ b/internal/replica/policy_host.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Refuse implements policy.Host.
-func (r *Replica) Refuse(id policy.RequestID, a policy.Advice) {
+// Reject implements policy.Host.
+func (r *Replica) Reject(id policy.RequestID, a policy.Advice) {
 	req := r.live[id]
 	if req == nil {
 		return
@@ -59,17 +59,17 @@
 	}
 	assert.That(a.Version == req.fleetAdvice.Version, "one version of the advice applies to a request from its read to its answer")
 	switch o := &req.fleetAdvice; {
-	case o.Beyond:
+	case o.BeyondRetryLimit:
 		r.count.overBudget.Inc()
 		r.figures.fleetRejections[req.classIndex][reasonOverBudget].Add(1)
-	case o.Order == shed.OverShare:
+	case o.RejectOrder == shed.OverShare:
 		r.count.overShare.Inc()
 		r.figures.fleetRejections[req.classIndex][reasonOverShare].Add(1)
-	case o.Order == shed.LowClass:
+	case o.RejectOrder == shed.LowClass:
 		r.count.lowClass.Inc()
 		r.figures.fleetRejections[req.classIndex][reasonLowClass].Add(1)
 	}
-	rejection := Answer{Kind: Refused, Later: a.HoldOff, GiveUp: a.Last}
+	rejection := Answer{Kind: Rejected, RetryAfter: a.HoldOff, GiveUp: a.DoNotRetry}
 	r.answer(req, rejection)
 	if req.running {
 		return
@@ -143,16 +143,16 @@
 	}
 }
 
-// Keep implements policy.Host. The window counts from the arrival of the attempt, as in the module, plus a margin.
-func (r *Replica) Keep(id policy.RequestID, ttl time.Duration) {
+// StoreKey implements policy.Host. The window counts from the arrival of the attempt, as in the module, plus a margin.
+func (r *Replica) StoreKey(id policy.RequestID, ttl time.Duration) {
 	if req := r.live[id]; req != nil {
 		req.key = r.keys.keep(req, r.clock.Now()+ttl+keyMargin)
 		r.sendEntry(req.key)
 	}
 }
 
-// Forget implements policy.Host.
-func (r *Replica) Forget(id policy.RequestID) {
+// DeleteKey implements policy.Host.
+func (r *Replica) DeleteKey(id policy.RequestID) {
 	if k := r.keys.byHolder[id]; k != nil && assert.That(!k.ran, "the key of a run is not forgotten") {
 		r.keys.drop(k)
 		r.sendDrop(k)
@@ -185,7 +185,7 @@
 // from the start of this process, which may wait for the engine for a while, a cold server would be taken for a
 // warm one.
 func (r *Replica) Started(ago time.Duration) {
-	r.locked(func(now time.Duration) { r.callModule(func() { r.ctl.Started(now, ago) }) })
+	r.locked(func(now time.Duration) { r.callModule(func() { r.ctl.CoresStarted(now, ago) }) })
 }
 
 // Done handles the end of a run.
@@ -210,7 +210,7 @@
 			if k := req.key; k != nil {
 				k.ran = false
 			}
-			r.runEnded(now, req, policy.TurnedAway, 0, nil)
+			r.runEnded(now, req, policy.Rejected, 0, nil)
 		}
 	})
 }
@@ -236,7 +236,7 @@
 			r.keys.store(k, result)
 		}
 		if req.class.Semantics == policy.Safe { // the result may be shared for exactly this long; a margin would not help
-			k.windowEnd = now + r.cfg.Policy.ShareFor
+			k.windowEnd = now + r.cfg.Policy.AnswerReuseTime
 		}
 		r.releaseWaiting(k, a, outcome)
 		r.sendEntry(k)
@@ -247,9 +247,9 @@
 // Gauges handles the engine's gauges: the tick that requested them continues.
 func (r *Replica) Gauges(values []float64) {
 	r.locked(func(now time.Duration) {
-		if r.cfg.OnCores < len(values) {
-			r.gauges.OnCores, r.gaugesAt = values[r.cfg.OnCores], now
-			r.figures.recordDemand(r.gauges.OnCores / float64(r.cfg.Policy.Cores))
+		if r.cfg.CoresGauge < len(values) {
+			r.gauges.CoreDemand, r.gaugesAt = values[r.cfg.CoresGauge], now
+			r.figures.recordDemand(r.gauges.CoreDemand / float64(r.cfg.Policy.Cores))
 		}
 		if r.awaitingGauges {
 			r.finishTick(now)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -34,8 +34,8 @@
 	// Skip tells a run to continue without the call requested by notice number; it returns false if there is no
 	// link to send it on.
 	Skip(txn string, number int64) bool
-	// AskGauges requests the gauges; it returns false if no answer is to be expected soon.
-	AskGauges() bool
+	// RequestGauges requests the gauges; it returns false if no answer is to be expected soon.
+	RequestGauges() bool
 }
 
 // Index makes the calls that running requests wait for to the index shared by all replicas. Its methods never
@@ -50,22 +50,22 @@
 
 // Request is one attempt, as read from a router.
 type Request struct {
-	Txn    string // unique id of the attempt
-	Class  string
-	Tenant string
-	Body   []byte
-	Caller int
-	Retry  bool
-	KB     float64
-	Rank   float64
-	Door   time.Time     // when the attempt arrived at the machine
-	Limit  time.Duration // how long the caller waits, counted from Door
-	// LimitUnknown is set if the router did not send Limit: the caller is then assumed to wait for the deadline of
+	Txn       string // unique id of the attempt
+	Class     string
+	Tenant    string
+	Body      []byte
+	Caller    int
+	Retry     bool
+	KB        float64
+	Rank      float64
+	ArrivedAt time.Time     // when the attempt arrived at the machine
+	WaitLimit time.Duration // how long the caller waits, counted from Door
+	// WaitLimitUnknown is set if the router did not send Limit: the caller is then assumed to wait for the deadline of
 	// the class.
-	LimitUnknown bool
-	Unique       string // idempotency key, shared by all attempts of one keyed request
-	Item         string // what a read refers to; reads of the same item may share a result
-	Reply        Reply
+	WaitLimitUnknown bool
+	IdempotencyKey   string // idempotency key, shared by all attempts of one keyed request
+	Item             string // what a read refers to; reads of the same item may share a result
+	Reply            Reply
 }
 
 // Kind is the kind of an answer.
@@ -73,19 +73,19 @@
 
 // The kinds of answers.
 const (
-	Served  Kind = iota // with the result of the run
-	Refused             // the attempt never ran
+	Served   Kind = iota // with the result of the run
+	Rejected             // the attempt never ran
 	Failed
 	kindCount
 )
 
 // Answer is the one final answer to an attempt.
 type Answer struct {
-	Kind   Kind
-	Body   []byte        // valid only during the call
-	Later  time.Duration // Refused: the caller should not retry before this has passed
-	GiveUp bool          // Refused: the caller should not retry at another replica
-	Signal Signal        // sent along with the answer
+	Kind       Kind
+	Body       []byte        // valid only during the call
+	RetryAfter time.Duration // Refused: the caller should not retry before this has passed
+	GiveUp     bool          // Refused: the caller should not retry at another replica
+	Signal     Signal        // sent along with the answer
 }
 
 // Signal is the value that the module publishes to callers with each answer. Set is false until the module has
@@ -100,13 +100,13 @@
 
 // Config is the configuration of a replica.
 type Config struct {
-	Policy      policy.Config
-	Tenants     []string // names of all tenants; empty if the site has none
-	OnCores     int      // index of the on-cores gauge among the gauges that the engine reports
-	ResultBytes int      // limit on the total size of stored results
-	CloseIdle   func(after time.Duration)
-	Replaceable bool  // this process may be replaced by another one, or replaces one
-	Index       Index // nil if the site's requests make no index calls
+	Policy         policy.Config
+	Tenants        []string // names of all tenants; empty if the site has none
+	CoresGauge     int      // index of the on-cores gauge among the gauges that the engine reports
+	MaxResultBytes int      // limit on the total size of stored results
+	CloseIdle      func(after time.Duration)
+	Replaceable    bool  // this process may be replaced by another one, or replaces one
+	Index          Index // nil if the site's requests make no index calls
 }
 
 const (
@@ -133,9 +133,9 @@
 	classIndex  int // index of class in the module's configuration
 	tenant      int // 1 + index of the tenant in the module's configuration; 0 if none
 	arrivedAt   time.Duration
-	digest      handover.Digest // of class and body; set for keyed classes only
-	claimSeq    uint64          // number of the claim by which the peer process granted the key to this one
-	fleetAdvice policy.Others   // the fleet's advice, fixed when the request was read
+	digest      handover.Digest  // of class and body; set for keyed classes only
+	claimSeq    uint64           // number of the claim by which the peer process granted the key to this one
+	fleetAdvice policy.PeerState // the fleet's advice, fixed when the request was read
 	answered    bool
 	running     bool // the module decided to run it and its end was not reported yet
 	sent        bool // RUN was written at least once
@@ -175,7 +175,7 @@
 	healthy        bool
 	maxAge         time.Duration // limit on the age and on the wait of a request
 	random         func() float64
-	compliance     shed.Manners
+	compliance     shed.CallerCompliance
 }
 
 type counts struct {
@@ -188,7 +188,7 @@
 func New(cfg Config, clock Clock, engine Engine, set *counters.Set) (*Replica, error) {
 	r := &Replica{cfg: cfg, clock: clock, engine: engine, classes: map[string]int{}, tenants: map[string]int{},
 		live: map[policy.RequestID]*request{}, txns: map[string]*request{},
-		keys: keyTable{byName: map[string]*key{}, byHolder: map[policy.RequestID]*key{}, maxResultBytes: cfg.ResultBytes}}
+		keys: keyTable{byName: map[string]*key{}, byHolder: map[policy.RequestID]*key{}, maxResultBytes: cfg.MaxResultBytes}}
 	r.count = counts{read: set.Get("requests_read"), retries: set.Get("requests_marked_retry"),
 		served: set.Get("answers_served"), rejectedAnswers: set.Get("answers_refused"), failed: set.Get("answers_failed"),
 		reused: set.Get("answers_reused"), withLater: set.Get("answers_with_later"), withGiveUp: set.Get("answers_with_giveup"),
@@ -258,8 +258,8 @@
 	} else {
 		q.Tenant = ""
 	}
-	req := &request{Request: q, class: &r.cfg.Policy.Classes[class], classIndex: class, tenant: r.tenants[q.Tenant], arrivedAt: time.Duration(q.Door.UnixNano())}
-	if req.class.Semantics == policy.Keyed && q.Unique == "" {
+	req := &request{Request: q, class: &r.cfg.Policy.Classes[class], classIndex: class, tenant: r.tenants[q.Tenant], arrivedAt: time.Duration(q.ArrivedAt.UnixNano())}
+	if req.class.Semantics == policy.Keyed && q.IdempotencyKey == "" {
 		return fmt.Errorf("%w: class %q needs an idempotency key", ErrRequest, q.Class)
 	}
 	if req.class.Semantics == policy.Keyed {
@@ -274,8 +274,8 @@
 		case req.arrivedAt > now+maxClockSkew:
 			err = fmt.Errorf("%w: arrival time is %v in the future", ErrRequest, req.arrivedAt-now)
 			return
-		case now-req.arrivedAt > r.maxAge || q.Limit > r.maxAge: // the age would be mistaken for a long wait to be read
-			err = fmt.Errorf("%w: arrived %v ago with a wait of %v, more than %v", ErrRequest, now-req.arrivedAt, q.Limit, r.maxAge)
+		case now-req.arrivedAt > r.maxAge || q.WaitLimit > r.maxAge: // the age would be mistaken for a long wait to be read
+			err = fmt.Errorf("%w: arrived %v ago with a wait of %v, more than %v", ErrRequest, now-req.arrivedAt, q.WaitLimit, r.maxAge)
 			return
 		}
 		k := r.keys.find(req)
@@ -313,12 +313,12 @@
 // nil.
 func (r *Replica) describe(now time.Duration, req *request, k *key) policy.Request {
 	in := policy.Request{ID: req.id, Class: req.classIndex, Tenant: req.tenant, Retry: req.Retry, Caller: req.Caller, KB: req.KB, Rank: req.Rank,
-		Key: req.Item, Waited: max(now-req.arrivedAt, 0), Others: req.fleetAdvice}
-	if !req.LimitUnknown { // otherwise the module uses the deadline of the class
-		in.Due = req.arrivedAt + req.Limit
+		Key: req.Item, ReadWait: max(now-req.arrivedAt, 0), Peers: req.fleetAdvice}
+	if !req.WaitLimitUnknown { // otherwise the module uses the deadline of the class
+		in.Due = req.arrivedAt + req.WaitLimit
 	}
 	if k != nil {
-		in.Earlier = k.holder
+		in.RepeatOf = k.holder
 	}
 	return in
 }
@@ -329,9 +329,9 @@
 	r.advice.Store(a)
 	mean := 0.0
 	if a != nil {
-		mean = a.Trust * a.Mean
+		mean = a.Trust * a.MeanHoldBack
 	}
-	r.locked(func(time.Duration) { r.callModule(func() { r.ctl.Others(mean) }) })
+	r.locked(func(time.Duration) { r.callModule(func() { r.ctl.SetMeanLevel(mean) }) })
 }
 
 // Level returns the share of requests, by rank, that the module alone would have callers hold back, without regard
@@ -342,24 +342,24 @@
 }
 
 // adviceFor returns the fleet's advice on a request, in the module's terms.
-func (r *Replica) adviceFor(now time.Duration, req *request) policy.Others {
+func (r *Replica) adviceFor(now time.Duration, req *request) policy.PeerState {
 	a := r.advice.Load()
 	if a == nil {
-		return policy.Others{}
+		return policy.PeerState{}
 	}
 	if r.random == nil { // a separate source: the module draws the same numbers with a fleet and without
 		r.random = rand.New(rand.NewPCG(uint64(r.cfg.Policy.Seed), adviceStream)).Float64
 	}
-	r.compliance.Told(now, r.signal.Value)
+	r.compliance.SetFloor(now, r.signal.Value)
 	r.figures.countWanted(req, r.signal.Value)
-	verdict := a.For(req.Tenant, req.classIndex, req.Retry, r.random)
-	if r.compliance.Saw(req.Caller, req.Rank) {
-		verdict.Beyond, verdict.Order = false, shed.Ordinary
+	verdict := a.ForRequest(req.Tenant, req.classIndex, req.Retry, r.random)
+	if r.compliance.Observe(req.Caller, req.Rank) {
+		verdict.OverBudget, verdict.Order = false, shed.Ordinary
 		if req.Retry {
-			verdict.Order = shed.Last
+			verdict.Order = shed.NotByChance
 		}
 	}
-	return policy.Others{Version: verdict.Version, Known: verdict.Known, Full: verdict.Full, Return: verdict.Return, Beyond: verdict.Beyond, Order: verdict.Order}
+	return policy.PeerState{Version: verdict.Version, Known: verdict.RetryValid, Full: verdict.FleetFull, RetryAfter: verdict.RetryAfter, BeyondRetryLimit: verdict.OverBudget, RejectOrder: verdict.Order}
 }
 
 // answer gives a request its one final answer.
@@ -375,9 +375,9 @@
 	switch a.Kind {
 	case Served:
 		r.count.served.Inc()
-	case Refused:
+	case Rejected:
 		r.count.rejectedAnswers.Inc()
-		if a.Later > 0 {
+		if a.RetryAfter > 0 {
 			r.count.withLater.Inc()
 		}
 		if a.GiveUp {
@@ -394,10 +394,10 @@
 // callerWait returns how long the caller of a request waits, counted from its arrival: the limit sent by the
 // router or else the deadline of the class.
 func (r *Replica) callerWait(req *request) time.Duration {
-	if req.LimitUnknown {
+	if req.WaitLimitUnknown {
 		return req.class.Deadline
 	}
-	return req.Limit
+	return req.WaitLimit
 }
 
 // remove drops a request from the tables of live requests and stops its index call.
@@ -418,7 +418,7 @@
 func (r *Replica) tick() {
 	r.locked(func(now time.Duration) {
 		r.ticks++
-		if r.awaitingGauges = r.engine.AskGauges(); !r.awaitingGauges {
+		if r.awaitingGauges = r.engine.RequestGauges(); !r.awaitingGauges {
 			r.finishTick(now)
 			return
 		}
@@ -448,8 +448,8 @@
 	r.locked(func(now time.Duration) { r.callModule(func() { r.ctl.Drain(now, now+stop) }) })
 }
 
-// Owed returns the number of requests that have no answer yet.
-func (r *Replica) Owed() int { return int(r.figures.open.Load()) }
+// Unanswered returns the number of requests that have no answer yet.
+func (r *Replica) Unanswered() int { return int(r.figures.open.Load()) }
 
 // Healthy returns the health state that the module last set, for health checks.
 func (r *Replica) Healthy() bool {
@@ -465,27 +465,27 @@
 	return r.signal
 }
 
-// Gone handles the notice that the caller of an attempt has stopped waiting: no answer is owed any more, and what
+// CallerGone handles the notice that the caller of an attempt has stopped waiting: no answer is owed any more, and what
 // has not started need not run. The module is told. An attempt that neither runs nor waits for another one is
 // answered as rejected at once, since it never ran: the answer does no harm and the connection is not kept busy.
 // Keyed attempts are left as they are while the peer process may be asked for their key.
-func (r *Replica) Gone(txn string) {
+func (r *Replica) CallerGone(txn string) {
 	r.locked(func(now time.Duration) {
 		req := r.txns[txn]
 		if req == nil || req.answered || (r.peerState.enabled && req.class.Semantics == policy.Keyed) {
 			return
 		}
 		r.count.callersGone.Inc()
-		r.callModule(func() { r.ctl.Gone(now, req.id) })
+		r.callModule(func() { r.ctl.CallerGone(now, req.id) })
 		if !req.running && req.waitsOn == nil && !req.answered {
-			r.answer(req, Answer{Kind: Refused})
+			r.answer(req, Answer{Kind: Rejected})
 			r.remove(req)
 			if k := req.key; k != nil { // repeats that waited for it never ran either
-				r.releaseWaiting(k, Answer{Kind: Refused}, policy.Failed)
+				r.releaseWaiting(k, Answer{Kind: Rejected}, policy.Failed)
 			}
 		}
 	})
 }
 
-// Turned counts a call that could not be accepted as a request.
-func (r *Replica) Turned() { r.count.malformed.Inc() }
+// CountMalformed counts a call that could not be accepted as a request.
+func (r *Replica) CountMalformed() { r.count.malformed.Inc() }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -52,7 +52,7 @@
 		t.harness.violations = append(t.harness.violations, t.txn+" was answered twice")
 	}
 	for _, other := range t.harness.attempts {
-		if a.Kind == Refused && other.started && t.unique != "" && other.unique == t.unique && t.arrivedAt < other.arrivedAt+window {
+		if a.Kind == Rejected && other.started && t.unique != "" && other.unique == t.unique && t.arrivedAt < other.arrivedAt+window {
 			t.harness.violations = append(t.harness.violations, t.txn+" was rejected although its request ran")
 		}
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-func (b *harness) AskGauges() bool { b.gaugeRequests++; return b.linkUp }
+func (b *harness) RequestGauges() bool { b.gaugeRequests++; return b.linkUp }
 
 func (b *harness) Feed(txn string, reply []byte) bool {
 	if b.linkUp {
@@ -109,12 +109,12 @@
 // newHarnessWith completes configuration c; edit may change the module's part of it.
 func newHarnessWith(t interface{ Fatal(...any) }, other *harness, c Config, edit func(*policy.Config)) *harness {
 	b := &harness{clock: other.clock, attempts: other.attempts}
-	cfg := policy.Config{Seed: 1, Cores: 2, MemoryKB: 10000, RunFactor: 8, KeyKB: 10, FallFactor: 6, AnswerSlack: 60 * ms,
+	cfg := policy.Config{Seed: 1, Cores: 2, MemoryKB: 10000, RunMemoryFactor: 8, KeyKB: 10, MaxRunsPerCore: 6, AnswerSlack: 60 * ms,
 		DrainGrace: time.Second, Signal: policy.RankFloor, MaxHoldOff: time.Second, Classes: []policy.Class{
 			{Name: "read", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1},
-			{Name: "save", Aim: time.Second, Deadline: 3 * time.Second, Worth: 4, Semantics: policy.Keyed, Window: window}}}
+			{Name: "save", Aim: time.Second, Deadline: 3 * time.Second, Worth: 4, Semantics: policy.Keyed, DedupWindow: window}}}
 	edit(&cfg)
-	c.Policy, c.Tenants, c.OnCores, c.ResultBytes = cfg, []string{"", "uni"}, 1, 64
+	c.Policy, c.Tenants, c.CoresGauge, c.MaxResultBytes = cfg, []string{"", "uni"}, 1, 64
 	r, err := New(c, b.clock, b, new(counters.Set))
 	if err != nil {
 		t.Fatal(err)
@@ -137,8 +137,8 @@
 	if unique != "" {
 		class, body = "save", "body of "+unique
 	}
-	if err := b.Arrive(Request{Txn: t.txn, Class: class, Body: []byte(body), KB: 10, Door: time.Unix(0, int64(t.arrivedAt)),
-		Limit: limit, Unique: unique, Reply: t}); err != nil {
+	if err := b.Arrive(Request{Txn: t.txn, Class: class, Body: []byte(body), KB: 10, ArrivedAt: time.Unix(0, int64(t.arrivedAt)),
+		WaitLimit: limit, IdempotencyKey: unique, Reply: t}); err != nil {
 		b.violations = append(b.violations, err.Error())
 	}
 	return t
@@ -184,8 +184,8 @@
 func TestKeyWithDifferentBodyIsRejected(t *testing.T) {
 	b := newHarness(t)
 	arriveWithOtherBody := func(txn string) error {
-		return b.Arrive(Request{Txn: txn, Class: "save", Body: []byte("other"), KB: 10, Door: b.clock.Unix(), Limit: time.Second,
-			Unique: "k", Reply: &attempt{harness: b, txn: txn}})
+		return b.Arrive(Request{Txn: txn, Class: "save", Body: []byte("other"), KB: 10, ArrivedAt: b.clock.Unix(), WaitLimit: time.Second,
+			IdempotencyKey: "k", Reply: &attempt{harness: b, txn: txn}})
 	}
 	first := b.arrive("k", 0, time.Second)
 	if arriveWithOtherBody("a") == nil {
@@ -350,7 +350,7 @@
 	if b.gaugeRequests != 1 || !b.awaitingGauges {
 		t.Fatalf("gauges requested %d times, awaiting %v", b.gaugeRequests, b.awaitingGauges)
 	}
-	if b.Gauges([]float64{0, 3}); b.awaitingGauges || b.gauges.OnCores != 3 {
+	if b.Gauges([]float64{0, 3}); b.awaitingGauges || b.gauges.CoreDemand != 3 {
 		t.Errorf("still awaiting gauges %v, gauges %+v", b.awaitingGauges, b.gauges)
 	}
 	b.clock.Advance(15*ms + gaugeWait) // the second request is not answered
@@ -364,11 +364,11 @@
 
 // The result of a read must not be shared for longer than ShareFor, even if its caller could have waited longer.
 func TestReadResultIsSharedForConfiguredTime(t *testing.T) {
-	b := newHarnessWith(t, &harness{clock: testkit.NewClock(), attempts: map[string]*attempt{}}, Config{}, func(c *policy.Config) { c.ShareFor = 300 * ms })
+	b := newHarnessWith(t, &harness{clock: testkit.NewClock(), attempts: map[string]*attempt{}}, Config{}, func(c *policy.Config) { c.AnswerReuseTime = 300 * ms })
 	read := func() *attempt {
 		x := &attempt{harness: b, txn: fmt.Sprintf("%016x", len(b.attempts)+1), arrivedAt: b.clock.Now()}
 		b.attempts[x.txn] = x
-		if err := b.Arrive(Request{Txn: x.txn, Class: "read", KB: 10, Door: b.clock.Unix(), Limit: 2 * time.Second, Item: "i", Reply: x}); err != nil {
+		if err := b.Arrive(Request{Txn: x.txn, Class: "read", KB: 10, ArrivedAt: b.clock.Unix(), WaitLimit: 2 * time.Second, Item: "i", Reply: x}); err != nil {
 			t.Fatal(err)
 		}
 		return x
@@ -395,7 +395,7 @@
 	for tenant, want := range map[string]string{"uni": b.cfg.Tenants[1], "": ""} {
 		txn := fmt.Sprintf("%016x", len(b.attempts)+1)
 		b.attempts[txn] = &attempt{harness: b, txn: txn}
-		if err := b.Arrive(Request{Txn: txn, Class: strings.Clone("read"), Tenant: strings.Clone(tenant), KB: 10, Door: b.clock.Unix(), Limit: time.Second, Reply: b.attempts[txn]}); err != nil {
+		if err := b.Arrive(Request{Txn: txn, Class: strings.Clone("read"), Tenant: strings.Clone(tenant), KB: 10, ArrivedAt: b.clock.Unix(), WaitLimit: time.Second, Reply: b.attempts[txn]}); err != nil {
 			t.Fatal(err)
 		}
 		q := b.txns[txn]
@@ -404,7 +404,7 @@
 		}
 	}
 	b.cfg.Tenants = nil
-	if err := b.Arrive(Request{Txn: "z", Class: "read", Tenant: "anybody", KB: 10, Door: b.clock.Unix(), Limit: time.Second, Reply: &attempt{harness: b}}); err != nil || b.txns["z"].Tenant != "" {
+	if err := b.Arrive(Request{Txn: "z", Class: "read", Tenant: "anybody", KB: 10, ArrivedAt: b.clock.Unix(), WaitLimit: time.Second, Reply: &attempt{harness: b}}); err != nil || b.txns["z"].Tenant != "" {
 		t.Errorf("without tenants: error %v, or the tenant was kept", err)
 	}
 }
@@ -414,13 +414,13 @@
 	b.arrive("", 0, time.Second)
 	now := b.clock.Unix()
 	for name, q := range map[string]Request{
-		"class":   {Txn: "a", Class: "other", Door: now},
-		"key":     {Txn: "a", Class: "save", Door: now},
-		"twice":   {Txn: fmt.Sprintf("%016x", 1), Class: "read", Door: now},
-		"past":    {Txn: "a", Class: "read", Door: now.Add(-7 * time.Second)},
-		"endless": {Txn: "a", Class: "read", Door: now, Limit: 7 * time.Second},
-		"future":  {Txn: "a", Class: "read", Door: now.Add(time.Hour)},
-		"tenant":  {Txn: "a", Class: "read", Tenant: "nobody", Door: now},
+		"class":   {Txn: "a", Class: "other", ArrivedAt: now},
+		"key":     {Txn: "a", Class: "save", ArrivedAt: now},
+		"twice":   {Txn: fmt.Sprintf("%016x", 1), Class: "read", ArrivedAt: now},
+		"past":    {Txn: "a", Class: "read", ArrivedAt: now.Add(-7 * time.Second)},
+		"endless": {Txn: "a", Class: "read", ArrivedAt: now, WaitLimit: 7 * time.Second},
+		"future":  {Txn: "a", Class: "read", ArrivedAt: now.Add(time.Hour)},
+		"tenant":  {Txn: "a", Class: "read", Tenant: "nobody", ArrivedAt: now},
 	} {
 		if err := b.Arrive(q); err == nil {
 			t.Errorf("%s: request was accepted", name)
@@ -443,7 +443,7 @@
 			"end": func(rt *rapid.T) {
 				for _, txn := range b.runs {
 					if !b.attempts[txn].ended && b.linkUp {
-						b.end(txn, rapid.SampledFrom([]policy.Outcome{policy.Succeeded, policy.Succeeded, policy.Failed, policy.Moot}).Draw(rt, "end"))
+						b.end(txn, rapid.SampledFrom([]policy.Outcome{policy.Succeeded, policy.Succeeded, policy.Failed, policy.NotStarted}).Draw(rt, "end"))
 						return
 					}
 				}
@@ -479,12 +479,12 @@
 	f := b.Figures()
 	sum, runs := f.Open, map[string]bool{}
 	for _, c := range f.Classes {
-		sum += c.Served + c.Refused + c.Failed
+		sum += c.Served + c.Rejected + c.Failed
 	}
 	for _, txn := range b.runs {
 		runs[txn] = true
 	}
-	if accepted := b.count.read.Load(); sum != accepted || f.Tries != int64(len(runs)) {
+	if accepted := b.count.read.Load(); sum != accepted || f.Runs != int64(len(runs)) {
 		t.Fatalf("figures %+v, %d requests accepted, %d runs", f, accepted, len(runs))
 	}
 }
--- a/internal/settings/course_test.go
+++ b/internal/settings/course_test.go
@@ -85,7 +85,7 @@
 func (c *course) say(format string, a ...any) {
 	c.told = append(c.told, fmt.Sprintf("%v ", c.clock.Now()-testkit.Start)+fmt.Sprintf(format, a...))
 }
-func (c *course) AskGauges() bool                    { return false }
+func (c *course) RequestGauges() bool                { return false }
 func (c *course) Feed(txn string, _ []byte) bool     { c.say("feed %s", txn); return true }
 func (c *course) Skip(txn string, notice int64) bool { c.say("skip %s %d", txn, notice); return true }
 func (c *course) Run(txn, class string, _ []byte) bool {
@@ -109,7 +109,7 @@
 }
 
 func (r reply) Answer(a replica.Answer) {
-	r.c.say("%s: %d %q %v %v %v", r.txn, a.Kind, a.Body, a.Later, a.GiveUp, a.Signal)
+	r.c.say("%s: %d %q %v %v %v", r.txn, a.Kind, a.Body, a.RetryAfter, a.GiveUp, a.Signal)
 }
 
 // play has the site's replica go through the course and returns what it decided, under the example's names.
@@ -118,7 +118,7 @@
 	cfg := s.load(t)
 	c := &course{site: s, clock: testkit.NewClock(), up: true}
 	var err error
-	c.Replica, err = replica.New(replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, OnCores: cfg.OnCores, ResultBytes: 1 << 12}, c.clock, c, new(counters.Set))
+	c.Replica, err = replica.New(replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, CoresGauge: cfg.OnCores, MaxResultBytes: 1 << 12}, c.clock, c, new(counters.Set))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,10 +131,10 @@
 		switch k := random.IntN(20); {
 		case k < 11:
 			q := replica.Request{Txn: fmt.Sprintf("%016x", n), Class: classes[random.IntN(4)], Tenant: tenants[random.IntN(3)], Caller: random.IntN(4),
-				Retry: random.IntN(6) == 0, KB: 8 + 50*random.Float64(), Rank: random.Float64(), Limit: time.Duration(500+random.IntN(4000)) * time.Millisecond}
-			q.Door = c.clock.Unix().Add(-time.Duration(random.IntN(300)) * time.Millisecond)
-			q.Unique = fmt.Sprint(q.Class, random.IntN(60))
-			q.Body = []byte(q.Unique)
+				Retry: random.IntN(6) == 0, KB: 8 + 50*random.Float64(), Rank: random.Float64(), WaitLimit: time.Duration(500+random.IntN(4000)) * time.Millisecond}
+			q.ArrivedAt = c.clock.Unix().Add(-time.Duration(random.IntN(300)) * time.Millisecond)
+			q.IdempotencyKey = fmt.Sprint(q.Class, random.IntN(60))
+			q.Body = []byte(q.IdempotencyKey)
 			q.Class, q.Tenant, q.Reply = s.name(q.Class), s.name(q.Tenant), reply{c, q.Txn}
 			if err := c.Arrive(q); err == nil {
 				taken++
@@ -157,8 +157,8 @@
 	}
 	c.Drain(cfg.Stop)
 	c.clock.Advance(10 * time.Second)
-	if taken < 1000 || c.Owed() != 0 {
-		t.Errorf("%d requests taken, %d owed", taken, c.Owed())
+	if taken < 1000 || c.Unanswered() != 0 {
+		t.Errorf("%d requests taken, %d owed", taken, c.Unanswered())
 	}
 	return c.told
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -104,11 +104,11 @@
 func (s *Settings) Policy(seed int64) policy.Config {
 	fam, g := &s.Family, &s.Guarantees
 	c := policy.Config{Seed: seed, Cores: fam.Cores, Cold: fam.Cold, ColdFrom: g.ColdFrom,
-		ColdFor: Micros(g.Cold), MemoryKB: fam.MemoryKB, RunFactor: fam.Blowup, KeyKB: fam.KeyKB,
-		FallFactor: g.FallMultiple, AnswerSlack: Micros(g.AnswerSlack), DrainGrace: Micros(g.DrainGrace),
-		Callers: fam.Upstreams, MarksRetry: s.Callers.MarksRetry, Readiness: fam.Readiness,
-		Heeded: Micros(fam.Heeded), FairCalls: fam.FairCalls, CallsOver: Micros(fam.CallsOver), CallLinger: Micros(fam.StaysFor),
-		ShareFor: Micros(fam.ShareFor), IdleMax: Micros(fam.CallerIdle),
+		ColdFor: Micros(g.Cold), MemoryKB: fam.MemoryKB, RunMemoryFactor: fam.Blowup, KeyKB: fam.KeyKB,
+		MaxRunsPerCore: g.FallMultiple, AnswerSlack: Micros(g.AnswerSlack), DrainGrace: Micros(g.DrainGrace),
+		Callers: fam.Upstreams, RetriesMarked: s.Callers.MarksRetry, ListedByHealth: fam.Readiness,
+		SignalLifetime: Micros(fam.Heeded), MeanCallLimit: fam.FairCalls, MeanCallWindow: Micros(fam.CallsOver), CallLinger: Micros(fam.StaysFor),
+		AnswerReuseTime: Micros(fam.ShareFor), IdleTimeout: Micros(fam.CallerIdle),
 		WorthByWork: s.WorthBy == "work"}
 	c.Halt = map[string]policy.Preemption{"drop": policy.DropHalt, "pause": policy.PauseHalt}[fam.Preemption]
 	c.Signal = map[string]policy.SignalKind{"min_rank": policy.RankFloor, "tokens": policy.CallerTokens,
@@ -121,7 +121,7 @@
 	for i, l := range s.Lanes {
 		cl := policy.Class{Name: l.Name, Aim: Micros(l.Aim), Deadline: Micros(l.Deadline),
 			Worth: l.Importance, LateWorth: l.LateWorth, Semantics: semantics[l.Semantics],
-			Window: Micros(l.Window)}
+			DedupWindow: Micros(l.Window)}
 		if i < len(fam.ClassSkip) {
 			cl.SkipWorth = fam.ClassSkip[i]
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -32,7 +32,7 @@
 		c.MaxHoldOff != time.Second || c.AnswerSlack != 60*time.Millisecond || len(c.Classes) != 4 || len(r.Tenants) != 3 {
 		t.Errorf("read %+v", r)
 	}
-	if k := c.Classes[3]; k.Semantics != policy.Keyed || k.Window != 9618*time.Millisecond || k.Worth != 4 {
+	if k := c.Classes[3]; k.Semantics != policy.Keyed || k.DedupWindow != 9618*time.Millisecond || k.Worth != 4 {
 		t.Errorf("class %+v", k)
 	}
 }
--- a/internal/wire/team_test.go
+++ b/internal/wire/tenant_name_test.go
@@ -8,8 +8,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Items[0].Team != "x" || b.Items[1].Team != "" || b.Items[2].Team != "" {
-		t.Errorf("teams %q, %q, %q", b.Items[0].Team, b.Items[1].Team, b.Items[2].Team)
+	if b.Events[0].Tenant != "x" || b.Events[1].Tenant != "" || b.Events[2].Tenant != "" {
+		t.Errorf("teams %q, %q, %q", b.Events[0].Tenant, b.Events[1].Tenant, b.Events[2].Tenant)
 	}
 	if _, err := Decode([]byte(`{"moment":5,"items":[{"m":"inbound","team":[1]}]}`)); err == nil {
 		t.Error("no error for a list as team")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e := b.Items[0]; b.Moment != 5 || e.Ticket != 7 || e.Rank != 0.5 || e.Due != 9 {
+	if e := b.Events[0]; b.Time != 5 || e.RequestID != 7 || e.Rank != 0.5 || e.Due != 9 {
 		t.Errorf("decoded %+v", b)
 	}
 }
@@ -27,7 +27,7 @@
 
 func TestEncode(t *testing.T) {
 	zero, after := 0.0, int64(10)
-	out, err := Encode([]Action{{Name: "signal", Who: "server/1", X: &zero}, {Name: "notify-me", Who: "server/1", After: &after}})
+	out, err := Encode([]Action{{Name: "signal", Instance: "server/1", Value: &zero}, {Name: "notify-me", Instance: "server/1", After: &after}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -59,14 +59,14 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Name      string
-	Aim       time.Duration // latency target: an answer within it earns the full worth
-	Deadline  time.Duration // callers give up after this time
-	Worth     float64
-	LateWorth float64 // share of the worth that an answer later than the aim earns
-	Semantics Semantics
-	Window    time.Duration // Keyed: time during which repeats may arrive
-	SkipWorth float64       // share of the worth earned when the call is skipped; 0 forbids skipping
+	Name        string
+	Aim         time.Duration // latency target: an answer within it earns the full worth
+	Deadline    time.Duration // callers give up after this time
+	Worth       float64
+	LateWorth   float64 // share of the worth that an answer later than the aim earns
+	Semantics   Semantics
+	DedupWindow time.Duration // Keyed: time during which repeats may arrive
+	SkipWorth   float64       // share of the worth earned when the call is skipped; 0 forbids skipping
 }
 
 // Tenant describes one tenant. Requests beyond its share of the service are worth little.
@@ -80,33 +80,33 @@
 // and FallFactor count as 1, Halt, Signal, Dependency, ShareFor and advice to hold off are not used, and
 // without an AnswerSlack the interval between ticks is derived from the aims.
 type Config struct {
-	Seed        int64
-	Cores       int
-	Cold        bool          // the server has just started and is slower until it is warm
-	ColdFrom    float64       // lowest speed of a cold server, as a share of its warm speed
-	ColdFor     time.Duration // time after which a cold server is warm at the latest
-	MemoryKB    float64
-	RunFactor   float64       // memory of a running request relative to that of a queued one
-	KeyKB       float64       // memory of one stored key
-	FallFactor  float64       // mean number of running requests per core that a warm server can sustain
-	AnswerSlack time.Duration // how late an answer may be after its due time
-	DrainGrace  time.Duration // time after the start of a drain in which arrivals are still admitted
-	Classes     []Class
-	Tenants     []Tenant // may be empty
-	Callers     int      // number of callers at the start
-	MarksRetry  bool     // callers mark retries
-	Readiness   bool     // a server whose Host.Health is false is removed from the list that callers use
-	Halt        Preemption
-	Signal      SignalKind
-	Heeded      time.Duration // time for which a caller follows a signal
-	MaxHoldOff  time.Duration // longest Advice.HoldOff that callers follow; 0 if they follow none
-	Dependency  DependencyKind
-	FairCalls   float64       // SharedDependency: mean number of open calls that this server may have
-	CallsOver   time.Duration // window over which that mean is taken
-	CallLinger  time.Duration // how long an abandoned call may still occupy the dependency
-	ShareFor    time.Duration // time for which the answer to a read may be reused for others; 0 for never
-	IdleMax     time.Duration // idle time after which callers close a connection; 0 if they do not
-	WorthByWork bool          // Class.Worth counts per unit of work, not per request
+	Seed            int64
+	Cores           int
+	Cold            bool          // the server has just started and is slower until it is warm
+	ColdFrom        float64       // lowest speed of a cold server, as a share of its warm speed
+	ColdFor         time.Duration // time after which a cold server is warm at the latest
+	MemoryKB        float64
+	RunMemoryFactor float64       // memory of a running request relative to that of a queued one
+	KeyKB           float64       // memory of one stored key
+	MaxRunsPerCore  float64       // mean number of running requests per core that a warm server can sustain
+	AnswerSlack     time.Duration // how late an answer may be after its due time
+	DrainGrace      time.Duration // time after the start of a drain in which arrivals are still admitted
+	Classes         []Class
+	Tenants         []Tenant // may be empty
+	Callers         int      // number of callers at the start
+	RetriesMarked   bool     // callers mark retries
+	ListedByHealth  bool     // a server whose Host.Health is false is removed from the list that callers use
+	Halt            Preemption
+	Signal          SignalKind
+	SignalLifetime  time.Duration // time for which a caller follows a signal
+	MaxHoldOff      time.Duration // longest Advice.HoldOff that callers follow; 0 if they follow none
+	Dependency      DependencyKind
+	MeanCallLimit   float64       // SharedDependency: mean number of open calls that this server may have
+	MeanCallWindow  time.Duration // window over which that mean is taken
+	CallLinger      time.Duration // how long an abandoned call may still occupy the dependency
+	AnswerReuseTime time.Duration // time for which the answer to a read may be reused for others; 0 for never
+	IdleTimeout     time.Duration // idle time after which callers close a connection; 0 if they do not
+	WorthByWork     bool          // Class.Worth counts per unit of work, not per request
 }
 
 // Request is one attempt of a request that was read from its connection.
@@ -118,26 +118,26 @@
 	Caller   int
 	KB       float64
 	Rank     float64       // 0 to 1; requests of higher worth have a higher rank
-	Earlier  RequestID     // the request with a stored key that this one repeats, or 0
+	RepeatOf RequestID     // the request with a stored key that this one repeats, or 0
 	Expected time.Duration // expected work on a standard core; 0 if unknown
 	Key      string
-	Waited   time.Duration // time from its arrival at the machine until it was read
+	ReadWait time.Duration // time from its arrival at the machine until it was read
 	Due      time.Duration // clock time at which the caller gives up; 0 if unknown
-	Others   Others
+	Peers    PeerState
 }
 
-// Others is the state of the other servers that serve the same callers, as known when a request is read.
+// PeerState is the state of the other servers that serve the same callers, as known when a request is read.
 // The zero value means that nothing is known about them.
-type Others struct {
-	Version uint64        // version of this state; returned in the Advice of a rejection
-	Known   bool          // Full and Return are valid
-	Full    bool          // none of them has room for the request
-	Return  time.Duration // time until the caller should return, randomized to spread the callers
-	Beyond  bool          // a retry that exceeds the number that all servers together accept
-	// Order is 2 for requests that are rejected at the slightest overload, 1 for those rejected once
+type PeerState struct {
+	Version          uint64        // version of this state; returned in the Advice of a rejection
+	Known            bool          // Full and Return are valid
+	Full             bool          // none of them has room for the request
+	RetryAfter       time.Duration // time until the caller should return, randomized to spread the callers
+	BeyondRetryLimit bool          // a retry that exceeds the number that all servers together accept
+	// RejectOrder is 2 for requests that are rejected at the slightest overload, 1 for those rejected once
 	// many are, and -1 for those that are not rejected at random, as another server would have to read
 	// them again.
-	Order int
+	RejectOrder int
 }
 
 // Outcome states how a run or a call ended.
@@ -147,35 +147,35 @@
 const (
 	Succeeded   Outcome = iota
 	Failed              // it failed and may have had its effect
-	TurnedAway          // rejected; it certainly never ran
+	Rejected            // rejected; it certainly never ran
 	TimedOut            // abandoned after a time-out; it may have had its effect
 	Unreachable         // no connection; it certainly never ran
 	Interrupted         // the connection broke; it may have had its effect
 	Cancelled           // the run was stopped
-	Moot                // nothing was started, as the request had already ended
+	NotStarted          // nothing was started, as the request had already ended
 )
 
 // Gauges are measurements of the server.
 type Gauges struct {
-	OnCores float64       // current demand for cores
-	Age     time.Duration // time since they were measured
+	CoreDemand float64       // current demand for cores
+	Age        time.Duration // time since they were measured
 }
 
 // Advice tells the caller of a rejected request what to do next.
 type Advice struct {
-	HoldOff time.Duration // send nothing to this server for this time
-	Last    bool          // do not retry at another server
-	Version uint64        // Others.Version of the request
+	HoldOff    time.Duration // send nothing to this server for this time
+	DoNotRetry bool          // do not retry at another server
+	Version    uint64        // Others.Version of the request
 }
 
 // Host carries out the actions of a Controller on its server.
 type Host interface {
 	Run(id RequestID)                         // start a queued request or resume a paused one
-	Refuse(id RequestID, advice Advice)       // final answer: rejected
+	Reject(id RequestID, advice Advice)       // final answer: rejected
 	Fail(id RequestID)                        // final answer: an error
 	Reuse(id RequestID)                       // answer with the outcome of the request that it repeats
-	Keep(id RequestID, ttl time.Duration)     // store the key of a request
-	Forget(id RequestID)                      // delete the stored key
+	StoreKey(id RequestID, ttl time.Duration) // store the key of a request
+	DeleteKey(id RequestID)                   // delete the stored key
 	Call(id RequestID, maxWait time.Duration) // make the call that the request waits for
 	Skip(id RequestID)                        // continue the run without the call
 	Halt(id RequestID)                        // stop a run; see Preemption
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -27,13 +27,13 @@
 	if c.cfg.Cold && c.now-c.startedAt < c.cfg.ColdFor {
 		warmth = c.cfg.ColdFrom + (1-c.cfg.ColdFrom)*float64(c.now-c.startedAt)/float64(c.cfg.ColdFor)
 	}
-	limit := float64(c.cfg.Cores) * (1 + (c.cfg.FallFactor-1)*warmth)
+	limit := float64(c.cfg.Cores) * (1 + (c.cfg.MaxRunsPerCore-1)*warmth)
 	return max(1, int(limit*inFlightShare*c.serverShare))
 }
 
-// Share sets the part of the server that this instance may use while another process also runs work
+// SetServerShare sets the part of the server that this instance may use while another process also runs work
 // there (rule 4).
-func (c *Controller) Share(now time.Duration, share float64) {
+func (c *Controller) SetServerShare(now time.Duration, share float64) {
 	c.beginEvent(now)
 	c.serverShare = share
 	c.runLimit = min(c.runLimit, c.maxInFlight())
--- a/policy/calls.go
+++ b/policy/dependency_calls.go
@@ -126,8 +126,8 @@
 	return overdue
 }
 
-// Called handles the outcome of a call.
-func (c *Controller) Called(now time.Duration, id RequestID, o Outcome, took time.Duration) {
+// CallDone handles the outcome of a call.
+func (c *Controller) CallDone(now time.Duration, id RequestID, o Outcome, took time.Duration) {
 	c.beginEvent(now)
 	r := c.live[id]
 	if r == nil {
@@ -139,7 +139,7 @@
 	if c.cfg.Dependency == SharedDependency && (o == Succeeded || o == TimedOut) {
 		c.callLimit.observe(took)
 	}
-	if c.cfg.Dependency == SharedDependency && o == TurnedAway {
+	if c.cfg.Dependency == SharedDependency && o == Rejected {
 		c.callLimit.observeRejection()
 	}
 	if o == Succeeded {
@@ -154,7 +154,7 @@
 // afterFailedCall retries a call only if that cannot repeat an effect (rule 2); otherwise it skips the call
 // or fails the request.
 func (c *Controller) afterFailedCall(r *request, o Outcome) {
-	neverRan := o == TurnedAway || o == Unreachable
+	neverRan := o == Rejected || o == Unreachable
 	again := neverRan || r.class.Semantics == Safe
 	if r.attempts >= maxCallAttempts { // only a call that cannot be skipped is retried, to save the work done
 		again = neverRan && r.class.SkipWorth == 0
@@ -183,6 +183,6 @@
 		heap.Push(&c.callQueue, entry{c.startBy(r), r})
 	}
 	gap := float64(c.count[calling]+len(c.abandonedCalls)) - c.meanCallsInHand
-	c.meanCallsInHand += gap * min(1, float64(dt)/float64(max(c.cfg.CallsOver, c.tickInterval)))
+	c.meanCallsInHand += gap * min(1, float64(dt)/float64(max(c.cfg.MeanCallWindow, c.tickInterval)))
 	c.startCalls()
 }
--- a/policy/calls_test.go
+++ b/policy/dependency_calls_test.go
@@ -48,7 +48,7 @@
 func startWithCalls(t *testing.T, classes ...int) (*Controller, *recordingHost) {
 	t.Helper()
 	cfg := testConfig()
-	cfg.FairCalls, cfg.Cores = 1/callShare, 8
+	cfg.MeanCallLimit, cfg.Cores = 1/callShare, 8
 	cfg.Classes[0].SkipWorth = 0.5
 	c, h := startController(t, cfg)
 	for i, class := range classes {
@@ -83,9 +83,9 @@
 func TestMeanRunExcludesWaitForCall(t *testing.T) {
 	c, h := startWithCalls(t, 1, 1)
 	h.takeActions()
-	c.Called(time.Second, 1, Succeeded, time.Second)
+	c.CallDone(time.Second, 1, Succeeded, time.Second)
 	c.Done(time.Second, 1, Succeeded, time.Second)
-	c.Called(1100*ms, 2, Succeeded, 100*ms)
+	c.CallDone(1100*ms, 2, Succeeded, 100*ms)
 	c.Done(1100*ms, 2, Succeeded, 1100*ms) // it waited one second of this for the call of 1 to end
 	if mean := c.classes[1].meanRun; mean > 1 || mean < 0.9 {
 		t.Errorf("mean run %.2f s, want 0.9 to 1: the 1 s of request 1 and a little of the 100 ms of request 2", mean)
@@ -125,7 +125,7 @@
 				gap = now - last
 			}
 			last = now
-			c.Called(now, 1, TurnedAway, 0)
+			c.CallDone(now, 1, Rejected, 0)
 		}
 		c.Tick(now, Gauges{})
 	}
@@ -187,7 +187,7 @@
 			t.Errorf("%d open calls after %v, want %d", c.count[calling], step.at, step.calling)
 		}
 	}
-	c.Called(4*overdue+ms, 1, Succeeded, 4*overdue)
+	c.CallDone(4*overdue+ms, 1, Succeeded, 4*overdue)
 	if c.count[calling] != 3 || c.live[1].state != running {
 		t.Errorf("%d open calls once one is answered, want 3", c.count[calling])
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -14,7 +14,7 @@
 func (printingHost) Wake(time.Duration)      {}
 
 func ExampleController() {
-	cfg := policy.Config{Seed: 7, Cores: 2, MemoryKB: 4096, RunFactor: 8, FallFactor: 6,
+	cfg := policy.Config{Seed: 7, Cores: 2, MemoryKB: 4096, RunMemoryFactor: 8, MaxRunsPerCore: 6,
 		AnswerSlack: 100 * time.Millisecond,
 		Classes:     []policy.Class{{Name: "read", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}}
 	ctl, err := policy.New(0, cfg, printingHost{})
--- a/policy/keys.go
+++ b/policy/keys.go
@@ -12,14 +12,14 @@
 // forgetKey deletes the stored key of r, if there is one.
 func (c *Controller) forgetKey(r *request) {
 	if r.keyStored {
-		c.host.Forget(r.ID)
+		c.host.DeleteKey(r.ID)
 		delete(c.keys, r.ID)
 	}
 }
 
 // keyCost returns the memory in KB of the key of r, or 0 if its key is not stored.
 func (c *Controller) keyCost(r *request) float64 {
-	if r.class.Semantics == Keyed || c.cfg.ShareFor > 0 && r.Key != "" && r.class.Semantics == Safe {
+	if r.class.Semantics == Keyed || c.cfg.AnswerReuseTime > 0 && r.Key != "" && r.class.Semantics == Safe {
 		return c.cfg.KeyKB
 	}
 	return 0
@@ -31,14 +31,14 @@
 	if c.keyCost(r) == 0 {
 		return
 	}
-	ttl := r.arrived + r.class.Window + c.tickInterval - c.now
+	ttl := r.arrived + r.class.DedupWindow + c.tickInterval - c.now
 	if r.class.Semantics == Safe {
-		ttl = c.beforeStop(r.dueAt) + c.cfg.ShareFor - c.now
+		ttl = c.beforeStop(r.dueAt) + c.cfg.AnswerReuseTime - c.now
 	}
 	r.keyStored = true
 	c.keys[r.ID] = true
 	heap.Push(&c.keyExpiries, entry{c.now + ttl, r})
-	c.host.Keep(r.ID, ttl)
+	c.host.StoreKey(r.ID, ttl)
 }
 
 // join answers a repeat with the outcome of the request that it repeats. A repeat never runs. It is never
--- a/policy/peer_state_test.go
+++ b/policy/peer_state_test.go
@@ -17,7 +17,7 @@
 		for order, want := range c.rejected {
 			ctl, h := startController(t, testConfig())
 			ctl.advisory.dropProb, ctl.dropProb, ctl.burstAllowed = c.ahead, c.p, time.Second // no random rejection
-			ctl.Arrive(0, Request{ID: 1, KB: 1, Others: Others{Order: order}})
+			ctl.Arrive(0, Request{ID: 1, KB: 1, Peers: PeerState{RejectOrder: order}})
 			if got := strings.HasPrefix(h.takeActions(), "reject"); got != want {
 				t.Errorf("%s: order %d rejected: %v", name, order, got)
 			}
@@ -26,7 +26,7 @@
 	for order, want := range map[int]string{0: "reject 1", -1: "run 1"} { // order -1 is not rejected at random, as another server would have to read it again
 		ctl, h := startController(t, testConfig())
 		ctl.dropProb, ctl.burstAllowed = 1, 0
-		ctl.Arrive(0, Request{ID: 1, KB: 1, Others: Others{Order: order}})
+		ctl.Arrive(0, Request{ID: 1, KB: 1, Peers: PeerState{RejectOrder: order}})
 		if got := h.takeActions(); got != want {
 			t.Errorf("order %d at a drop probability of 1: %s", order, got)
 		}
@@ -35,7 +35,7 @@
 	ctl.advisory.dropProb = 1
 	ctl.Arrive(0, Request{ID: 1, Class: 1, KB: 1})
 	h.takeActions()
-	ctl.Arrive(0, Request{ID: 2, Class: 1, KB: 1, Earlier: 1, Retry: true, Others: Others{Order: 2, Beyond: true}})
+	ctl.Arrive(0, Request{ID: 2, Class: 1, KB: 1, RepeatOf: 1, Retry: true, Peers: PeerState{RejectOrder: 2, BeyondRetryLimit: true}})
 	wantActions(t, h, "reuse 2")
 }
 
@@ -43,16 +43,16 @@
 // return.
 func TestPeerStateDecidesRejectionAdvice(t *testing.T) {
 	for name, c := range map[string]struct {
-		others Others
+		others PeerState
 		p      float64 // advisory probability
 		want   Advice
 	}{
-		"unknown peers, overload":    {Others{}, 0.5, Advice{Last: true}},
-		"peers have room":            {Others{Version: 7, Known: true, Return: 70 * ms}, 0.5, Advice{Version: 7, HoldOff: 70 * ms}},
-		"hold-off is bounded":        {Others{Version: 7, Known: true, Return: time.Hour}, 0.5, Advice{Version: 7, HoldOff: time.Second}},
-		"peers are full":             {Others{Version: 7, Known: true, Full: true, Return: 70 * ms}, 0.5, Advice{Version: 7, Last: true}},
-		"unknown peers, marked full": {Others{Version: 8, Full: true, Return: 70 * ms}, 0, Advice{Version: 8}},
-		"beyond the retry limit":     {Others{Version: 7, Known: true, Beyond: true, Return: 70 * ms}, 0, Advice{Version: 7}},
+		"unknown peers, overload":    {PeerState{}, 0.5, Advice{DoNotRetry: true}},
+		"peers have room":            {PeerState{Version: 7, Known: true, RetryAfter: 70 * ms}, 0.5, Advice{Version: 7, HoldOff: 70 * ms}},
+		"hold-off is bounded":        {PeerState{Version: 7, Known: true, RetryAfter: time.Hour}, 0.5, Advice{Version: 7, HoldOff: time.Second}},
+		"peers are full":             {PeerState{Version: 7, Known: true, Full: true, RetryAfter: 70 * ms}, 0.5, Advice{Version: 7, DoNotRetry: true}},
+		"unknown peers, marked full": {PeerState{Version: 8, Full: true, RetryAfter: 70 * ms}, 0, Advice{Version: 8}},
+		"beyond the retry limit":     {PeerState{Version: 7, Known: true, BeyondRetryLimit: true, RetryAfter: 70 * ms}, 0, Advice{Version: 7}},
 	} {
 		cfg, h := testConfig(), new(adviceHost)
 		cfg.Signal, cfg.MaxHoldOff = RankFloor, time.Second
@@ -61,10 +61,10 @@
 			t.Fatal(err)
 		}
 		ctl.burstAllowed, ctl.dropProb, ctl.advisory.dropProb = 0, 1, c.p
-		if c.others.Beyond { // rejected although nothing else is
+		if c.others.BeyondRetryLimit { // rejected although nothing else is
 			ctl.burstAllowed, ctl.dropProb = time.Second, 0
 		}
-		ctl.Arrive(0, Request{ID: 1, KB: 10, Others: c.others})
+		ctl.Arrive(0, Request{ID: 1, KB: 10, Peers: c.others})
 		if h.last != c.want {
 			t.Errorf("%s: %+v, want %+v", name, h.last, c.want)
 		}
@@ -78,7 +78,7 @@
 		cfg := testConfig()
 		cfg.Signal = RankFloor
 		ctl, _ := startController(t, cfg)
-		ctl.Others(c.mean)
+		ctl.SetMeanLevel(c.mean)
 		ctl.advisory.dropProb = c.own
 		ctl.updateSignal()
 		if math.Abs(ctl.signal-c.want) > 0.011 || math.Abs(ctl.Level()-levelShare*c.own) > 1e-9 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -165,7 +165,7 @@
 	case len(cfg.Classes) == 0:
 		return nil, fmt.Errorf("config: Classes must not be empty")
 	}
-	cfg.RunFactor, cfg.FallFactor = max(cfg.RunFactor, 1), max(cfg.FallFactor, 1)
+	cfg.RunMemoryFactor, cfg.MaxRunsPerCore = max(cfg.RunMemoryFactor, 1), max(cfg.MaxRunsPerCore, 1)
 	c := &Controller{cfg: cfg, host: host, now: now, startedAt: now, lastTick: now, resizedAt: now,
 		lastStart: now, rng: uint64(cfg.Seed), live: map[RequestID]*request{}, keys: map[RequestID]bool{},
 		callers: map[int]*caller{}, reuseProb: 1, serverShare: 1, signal: -1,
@@ -189,18 +189,18 @@
 	if !cfg.Cold {
 		c.burstAllowed = c.maxBurst
 	}
-	c.callLimit = newCallLimit(cfg.FairCalls * callShare)
+	c.callLimit = newCallLimit(cfg.MeanCallLimit * callShare)
 	c.runLimit = min(cfg.Cores, c.maxInFlight())
-	c.limitStats = make([]limitStat, int(float64(cfg.Cores)*cfg.FallFactor)+1)
+	c.limitStats = make([]limitStat, int(float64(cfg.Cores)*cfg.MaxRunsPerCore)+1)
 	c.sameCallerProb = 1 / float64(max(cfg.Callers, 1))
 	host.Health(true)
 	host.Wake(c.tickInterval)
 	return c, nil
 }
 
-// Started reports how long ago the cores of this server started. A cold server warms up from that time
+// CoresStarted reports how long ago the cores of this server started. A cold server warms up from that time
 // on, not from the start of its process, which may have waited for the cores.
-func (c *Controller) Started(now, ago time.Duration) {
+func (c *Controller) CoresStarted(now, ago time.Duration) {
 	c.beginEvent(now)
 	if c.cfg.Cold {
 		c.startedAt = now - ago
@@ -212,14 +212,14 @@
 // rejected by fixed rules (mustReject), rejected at random (rejectByChance) or queued.
 func (c *Controller) Arrive(now time.Duration, q Request) {
 	c.beginEvent(now)
-	r := &request{Request: q, class: &c.classes[q.Class], arrived: now - q.Waited}
+	r := &request{Request: q, class: &c.classes[q.Class], arrived: now - q.ReadWait}
 	r.dueAt = max(q.Due, now)
 	if q.Due <= 0 {
 		r.dueAt = max(r.arrived+r.class.Deadline, now)
 	}
 	r.aimAt = c.firstSent(r) + r.class.Aim
 	c.observeArrival(r)
-	c.meanReadWait += time.Duration(readWaitWeight * float64(q.Waited-c.meanReadWait))
+	c.meanReadWait += time.Duration(readWaitWeight * float64(q.ReadWait-c.meanReadWait))
 	c.lastArrival = now
 	r.probe = c.needsProbe(r)
 	c.setState(r, queued)
@@ -228,7 +228,7 @@
 		heap.Push(&c.dueQueue, entry{r.aimAt, r})
 	}
 	switch {
-	case q.Earlier != 0 && !c.rejectedInBatch[q.Earlier]:
+	case q.RepeatOf != 0 && !c.rejectedInBatch[q.RepeatOf]:
 		c.join(r)
 	case c.mustReject(r) || c.rejectByChance(r):
 		c.reject(r)
@@ -263,7 +263,7 @@
 
 // callerStats returns the statistics of r's caller and removes those of callers not seen for a while.
 func (c *Controller) callerStats(r *request) *caller {
-	if age := c.cfg.IdleMax + r.class.Deadline; c.now-c.callersRotatedAt > age {
+	if age := c.cfg.IdleTimeout + r.class.Deadline; c.now-c.callersRotatedAt > age {
 		c.callers, c.oldCallers, c.callersRotatedAt = map[int]*caller{}, c.callers, c.now
 	}
 	known := c.callers[r.Caller]
@@ -283,9 +283,9 @@
 // connection table, use cores and shut out other callers. The cost is extra handshakes for callers whose
 // requests come in clusters.
 func (c *Controller) updateIdleClosing(gap time.Duration, known bool) {
-	updateShare(&c.reuseProb, known && gap < c.cfg.IdleMax)
-	updateMean(&c.meanIdle, min(gap, c.cfg.IdleMax).Seconds())
-	closing, after := c.meanIdle > c.reuseProb*idleCostShare*c.cfg.IdleMax.Seconds(), c.cfg.IdleMax
+	updateShare(&c.reuseProb, known && gap < c.cfg.IdleTimeout)
+	updateMean(&c.meanIdle, min(gap, c.cfg.IdleTimeout).Seconds())
+	closing, after := c.meanIdle > c.reuseProb*idleCostShare*c.cfg.IdleTimeout.Seconds(), c.cfg.IdleTimeout
 	if closing {
 		after = c.tickInterval
 	}
@@ -298,13 +298,13 @@
 // mustReject reports whether a rule or a lack of time or memory forbids queuing r, whatever the drop
 // probability is.
 func (c *Controller) mustReject(r *request) bool {
-	switch o := r.Others; {
+	switch o := r.Peers; {
 	case c.draining && r.arrived > c.drainAt+c.cfg.DrainGrace: // rule 3: drain
 		return true
 	case c.tooLate(r) || c.predictedLate(r):
 		return true
-	case o.Beyond || o.Order > 1 && c.advisory.dropProb > 0 ||
-		o.Order > 0 && c.dropProb > noRetryThreshold:
+	case o.BeyondRetryLimit || o.RejectOrder > 1 && c.advisory.dropProb > 0 ||
+		o.RejectOrder > 0 && c.dropProb > noRetryThreshold:
 		return true // before others, so that callers need to hold back less of the rest
 	case c.memoryUsed+c.keyCost(r) > c.memoryLimit(): // rule 4: memory; rule 2: no room for its key
 		return true
@@ -317,7 +317,7 @@
 // rejectByChance rejects r at random with PIE's drop probability. Requests ranked below the floor signalled
 // to callers are rejected first, at the same mean rate, as callers that respect the floor already send less.
 func (c *Controller) rejectByChance(r *request) bool {
-	if c.burstAllowed > 0 || r.Others.Order < 0 {
+	if c.burstAllowed > 0 || r.Peers.RejectOrder < 0 {
 		return false
 	}
 	p, floor := c.quotas.reject(r.Tenant, c.dropProb)*c.classFactor(r.class), 0.0
@@ -381,7 +381,7 @@
 	if r.state == queued {
 		return r.KB
 	}
-	return r.KB * c.cfg.RunFactor
+	return r.KB * c.cfg.RunMemoryFactor
 }
 
 // setState moves a request to a state and updates the counts and the memory in use.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -17,19 +17,19 @@
 func (h *recordingHost) record(format string, a ...any) {
 	h.actions = append(h.actions, fmt.Sprintf(format, a...))
 }
-func (h *recordingHost) Run(id RequestID)                   { h.record("run %d", id) }
-func (h *recordingHost) Refuse(id RequestID, _ Advice)      { h.record("reject %d", id) }
-func (h *recordingHost) Fail(id RequestID)                  { h.record("fail %d", id) }
-func (h *recordingHost) Reuse(id RequestID)                 { h.record("reuse %d", id) }
-func (h *recordingHost) Keep(id RequestID, _ time.Duration) { h.record("keep %d", id) }
-func (h *recordingHost) Forget(id RequestID)                { h.record("forget %d", id) }
-func (h *recordingHost) Call(id RequestID, _ time.Duration) { h.record("call %d", id) }
-func (h *recordingHost) Skip(id RequestID)                  { h.record("skip %d", id) }
-func (h *recordingHost) Halt(id RequestID)                  { h.record("halt %d", id) }
-func (h *recordingHost) Signal(v float64)                   { h.record("signal %.2f", v) }
-func (h *recordingHost) Health(good bool)                   { h.record("health %v", good) }
-func (h *recordingHost) CloseIdle(time.Duration)            {}
-func (h *recordingHost) Wake(time.Duration)                 {}
+func (h *recordingHost) Run(id RequestID)                       { h.record("run %d", id) }
+func (h *recordingHost) Reject(id RequestID, _ Advice)          { h.record("reject %d", id) }
+func (h *recordingHost) Fail(id RequestID)                      { h.record("fail %d", id) }
+func (h *recordingHost) Reuse(id RequestID)                     { h.record("reuse %d", id) }
+func (h *recordingHost) StoreKey(id RequestID, _ time.Duration) { h.record("keep %d", id) }
+func (h *recordingHost) DeleteKey(id RequestID)                 { h.record("forget %d", id) }
+func (h *recordingHost) Call(id RequestID, _ time.Duration)     { h.record("call %d", id) }
+func (h *recordingHost) Skip(id RequestID)                      { h.record("skip %d", id) }
+func (h *recordingHost) Halt(id RequestID)                      { h.record("halt %d", id) }
+func (h *recordingHost) Signal(v float64)                       { h.record("signal %.2f", v) }
+func (h *recordingHost) Health(good bool)                       { h.record("health %v", good) }
+func (h *recordingHost) CloseIdle(time.Duration)                {}
+func (h *recordingHost) Wake(time.Duration)                     {}
 func (h *recordingHost) takeActions() string {
 	s := strings.Join(h.actions, ", ")
 	h.actions = nil
@@ -37,13 +37,13 @@
 }
 
 func testConfig() Config {
-	return Config{Seed: 1, Cores: 2, MemoryKB: 10000, RunFactor: 8, KeyKB: 10, FallFactor: 6,
+	return Config{Seed: 1, Cores: 2, MemoryKB: 10000, RunMemoryFactor: 8, KeyKB: 10, MaxRunsPerCore: 6,
 		ColdFrom: 0.25, ColdFor: 10 * time.Second, AnswerSlack: 100 * ms, DrainGrace: time.Second,
-		Halt: DropHalt, Dependency: SharedDependency, FairCalls: 8, CallsOver: 5 * time.Second,
+		Halt: DropHalt, Dependency: SharedDependency, MeanCallLimit: 8, MeanCallWindow: 5 * time.Second,
 		CallLinger: 200 * ms, Classes: []Class{
 			{Name: "read", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1},
 			{Name: "write", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1, Semantics: Keyed,
-				Window: 10 * time.Second}}}
+				DedupWindow: 10 * time.Second}}}
 }
 
 func startController(t *testing.T, cfg Config) (*Controller, *recordingHost) {
@@ -112,11 +112,11 @@
 	c, h := startController(t, testConfig())
 	c.Arrive(0, Request{ID: 1, Class: 1, KB: 10})
 	wantActions(t, h, "keep 1, run 1")
-	c.Arrive(ms, Request{ID: 2, Class: 1, KB: 10, Earlier: 1}) // first still running
+	c.Arrive(ms, Request{ID: 2, Class: 1, KB: 10, RepeatOf: 1}) // first still running
 	wantActions(t, h, "reuse 2")
 	c.Done(2*ms, 1, Failed, ms)
 	c.Done(2*ms, 2, Failed, ms)
-	c.Arrive(3*ms, Request{ID: 3, Class: 1, KB: 10, Earlier: 1}) // first has failed
+	c.Arrive(3*ms, Request{ID: 3, Class: 1, KB: 10, RepeatOf: 1}) // first has failed
 	wantActions(t, h, "reuse 3")
 }
 
@@ -133,7 +133,7 @@
 	c.burstAllowed, c.dropProb = 0, 1
 	c.Arrive(0, Request{ID: 1, Class: 1, KB: 10})
 	c.dropProb = 0
-	c.Arrive(0, Request{ID: 2, Class: 1, KB: 10, Earlier: 1})
+	c.Arrive(0, Request{ID: 2, Class: 1, KB: 10, RepeatOf: 1})
 	wantActions(t, h, "reject 1, keep 2, run 2")
 }
 
@@ -143,7 +143,7 @@
 	c.Arrive(0, Request{ID: 2, Class: 1, KB: 10, Due: 301 * ms})
 	c.Arrive(0, Request{ID: 3, KB: 10, Due: 302 * ms})
 	wantActions(t, h, "run 1, keep 2, run 2")
-	c.Tick(290*ms, Gauges{OnCores: 2})
+	c.Tick(290*ms, Gauges{CoreDemand: 2})
 	wantActions(t, h, "reject 1, halt 1, fail 2, reject 3") // a keyed run is not halted, as it may have had its effect
 	c.Done(300*ms, 1, Cancelled, 0)
 	c.Done(300*ms, 2, Succeeded, 0)
@@ -153,12 +153,12 @@
 }
 
 func TestKeyedCallIsRepeatedOnlyWhenProvenNotRun(t *testing.T) {
-	for o, wantedActions := range map[Outcome]string{TurnedAway: "call 1, call 1", TimedOut: "call 1, fail 1"} {
+	for o, wantedActions := range map[Outcome]string{Rejected: "call 1, call 1", TimedOut: "call 1, fail 1"} {
 		c, h := startController(t, testConfig())
 		c.Arrive(0, Request{ID: 1, Class: 1, KB: 10})
 		wantActions(t, h, "keep 1, run 1")
 		c.NeedsCall(ms, 1)
-		c.Called(2*ms, 1, o, ms)
+		c.CallDone(2*ms, 1, o, ms)
 		c.Tick(200*ms, Gauges{})
 		wantActions(t, h, wantedActions)
 	}
@@ -173,7 +173,7 @@
 	c.Drain(0, 3*time.Second)
 	c.Arrive(1500*ms, Request{ID: 4, KB: 10}) // past the grace
 	wantActions(t, h, "health false, reject 4")
-	c.Tick(2800*ms, Gauges{OnCores: 2})
+	c.Tick(2800*ms, Gauges{CoreDemand: 2})
 	if got := h.takeActions(); got != "reject 1, halt 1, reject 2, halt 2, reject 3" {
 		t.Errorf("unanswered before the stop: %q", got)
 	}
@@ -203,7 +203,7 @@
 	cfg.MemoryKB = 1e6
 	for _, share := range []float64{1, 0.5} {
 		c, _ := startController(t, cfg)
-		c.Share(0, share)
+		c.SetServerShare(0, share)
 		for id := RequestID(1); id <= 40; id++ {
 			c.Arrive(0, Request{ID: id, KB: 10})
 		}
@@ -223,10 +223,10 @@
 		c.Arrive(0, Request{ID: id, KB: 10})
 	}
 	wantActions(t, h, "run 1, run 2")
-	c.StopAt(0, 3*time.Second)
+	c.SetStopTime(0, 3*time.Second)
 	c.Arrive(1500*ms, Request{ID: 4, KB: 10})
 	wantActions(t, h, "")
-	c.Tick(2800*ms, Gauges{OnCores: 2})
+	c.Tick(2800*ms, Gauges{CoreDemand: 2})
 	if got := h.takeActions(); got != "reject 1, halt 1, reject 2, halt 2, reject 3, reject 4" {
 		t.Errorf("unanswered before the stop: %q", got)
 	}
@@ -240,7 +240,7 @@
 		c.Arrive(0, Request{ID: id, KB: 10})
 	}
 	for now := 25 * ms; now < 1800*ms; now += 25 * ms {
-		c.Tick(now, Gauges{OnCores: 2})
+		c.Tick(now, Gauges{CoreDemand: 2})
 	}
 	if c.dropProb <= 0.1 {
 		t.Errorf("dropProb %g after a long stall with queued requests, want over 0.1", c.dropProb)
@@ -257,7 +257,7 @@
 			c.Arrive(time.Second, Request{ID: 3, KB: 10})
 		}
 		wantActions(t, h, "run 1, run 2")
-		c.Tick(2*time.Second, Gauges{OnCores: 2})
+		c.Tick(2*time.Second, Gauges{CoreDemand: 2})
 		wantActions(t, h, wantedActions)
 	}
 }
@@ -280,9 +280,9 @@
 	c, _ := startController(t, cfg)
 	for i := 1; i < 200; i++ {
 		now := time.Duration(i) * 25 * ms
-		c.Arrive(now, Request{ID: RequestID(i), KB: 1, Rank: 0.9, Waited: time.Second})
+		c.Arrive(now, Request{ID: RequestID(i), KB: 1, Rank: 0.9, ReadWait: time.Second})
 		c.Done(now, RequestID(i), Succeeded, ms)
-		c.Tick(now, Gauges{OnCores: 2})
+		c.Tick(now, Gauges{CoreDemand: 2})
 	}
 	if c.signal < 0.8 || c.dropProb > 0 {
 		t.Errorf("signal %g, want over 0.8; dropProb %g, want 0", c.signal, c.dropProb)
@@ -331,7 +331,7 @@
 func TestIdleConnectionsAreKeptOnlyForFrequentCallers(t *testing.T) {
 	for callers, after := range map[int]time.Duration{10: 0, 1000: 25 * ms} {
 		cfg, h := testConfig(), new(idleCloseHost)
-		cfg.IdleMax = 30 * time.Second
+		cfg.IdleTimeout = 30 * time.Second
 		c, err := New(0, cfg, h)
 		if err != nil {
 			t.Fatal(err)
@@ -349,7 +349,7 @@
 
 func TestCallerTableStaysBounded(t *testing.T) {
 	cfg := testConfig()
-	cfg.IdleMax = 10 * time.Second
+	cfg.IdleTimeout = 10 * time.Second
 	c, _ := startController(t, cfg)
 	for i := 1; i < 200000; i++ {
 		now := time.Duration(i) * 10 * ms
@@ -381,7 +381,7 @@
 	last Advice
 }
 
-func (h *adviceHost) Refuse(_ RequestID, a Advice) { h.last = a }
+func (h *adviceHost) Reject(_ RequestID, a Advice) { h.last = a }
 
 func TestHoldOffOnlyWhereSignalCannotSayZero(t *testing.T) {
 	for signal, wantHoldOff := range map[SignalKind]bool{NoSignal: true, CallerTokens: true, RankFloor: false} {
@@ -393,7 +393,7 @@
 		}
 		c.burstAllowed, c.dropProb, c.advisory.dropProb = 0, 1, 0.5
 		c.Arrive(0, Request{ID: 1, KB: 10})
-		if (h.last.HoldOff > 0) != wantHoldOff || !h.last.Last {
+		if (h.last.HoldOff > 0) != wantHoldOff || !h.last.DoNotRetry {
 			t.Errorf("signal %d: advice %+v", signal, h.last)
 		}
 	}
@@ -420,7 +420,7 @@
 func TestRequestRejectedAfterWaitGetsHoldOff(t *testing.T) {
 	h := new(adviceHost)
 	c := startFull(t, h, 4)
-	c.Tick(1990*ms, Gauges{OnCores: 2}) // the aim of the queued request has passed
+	c.Tick(1990*ms, Gauges{CoreDemand: 2}) // the aim of the queued request has passed
 	if h.last.HoldOff != 250*ms {
 		t.Errorf("advice %+v, want a hold-off of 250ms: one start at 4 per second", h.last)
 	}
@@ -433,7 +433,7 @@
 	c.Arrive(ms, Request{ID: 4, Class: 1, KB: 1})
 	h.takeActions()
 	c.classes[1].meanRun = 2 // its class now takes longer than its aim; that of the head does not
-	c.Tick(20*ms, Gauges{OnCores: 2})
+	c.Tick(20*ms, Gauges{CoreDemand: 2})
 	if got := h.takeActions(); !strings.HasPrefix(got, "reject 4, forget 4") {
 		t.Errorf("actions %q, want request 4 behind the head rejected", got)
 	}
@@ -453,7 +453,7 @@
 func TestRejectedCallersMayRetryElsewhereWithoutRepeats(t *testing.T) {
 	for _, k := range []struct{ marked, repeats, last bool }{{true, false, false}, {true, true, true}, {false, false, true}} {
 		cfg, h := testConfig(), new(adviceHost)
-		cfg.MarksRetry = k.marked
+		cfg.RetriesMarked = k.marked
 		c, err := New(0, cfg, h)
 		if err != nil {
 			t.Fatal(err)
@@ -462,7 +462,7 @@
 		for id := RequestID(1); id < 40; id++ {
 			c.Arrive(0, Request{ID: id, KB: 1, Retry: k.repeats})
 		}
-		if h.last.Last != k.last {
+		if h.last.DoNotRetry != k.last {
 			t.Errorf("%+v: advice %+v", k, h.last)
 		}
 	}
@@ -471,10 +471,10 @@
 func TestServerIsDelistedOnlyWhenAloneInOverload(t *testing.T) {
 	for repeats, wantedActions := range map[bool]string{false: "health false, health true", true: ""} {
 		cfg := testConfig()
-		cfg.MarksRetry, cfg.Readiness = true, true
+		cfg.RetriesMarked, cfg.ListedByHealth = true, true
 		c, h := startController(t, cfg)
 		for id := RequestID(1); id < 40; id++ {
-			c.Arrive(0, Request{ID: id, KB: 1, Retry: repeats, Waited: 3 * time.Second})
+			c.Arrive(0, Request{ID: id, KB: 1, Retry: repeats, ReadWait: 3 * time.Second})
 		}
 		h.takeActions()
 		c.updateListing()
@@ -507,7 +507,7 @@
 			t.Fatal(err)
 		}
 		c.burstAllowed, c.dropProb, c.advisory.dropProb = 0, 1, 0.5
-		c.meanIdle, c.closingIdle, c.cfg.IdleMax = 30, closing, time.Minute
+		c.meanIdle, c.closingIdle, c.cfg.IdleTimeout = 30, closing, time.Minute
 		if !closing {
 			c.meanIdle = 0
 		}
@@ -550,7 +550,7 @@
 // BenchmarkArrivalToDone measures a request from Arrive to Done with 1,000 callers and a long queue.
 func BenchmarkArrivalToDone(b *testing.B) {
 	cfg := testConfig()
-	cfg.MemoryKB, cfg.IdleMax = 1e6, 30*time.Second
+	cfg.MemoryKB, cfg.IdleTimeout = 1e6, 30*time.Second
 	h := new(recordingHost)
 	c, err := New(0, cfg, h)
 	if err != nil {
@@ -574,11 +574,11 @@
 	cfg.Cold = true
 	c, _ := startController(t, cfg)
 	cold := c.maxInFlight()
-	c.Started(cfg.ColdFor, 0)
+	c.CoresStarted(cfg.ColdFor, 0)
 	if got := c.maxInFlight(); got != cold {
 		t.Errorf("%d in flight allowed when the cores start, want the %d of a cold server", got, cold)
 	}
-	c.Started(2*cfg.ColdFor, cfg.ColdFor) // reported again over a new connection
+	c.CoresStarted(2*cfg.ColdFor, cfg.ColdFor) // reported again over a new connection
 	if got := c.maxInFlight(); got <= cold {
 		t.Errorf("%d in flight allowed once warm", got)
 	}
@@ -611,12 +611,12 @@
 // serve.
 func TestDrainRedirectsCallersAtEndOfGrace(t *testing.T) {
 	cfg := testConfig()
-	cfg.Signal, cfg.Heeded = RankFloor, time.Second
+	cfg.Signal, cfg.SignalLifetime = RankFloor, time.Second
 	c, h := startController(t, cfg)
 	c.Drain(0, 3*time.Second)
 	c.Tick(cfg.DrainGrace/2, Gauges{})
 	wantActions(t, h, "health false, signal 0.00")
-	c.Tick(cfg.DrainGrace-cfg.Heeded/20, Gauges{})
+	c.Tick(cfg.DrainGrace-cfg.SignalLifetime/20, Gauges{})
 	wantActions(t, h, "signal 1.00")
 }
 
@@ -626,7 +626,7 @@
 	c, h := startController(t, testConfig())
 	c.Arrive(0, Request{ID: 1, Class: 1, KB: 10})
 	wantActions(t, h, "keep 1, run 1")
-	c.Done(ms, 1, TurnedAway, 0)
+	c.Done(ms, 1, Rejected, 0)
 	wantActions(t, h, "forget 1")
 	if len(c.keys) != 0 || c.newStarts != 0 {
 		t.Errorf("%d keys stored and %g starts counted, want none", len(c.keys), c.newStarts)
--- a/policy/answers.go
+++ b/policy/rejection.go
@@ -29,7 +29,7 @@
 			c.remove(r)
 		case c.worthlessAfterAim(r):
 			r.answered = true
-			c.host.Refuse(r.ID, Advice{Last: true})
+			c.host.Reject(r.ID, Advice{DoNotRetry: true})
 			c.halt(r)
 		default:
 			c.fail(r)
@@ -45,8 +45,8 @@
 	return r.class.LateWorth == 0 && r.class.Semantics == Safe && c.cfg.Halt != NoHalt
 }
 
-// Gone reports that the caller of a request has left, so that it needs no answer.
-func (c *Controller) Gone(now time.Duration, id RequestID) {
+// CallerGone reports that the caller of a request has left, so that it needs no answer.
+func (c *Controller) CallerGone(now time.Duration, id RequestID) {
 	c.beginEvent(now)
 	r := c.live[id]
 	if r == nil {
@@ -79,32 +79,32 @@
 // that they reject requests too: other servers can serve what a single slow or cold one rejects. The cost is
 // that other servers have to read such requests until the retries are noticed.
 func (c *Controller) reject(r *request) {
-	others, othersReject := r.Others,
+	others, othersReject := r.Peers,
 		c.advisory.dropProb > noRetryThreshold && c.rejectedElsewhere() > repeatThreshold
 	if others.Known {
 		othersReject = others.Full
 	}
-	advice := Advice{Last: !c.draining && (othersReject || c.now > r.aimAt), Version: r.Others.Version}
-	updateShare(&c.noRetryShare, advice.Last)
+	advice := Advice{DoNotRetry: !c.draining && (othersReject || c.now > r.aimAt), Version: r.Peers.Version}
+	updateShare(&c.noRetryShare, advice.DoNotRetry)
 	cannotSayZero := c.cfg.Signal == NoSignal || c.cfg.Signal == CallerTokens
 	if cannotSayZero && !c.closingIdle { // the signal cannot ask for zero requests, and callers return
 		advice.HoldOff = time.Duration(c.quotas.level(c.advisory.dropProb) * float64(c.cfg.MaxHoldOff))
-	} else if !cannotSayZero && !c.draining && c.now > r.arrived+r.Waited { // queued in vain
+	} else if !cannotSayZero && !c.draining && c.now > r.arrived+r.ReadWait { // queued in vain
 		untilStart := time.Duration(c.startTime / max(c.startSum, 1) * float64(time.Second))
 		advice.HoldOff = min(untilStart, c.cfg.MaxHoldOff)
 	}
 	roomElsewhere := !cannotSayZero && !c.draining && !others.Full && c.advisory.dropProb > noRetryThreshold
 	if others.Known && (roomElsewhere || advice.HoldOff > 0) {
-		advice.HoldOff = min(others.Return, c.cfg.MaxHoldOff)
+		advice.HoldOff = min(others.RetryAfter, c.cfg.MaxHoldOff)
 	}
-	c.host.Refuse(r.ID, advice)
+	c.host.Reject(r.ID, advice)
 	c.discard(r)
 }
 
 // rejectedElsewhere estimates the share of requests that other servers reject from the share of retries among
 // arrivals, corrected for callers that follow the advice not to retry.
 func (c *Controller) rejectedElsewhere() float64 {
-	if !c.cfg.MarksRetry {
+	if !c.cfg.RetriesMarked {
 		return 1
 	}
 	return c.repeatShare / (1 - complianceShare*c.noRetryShare)
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -42,7 +42,7 @@
 	if r.ended || r.joined || r.ran && !k.isSafe(r) {
 		k.violation("duplicate: %d runs again", id)
 	}
-	if first := k.requests[r.Earlier]; first != nil && first.ran && !k.isSafe(r) {
+	if first := k.requests[r.RepeatOf]; first != nil && first.ran && !k.isSafe(r) {
 		k.violation("duplicate: %d runs after the earlier attempt %d", id, first.ID)
 	}
 	if k.stopAt > 0 && r.arrived > k.drainAt+k.cfg.DrainGrace {
@@ -65,11 +65,11 @@
 	}
 }
 
-func (k *ruleChecker) Refuse(id RequestID, _ Advice)        { k.checkAnswer(id, true) }
-func (k *ruleChecker) Fail(id RequestID)                    { k.checkAnswer(id, false) }
-func (k *ruleChecker) Reuse(id RequestID)                   { k.requests[id].joined = true }
-func (k *ruleChecker) Keep(id RequestID, ttl time.Duration) { k.keys[id] = k.now + ttl }
-func (k *ruleChecker) Forget(id RequestID)                  { delete(k.keys, id) }
+func (k *ruleChecker) Reject(id RequestID, _ Advice)            { k.checkAnswer(id, true) }
+func (k *ruleChecker) Fail(id RequestID)                        { k.checkAnswer(id, false) }
+func (k *ruleChecker) Reuse(id RequestID)                       { k.requests[id].joined = true }
+func (k *ruleChecker) StoreKey(id RequestID, ttl time.Duration) { k.keys[id] = k.now + ttl }
+func (k *ruleChecker) DeleteKey(id RequestID)                   { delete(k.keys, id) }
 func (k *ruleChecker) Skip(id RequestID) {
 	k.requests[id].awaitingCall, k.requests[id].running = false, true
 }
@@ -100,7 +100,7 @@
 		case r.ended:
 			continue
 		case r.running || r.awaitingCall:
-			memory += r.KB * k.cfg.RunFactor
+			memory += r.KB * k.cfg.RunMemoryFactor
 		default:
 			memory += r.KB
 		}
@@ -126,10 +126,10 @@
 	if k.cfg.Cold {
 		warmth = min(1, k.cfg.ColdFrom+(1-k.cfg.ColdFrom)*float64(k.now)/float64(k.cfg.ColdFor))
 	}
-	if float64(runs) > float64(k.cfg.Cores)*(1+(k.cfg.FallFactor-1)*warmth) {
+	if float64(runs) > float64(k.cfg.Cores)*(1+(k.cfg.MaxRunsPerCore-1)*warmth) {
 		k.violation("limit: %d running requests", runs)
 	}
-	if k.cfg.Dependency == SharedDependency && float64(k.callsInHand) > max(1, k.cfg.FairCalls) {
+	if k.cfg.Dependency == SharedDependency && float64(k.callsInHand) > max(1, k.cfg.MeanCallLimit) {
 		k.violation("limit: %d open calls", k.callsInHand)
 	}
 }
@@ -139,13 +139,13 @@
 	cfg.Seed, cfg.Cold, cfg.Cores = r.Int63(), r.Intn(2) == 0, 1+r.Intn(8)
 	cfg.MemoryKB = 2000 + 20000*r.Float64()
 	cfg.Halt, cfg.Signal = Preemption(r.Intn(3)), SignalKind(r.Intn(4))
-	cfg.Dependency, cfg.FairCalls = DependencyKind(r.Intn(3)), 0.3+8*r.Float64()
+	cfg.Dependency, cfg.MeanCallLimit = DependencyKind(r.Intn(3)), 0.3+8*r.Float64()
 	cfg.Classes = append(cfg.Classes, Class{Name: "unsafe", Aim: time.Second, Deadline: 3 * time.Second,
 		Worth: 2, LateWorth: 0.2, Semantics: Unsafe})
 	cfg.Classes[0].SkipWorth = float64(r.Intn(2)) / 2
-	cfg.MarksRetry, cfg.Readiness, cfg.WorthByWork = r.Intn(2) == 0, r.Intn(2) == 0, r.Intn(2) == 0
-	cfg.IdleMax = time.Duration(r.Intn(3)) * 5 * time.Second
-	cfg.MaxHoldOff, cfg.Heeded, cfg.Callers = time.Duration(r.Intn(2))*time.Second, time.Second, 1+r.Intn(9)
+	cfg.RetriesMarked, cfg.ListedByHealth, cfg.WorthByWork = r.Intn(2) == 0, r.Intn(2) == 0, r.Intn(2) == 0
+	cfg.IdleTimeout = time.Duration(r.Intn(3)) * 5 * time.Second
+	cfg.MaxHoldOff, cfg.SignalLifetime, cfg.Callers = time.Duration(r.Intn(2))*time.Second, time.Second, 1+r.Intn(9)
 	return cfg
 }
 
@@ -173,7 +173,7 @@
 				stepRandom(c, k, rnd, r)
 			}
 		}
-		c.Tick(k.now, Gauges{OnCores: float64(rnd.Intn(2 * k.cfg.Cores))})
+		c.Tick(k.now, Gauges{CoreDemand: float64(rnd.Intn(2 * k.cfg.Cores))})
 		k.checkState()
 	}
 	return k.violations
@@ -183,8 +183,8 @@
 func arriveRandom(c *Controller, k *ruleChecker, rnd *rand.Rand, ids *[]RequestID) {
 	r := &trackedRequest{Request: Request{ID: RequestID(len(*ids) + 1), Class: rnd.Intn(3), Caller: rnd.Intn(40),
 		Retry: rnd.Intn(4) == 0, Expected: time.Duration(rnd.Intn(3)*200) * ms,
-		KB: 5 + 60*rnd.Float64(), Rank: rnd.Float64(), Waited: time.Duration(rnd.Intn(300)) * ms}}
-	r.arrived = k.now - r.Waited
+		KB: 5 + 60*rnd.Float64(), Rank: rnd.Float64(), ReadWait: time.Duration(rnd.Intn(300)) * ms}}
+	r.arrived = k.now - r.ReadWait
 	class := k.cfg.Classes[r.Class]
 	r.dueAt = r.arrived + class.Deadline
 	if rnd.Intn(2) == 0 {
@@ -194,7 +194,7 @@
 	if class.Semantics == Keyed && rnd.Intn(3) == 0 {
 		for _, id := range *ids {
 			if p := k.requests[id]; p.Class == r.Class && k.keys[id] > r.arrived {
-				r.Earlier = id
+				r.RepeatOf = id
 			}
 		}
 	}
@@ -210,13 +210,13 @@
 	case r.calling && x < 8:
 		r.calling = false
 		k.callsInHand--
-		o := []Outcome{Succeeded, Failed, TurnedAway, TimedOut, Unreachable, Interrupted}[rnd.Intn(6)]
+		o := []Outcome{Succeeded, Failed, Rejected, TimedOut, Unreachable, Interrupted}[rnd.Intn(6)]
 		if o == Succeeded {
 			r.awaitingCall, r.running = false, true
-		} else if o != TurnedAway && o != Unreachable {
+		} else if o != Rejected && o != Unreachable {
 			r.mayHaveEffect = true
 		}
-		c.Called(k.now, r.ID, o, 50*ms)
+		c.CallDone(k.now, r.ID, o, 50*ms)
 	case r.running && x == 0 && k.cfg.Dependency != NoDependency:
 		r.awaitingCall, r.running = true, false
 		c.NeedsCall(k.now, r.ID)
@@ -233,7 +233,7 @@
 	case x == 39 && r.answers == 0 && !r.gone:
 		r.gone = true
 		r.ended = !r.running && !r.awaitingCall
-		c.Gone(k.now, r.ID)
+		c.CallerGone(k.now, r.ID)
 	}
 }
 
@@ -250,7 +250,7 @@
 		"unanswered":         func(k *ruleChecker) { k.requests[1].dueAt = -time.Second; k.checkState() },
 		"answered twice":     func(k *ruleChecker) { k.Fail(1); k.Fail(1) },
 		"run twice":          func(k *ruleChecker) { k.Run(1); k.Run(1) },
-		"rejected after run": func(k *ruleChecker) { k.Run(1); k.Refuse(1, Advice{}) },
+		"rejected after run": func(k *ruleChecker) { k.Run(1); k.Reject(1, Advice{}) },
 		"call repeated":      func(k *ruleChecker) { k.requests[1].mayHaveEffect = true; k.Call(1, 0) },
 		"run after grace":    func(k *ruleChecker) { k.stopAt = 1; k.drainAt = -2 * time.Second; k.Run(1) },
 		"unanswered at stop": func(k *ruleChecker) { k.stopAt = 1; k.now = 1; k.checkState() },
@@ -274,7 +274,7 @@
 // TestMemoryStaysBoundedOverLongUptime simulates hours of a busy server and bounds the size of each table.
 func TestMemoryStaysBoundedOverLongUptime(t *testing.T) {
 	cfg := testConfig()
-	cfg.IdleMax, cfg.ShareFor = 10*time.Second, time.Second
+	cfg.IdleTimeout, cfg.AnswerReuseTime = 10*time.Second, time.Second
 	c, h := startController(t, cfg)
 	var started []RequestID
 	for i := 1; i <= 400000; i++ {
@@ -284,7 +284,7 @@
 			c.Done(now, started[0], Succeeded, 100*ms)
 			started = started[1:]
 		}
-		c.Tick(now, Gauges{OnCores: 2})
+		c.Tick(now, Gauges{CoreDemand: 2})
 		for _, action := range h.actions {
 			var ran RequestID
 			if n, _ := fmt.Sscanf(action, "run %d", &ran); n == 1 {
--- a/policy/starts.go
+++ b/policy/scheduling.go
@@ -107,7 +107,7 @@
 func (c *Controller) hasRoom(r *request) bool {
 	inHand := c.count[running] + c.count[awaitingCall] + c.count[calling]
 	return c.count[running] < c.runLimit && inHand < c.maxInFlight() &&
-		c.memoryUsed+r.KB*(c.cfg.RunFactor-1) <= c.memoryLimit()
+		c.memoryUsed+r.KB*(c.cfg.RunMemoryFactor-1) <= c.memoryLimit()
 }
 
 func (c *Controller) startRun(r *request) {
@@ -132,7 +132,7 @@
 	case r.state == joined:
 	case o == Succeeded:
 		c.learnFromRun(r, seconds)
-	case o == TurnedAway: // it never ran: its start does not count, and its key is free
+	case o == Rejected: // it never ran: its start does not count, and its key is free
 		c.newStarts--
 		c.forgetKey(r)
 	case o == Failed:
--- a/policy/signals.go
+++ b/policy/signals.go
@@ -30,8 +30,8 @@
 	c.updateSignal()
 }
 
-// StopAt sets when this process ends while its server goes on. All requests are answered before then.
-func (c *Controller) StopAt(now, stopAt time.Duration) {
+// SetStopTime sets when this process ends while its server goes on. All requests are answered before then.
+func (c *Controller) SetStopTime(now, stopAt time.Duration) {
 	c.beginEvent(now)
 	c.stopAt = stopAt
 }
@@ -50,9 +50,9 @@
 	dt := now - c.lastTick
 	c.lastTick = now
 	if g.Age > c.referenceDelay { // too old: assume busy cores, so that the run limit does not grow
-		g.OnCores = float64(c.cfg.Cores)
+		g.CoreDemand = float64(c.cfg.Cores)
 	}
-	c.coreDemand += (min(g.OnCores, float64(c.cfg.Cores)) - c.coreDemand) / gaugeTicks
+	c.coreDemand += (min(g.CoreDemand, float64(c.cfg.Cores)) - c.coreDemand) / gaugeTicks
 	c.answerDue()
 	c.expireKeys()
 	c.updateProbabilities(dt)
@@ -69,9 +69,9 @@
 // to be read and the other servers are not overloaded. With many callers, the list is the only message that
 // reaches all of them. The risk is that many servers leave the list at once.
 func (c *Controller) updateListing() {
-	onlyHere := c.cfg.MarksRetry && c.rejectedElsewhere() < delistMaxRepeats
+	onlyHere := c.cfg.RetriesMarked && c.rejectedElsewhere() < delistMaxRepeats
 	switch {
-	case !c.cfg.Readiness || c.draining || c.now < c.relistAt:
+	case !c.cfg.ListedByHealth || c.draining || c.now < c.relistAt:
 	case c.relistAt > 0:
 		c.relistAt = 0
 		c.host.Health(true)
@@ -86,7 +86,7 @@
 // cores can serve requests until then.
 func (c *Controller) updateSignal() {
 	value := 0.0
-	lead := time.Duration(drainLeadShare * float64(c.cfg.Heeded))
+	lead := time.Duration(drainLeadShare * float64(c.cfg.SignalLifetime))
 	redirecting := c.draining && c.now >= c.drainAt+c.cfg.DrainGrace-lead
 	switch c.cfg.Signal {
 	case NoSignal:
@@ -115,8 +115,8 @@
 // hold back.
 func (c *Controller) Level() float64 { return c.quotas.level(c.advisory.dropProb) * levelShare }
 
-// Others sets the mean Level of all servers, or 0 if it is unknown.
-func (c *Controller) Others(mean float64) { c.meanLevel = mean }
+// SetMeanLevel sets the mean Level of all servers, or 0 if it is unknown.
+func (c *Controller) SetMeanLevel(mean float64) { c.meanLevel = mean }
 
 // blendWithMean moves the level of this server towards the mean of all servers. Otherwise callers would move
 // away from a server that asks for more than others, so that each server would alternate between empty and
