--- a/internal/decide/timeline/timeline_test.go
+++ b/internal/decide/timeline/timeline_test.go
@@ -15,12 +15,6 @@
 
 const s = time.Second
 
-// fleet makes the records of boxes that live through a script.
-type fleet struct {
-	boxes []Box
-	rand  *rand.Rand
-}
-
 // day is what happens to a fleet, in seconds from its begin.
 type day struct {
 	boxes, seconds int
--- a/internal/state/audit/audit_test.go
+++ b/internal/state/audit/audit_test.go
@@ -22,17 +22,17 @@
 	create := l.create
 	l.create = func(path string) (File, error) {
 		f, err := create(path)
-		return quick{f}, err
+		return noWaitFile{f}, err
 	}
 	return l, how
 }
 
-// quick is a file that does not wait for the disk: the tests are about what is in it.
-type quick struct{ File }
+// noWaitFile is a file whose Sync does not wait for the disk: the tests check only its contents.
+type noWaitFile struct{ File }
 
-func (quick) Sync() error { return nil }
+func (noWaitFile) Sync() error { return nil }
 
-// write appends so many effects and returns the marks, one for each tenth.
+// write appends n effects and returns a mark after every tenth one.
 func write(t *testing.T, l *Log, n int) (marks []Mark) {
 	t.Helper()
 	for i := range n {
@@ -59,18 +59,18 @@
 	return b
 }
 
-var small = Limits{Segment: 2000, Folder: 1 << 20}
+var smallLimits = Limits{Segment: 2000, Folder: 1 << 20}
 
-func TestWhatIsWrittenIsReadAndProven(t *testing.T) {
+func TestWrittenEntriesAreReadAndProven(t *testing.T) {
 	dir := t.TempDir()
-	l, how := open(t, dir, small)
+	l, how := open(t, dir, smallLimits)
 	marks := write(t, l, 100)
 	l.Close()
-	again, resumed := open(t, dir, small)
+	again, resumed := open(t, dir, smallLimits)
 	marks = append(marks, write(t, again, 50)...)
 	again.Close()
 	if how != "a new chain" || resumed != "the chain goes on" || l.Chain() != again.Chain() {
-		t.Errorf("%q, then %q", how, resumed)
+		t.Errorf("state at first open %q, at second open %q", how, resumed)
 	}
 	b := read(t, dir)
 	proven, old := b.Against(marks)
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestACutAtAnyByteIsFound cuts the last segment: what was told to the ledger is missed, and a process that goes on behind the
-// cut begins at a whole entry.
-func TestACutAtAnyByteIsFound(t *testing.T) {
+// TestTruncationAtAnyByteIsDetected truncates the last segment after every byte. The check against the marks in the
+// ledger must report the loss, also after a new process has continued the log behind the cut, at a complete entry.
+func TestTruncationAtAnyByteIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir, DefaultLimits)
 	marks := write(t, l, 10)
@@ -103,7 +103,7 @@
 		}
 		b := read(t, dir)
 		if b.Against(marks); len(b.Faults) == 0 {
-			t.Fatalf("cut at %d of %d, and nothing is found", at, len(whole))
+			t.Fatalf("truncated at %d of %d bytes: no fault reported", at, len(whole))
 		}
 		if at%199 != 0 {
 			continue
@@ -117,7 +117,7 @@
 		after := len(b.Faults)
 		b.Against(marks)
 		if len(b.Faults) == after {
-			t.Fatalf("cut at %d and gone on with, and the ledger's mark is not missed", at)
+			t.Fatalf("truncated at %d and continued: the mark in the ledger is not reported as missing", at)
 		}
 		for _, name := range must(segments(dir)) {
 			os.Remove(filepath.Join(dir, name))
@@ -125,7 +125,7 @@
 	}
 }
 
-// replace makes a file anew: to truncate one and write it makes the file system wait for the disk.
+// replace writes a file anew. Truncating and rewriting it in place would make the file system wait for the disk.
 func replace(path string, data []byte) error {
 	os.Remove(path)
 	return os.WriteFile(path, data, 0o600)
@@ -138,7 +138,7 @@
 	return v
 }
 
-func TestAFlippedByteIsFound(t *testing.T) {
+func TestFlippedByteIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir, Limits{Segment: 700, Folder: 1 << 20})
 	write(t, l, 9)
@@ -152,44 +152,44 @@
 				t.Fatal(err)
 			}
 			if b := read(t, dir); len(b.Faults) == 0 {
-				t.Fatalf("byte %d of %s flipped, and nothing is found", at, name)
+				t.Fatalf("byte %d of %s flipped: no fault reported", at, name)
 			}
 			whole[at] ^= 0x10
 		}
 		replace(path, whole)
 	}
 	if b := read(t, dir); len(b.Faults) != 0 {
-		t.Errorf("whole again: %v", b.Faults)
+		t.Errorf("faults after the bytes were restored: %v", b.Faults)
 	}
 }
 
-func TestWhatATamperedFolderShows(t *testing.T) {
+func TestTamperedFolderIsDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		tamper func(dir, old string)
-		says   string
+		want   string
 	}{
 		"a segment removed from the middle": {func(dir, _ string) { os.Remove(filepath.Join(dir, must(segments(dir))[2])) }, "1 segments are missing"},
 		"the last segment removed":          {func(dir, _ string) { s := must(segments(dir)); os.Remove(filepath.Join(dir, s[len(s)-1])) }, "the end is missing"},
-		"all removed":                       {func(dir, _ string) { os.RemoveAll(dir); os.Mkdir(dir, 0o700) }, "the chain is missing"},
-		"put back from last week": {func(dir, old string) {
+		"all segments removed":              {func(dir, _ string) { os.RemoveAll(dir); os.Mkdir(dir, 0o700) }, "the chain is missing"},
+		"restored from an older copy": {func(dir, old string) {
 			os.RemoveAll(dir)
 			os.Rename(old, dir)
 		}, "the end is missing"},
-		"put back and gone on with": {func(dir, old string) {
+		"restored and continued": {func(dir, old string) {
 			os.RemoveAll(dir)
 			os.Rename(old, dir)
-			l, _ := open(t, dir, small)
+			l, _ := open(t, dir, smallLimits)
 			for range 200 {
 				l.Write(Entry{Kind: Effect, Task: "other"})
 			}
 			l.Close()
 		}, "rewritten"},
-		"rewritten with the box's own program": {func(dir, _ string) {
+		"rewritten by Log itself": {func(dir, _ string) {
 			b, _ := Read(dir)
 			os.RemoveAll(dir)
-			l, _ := open(t, dir, small)
+			l, _ := open(t, dir, smallLimits)
 			l.chain = b.Entries[0].Chain
-			l.sum = first(l.chain, "n1")
+			l.sum = initialSum(l.chain, "n1")
 			for i, e := range b.Entries {
 				if i == 50 {
 					e.Token = 99
@@ -200,7 +200,7 @@
 		}, "rewritten"},
 	} {
 		dir, old := filepath.Join(t.TempDir(), "a"), filepath.Join(t.TempDir(), "old")
-		l, _ := open(t, dir, small)
+		l, _ := open(t, dir, smallLimits)
 		marks := write(t, l, 60)
 		os.MkdirAll(old, 0o700)
 		for _, s := range must(segments(dir)) {
@@ -211,13 +211,13 @@
 		c.tamper(dir, old)
 		b := read(t, dir)
 		b.Against(marks)
-		if text := fmt.Sprint(b.Faults); !strings.Contains(text, c.says) {
+		if text := fmt.Sprint(b.Faults); !strings.Contains(text, c.want) {
 			t.Errorf("%s: %s", name, text)
 		}
 	}
 }
 
-func TestTheFolderIsBoundedAndWhatIsLeftIsProven(t *testing.T) {
+func TestFolderIsBoundedAndRemainingEntriesAreProven(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir, Limits{Segment: 2000, Folder: 9000})
 	marks := write(t, l, 500)
@@ -233,13 +233,13 @@
 	}
 }
 
-// full is a file whose disk is full after so many bytes.
-type full struct {
+// limitedFile is a file on a disk that has room for *room more bytes.
+type limitedFile struct {
 	File
 	room *int
 }
 
-func (f full) Write(p []byte) (int, error) {
+func (f limitedFile) Write(p []byte) (int, error) {
 	if n := *f.room; n < len(p) {
 		*f.room = 0
 		k, _ := f.File.Write(p[:n])
@@ -249,16 +249,16 @@
 	return f.File.Write(p)
 }
 
-func TestADiskThatRefusesStandsAsAGap(t *testing.T) {
+func TestFullDiskIsRecordedAsGap(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir, small)
+	l, _ := open(t, dir, smallLimits)
 	create, room := l.create, 1<<20
 	l.create = func(path string) (File, error) {
 		f, err := create(path)
-		return full{f, &room}, err
+		return limitedFile{f, &room}, err
 	}
 	write(t, l, 10)
-	for _, left := range []int{0, 1, 30, 60, 100, 150} { // in the middle of whatever comes next
+	for _, left := range []int{0, 1, 30, 60, 100, 150} { // free bytes, so that the write stops at different places within a frame
 		room = left
 		lost := 0
 		for range 5 {
@@ -289,7 +289,8 @@
 	}
 }
 
-// TestAnIndexNeverGoesBack: a box that goes through its ledger anew knows no less than before, over restarts as well.
+// TestAnIndexNeverGoesBack checks that a box that replays its ledger logs no smaller index than before, also after a
+// restart.
 func TestAnIndexNeverGoesBack(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir, DefaultLimits)
@@ -310,8 +311,9 @@
 	}
 }
 
-// TestABeginThatIsCutOffIsFound, and one that the bound took is not taken for it.
-func TestABeginThatIsCutOffIsFound(t *testing.T) {
+// TestMissingFirstSegmentIsDetected checks that a first segment that was deleted is reported, and one that the folder
+// limit removed isn't.
+func TestMissingFirstSegmentIsDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		limits Limits
 		cut    bool
@@ -333,12 +335,12 @@
 	}
 }
 
-type noSync struct{ File }
+type failingSyncFile struct{ File }
 
-func (noSync) Sync() error { return syscall.EIO }
+func (failingSyncFile) Sync() error { return syscall.EIO }
 
-// TestAHeadIsToldOnlyOnceItIsOnTheDisk: after a sync that failed the mark is the one before.
-func TestAHeadIsToldOnlyOnceItIsOnTheDisk(t *testing.T) {
+// TestHeadIsReportedOnlyAfterSync checks that after a failed sync the mark is the previous one.
+func TestHeadIsReportedOnlyAfterSync(t *testing.T) {
 	l, _ := open(t, t.TempDir(), DefaultLimits)
 	l.Write(Entry{Kind: Standing})
 	first, err := l.Sync()
@@ -346,7 +348,7 @@
 		t.Fatal(first, err)
 	}
 	l.Write(Entry{Kind: Standing})
-	l.file = noSync{l.file}
+	l.file = failingSyncFile{l.file}
 	if m, err := l.Sync(); err == nil || m.N != first.N {
 		t.Errorf("%+v, %v", m, err)
 	}
--- a/internal/state/audit/file_trial.go
+++ b/internal/state/audit/file_trial.go
@@ -8,17 +8,18 @@
 	"syscall"
 )
 
-// fillable is full while a file of the name "full" stands in its folder. For trials alone.
-type fillable struct {
+// fullDiskFile fails each write with ENOSPC while a file named "full" exists in the log's folder. It is used in trial
+// builds only.
+type fullDiskFile struct {
 	File
-	full string
+	flag string
 }
 
-func trialFile(dir string, f File) File { return fillable{f, filepath.Join(dir, "full")} }
+func trialFile(dir string, f File) File { return fullDiskFile{f, filepath.Join(dir, "full")} }
 
 // Write implements io.Writer.
-func (f fillable) Write(p []byte) (int, error) {
-	if _, err := os.Stat(f.full); err == nil {
+func (f fullDiskFile) Write(p []byte) (int, error) {
+	if _, err := os.Stat(f.flag); err == nil {
 		return 0, syscall.ENOSPC
 	}
 	return f.File.Write(p)
--- a/internal/state/audit/index.go
+++ b/internal/state/audit/index.go
@@ -7,48 +7,50 @@
 	"time"
 )
 
-// Index answers questions about the logs of many boxes after one pass over them.
+// Index answers questions about the logs of many boxes. It is built in one pass over them.
 //
-// What comes before what is taken from two things alone: the number within a chain, and the ledger's index that an entry carries,
-// as far as its box knew it. An entry that carries i was made after entry i of the ledger, by however long. Tokens are given out by
-// the ledger, so effects under two tokens of a task come in their order. Clocks are used only where a question names a time, within
-// the error that the question allows; what is in doubt is said to be.
+// The order of entries is derived from two things only: the number within a chain, and the ledger index in each entry,
+// which is the last index that the box knew. An entry with index i was written after entry i of the ledger, by an
+// unknown time. The ledger issues the tokens, so effects under two tokens of a task are ordered by token. Wall clocks
+// are used only for questions about a time, within the clock error given by the caller; answers that remain uncertain
+// are flagged as such.
 type Index struct {
 	boxes   []string
-	entries [][]Entry        // by box, in the order of its chains and numbers
-	runs    [][]Run          // by box
-	acts    [][]act          // by box: effects
-	byN     map[uint64][]ref // runs by number of the fleet's configuration
-	byTask  map[string][]ref // effects by task
+	entries [][]Entry           // by box, ordered by chain and number
+	runs    [][]Run             // runs by box
+	effects [][]indexedEffect   // effects by box
+	byN     map[uint64][]boxRef // runs by number of the fleet configuration
+	byTask  map[string][]boxRef // effects by task
 	marks   map[string][]Mark
 }
 
-type ref struct{ box, at int }
+type boxRef struct{ box, at int }
 
-type act struct {
-	entry int // of the Effect
-	done  int // of the Done; -1: none
-	run   int // of the version that it was made under; -1: none is known
+type indexedEffect struct {
+	entry int // position of the Effect entry
+	done  int // position of the Done entry; -1: none
+	run   int // run in which it was executed; -1: unknown
 }
 
-// Run is a stretch in which a box acted as one version, in one process or several.
+// Run is a period in which a box ran one version, in one process or several.
 type Run struct {
 	Box     string `json:"box"`
 	Version Build  `json:"version"`
-	// From and To are indexes of the ledger: the version began after entry From of it, and another one after To. Until says that To
-	// is known: else the version is the box's last one.
+	// From and To are ledger indexes: the version began after ledger entry From and ended after ledger entry To. Until
+	// reports whether the version has ended; if not, it is the last version of the box and To is the index of its last
+	// entry.
 	From    uint64        `json:"from_index"`
 	To      uint64        `json:"to_index"`
 	Until   bool          `json:"ended"`
-	FromAt  time.Duration `json:"from_at_ns"` // by the box's wall clock, to be shown
+	FromAt  time.Duration `json:"from_at_ns"` // by the box's wall clock, for display only
 	ToAt    time.Duration `json:"to_at_ns"`
 	Effects int           `json:"effects"`
-	Late    int           `json:"late"` // effects by a box that knew already that the number was allowed no more
+	Late    int           `json:"late"` // effects executed although the box knew that the number was no longer allowed
 	first   int
 	last    int
 }
 
-// Act is an effect as its box tells it.
+// Act is an effect as logged by its box.
 type Act struct {
 	Box     string        `json:"box"`
 	Task    string        `json:"task"`
@@ -56,24 +58,24 @@
 	Under   uint64        `json:"under"`
 	Index   uint64        `json:"index"`
 	At      time.Duration `json:"at_ns"`
-	Outcome string        `json:"outcome"` // made, not made, failed, or not known
+	Outcome string        `json:"outcome"` // "made", "not made", "failed" or "not known"
 	Text    string        `json:"text,omitempty"`
-	// Tied says that nothing orders this act and the one before it in the list.
+	// Tied reports that the order of this effect and the previous one in the list is unknown.
 	Tied bool `json:"tied"`
 }
 
-// Who is what a box acted as at a time.
+// Who is the version that a box ran at a given time or index.
 type Who struct {
 	Box     string `json:"box"`
 	Version Build  `json:"version"`
-	Sure    bool   `json:"sure"` // false: it changed so near the time that the order is not known
-	Gone    bool   `json:"gone"` // its process had ended in order
+	Sure    bool   `json:"sure"` // false: the version changed so close to the time that the order is unknown
+	Gone    bool   `json:"gone"` // its process had shut down cleanly
 }
 
-// NewIndex goes over the books once. marks are the ledger's, by box: they say before which index of the ledger an entry was made. They
-// may be nil; then little can be ordered between boxes.
+// NewIndex builds an index of the books. marks are the marks in the ledger, by box: a mark bounds from above the ledger
+// index at which an entry was written. With nil marks little can be ordered between boxes.
 func NewIndex(books []*Book, marks map[string][]Mark) *Index {
-	x := &Index{marks: marks, byN: map[uint64][]ref{}, byTask: map[string][]ref{}}
+	x := &Index{marks: marks, byN: map[uint64][]boxRef{}, byTask: map[string][]boxRef{}}
 	at := map[string]int{}
 	books = slices.Clone(books)
 	slices.SortStableFunc(books, func(a, b *Book) int { return cmp.Compare(a.Box, b.Box) })
@@ -82,7 +84,7 @@
 		if !ok {
 			i = len(x.boxes)
 			at[b.Box] = i
-			x.boxes, x.entries, x.runs, x.acts = append(x.boxes, b.Box), append(x.entries, nil), append(x.runs, nil), append(x.acts, nil)
+			x.boxes, x.entries, x.runs, x.effects = append(x.boxes, b.Box), append(x.entries, nil), append(x.runs, nil), append(x.effects, nil)
 		}
 		if x.entries[i] == nil {
 			x.entries[i] = b.Entries
@@ -91,14 +93,14 @@
 		}
 	}
 	for i := range x.boxes {
-		x.pass(i)
+		x.indexBox(i)
 	}
 	return x
 }
 
-// pass goes over the entries of a box.
-func (x *Index) pass(i int) {
-	open := map[uint64]int{} // act by number of its Effect, within a chain
+// indexBox indexes the entries of box i.
+func (x *Index) indexBox(i int) {
+	open := map[uint64]int{} // position in acts by the number of the Effect entry, within a chain
 	chain := ""
 	for k := range x.entries[i] {
 		e := &x.entries[i][k]
@@ -115,24 +117,24 @@
 			if n := len(runs); n > 0 {
 				last := &runs[n-1]
 				last.To, last.ToAt, last.last, last.Until = e.Index, e.At, k, true
-				if last.Version == *e.Build { // a new process of the same version goes on with it
+				if last.Version == *e.Build { // a new process of the same version continues the run
 					last.Until = false
 					continue
 				}
 			}
 			x.runs[i] = append(runs, Run{Box: x.boxes[i], Version: *e.Build, From: e.Index, FromAt: e.At, first: k, last: k})
-			x.byN[e.Build.Fleet] = append(x.byN[e.Build.Fleet], ref{i, len(runs)})
+			x.byN[e.Build.Fleet] = append(x.byN[e.Build.Fleet], boxRef{i, len(runs)})
 		case Effect:
-			a := act{entry: k, done: -1, run: len(runs) - 1}
-			open[e.N] = len(x.acts[i])
-			x.byTask[e.Task] = append(x.byTask[e.Task], ref{i, len(x.acts[i])})
-			x.acts[i] = append(x.acts[i], a)
+			a := indexedEffect{entry: k, done: -1, run: len(runs) - 1}
+			open[e.N] = len(x.effects[i])
+			x.byTask[e.Task] = append(x.byTask[e.Task], boxRef{i, len(x.effects[i])})
+			x.effects[i] = append(x.effects[i], a)
 			if len(runs) > 0 {
 				runs[len(runs)-1].Effects++
 			}
 		case Done:
 			if a, ok := open[e.Ref]; ok {
-				x.acts[i][a].done = k
+				x.effects[i][a].done = k
 				delete(open, e.Ref)
 			}
 		}
@@ -146,10 +148,10 @@
 	}
 }
 
-// Boxes lists the boxes by name.
+// Boxes returns the names of the boxes, sorted.
 func (x *Index) Boxes() []string { return x.boxes }
 
-// Entries counts all.
+// Entries returns the number of entries of all boxes.
 func (x *Index) Entries() (n int) {
 	for _, e := range x.entries {
 		n += len(e)
@@ -157,8 +159,8 @@
 	return n
 }
 
-// AtIndex tells what each box acted as when the ledger came to an index. It is sure where a mark says that the change to it was made
-// before: what a box did next it did after a later index that it knew.
+// AtIndex returns the version that each box ran when the ledger reached index. An answer is sure if a mark shows that
+// the box had changed to the version before: what the box did next, it did after a later index that it knew.
 func (x *Index) AtIndex(index uint64) (list []Who) {
 	for i, box := range x.boxes {
 		runs := x.runs[i]
@@ -174,11 +176,11 @@
 	return list
 }
 
-// AtTime tells what each box acted as at a time, where its wall clock was off by at most clockError.
+// AtTime returns the version that each box ran at time t, if its wall clock was off by at most clockError.
 func (x *Index) AtTime(t, clockError time.Duration) (list []Who) {
 	for i, box := range x.boxes {
 		runs := x.runs[i]
-		// Clocks may have been set back in between, so all are looked at.
+		// A clock may have been set back in between, so all runs are checked.
 		k, sure := -1, true
 		for j := range runs {
 			if d := runs[j].FromAt - t; d <= 0 {
@@ -203,15 +205,15 @@
 	return list
 }
 
-// Version lists who acted on a number of the fleet's configuration, and from when to when. allowed tells from which index of the
-// ledger on the number was allowed no more, 0 for never: effects by boxes that knew so are counted as late.
+// Version returns the runs on number n of the fleet configuration. notFrom is the ledger index from which on the number
+// was no longer allowed, 0 if it still is: effects by boxes that knew this index are counted as late.
 func (x *Index) Version(n, notFrom uint64) (list []Run) {
 	for _, r := range x.byN[n] {
 		run := x.runs[r.box][r.at]
 		if notFrom > 0 {
-			for _, a := range x.acts[r.box] {
+			for _, a := range x.effects[r.box] {
 				if a.run == r.at && x.entries[r.box][a.entry].Index >= notFrom {
-					if x.outcome(r.box, a) != notMade {
+					if x.outcome(r.box, a) != outcomeNotMade {
 						run.Late++
 					}
 				}
@@ -223,33 +225,33 @@
 	return list
 }
 
-// Outcomes of an effect.
+// Outcomes of effects.
 const (
-	made     = "made"
-	notMade  = "not made"
-	failed   = "failed"
-	notKnown = "not known" // the process ended within it, or it goes on
+	outcomeMade    = "made"
+	outcomeNotMade = "not made"
+	outcomeFailed  = "failed"
+	outcomeUnknown = "not known" // the process ended during the effect, or the effect is still in progress
 )
 
-func (x *Index) outcome(box int, a act) string {
+func (x *Index) outcome(box int, a indexedEffect) string {
 	if a.done < 0 {
-		return notKnown
+		return outcomeUnknown
 	}
 	d := x.entries[box][a.done]
 	switch {
 	case d.OK:
-		return made
-	case len(d.Text) >= len(notMade) && d.Text[:len(notMade)] == notMade:
-		return notMade
+		return outcomeMade
+	case len(d.Text) >= len(outcomeNotMade) && d.Text[:len(outcomeNotMade)] == outcomeNotMade:
+		return outcomeNotMade
 	}
-	return failed
+	return outcomeFailed
 }
 
-// Effects lists those of a task, by token, and under one token by the box's own order. Two boxes under one token are tied: nothing
-// orders them.
+// Effects returns the effects of a task, ordered by token and under one token by the box's own order. Effects of two
+// boxes under one token are tied: their order is unknown.
 func (x *Index) Effects(task string) (list []Act) {
 	for _, r := range x.byTask[task] {
-		a := x.acts[r.box][r.at]
+		a := x.effects[r.box][r.at]
 		e := x.entries[r.box][a.entry]
 		o := Act{Box: e.Box, Task: e.Task, Token: e.Token, Under: e.Under, Index: e.Index, At: e.At, Outcome: x.outcome(r.box, a), Text: e.Text}
 		if a.done >= 0 && x.entries[r.box][a.done].Text != "" {
@@ -267,7 +269,7 @@
 	return list
 }
 
-// Box lists what a box did.
+// Box returns the entries of a box.
 func (x *Index) Box(name string) []Entry {
 	if i, ok := slices.BinarySearch(x.boxes, name); ok {
 		return x.entries[i]
@@ -275,7 +277,7 @@
 	return nil
 }
 
-// Runs lists the versions of a box.
+// Runs returns the version runs of a box.
 func (x *Index) Runs(name string) []Run {
 	if i, ok := slices.BinarySearch(x.boxes, name); ok {
 		return x.runs[i]
@@ -283,7 +285,7 @@
 	return nil
 }
 
-// ScanVersion is Version by going over all entries, to weigh the index against.
+// ScanVersion computes Version by a scan over all entries. It serves as a baseline when the index is benchmarked.
 func ScanVersion(books []*Book, n uint64) (list []Run) {
 	for _, b := range books {
 		var now *Run
--- a/internal/state/audit/index_test.go
+++ b/internal/state/audit/index_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// story makes a box's book from words: "v7@100" version 7 at index 100, "e5/7@120" an effect under token 5 and version 7, then "m" it was
-// made, "x" not made, "f" failed; "end".
-func story(box, words string) *Book {
+// bookFromScript builds the book of a box from a script of words: "v7@100" is version 7 at index 100, "e5/7@120" an
+// effect under token 5 and version 7. The words "m", "x" and "f" say that the last effect was made, not made or failed;
+// "end" ends the process.
+func bookFromScript(box, words string) *Book {
 	b := &Book{Box: box}
 	last, index := uint64(0), uint64(0)
 	for i, w := range strings.Fields(words) {
@@ -39,17 +40,16 @@
 	return b
 }
 
-func world() *Index {
+func testIndex() *Index {
 	return NewIndex([]*Book{
-		story("b", "v1@10 e2/1@15 m v2@30 e4/2@31 f"),
-		story("a", "v1@11 e1/1@12 m e3/1@35 m v2@50 e3/2@51 x end"),
-		story("c", "v2@29 v2@40 e5/2@41"),
+		bookFromScript("b", "v1@10 e2/1@15 m v2@30 e4/2@31 f"),
+		bookFromScript("a", "v1@11 e1/1@12 m e3/1@35 m v2@50 e3/2@51 x end"),
+		bookFromScript("c", "v2@29 v2@40 e5/2@41"),
 	}, map[string][]Mark{"a": {{Chain: "a-chain", N: 1, Index: 20}, {Chain: "a-chain", N: 6, Index: 60}}, "b": {{Chain: "b-chain", N: 4, Index: 33}}})
 }
 
-// TestQuestions asks each of them.
-func TestQuestions(t *testing.T) {
-	x := world()
+func TestIndexAnswersQuestions(t *testing.T) {
+	x := testIndex()
 	got := map[string]string{}
 	for _, index := range []uint64{5, 15, 25, 32, 35, 55, 61} {
 		var s []string
@@ -66,7 +66,7 @@
 		got[fmt.Sprint("hour ", hours)] = strings.Join(s, ", ")
 	}
 	if w := x.AtTime(5*time.Hour, 2*time.Hour); !w[0].Sure && !w[1].Sure {
-		got["near a change"] = fmt.Sprint("not sure")
+		got["near a change"] = "not sure"
 	}
 	for _, n := range []uint64{1, 2, 3} {
 		var s []string
@@ -82,9 +82,9 @@
 	got["effects"] = strings.Join(s, ", ")
 	got["box"] = fmt.Sprint(len(x.Box("a")), len(x.Box("z")), len(x.Runs("c")), len(x.Runs("z")), x.Entries(), x.Boxes())
 	for what, want := range map[string]string{
-		"at 5":          "", // nothing was there
+		"at 5":          "", // before the first entry of any box
 		"at 15":         "a1 false, b1 false",
-		"at 25":         "a1 true, b1 false", // a mark says that a had it by then
+		"at 25":         "a1 true, b1 false", // a mark proves that a had changed by then
 		"at 32":         "a1 true, b2 false, c2 false",
 		"at 35":         "a1 true, b2 true, c2 false",
 		"at 55":         "a2 false, b2 true, c2 false",
@@ -93,7 +93,7 @@
 		"hour 4":        "a1 true false, b2 true false, c2 true false",
 		"hour 20":       "a2 true true, b2 true false, c2 true false",
 		"near a change": "not sure",
-		"version 1":     "b 10-30 true 1 0, a 11-50 true 2 1", // a has acted on 1 and knew that 30 had passed
+		"version 1":     "b 10-30 true 1 0, a 11-50 true 2 1", // a ran an effect on 1 although it knew index 30
 		"version 2":     "c 29-41 false 1 1, b 30-31 false 1 1, a 50-51 false 1 0",
 		"version 3":     "",
 		"effects":       "1 a1 made false, 2 b1 made false, 3 a1 made false, 3 a2 not made false, 4 b2 failed false, 5 c2 not known false",
@@ -103,14 +103,15 @@
 			t.Errorf("%s:\n got %s\nwant %s", what, got[what], want)
 		}
 	}
-	if list := ScanVersion([]*Book{story("b", "v1@10 e2/1@15 m v2@30 e4/2@31 f")}, 2); len(list) != 1 || list[0].Effects != 1 {
+	if list := ScanVersion([]*Book{bookFromScript("b", "v1@10 e2/1@15 m v2@30 e4/2@31 f")}, 2); len(list) != 1 || list[0].Effects != 1 {
 		t.Errorf("%+v", list)
 	}
 }
 
-// TestThePageStandsAlone and does not take what a log says for markup.
-func TestThePageStandsAlone(t *testing.T) {
-	x := NewIndex([]*Book{story("<b>", "v1@10 e2/1@15 m v2@30")}, nil)
+// TestPageIsSelfContainedAndEscaped checks that the page loads no other file and that log contents are not interpreted
+// as markup.
+func TestPageIsSelfContainedAndEscaped(t *testing.T) {
+	x := NewIndex([]*Book{bookFromScript("<b>", "v1@10 e2/1@15 m v2@30")}, nil)
 	var out bytes.Buffer
 	if err := x.WritePage(&out, []Fault{{Box: "<script>", What: "cut"}}); err != nil {
 		t.Fatal(err)
--- a/internal/state/audit/log.go
+++ b/internal/state/audit/log.go
@@ -14,23 +14,23 @@
 	"time"
 )
 
-// Limits bound a log.
+// Limits are the size limits of a log.
 type Limits struct {
-	Segment int64 // bytes of a segment
-	Folder  int64 // bytes of all of them
+	Segment int64 // maximum bytes of a segment
+	Folder  int64 // maximum bytes of all segments
 }
 
-// DefaultLimits hold some 200,000 entries.
+// DefaultLimits hold about 200,000 entries.
 var DefaultLimits = Limits{Segment: 1 << 20, Folder: 32 << 20}
 
-// File is what a segment is written to.
+// File is an open segment file.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Log writes one chain. Its calls may come from any goroutine; one waits for another's.
+// Log writes one chain. Its methods may be called from any goroutine; calls are serialized.
 type Log struct {
 	dir    string
 	box    string
@@ -43,20 +43,21 @@
 	size    int64
 	chain   string
 	segment uint32
-	n       uint64 // of the last entry
+	n       uint64 // number of the last entry
 	sum     Sum
-	lost    uint64 // entries that the disk refused since
-	index   uint64 // the greatest of the ledger that an entry carries: a box that goes through its ledger anew knows no less than before
-	clean   Mark   // what is on the disk
+	lost    uint64 // entries lost to write errors since the last successful write
+	index   uint64 // greatest ledger index of any entry: a box that replays its ledger must not log a smaller index than before
+	synced  Mark   // head of the entries that are on the disk
 	first   struct {
 		path string
 		n    uint64
 	}
 }
 
-// Open takes up the chain in a folder, or begins one. What stands behind its last whole entry was never told to anybody and
-// is cut off: the process had ended within a write. how tells how the log was found.
-func Open(dir, box string, limits Limits, wall func() time.Duration) (l *Log, how string, err error) {
+// Open resumes the chain in a folder, or begins a new one. Bytes after the last complete entry are left over from a
+// write that the end of the process interrupted; they were never reported to anyone and are truncated. found describes the
+// state in which the log was found.
+func Open(dir, box string, limits Limits, wall func() time.Duration) (l *Log, found string, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, "", fmt.Errorf("audit: %w", err)
 	}
@@ -71,10 +72,10 @@
 	if err != nil {
 		return nil, "", err
 	}
-	how = "a new chain"
+	found = "a new chain"
 	if len(names) > 0 {
 		last := names[len(names)-1]
-		if how, err = l.resume(last); err != nil {
+		if found, err = l.resume(last); err != nil {
 			return nil, "", err
 		}
 	}
@@ -83,14 +84,14 @@
 		if _, err := rand.Read(id[:]); err != nil {
 			return nil, "", fmt.Errorf("audit: %w", err)
 		}
-		// Chains sort by the time at which they began, as long as the wall clock does not go back.
+		// Chain IDs sort by the time at which the chains began, unless the wall clock is set back.
 		l.chain = fmt.Sprintf("%012x%s", int64(wall()/time.Millisecond), hex.EncodeToString(id[:4]))
-		l.sum = first(l.chain, box)
+		l.sum = initialSum(l.chain, box)
 	}
-	return l, how, nil
+	return l, found, nil
 }
 
-// segments lists a folder's, oldest first.
+// segments returns the names of the segment files in a folder, oldest first.
 func segments(dir string) (names []string, err error) {
 	list, err := os.ReadDir(dir)
 	if err != nil {
@@ -105,9 +106,10 @@
 	return names, nil
 }
 
-// resume goes on behind the last whole entry of a segment. A segment without one, or of another box, is left as it is and a
-// new chain is begun: its end shows in the ledger's marks.
-func (l *Log) resume(name string) (how string, err error) {
+// resume continues the chain after the last complete entry of a segment. If the segment has no readable head or belongs
+// to another box, it is left unchanged and a new chain is begun; the marks in the ledger then show that the old chain
+// ended.
+func (l *Log) resume(name string) (found string, err error) {
 	path := filepath.Join(l.dir, name)
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -127,29 +129,29 @@
 		l.index = max(l.index, e.Index)
 	}
 	l.sum = sum
-	how = "the chain goes on"
+	found = "the chain goes on"
 	if at < len(raw) {
-		how = fmt.Sprintf("the chain goes on; %d bytes of an entry that was not whole are cut off", len(raw)-at)
+		found = fmt.Sprintf("the chain goes on; %d bytes of an entry that was not whole are cut off", len(raw)-at)
 		if err := os.Truncate(path, int64(at)); err != nil {
 			return "", fmt.Errorf("audit: %w", err)
 		}
 	}
-	// The next entry begins a new segment, so that a segment is written by one process.
+	// The next entry begins a new segment, so that each segment is written by one process only.
 	l.size = l.limits.Segment
-	return how, nil
+	return found, nil
 }
 
-// Chain names the chain.
+// Chain returns the ID of the chain.
 func (l *Log) Chain() string { return l.chain }
 
-// Write appends an entry and returns its number, 0 if the disk refused it.
+// Write appends an entry and returns its number, or 0 if it could not be written.
 func (l *Log) Write(e Entry) (n uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e.At = l.wall()
 	l.index = max(l.index, e.Index)
 	e.Index = l.index
-	e.Text = e.Text[:min(len(e.Text), textMost)]
+	e.Text = e.Text[:min(len(e.Text), maxTextBytes)]
 	if l.lost > 0 {
 		gap := Entry{Kind: Gap, Count: l.lost, At: e.At, Index: e.Index}
 		if err := l.append(&gap); err != nil {
@@ -165,11 +167,11 @@
 	return e.N, nil
 }
 
-// append writes one entry, in a new segment if the present one is full; l.mu is held. After an error the segment is left:
-// what of the entry has come into it is not known, and a reader finds it not whole.
+// append writes one entry, to a new segment if the current one is full; l.mu is held. After a write error the segment is
+// closed, because it is unknown how much of the entry was written; a reader reports an incomplete entry.
 func (l *Log) append(e *Entry) error {
 	if l.file == nil || l.size >= l.limits.Segment {
-		if err := l.turn(); err != nil {
+		if err := l.rotate(); err != nil {
 			return err
 		}
 	}
@@ -181,26 +183,26 @@
 	if _, err := l.file.Write(raw); err != nil {
 		l.file.Close()
 		l.file = nil
-		os.Truncate(l.path(), l.size) // a part of it may be there; if it stays, a reader says so
-		return fmt.Errorf("audit: %w", err)
+		os.Truncate(l.path(), l.size) // removes a partial entry; if this fails, a reader reports it
+		return fmt.Errorf("audit: write entry %d: %w", e.N, err)
 	}
 	l.n, l.sum, l.size = e.N, after, l.size+int64(len(raw))
 	return nil
 }
 
-// turn begins a new segment and removes the oldest ones beyond the bound.
-func (l *Log) turn() error {
+// rotate begins a new segment and removes the oldest ones beyond the folder limit.
+func (l *Log) rotate() error {
 	if l.file != nil {
 		if err := l.file.Sync(); err != nil {
 			return fmt.Errorf("audit: %w", err)
 		}
-		l.clean = Mark{Chain: l.chain, N: l.n, Sum: l.sum}
+		l.synced = Mark{Chain: l.chain, N: l.n, Sum: l.sum}
 		l.file.Close()
 		l.file = nil
 	}
-	l.bound()
+	l.prune()
 	segment := l.segment + 1
-	f, err := l.create(filepath.Join(l.dir, name(l.chain, segment)))
+	f, err := l.create(filepath.Join(l.dir, segmentName(l.chain, segment)))
 	if err != nil {
 		return fmt.Errorf("audit: %w", err)
 	}
@@ -213,21 +215,21 @@
 	if err != nil {
 		f.Close()
 		l.segment--
-		os.Remove(filepath.Join(l.dir, name(l.chain, segment)))
+		os.Remove(filepath.Join(l.dir, segmentName(l.chain, segment)))
 		return fmt.Errorf("audit: %w", err)
 	}
 	l.file, l.sum, l.size = f, after, int64(len(raw))
 	return nil
 }
 
-func name(chain string, segment uint32) string {
+func segmentName(chain string, segment uint32) string {
 	return fmt.Sprintf("%s-%08d%s", chain, segment, suffix)
 }
 
-func (l *Log) path() string { return filepath.Join(l.dir, name(l.chain, l.segment)) }
+func (l *Log) path() string { return filepath.Join(l.dir, segmentName(l.chain, l.segment)) }
 
-// bound removes whole segments, the oldest first, so that one more has room.
-func (l *Log) bound() {
+// prune removes the oldest segments until there is room for one more.
+func (l *Log) prune() {
 	names, err := segments(l.dir)
 	if err != nil {
 		return
@@ -249,9 +251,10 @@
 	}
 }
 
-// keeps is the number of an entry from which on all will still be there when two more segments have been made; l.mu is held. It is what
-// the ledger is told: before the bound takes a segment away, the ledger knows that it may be gone.
-func (l *Log) keeps() uint64 {
+// firstRetained returns the number of the first entry that will still be present after two more segments have been
+// written, 0 if unknown; l.mu is held. It is reported to the ledger, so that the ledger knows that a segment may be
+// missing before the folder limit removes it.
+func (l *Log) firstRetained() uint64 {
 	names, err := segments(l.dir)
 	if err != nil {
 		return 0
@@ -269,7 +272,7 @@
 			continue
 		}
 		if !strings.HasPrefix(name, l.chain) {
-			continue // of an earlier chain, which has marks of its own
+			continue // part of an earlier chain, which has its own marks
 		}
 		if path == l.first.path {
 			return l.first.n
@@ -278,7 +281,7 @@
 		if err != nil {
 			return 0
 		}
-		raw := make([]byte, frameHead+512) // a head is smaller
+		raw := make([]byte, frameHeaderSize+512) // large enough for any head
 		n, _ := io.ReadFull(f, raw)
 		f.Close()
 		if e, _, _, err := readFrame(raw[:n], nil); err == nil {
@@ -290,23 +293,23 @@
 	return 0
 }
 
-// Sync has all that was written on the disk, and returns the mark that may be told.
+// Sync flushes all written entries to the disk and returns the mark that may be reported.
 func (l *Log) Sync() (Mark, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.file == nil {
-		return l.clean, nil
+		return l.synced, nil
 	}
 	if err := l.file.Sync(); err != nil {
 		l.file.Close()
 		l.file = nil
-		return l.clean, fmt.Errorf("audit: %w", err)
+		return l.synced, fmt.Errorf("audit: %w", err)
 	}
-	l.clean = Mark{Chain: l.chain, N: l.n, Sum: l.sum, First: l.keeps()}
-	return l.clean, nil
+	l.synced = Mark{Chain: l.chain, N: l.n, Sum: l.sum, First: l.firstRetained()}
+	return l.synced, nil
 }
 
-// Close ends the log; what was written is on the disk.
+// Close flushes and closes the log.
 func (l *Log) Close() error {
 	_, err := l.Sync()
 	l.mu.Lock()
--- a/internal/state/audit/page.go
+++ b/internal/state/audit/page.go
@@ -6,8 +6,8 @@
 	"io"
 )
 
-// page is one file that needs no other: a lane for each box over the ledger's index, a colour for each number, a tick for each
-// effect, and a mark where entries were lost.
+// page is the template of a self-contained HTML page: a lane for each box over the ledger index, a colour for each
+// configuration number, a tick for each effect, and a cross where entries were lost.
 var page = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Audit of the fleet</title>
 <style>body{font:14px sans-serif;margin:2em}text{font:12px sans-serif}td,th{padding:2px 10px;text-align:left}</style></head><body>
@@ -26,7 +26,7 @@
 </body></html>
 `))
 
-type shape struct {
+type pageShape struct {
 	X, Y, W     float64
 	Fill, Title string
 }
@@ -34,7 +34,7 @@
 type lane struct {
 	Box               string
 	Text              int
-	Runs, Ticks, Gaps []shape
+	Runs, Ticks, Gaps []pageShape
 }
 
 type number struct {
@@ -45,17 +45,17 @@
 
 const (
 	laneLeft, laneWidth, laneHeight = 120.0, 960.0, 22
-	ticksMost                       = 400 // of a lane
+	maxTicks                        = 400 // ticks drawn per lane, at most
 )
 
-func fill(n uint64) string {
+func runColour(n uint64) string {
 	if n == 0 {
 		return "#cccccc"
 	}
 	return fmt.Sprintf("hsl(%d, 55%%, 65%%)", n*67%360)
 }
 
-// WritePage writes the page.
+// WritePage writes an HTML page with the lanes of all boxes and the given faults.
 func (x *Index) WritePage(w io.Writer, faults []Fault) error {
 	from, to := ^uint64(0), uint64(0)
 	for i := range x.boxes {
@@ -86,23 +86,23 @@
 		for _, r := range x.runs[i] {
 			n := numbers[r.Version.Fleet]
 			if n == nil {
-				n = &number{N: r.Version.Fleet, Fill: template.CSS(fill(r.Version.Fleet))}
+				n = &number{N: r.Version.Fleet, Fill: template.CSS(runColour(r.Version.Fleet))}
 				numbers[r.Version.Fleet] = n
 				d.Numbers = append(d.Numbers, n)
 			}
 			n.Boxes++
 			n.Effects += r.Effects
-			l.Runs = append(l.Runs, shape{X: place(r.From), Y: float64(y), W: max(place(r.To)-place(r.From), 1), Fill: fill(r.Version.Fleet),
+			l.Runs = append(l.Runs, pageShape{X: place(r.From), Y: float64(y), W: max(place(r.To)-place(r.From), 1), Fill: runColour(r.Version.Fleet),
 				Title: fmt.Sprintf("%s, number %d, build %d, index %d to %d, %d effects", box, r.Version.Fleet, r.Version.Number, r.From, r.To, r.Effects)})
 		}
-		step := max(1, len(x.acts[i])/ticksMost)
-		for k := 0; k < len(x.acts[i]); k += step {
-			e := x.entries[i][x.acts[i][k].entry]
-			l.Ticks = append(l.Ticks, shape{X: place(e.Index), Y: float64(y + 14), W: 4, Fill: "#444444"})
+		step := max(1, len(x.effects[i])/maxTicks)
+		for k := 0; k < len(x.effects[i]); k += step {
+			e := x.entries[i][x.effects[i][k].entry]
+			l.Ticks = append(l.Ticks, pageShape{X: place(e.Index), Y: float64(y + 14), W: 4, Fill: "#444444"})
 		}
 		for _, e := range x.entries[i] {
 			if e.Kind == Gap {
-				l.Gaps = append(l.Gaps, shape{X: place(e.Index), Y: float64(y + 12), Title: fmt.Sprintf("%d entries were lost", e.Count)})
+				l.Gaps = append(l.Gaps, pageShape{X: place(e.Index), Y: float64(y + 12), Title: fmt.Sprintf("%d entries were lost", e.Count)})
 			}
 		}
 		d.Lanes = append(d.Lanes, l)
--- a/internal/state/audit/verify.go
+++ b/internal/state/audit/verify.go
@@ -7,12 +7,12 @@
 	"slices"
 )
 
-// Fault is something that is wrong with a log, with its place.
+// Fault is a defect of a log and its location.
 type Fault struct {
 	Box     string `json:"box"`
 	Chain   string `json:"chain"`
 	Segment string `json:"segment,omitempty"`
-	N       uint64 `json:"n"` // of the last entry that stands before it
+	N       uint64 `json:"n"` // number of the last entry before the defect
 	What    string `json:"what"`
 }
 
@@ -24,27 +24,28 @@
 	return fmt.Sprintf("%s: after entry %d of %s: %s", f.Box, f.N, at, f.What)
 }
 
-// Book is what a folder holds.
+// Book is the content of a log folder.
 type Book struct {
 	Box     string
-	Entries []Entry // without heads of segments, in the order of chains and numbers
+	Entries []Entry // without segment heads, ordered by chain and number
 	Faults  []Fault
-	Lost    uint64 // entries that the box itself says it has lost
-	marks   map[string][]point
+	Lost    uint64 // entries that the box itself reported as lost
+	marks   map[string][]chainPoint
 }
 
-type point struct {
+type chainPoint struct {
 	n   uint64
 	sum Sum
 }
 
-// Read reads a folder and checks each chain by itself. What it cannot read it names and goes on behind it.
+// Read reads a folder and verifies each chain by itself. An unreadable part is reported as a fault, and reading
+// continues after it.
 func Read(dir string) (*Book, error) {
 	names, err := segments(dir)
 	if err != nil {
 		return nil, err
 	}
-	b := &Book{marks: map[string][]point{}}
+	b := &Book{marks: map[string][]chainPoint{}}
 	type end struct {
 		sum     Sum
 		n       uint64
@@ -58,7 +59,7 @@
 		}
 		head, sum, at, err := readFrame(raw, nil)
 		if err != nil || head.Begin == nil {
-			b.fault(Fault{Chain: name[:max(0, len(name)-len(suffix)-9)], Segment: name, What: "the segment does not begin as one: " + text(err)})
+			b.fault(Fault{Chain: name[:max(0, len(name)-len(suffix)-9)], Segment: name, What: "the segment does not begin as one: " + headError(err)})
 			continue
 		}
 		g := head.Begin
@@ -73,12 +74,12 @@
 			b.fault(Fault{Chain: g.Chain, Segment: name, N: last.n, What: fmt.Sprintf("%d segments are missing", int64(g.Segment)-int64(last.segment)-1)})
 		case known && Sum(g.Before) != last.sum:
 			b.fault(Fault{Chain: g.Chain, Segment: name, N: last.n, What: "the segment does not go on where the one before ends"})
-		case !known && g.Segment == 1 && Sum(g.Before) != first(g.Chain, g.Box):
+		case !known && g.Segment == 1 && Sum(g.Before) != initialSum(g.Chain, g.Box):
 			b.fault(Fault{Chain: g.Chain, Segment: name, What: "the chain does not begin as one"})
 		}
 		n := head.N
 		if !known {
-			b.marks[g.Chain] = append(b.marks[g.Chain], point{n, Sum(g.Before)})
+			b.marks[g.Chain] = append(b.marks[g.Chain], chainPoint{n, Sum(g.Before)})
 		}
 		for at < len(raw) {
 			e, after, size, err := readFrame(raw[at:], &sum)
@@ -88,7 +89,7 @@
 					f.What = "the segment ends within an entry"
 				}
 				b.fault(f)
-				if size == 0 { // go on from the next frame that stands
+				if size == 0 { // continue at the next possible frame
 					size = resync(raw[at:])
 				}
 				at += size
@@ -107,14 +108,14 @@
 				b.Lost += e.Count
 			}
 			b.Entries = append(b.Entries, *e)
-			b.marks[g.Chain] = append(b.marks[g.Chain], point{n, sum})
+			b.marks[g.Chain] = append(b.marks[g.Chain], chainPoint{n, sum})
 		}
 		ends[g.Chain] = end{sum, n, g.Segment}
 	}
 	return b, nil
 }
 
-func text(err error) string {
+func headError(err error) string {
 	if err == nil {
 		return "it has no head"
 	}
@@ -128,9 +129,9 @@
 	}
 }
 
-// Against checks a book against marks that the ledger has. It finds what the chains alone cannot: an end that was cut off, a
-// chain that was rewritten from some entry on, a folder that was put back. Marks of what was removed by the bound prove nothing
-// and are counted as old.
+// Against verifies a book against the marks in the ledger. It finds what the chains alone can't show: a truncated end, a
+// chain rewritten from some entry on, a folder restored from an older copy. Marks of entries that the folder limit has
+// removed prove nothing and are counted as old.
 func (b *Book) Against(marks []Mark) (proven, old int) {
 	last := map[string]Mark{}
 	for _, m := range marks {
@@ -138,14 +139,14 @@
 	}
 	for _, m := range marks {
 		points := b.marks[m.Chain]
-		if m == last[m.Chain] && m.First > 0 && len(points) > 0 && points[0].n >= m.First { // the first point is the entry before
+		if m == last[m.Chain] && m.First > 0 && len(points) > 0 && points[0].n >= m.First { // the first point is the entry before the segment
 			b.fault(Fault{Chain: m.Chain, N: points[0].n, What: fmt.Sprintf("the begin is missing: the box was to keep entry %d and all after it", m.First)})
 		}
 		if len(points) == 0 {
 			b.fault(Fault{Chain: m.Chain, N: m.N, What: fmt.Sprintf("the chain is missing; the ledger knows %d entries of it", m.N)})
 			continue
 		}
-		i, found := slices.BinarySearchFunc(points, m.N, func(p point, n uint64) int {
+		i, found := slices.BinarySearchFunc(points, m.N, func(p chainPoint, n uint64) int {
 			switch {
 			case p.n < n:
 				return -1
--- a/internal/state/records/recorder.go
+++ b/internal/state/records/recorder.go
@@ -87,7 +87,6 @@
 	size    int    // of the open segment
 	segment uint32 // its number
 	refused error  // the last thing that the disk said
-	lostAt  uint64 // records that a failed write took with it, still to be told of
 }
 
 // NewRecorder begins an incarnation in a folder that is there.
