--- a/internal/state/records/reader.go
+++ b/internal/state/records/reader.go
@@ -9,25 +9,26 @@
 	"slices"
 )
 
-// Damage is a stretch of a segment that cannot be read.
+// Damage is a range of bytes of a segment that cannot be read.
 type Damage struct {
 	Offset int
 	Bytes  int
-	AtEnd  bool // the segment was cut, or its box died in the middle of a frame
+	AtEnd  bool // the damage reaches the end: the segment was truncated, or the process ended within a frame
 }
 
-// Segment is what was read of one.
+// Segment is the readable content of one segment.
 type Segment struct {
 	Head    Head
-	Whole   bool // its head could be read
+	Whole   bool // the head was read
 	Records []Record
 	Damages []Damage
 }
 
-// Read reads the bytes of a segment. It never fails: what cannot be read is a Damage, and the rest is there.
+// Read decodes the bytes of a segment. It never fails: unreadable parts are listed in Damages, and all other records are
+// returned.
 func Read(data []byte) (s Segment) {
 	for at := 0; at < len(data); {
-		r, size, err := frame(data[at:])
+		r, size, err := readFrame(data[at:])
 		if err == nil {
 			at += size
 			if r.Kind == KindHead {
@@ -39,44 +40,45 @@
 			s.Records = append(s.Records, r)
 			continue
 		}
-		to := resume(data, at+1)
+		to := nextFrame(data, at+1)
 		s.Damages = append(s.Damages, Damage{Offset: at, Bytes: to - at, AtEnd: to == len(data)})
 		at = to
 	}
 	return s
 }
 
-// resume finds the next place at which a whole frame stands.
-func resume(data []byte, from int) int {
+// nextFrame returns the next offset at which a complete frame begins, or len(data) if there is none.
+func nextFrame(data []byte, from int) int {
 	for at := from; at < len(data); at++ {
-		i := bytes.Index(data[at:], []byte{markA, markB})
+		i := bytes.Index(data[at:], []byte{magicA, magicB})
 		if i < 0 {
 			return len(data)
 		}
 		at += i
-		if _, _, err := frame(data[at:]); err == nil {
+		if _, _, err := readFrame(data[at:]); err == nil {
 			return at
 		}
 	}
 	return len(data)
 }
 
-// Missing is a run of numbers that are absent.
+// Missing is a range of absent record numbers.
 type Missing struct {
-	From, To uint64 // both absent
-	Dropped  bool   // the box itself says that it dropped them
-	Tail     bool   // nothing is known of what came after; From is the first that is not there
+	From, To uint64 // inclusive
+	Dropped  bool   // a Lost record of the box says that it dropped them
+	Tail     bool   // the records end here without an End record; From is the first absent number, To is 0
 }
 
-// Incarnation is all that is there of one start of a box's process.
+// Incarnation holds the available records of one process start of a box.
 type Incarnation struct {
 	Box, Name, Build string
-	Records          []Record // by number
+	Records          []Record // sorted by number
 	Missing          []Missing
 	Damages          int
 }
 
-// Gather puts the segments of one box together: each incarnation's records in order, each once, and what is absent.
+// Gather merges the segments of one box. For each incarnation it returns the records sorted by number, without
+// duplicates, and the absent numbers.
 func Gather(segments []Segment) []Incarnation {
 	byName := map[string]*Incarnation{}
 	var order []string
@@ -118,7 +120,7 @@
 	return list
 }
 
-// missing lists the absent numbers of records in order.
+// missing returns the absent numbers of sorted records.
 func missing(records []Record) (list []Missing) {
 	next := uint64(1)
 	for _, r := range records {
@@ -133,21 +135,21 @@
 	return list
 }
 
-// ReadFolder reads all that a box has left in its folder.
+// ReadFolder reads all segments in the folder of a box.
 func ReadFolder(dir string) ([]Incarnation, error) {
 	files, err := Disk{}.List(dir)
 	if err != nil {
 		return nil, fmt.Errorf("records: %w", err)
 	}
 	var segments []Segment
-	var bad error
+	var readErrs error
 	for _, f := range files {
 		data, err := os.ReadFile(filepath.Join(dir, f.Name))
 		if err != nil {
-			bad = errors.Join(bad, fmt.Errorf("records: %w", err))
+			readErrs = errors.Join(readErrs, fmt.Errorf("records: %w", err))
 			continue
 		}
 		segments = append(segments, Read(data))
 	}
-	return Gather(segments), bad
+	return Gather(segments), readErrs
 }
--- a/internal/state/records/recorder.go
+++ b/internal/state/records/recorder.go
@@ -10,38 +10,38 @@
 	"time"
 )
 
-// Limits bound a Recorder.
+// Limits are the size and time limits of a Recorder.
 type Limits struct {
-	Buffer  int           // bytes that wait for the disk
-	Segment int           // bytes of a segment
-	Folder  int           // bytes of all segments in the folder
-	Flush   time.Duration // between writes
+	Buffer  int           // maximum bytes that wait to be written
+	Segment int           // maximum bytes of a segment
+	Folder  int           // maximum bytes of all segments in the folder
+	Flush   time.Duration // interval between writes
 }
 
-// DefaultLimits hold some hours of a busy box.
+// DefaultLimits hold several hours of records of a busy box.
 var DefaultLimits = Limits{Buffer: 256 << 10, Segment: 1 << 20, Folder: 64 << 20, Flush: 250 * time.Millisecond}
 
-// Appender is a file that is only appended to.
+// Appender is an append-only file.
 type Appender interface {
 	Write(p []byte) (int, error)
 	Close() error
 }
 
-// Files is what a Recorder needs of a folder.
+// Files are the file operations that a Recorder needs.
 type Files interface {
 	Create(path string) (Appender, error)
 	Remove(path string) error
 	List(dir string) ([]File, error)
 }
 
-// File is an entry of a folder.
+// File is a file in a folder.
 type File struct {
 	Name string
 	Size int64
 	Time time.Time
 }
 
-// Disk is the system's own file system.
+// Disk implements Files on the file system of the operating system.
 type Disk struct{}
 
 // Create implements Files.
@@ -68,7 +68,8 @@
 
 const suffix = ".rec"
 
-// Recorder takes records of one incarnation. Add may be called from anywhere, under any lock: it does no I/O.
+// Recorder writes the records of one incarnation. Add may be called from any goroutine and under any lock: it does no
+// I/O.
 type Recorder struct {
 	files  Files
 	dir    string
@@ -79,29 +80,29 @@
 	mu      sync.Mutex
 	next    uint64 // number of the next record
 	buffer  []byte
-	dropped uint64 // since the last record that was taken
+	dropped uint64 // records dropped since the last one that was accepted
 
-	disk    sync.Mutex // one write at a time; never held together with mu
-	spare   []byte
-	out     Appender
-	size    int    // of the open segment
-	segment uint32 // its number
-	refused error  // the last thing that the disk said
+	writeMu  sync.Mutex // serializes writes; Add never takes it
+	spare    []byte
+	out      Appender
+	size     int    // bytes of the open segment
+	segment  uint32 // number of the open segment
+	writeErr error  // last write error, nil after a successful write
 }
 
-// NewRecorder begins an incarnation in a folder that is there.
+// NewRecorder begins an incarnation in an existing folder.
 func NewRecorder(files Files, dir string, head Head, limits Limits, now func() time.Duration) (*Recorder, error) {
 	if head.Box == "" || head.Incarnation == "" || strings.ContainsAny(head.Incarnation, "/\\-\x00") {
-		return nil, fmt.Errorf("records: box %q and incarnation %q; both need a name without dashes and slashes", head.Box, head.Incarnation)
+		return nil, fmt.Errorf("records: invalid box %q or incarnation %q: both must not be empty, and the incarnation must not contain slashes, backslashes, dashes or NUL", head.Box, head.Incarnation)
 	}
 	if limits.Buffer < 1<<12 || limits.Segment < 1<<12 || limits.Folder < 2*limits.Segment {
-		return nil, fmt.Errorf("records: limits %+v; 4 KiB at least each, and a folder of two segments", limits)
+		return nil, fmt.Errorf("records: invalid limits %+v: buffer and segment must be at least 4 KiB, the folder at least two segments", limits)
 	}
 	return &Recorder{files: files, dir: dir, head: head, limits: limits, now: now, next: 1}, nil
 }
 
-// Add takes a record and gives it its number and time. When the buffer is full it is dropped, and that is told by the
-// next one that is taken.
+// Add assigns a number and a time to a record and buffers it. If the buffer is full the record is dropped; a Lost record
+// before the next accepted one reports the count.
 func (r *Recorder) Add(rec Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,7 +123,7 @@
 	}
 }
 
-// put appends to the buffer, if there is room.
+// put appends a record to the buffer and reports whether there was room.
 func (r *Recorder) put(rec *Record) bool {
 	before := len(r.buffer)
 	if before >= r.limits.Buffer {
@@ -137,11 +138,11 @@
 	return true
 }
 
-// Flush writes what has gathered. What the disk refuses is dropped and told of with the next write that succeeds. It
-// returns what the disk said, for the log.
+// Flush writes the buffered records. Records that cannot be written are dropped and reported by a Lost record in the
+// next successful write. The returned error is the write error, for the log.
 func (r *Recorder) Flush() error {
-	r.disk.Lock()
-	defer r.disk.Unlock()
+	r.writeMu.Lock()
+	defer r.writeMu.Unlock()
 	r.mu.Lock()
 	batch := r.buffer
 	r.buffer = r.spare[:0]
@@ -152,53 +153,53 @@
 		return nil
 	}
 	if r.out == nil || r.size+len(batch) > r.limits.Segment {
-		if err := r.turn(batch, first); err != nil {
-			return r.refuse(batch, err)
+		if err := r.rotate(batch, first); err != nil {
+			return r.countLost(batch, err)
 		}
 	}
 	n, err := r.out.Write(batch)
 	r.size += n
-	if err != nil { // half a frame may stand there: the segment is over
+	if err != nil { // the segment may end within a frame, so it is closed
 		r.out.Close()
 		r.out = nil
-		return r.refuse(batch[n:], err)
+		return r.countLost(batch[n:], err)
 	}
-	r.refused = nil
+	r.writeErr = nil
 	return nil
 }
 
-// refuse counts the whole frames of what was not written, to be told of later.
-func (r *Recorder) refuse(batch []byte, err error) error {
+// countLost counts the complete frames in a batch that was not written, so that a Lost record reports them later.
+func (r *Recorder) countLost(batch []byte, err error) error {
 	lost := uint64(0)
-	for len(batch) >= frameHead {
-		rec, size, ferr := frame(batch)
-		if ferr != nil { // the rest of the one that was cut
+	for len(batch) >= frameHeaderSize {
+		rec, size, frameErr := readFrame(batch)
+		if frameErr != nil { // rest of the partially written frame
 			size = 1
 		} else {
-			lost += 1 + rec.Lost // what a lost Lost told of is told again
+			lost += 1 + rec.Lost // a lost Lost record stands for records that must be reported again
 		}
 		batch = batch[size:]
 	}
 	r.mu.Lock()
 	r.dropped += lost + 1
 	r.mu.Unlock()
-	r.refused = fmt.Errorf("records: %d records are lost: %w", lost, err)
-	return r.refused
+	r.writeErr = fmt.Errorf("records: write failed, %d records lost: %w", lost, err)
+	return r.writeErr
 }
 
-// turn begins a segment, after room was made for it.
-func (r *Recorder) turn(batch []byte, next uint64) error {
+// rotate makes room for a new segment and begins it.
+func (r *Recorder) rotate(batch []byte, next uint64) error {
 	if r.out != nil {
 		r.out.Close()
 		r.out = nil
 	}
-	if err := r.room(); err != nil {
+	if err := r.prune(); err != nil {
 		return err
 	}
 	head := r.head
 	r.segment++
 	head.Segment, head.Next = r.segment, next
-	if first, _, err := frame(batch); err == nil {
+	if first, _, err := readFrame(batch); err == nil {
 		head.Next = first.N
 	}
 	data, err := appendFrame(nil, &Record{At: r.now(), Kind: KindHead, Head: &head})
@@ -217,8 +218,8 @@
 	return nil
 }
 
-// room takes the oldest segments away until one more fits, those of earlier incarnations too.
-func (r *Recorder) room() error {
+// prune removes the oldest segments, including those of earlier incarnations, until there is room for one more.
+func (r *Recorder) prune() error {
 	list, err := r.files.List(r.dir)
 	if err != nil {
 		return err
@@ -245,11 +246,11 @@
 	return nil
 }
 
-// Close writes what is left.
+// Close flushes the buffer and closes the open segment.
 func (r *Recorder) Close() error {
 	err := r.Flush()
-	r.disk.Lock()
-	defer r.disk.Unlock()
+	r.writeMu.Lock()
+	defer r.writeMu.Unlock()
 	if r.out != nil {
 		r.out.Close()
 		r.out = nil
--- a/internal/state/records/records_test.go
+++ b/internal/state/records/records_test.go
@@ -14,35 +14,35 @@
 	"cairnlane/internal/testkit"
 )
 
-var small = Limits{Buffer: 1 << 14, Segment: 1 << 12, Folder: 1 << 14, Flush: time.Second}
+var smallLimits = Limits{Buffer: 1 << 14, Segment: 1 << 12, Folder: 1 << 14, Flush: time.Second}
 
-// disk is a Disk that can refuse.
-type disk struct {
+// limitedDisk is a Disk with limited free space.
+type limitedDisk struct {
 	Disk
-	room int // bytes that it still takes; under 0 there is no bound
+	free int // free bytes; negative for unlimited
 }
 
-func (d *disk) Create(path string) (Appender, error) {
-	if d.room == 0 {
+func (d *limitedDisk) Create(path string) (Appender, error) {
+	if d.free == 0 {
 		return nil, syscall.ENOSPC
 	}
 	f, err := d.Disk.Create(path)
-	return &file{f, d}, err
+	return &limitedFile{f, d}, err
 }
 
-type file struct {
+type limitedFile struct {
 	Appender
-	d *disk
+	d *limitedDisk
 }
 
-func (f *file) Write(p []byte) (int, error) {
+func (f *limitedFile) Write(p []byte) (int, error) {
 	n := len(p)
-	if f.d.room >= 0 && n > f.d.room {
-		n = f.d.room
+	if f.d.free >= 0 && n > f.d.free {
+		n = f.d.free
 	}
 	n, err := f.Appender.Write(p[:n])
-	if f.d.room >= 0 {
-		f.d.room -= n
+	if f.d.free >= 0 {
+		f.d.free -= n
 	}
 	if err == nil && n < len(p) {
 		err = syscall.ENOSPC
@@ -50,7 +50,7 @@
 	return n, err
 }
 
-func recorder(t fataler, files Files, dir, incarnation string, l Limits) (*Recorder, *testkit.Clock) {
+func newRecorder(t fataler, files Files, dir, incarnation string, l Limits) (*Recorder, *testkit.Clock) {
 	clock := testkit.NewClock()
 	r, err := NewRecorder(files, dir, Head{Box: "n1", Incarnation: incarnation, Build: "b"}, l, clock.Now)
 	if err != nil {
@@ -69,10 +69,10 @@
 	return list
 }
 
-func TestWhatIsRecordedIsReadInOrder(t *testing.T) {
+func TestRecordsAreReadInOrder(t *testing.T) {
 	dir := t.TempDir()
 	for life := range 3 {
-		r, clock := recorder(t, Disk{}, dir, fmt.Sprintf("i%d", life), Limits{Buffer: 1 << 14, Segment: 1 << 12, Folder: 1 << 20})
+		r, clock := newRecorder(t, Disk{}, dir, fmt.Sprintf("i%d", life), Limits{Buffer: 1 << 14, Segment: 1 << 12, Folder: 1 << 20})
 		clock.Advance(time.Duration(life) * time.Hour)
 		r.Add(Record{Kind: KindStart, Cold: true})
 		for range 200 {
@@ -105,11 +105,11 @@
 	}
 }
 
-// TestAnyCutLosesTheTailAlone cuts a segment after every byte, and flips every byte: whole records before and after
-// are there, and the damage and the absent numbers are told.
-func TestAnyCutLosesTheTailAlone(t *testing.T) {
+// TestTruncationLosesOnlyTheTail truncates a segment after every byte, and flips a bit in every byte. All other complete
+// records must be read, and the damage and the absent numbers must be reported.
+func TestTruncationLosesOnlyTheTail(t *testing.T) {
 	dir := t.TempDir()
-	r, _ := recorder(t, Disk{}, dir, "i", DefaultLimits)
+	r, _ := newRecorder(t, Disk{}, dir, "i", DefaultLimits)
 	for i := range 12 {
 		r.Add(Record{Kind: KindGauge, Gauge: &Gauge{Held: uint16(i)}})
 	}
@@ -122,7 +122,7 @@
 	}
 	ends := []int{}
 	for at := 0; at < len(whole); {
-		_, size, err := frame(whole[at:])
+		_, size, err := readFrame(whole[at:])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -155,12 +155,13 @@
 	}
 }
 
-// TestADiskThatRefusesCostsRecordsAndSaysSo fills the disk in the middle of anything, then makes room.
-func TestADiskThatRefusesCostsRecordsAndSaysSo(t *testing.T) {
+// TestFullDiskLosesAndReportsRecords fills the disk at every byte of the output, then frees space. Records are lost, but
+// Lost records must report them.
+func TestFullDiskLosesAndReportsRecords(t *testing.T) {
 	for room := range 600 {
 		dir := t.TempDir()
-		d := &disk{room: room}
-		r, _ := recorder(t, d, dir, "i", DefaultLimits)
+		d := &limitedDisk{free: room}
+		r, _ := newRecorder(t, d, dir, "i", DefaultLimits)
 		refused := false
 		for i := range 20 {
 			r.Add(Record{Kind: KindGauge, Gauge: &Gauge{Held: uint16(i)}})
@@ -172,7 +173,7 @@
 				}
 			}
 			if i == 10 {
-				d.room = -1
+				d.free = -1
 			}
 		}
 		r.Add(Record{Kind: KindEnd})
@@ -195,20 +196,20 @@
 			}
 		}
 		if last.Kind != KindEnd || (absent > 0) != refused && absent > 0 || told < absent {
-			t.Fatalf("room for %d bytes: %d absent, %d told, refused %v, last %v", room, absent, told, refused, last.Kind)
+			t.Fatalf("room for %d bytes: %d records absent, %d reported as lost, write failed %v, last kind %v", room, absent, told, refused, last.Kind)
 		}
 	}
 }
 
-// TestMemoryAndDiskAreBounded plays random additions and flushes on a disk that comes and goes.
+// TestMemoryAndDiskAreBounded plays random additions and flushes on a disk that is full at times.
 func TestMemoryAndDiskAreBounded(t *testing.T) {
 	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "box")
 		if err != nil {
 			rt.Fatalf("%v", err)
 		}
-		d := &disk{room: -1}
-		r, clock := recorder(rt, d, dir, "i", small)
+		d := &limitedDisk{free: -1}
+		r, clock := newRecorder(rt, d, dir, "i", smallLimits)
 		return map[string]func(*rapid.T){
 			"add": func(rt *rapid.T) {
 				for range rapid.IntRange(1, 300).Draw(rt, "records") {
@@ -217,18 +218,18 @@
 				clock.Advance(time.Second)
 			},
 			"flush": func(*rapid.T) { r.Flush() },
-			"full":  func(*rapid.T) { d.room = 0 },
-			"room":  func(*rapid.T) { d.room = -1 },
+			"full":  func(*rapid.T) { d.free = 0 },
+			"room":  func(*rapid.T) { d.free = -1 },
 			"": func(rt *rapid.T) {
-				if len(r.buffer) > small.Buffer {
-					rt.Fatalf("%d bytes wait", len(r.buffer))
+				if len(r.buffer) > smallLimits.Buffer {
+					rt.Fatalf("%d bytes are buffered", len(r.buffer))
 				}
 				files, err := d.List(dir)
 				sum := int64(0)
 				for _, f := range files {
 					sum += f.Size
 				}
-				if err != nil || sum > int64(small.Folder+small.Buffer) {
+				if err != nil || sum > int64(smallLimits.Folder+smallLimits.Buffer) {
 					rt.Fatalf("%d bytes in the folder, %v", sum, err)
 				}
 				for _, in := range read(rt, dir) {
@@ -243,14 +244,14 @@
 	})
 }
 
-func TestNamesAndLimitsThatMakeNoSense(t *testing.T) {
+func TestInvalidNamesAndLimitsAreRejected(t *testing.T) {
 	for _, h := range []Head{{}, {Box: "n1"}, {Box: "n1", Incarnation: "a/b"}, {Box: "n1", Incarnation: "a-b"}} {
 		if _, err := NewRecorder(Disk{}, "", h, DefaultLimits, nil); err == nil {
-			t.Errorf("%+v is taken", h)
+			t.Errorf("%+v is accepted", h)
 		}
 	}
 	if _, err := NewRecorder(Disk{}, "", Head{Box: "n1", Incarnation: "i"}, Limits{}, nil); err == nil {
-		t.Error("no limits are taken")
+		t.Error("zero limits are accepted")
 	}
 }
 
@@ -274,7 +275,7 @@
 	})
 }
 
-// BenchmarkAdd is what a record costs the one that adds it.
+// BenchmarkAdd measures the cost of a record to the goroutine that adds it.
 func BenchmarkAdd(b *testing.B) {
 	r, err := NewRecorder(Disk{}, b.TempDir(), Head{Box: "n1", Incarnation: "i"}, DefaultLimits, func() time.Duration { return 0 })
 	if err != nil {
