--- a/internal/state/keystore/keystore.go
+++ b/internal/state/keystore/keystore.go
@@ -1,18 +1,18 @@
-// Package keystore keeps certificates with their keys, the accounts at the authorities, and the orders on their way,
-// so that all of it outlives a restart, a kill at any moment and a full disk.
+// Package keystore stores certificates with their private keys, ACME accounts and pending orders, so that all of them
+// survive a restart, a kill at any moment and a full disk.
 //
-// A store is a folder of mode 0700. Each certificate and each account has a folder in it, and in that, files of mode
-// 0600 that are never changed once they have their name:
+// A store is a folder of mode 0700. Each certificate and each account has a folder in it, which holds files of mode 0600
+// that are never modified after they have received their name:
 //
-//	certs/NAME/gen-00000007       a key with its chain, the seventh that was kept
-//	certs/NAME/order-00000012     the order on its way, as it stood after its twelfth change
+//	certs/NAME/gen-00000007       a key with its certificate chain, the seventh that was stored
+//	certs/NAME/order-00000012     the pending order, as of its twelfth change
 //	accounts/NAME/account-00000002
 //
-// A file is a header of 24 bytes (magic "CLKS", format version, kind, length of what follows, its xxHash64, all
-// big-endian) and CBOR. It is written under a temporary name, synced, renamed, and its folder synced; only then has
-// the write happened. A cut after any byte leaves the file before it in force: a reader takes the newest file that
-// is whole. What is promised: Put returns nil only when a restart will find it; when Put fails, the one before is
-// still found, unless the new one is, whole.
+// A file is a header of 24 bytes (magic "CLKS", format version, kind, length of the body, xxHash64 of the body, all
+// big-endian) and a CBOR body. It is written under a temporary name, synced, renamed, and its folder is synced; only
+// then is the write complete. A write that is interrupted after any byte leaves the previous file in force, because a
+// reader takes the newest valid file. Guarantees: Put returns nil only if the value will be found after a restart; if
+// Put fails, a reader finds either the previous value or the complete new one.
 package keystore
 
 import (
@@ -34,40 +34,40 @@
 	"cairnlane/internal/faultfs"
 )
 
-// Generation is a certificate with its key.
+// Generation is a certificate with its private key.
 type Generation struct {
 	Key       []byte    `cbor:"1,keyasint"` // PKCS #8, DER
-	Chain     [][]byte  `cbor:"2,keyasint"` // DER, the leaf first
-	Authority string    `cbor:"3,keyasint"` // that issued it; empty for a stopgap of our own
+	Chain     [][]byte  `cbor:"2,keyasint"` // DER, leaf first
+	Authority string    `cbor:"3,keyasint"` // issuing authority; empty for a self-signed placeholder
 	Stored    time.Time `cbor:"4,keyasint"`
 }
 
-// Stage is how far an order has come. Each is recorded before its step is taken.
+// Stage is the progress of an order. Each stage is stored before its step is executed.
 type Stage uint8
 
-// The stages.
+// Stages of an order.
 const (
-	Keyed      Stage = iota // its key is made; the order is to be asked for
-	Ordered                 // the authority's name for it is known
-	Finalizing              // the signing request is to be sent
-	Ended                   // nothing is on its way any more
+	Keyed      Stage = iota // the key exists; the order must be created next
+	Ordered                 // the URL of the order at the authority is known
+	Finalizing              // the certificate signing request must be sent next
+	Ended                   // no order is pending
 )
 
-// Order is an order on its way.
+// Order is the state of a pending order.
 type Order struct {
 	Stage     Stage     `cbor:"1,keyasint"`
 	Authority string    `cbor:"2,keyasint"`
-	Key       []byte    `cbor:"3,keyasint"` // of the certificate to come, PKCS #8
+	Key       []byte    `cbor:"3,keyasint"` // key of the new certificate, PKCS #8
 	URL       string    `cbor:"4,keyasint"`
 	Replaces  string    `cbor:"5,keyasint"`
 	Begun     time.Time `cbor:"6,keyasint"`
-	History   []Attempt `cbor:"7,keyasint"` // orders of the last week, for the budget
+	History   []Attempt `cbor:"7,keyasint"` // orders of the last week, for the limits on orders
 	Names     []string  `cbor:"8,keyasint"`
-	Events    []Event   `cbor:"9,keyasint"` // the last ones, for the operators
+	Events    []Event   `cbor:"9,keyasint"` // the latest events, for operators
 	Answers   []Answer  `cbor:"10,keyasint,omitempty"`
 }
 
-// Answer is the answer to a challenge that the authority may ask for at any time until the order has ended.
+// Answer is the response to a challenge. The authority may validate the challenge at any time until the order has ended.
 type Answer struct {
 	Type  string `cbor:"1,keyasint"`
 	Name  string `cbor:"2,keyasint"`
@@ -75,87 +75,88 @@
 	Value string `cbor:"4,keyasint"` // the key authorization
 }
 
-// Attempt is one order that was begun.
+// Attempt is one order that was started.
 type Attempt struct {
 	Authority string    `cbor:"1,keyasint"`
 	Begun     time.Time `cbor:"2,keyasint"`
 }
 
-// Event is something that operators may want to know of later.
+// Event is an event that operators may want to look up later.
 type Event struct {
 	At   time.Time `cbor:"1,keyasint" json:"at"`
 	What string    `cbor:"2,keyasint" json:"what"`
 	Text string    `cbor:"3,keyasint" json:"text"`
 }
 
-// Account is an account at an authority.
+// Account is an ACME account at an authority.
 type Account struct {
 	Key     []byte   `cbor:"1,keyasint"` // PKCS #8
-	URL     string   `cbor:"2,keyasint"` // empty until the authority has told it
+	URL     string   `cbor:"2,keyasint"` // empty until the authority has returned it
 	Contact []string `cbor:"3,keyasint"`
-	Next    []byte   `cbor:"4,keyasint"` // the key that a change of keys is on the way to
+	Next    []byte   `cbor:"4,keyasint"` // new key of a key change in progress
 }
 
 const (
-	magic   = "CLKS"
-	version = 1
-	header  = 24
-	// keepMost is how many files of one kind are kept: the newest, and those to go back to.
-	keepMost = 3
-	// bodyMost bounds what is read of one file.
-	bodyMost = 1 << 20
+	magic         = "CLKS"
+	formatVersion = 1
+	headerSize    = 24
+	// maxKept is the number of files kept of each kind: the newest and older ones to fall back to.
+	maxKept = 3
+	// maxBodyBytes is the maximum length of the body of a file.
+	maxBodyBytes = 1 << 20
 )
 
-// The kinds of files, with their name's beginning.
+// prefixes holds the file name prefix of each kind of file.
 var prefixes = map[uint16]string{1: "gen", 2: "order", 3: "account"}
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
-	ErrNone   = errors.New("keystore: nothing is kept under that name")
-	ErrLoose  = errors.New("keystore: others may read it")
-	ErrLocked = errors.New("keystore: another process renews from this store")
-	ErrNewer  = errors.New("keystore: written by a newer version")
-	ErrTorn   = errors.New("keystore: not whole")
+	ErrNone   = errors.New("keystore: no valid file stored under this name")
+	ErrLoose  = errors.New("keystore: file or folder is accessible to group or others")
+	ErrLocked = errors.New("keystore: store is locked by another process")
+	ErrNewer  = errors.New("keystore: file has a newer format version")
+	ErrTorn   = errors.New("keystore: file is truncated or corrupt")
 )
 
-// Store is an open store. It is safe for use by one process at a time for writing, and by any number for reading.
+// Store is an open store. Only one process at a time may write to it, see Lock; any number may read.
 type Store struct {
 	fs   faultfs.FS
 	root string
 	lock *os.File
 }
 
-// Open opens the store at root and makes it if it is not there. Folders and files that others may read are refused.
+// Open opens the store at root and creates it if it does not exist. Folders and files that are accessible to others are
+// rejected.
 func Open(files faultfs.FS, root string) (*Store, error) {
 	s := &Store{fs: files, root: root}
 	for _, dir := range []string{root, filepath.Join(root, "certs"), filepath.Join(root, "accounts")} {
-		if err := s.folder(dir); err != nil {
+		if err := s.ensureFolder(dir); err != nil {
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-// folder makes a folder if it is not there and checks that it is ours alone.
-func (s *Store) folder(dir string) error {
+// ensureFolder creates a folder if it does not exist and checks that only its owner has access.
+func (s *Store) ensureFolder(dir string) error {
 	if err := s.fs.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("keystore: %w", err)
 	}
-	return s.private(dir, 0o700)
+	return s.checkPrivate(dir, 0o700)
 }
 
-func (s *Store) private(path string, mode fs.FileMode) error {
+func (s *Store) checkPrivate(path string, mode fs.FileMode) error {
 	i, err := s.fs.Stat(path)
 	if err != nil {
 		return fmt.Errorf("keystore: %w", err)
 	}
-	if loose := i.Mode().Perm() &^ mode; loose != 0 {
-		return fmt.Errorf("%w: %s has mode %04o; take the rights away with: chmod %04o %s", ErrLoose, path, i.Mode().Perm(), mode, path)
+	if excess := i.Mode().Perm() &^ mode; excess != 0 {
+		return fmt.Errorf("%w: %s has mode %04o; fix with: chmod %04o %s", ErrLoose, path, i.Mode().Perm(), mode, path)
 	}
 	return nil
 }
 
-// Lock makes this process the one that renews, or says ErrLocked. The lock goes with the process.
+// Lock acquires the exclusive lock for renewals, or returns ErrLocked. The lock is released when the process ends.
 func (s *Store) Lock() error {
 	if s.lock != nil {
 		return nil
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// Close gives the lock up.
+// Close releases the lock.
 func (s *Store) Close() error {
 	if s.lock == nil {
 		return nil
@@ -185,44 +186,44 @@
 	return f.Close()
 }
 
-// PutGeneration keeps a certificate as the newest of that name.
+// PutGeneration stores a certificate as the newest generation of name.
 func (s *Store) PutGeneration(name string, g Generation) error { return s.put("certs", name, 1, g) }
 
-// Generation gives the newest whole certificate of that name, and its number.
+// Generation returns the newest valid generation of name, and its number.
 func (s *Store) Generation(name string) (g Generation, number int, err error) {
 	number, err = s.newest("certs", name, 1, &g)
 	return g, number, err
 }
 
-// PutOrder keeps the order on its way.
+// PutOrder stores the pending order of name.
 func (s *Store) PutOrder(name string, o Order) error { return s.put("certs", name, 2, o) }
 
-// Order gives the order on its way, if there is one.
+// Order returns the pending order of name, or ErrNone.
 func (s *Store) Order(name string) (o Order, err error) {
 	_, err = s.newest("certs", name, 2, &o)
 	return o, err
 }
 
-// PutAccount keeps an account.
+// PutAccount stores the account at an authority.
 func (s *Store) PutAccount(authority string, a Account) error {
 	return s.put("accounts", authority, 3, a)
 }
 
-// Account gives the account at an authority.
+// Account returns the account at an authority, or ErrNone.
 func (s *Store) Account(authority string) (a Account, err error) {
 	_, err = s.newest("accounts", authority, 3, &a)
 	return a, err
 }
 
-// dir is the folder of a name. Names come from the configuration; they never lead out of the store.
+// dir returns the folder of a name. Names come from the configuration and must not lead out of the store.
 func (s *Store) dir(part, name string) (string, error) {
 	if name == "" || name == "." || name == ".." || strings.ContainsAny(name, "/\\\x00") {
-		return "", fmt.Errorf("keystore: %q is no name for a folder", name)
+		return "", fmt.Errorf("keystore: %q is not a valid folder name", name)
 	}
 	return filepath.Join(s.root, part, name), nil
 }
 
-// numbers lists the numbers of the files of one kind, newest first.
+// numbers returns the numbers of the files of one kind, newest first.
 func (s *Store) numbers(dir string, kind uint16) ([]int, error) {
 	entries, err := s.fs.ReadDir(dir)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -244,15 +245,15 @@
 	return list, nil
 }
 
-func file(kind uint16, number int) string { return fmt.Sprintf("%s-%08d", prefixes[kind], number) }
+func fileName(kind uint16, number int) string { return fmt.Sprintf("%s-%08d", prefixes[kind], number) }
 
-// put writes a file of one kind as the newest and takes away the oldest.
+// put writes a file as the newest of its kind and removes the oldest ones.
 func (s *Store) put(part, name string, kind uint16, v any) error {
 	dir, err := s.dir(part, name)
 	if err != nil {
 		return err
 	}
-	if err := s.folder(dir); err != nil {
+	if err := s.ensureFolder(dir); err != nil {
 		return err
 	}
 	list, err := s.numbers(dir, kind)
@@ -267,27 +268,27 @@
 	if err != nil {
 		return err
 	}
-	temporary := filepath.Join(dir, "."+file(kind, number)+".tmp")
+	temporary := filepath.Join(dir, "."+fileName(kind, number)+".tmp")
 	if err := s.fs.WriteFile(temporary, data, 0o600); err != nil {
-		s.fs.Remove(temporary) // room for others; a failure changes nothing, as it is never read
-		return fmt.Errorf("keystore: write %s: %w", file(kind, number), err)
+		s.fs.Remove(temporary) // frees the space; a failure is harmless, as temporary files are never read
+		return fmt.Errorf("keystore: write %s: %w", fileName(kind, number), err)
 	}
-	if err := s.fs.Rename(temporary, filepath.Join(dir, file(kind, number))); err != nil {
+	if err := s.fs.Rename(temporary, filepath.Join(dir, fileName(kind, number))); err != nil {
 		return fmt.Errorf("keystore: %w", err)
 	}
 	if err := s.fs.SyncDir(dir); err != nil {
 		return fmt.Errorf("keystore: sync %s: %w", dir, err)
 	}
-	if len(list) >= keepMost {
-		for _, old := range list[keepMost-1:] {
-			s.fs.Remove(filepath.Join(dir, file(kind, old))) // tried again at the next put
+	if len(list) >= maxKept {
+		for _, old := range list[maxKept-1:] {
+			s.fs.Remove(filepath.Join(dir, fileName(kind, old))) // a failure is retried by the next put
 		}
 	}
 	return nil
 }
 
-// newest reads the newest whole file of one kind. A file of a newer format is not passed over: what it holds would
-// be lost.
+// newest reads the newest valid file of one kind. A file of a newer format is an error and is not skipped: an older file
+// in its place would lose its content.
 func (s *Store) newest(part, name string, kind uint16, v any) (int, error) {
 	dir, err := s.dir(part, name)
 	if err != nil {
@@ -297,10 +298,10 @@
 	if err != nil {
 		return 0, err
 	}
-	var torn error
+	var corrupt error
 	for _, number := range list {
-		path := filepath.Join(dir, file(kind, number))
-		if err := s.private(path, 0o600); err != nil {
+		path := filepath.Join(dir, fileName(kind, number))
+		if err := s.checkPrivate(path, 0o600); err != nil {
 			return 0, err
 		}
 		data, err := s.fs.ReadFile(path)
@@ -314,43 +315,43 @@
 		if errors.Is(err, ErrNewer) {
 			return 0, fmt.Errorf("%s: %w", path, err)
 		}
-		torn = errors.Join(torn, fmt.Errorf("%s: %w", path, err))
+		corrupt = errors.Join(corrupt, fmt.Errorf("%s: %w", path, err))
 	}
-	return 0, errors.Join(ErrNone, torn)
+	return 0, errors.Join(ErrNone, corrupt)
 }
 
-// encode makes a file of a value.
+// encode encodes a value with its file header.
 func encode(kind uint16, v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
 		return nil, fmt.Errorf("keystore: encode: %w", err)
 	}
-	data := make([]byte, header, header+len(body))
+	data := make([]byte, headerSize, headerSize+len(body))
 	copy(data, magic)
-	binary.BigEndian.PutUint16(data[4:], version)
+	binary.BigEndian.PutUint16(data[4:], formatVersion)
 	binary.BigEndian.PutUint16(data[6:], kind)
 	binary.BigEndian.PutUint64(data[8:], uint64(len(body)))
 	binary.BigEndian.PutUint64(data[16:], xxhash.Sum64(body))
 	return append(data, body...), nil
 }
 
-// decode reads a file into a value.
+// decode verifies a file and decodes it into v.
 func decode(kind uint16, data []byte, v any) error {
-	if len(data) < header || string(data[:4]) != magic {
-		return fmt.Errorf("%w: no header", ErrTorn)
+	if len(data) < headerSize || string(data[:4]) != magic {
+		return fmt.Errorf("%w: header is missing or has no magic number", ErrTorn)
 	}
-	if got := binary.BigEndian.Uint16(data[4:]); got > version {
-		return fmt.Errorf("%w: format %d, this program reads up to %d", ErrNewer, got, version)
+	if got := binary.BigEndian.Uint16(data[4:]); got > formatVersion {
+		return fmt.Errorf("%w: format %d, this program reads up to %d", ErrNewer, got, formatVersion)
 	}
 	if got := binary.BigEndian.Uint16(data[6:]); got != kind {
-		return fmt.Errorf("%w: kind %d in place of %d", ErrTorn, got, kind)
+		return fmt.Errorf("%w: kind is %d, want %d", ErrTorn, got, kind)
 	}
-	body := data[header:]
-	if n := binary.BigEndian.Uint64(data[8:]); n != uint64(len(body)) || n > bodyMost {
-		return fmt.Errorf("%w: %d bytes, its header says %d", ErrTorn, len(body), n)
+	body := data[headerSize:]
+	if n := binary.BigEndian.Uint64(data[8:]); n != uint64(len(body)) || n > maxBodyBytes {
+		return fmt.Errorf("%w: body has %d bytes, header says %d", ErrTorn, len(body), n)
 	}
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(data[16:]) {
-		return fmt.Errorf("%w: its checksum does not fit", ErrTorn)
+		return fmt.Errorf("%w: checksum mismatch", ErrTorn)
 	}
 	if err := cbor.Unmarshal(body, v); err != nil {
 		return fmt.Errorf("%w: %w", ErrTorn, err)
--- a/internal/state/keystore/keystore_test.go
+++ b/internal/state/keystore/keystore_test.go
@@ -12,7 +12,7 @@
 	"cairnlane/internal/testkit"
 )
 
-var when = time.Unix(0, int64(testkit.Start)).UTC()
+var testTime = time.Unix(0, int64(testkit.Start)).UTC()
 
 func open(t *testing.T, files faultfs.FS, root string) *Store {
 	t.Helper()
@@ -24,16 +24,17 @@
 }
 
 func generation(n int) Generation {
-	return Generation{Key: []byte(fmt.Sprintf("key %d", n)), Chain: [][]byte{{1, byte(n)}, {2}}, Authority: "main", Stored: when}
+	return Generation{Key: []byte(fmt.Sprintf("key %d", n)), Chain: [][]byte{{1, byte(n)}, {2}}, Authority: "main", Stored: testTime}
 }
 
-// TestACutAfterAnyByteLeavesTheOneBefore cuts each file of a store, the newest of its kind, after every byte.
-func TestACutAfterAnyByteLeavesTheOneBefore(t *testing.T) {
+// TestTruncationAtAnyByteFallsBackToPrevious truncates the newest file of each kind after every byte, and flips a bit in
+// every byte. A reader must find the file before it.
+func TestTruncationAtAnyByteFallsBackToPrevious(t *testing.T) {
 	root := filepath.Join(t.TempDir(), "store")
 	s := open(t, faultfs.Disk{}, root)
 	for n := 1; n <= 2; n++ {
 		for _, err := range []error{s.PutGeneration("site", generation(n)), s.PutAccount("main", Account{URL: fmt.Sprint("u", n)}),
-			s.PutOrder("site", Order{URL: fmt.Sprint("o", n), Begun: when})} {
+			s.PutOrder("site", Order{URL: fmt.Sprint("o", n), Begun: testTime})} {
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -61,10 +62,10 @@
 				t.Fatal(err)
 			}
 			if got := read(); got != want {
-				t.Fatalf("%s cut after %d bytes: %s, want %s", file, n, got, want)
+				t.Fatalf("%s truncated after %d bytes: %s, want %s", file, n, got, want)
 			}
 			flipped := append([]byte(nil), whole...)
-			if flipped[n] ^= 0x40; n != 4 && n != 5 { // those are the version's, which is another matter
+			if flipped[n] ^= 0x40; n != 4 && n != 5 { // bytes of the format version: a newer version is an error of its own
 				if err := os.WriteFile(path, flipped, 0o600); err != nil {
 					t.Fatal(err)
 				}
@@ -79,12 +80,12 @@
 		}
 	}
 	if got := read(); got != "2 key 2 u2 o2" || cuts < 100 {
-		t.Errorf("put back: %s, after %d cuts", got, cuts)
+		t.Errorf("restored: %s, after %d truncations", got, cuts)
 	}
 }
 
-// TestAKillOrAFullDiskAtAnyStepKeepsWhatWasKept has each operation of a put fail, and then puts again.
-func TestAKillOrAFullDiskAtAnyStepKeepsWhatWasKept(t *testing.T) {
+// TestKillOrFullDiskAtAnyStepKeepsStoredValue lets each disk operation of a put fail, and then puts again.
+func TestKillOrFullDiskAtAnyStepKeepsStoredValue(t *testing.T) {
 	count := faultfs.NewFaulty()
 	s := open(t, count, filepath.Join(t.TempDir(), "store"))
 	for n := 1; n <= 5; n++ {
@@ -94,7 +95,7 @@
 	}
 	ops := count.Ops()
 	for at := range ops {
-		for _, torn := range []int{-1, 0, 1, 20, 40, 1 << 20} { // -1 is a full disk
+		for _, torn := range []int{-1, 0, 1, 20, 40, 1 << 20} { // -1: full disk; otherwise bytes written before the kill
 			root := filepath.Join(t.TempDir(), "store")
 			files, kept := faultfs.NewFaulty(), 0
 			if torn < 0 {
@@ -120,23 +121,24 @@
 			var got int
 			fmt.Sscanf(string(g.Key), "key %d", &got)
 			if err != nil || got < kept || got > tried {
-				t.Fatalf("operation %d, %d bytes: generation %d is found (%v), %d was kept and %d tried", at, torn, got, err, kept, tried)
+				t.Fatalf("operation %d, %d bytes: found generation %d (%v), last stored %d, last attempted %d", at, torn, got, err, kept, tried)
 			}
 			if err := again.PutGeneration("site", generation(9)); err != nil {
 				t.Fatal(err)
 			}
 			if g, _, _ := again.Generation("site"); string(g.Key) != "key 9" {
-				t.Fatalf("after the fault, %s is found", g.Key)
+				t.Fatalf("after the fault: got %s, want key 9", g.Key)
 			}
 		}
 	}
 	if ops < 15 {
-		t.Errorf("only %d operations", ops)
+		t.Errorf("got %d operations, want at least 15", ops)
 	}
 }
 
-// TestAFullDiskWithRoomAgain fills the disk for a while: the old generation stays, the new one comes with the room.
-func TestAFullDiskWithRoomAgain(t *testing.T) {
+// TestFullDiskRecovers fills the disk temporarily: the old generation stays, and the new one can be stored once there is
+// space again.
+func TestFullDiskRecovers(t *testing.T) {
 	files := faultfs.NewFaulty()
 	s := open(t, files, filepath.Join(t.TempDir(), "store"))
 	if err := s.PutGeneration("site", generation(1)); err != nil {
@@ -145,10 +147,10 @@
 	for room := range 40 {
 		files.Room(room)
 		if err := s.PutGeneration("site", generation(2)); err == nil {
-			t.Fatalf("a certificate fits in %d bytes", room)
+			t.Fatalf("put succeeded with %d bytes free", room)
 		}
 		if g, n, err := s.Generation("site"); err != nil || n != 1 || string(g.Key) != "key 1" {
-			t.Fatalf("with room for %d bytes: generation %d, %v", room, n, err)
+			t.Fatalf("with %d bytes free: generation %d, %v", room, n, err)
 		}
 	}
 	files.Room(-1)
@@ -161,7 +163,7 @@
 	}
 }
 
-func TestWhatOthersMayReadIsRefused(t *testing.T) {
+func TestFilesReadableByOthersAreRejected(t *testing.T) {
 	root := filepath.Join(t.TempDir(), "store")
 	s := open(t, faultfs.Disk{}, root)
 	if err := s.PutGeneration("site", generation(1)); err != nil {
@@ -170,16 +172,16 @@
 	path := filepath.Join(root, "certs", "site", "gen-00000001")
 	os.Chmod(path, 0o640)
 	if _, _, err := s.Generation("site"); !errors.Is(err, ErrLoose) {
-		t.Errorf("a key that the group may read: %v", err)
+		t.Errorf("key file readable by the group: %v", err)
 	}
 	os.Chmod(path, 0o600)
 	os.Chmod(root, 0o755)
 	if _, err := Open(faultfs.Disk{}, root); !errors.Is(err, ErrLoose) {
-		t.Errorf("a store that all may enter: %v", err)
+		t.Errorf("store accessible to all: %v", err)
 	}
 }
 
-func TestANewerFormatIsNotTouched(t *testing.T) {
+func TestNewerFormatIsAnError(t *testing.T) {
 	root := filepath.Join(t.TempDir(), "store")
 	s := open(t, faultfs.Disk{}, root)
 	if err := errors.Join(s.PutGeneration("site", generation(1)), s.PutGeneration("site", generation(2))); err != nil {
@@ -187,55 +189,55 @@
 	}
 	path := filepath.Join(root, "certs", "site", "gen-00000002")
 	data, _ := os.ReadFile(path)
-	data[5] = version + 1
+	data[5] = formatVersion + 1
 	os.WriteFile(path, data, 0o600)
 	if _, _, err := s.Generation("site"); !errors.Is(err, ErrNewer) {
-		t.Errorf("the newest is of a later format: %v", err)
+		t.Errorf("newest file has a later format: %v", err)
 	}
 }
 
-func TestOneRenewsAndTheOtherTakesOver(t *testing.T) {
+func TestLockIsExclusiveAndReleasedOnClose(t *testing.T) {
 	root := filepath.Join(t.TempDir(), "store")
 	a, b := open(t, faultfs.Disk{}, root), open(t, faultfs.Disk{}, root)
 	if err := errors.Join(a.Lock(), a.Lock()); err != nil {
 		t.Fatal(err)
 	}
 	if err := b.Lock(); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second one locks: %v", err)
+		t.Errorf("second lock: %v", err)
 	}
 	if err := a.PutGeneration("site", generation(1)); err != nil {
 		t.Fatal(err)
 	}
 	if g, _, err := b.Generation("site"); err != nil || string(g.Key) != "key 1" {
-		t.Errorf("the second reads %q, %v", g.Key, err)
+		t.Errorf("second store reads %q, %v", g.Key, err)
 	}
 	a.Close()
 	if err := errors.Join(b.Lock(), b.Close(), b.Close()); err != nil {
-		t.Errorf("after the first has gone: %v", err)
+		t.Errorf("after the first store was closed: %v", err)
 	}
 }
 
-func TestNamesDoNotLeadOut(t *testing.T) {
+func TestNamesCannotEscapeTheStore(t *testing.T) {
 	s := open(t, faultfs.Disk{}, filepath.Join(t.TempDir(), "store"))
 	for _, name := range []string{"", ".", "..", "../x", "a/b", `a\b`, "a\x00"} {
 		if err := s.PutAccount(name, Account{}); err == nil {
-			t.Errorf("%q is taken", name)
+			t.Errorf("%q is accepted", name)
 		}
 	}
 	if _, _, err := s.Generation("site"); !errors.Is(err, ErrNone) {
-		t.Errorf("an empty store: %v", err)
+		t.Errorf("empty store: %v", err)
 	}
 }
 
-func TestOldOnesAreTakenAway(t *testing.T) {
+func TestOldFilesAreRemoved(t *testing.T) {
 	s := open(t, faultfs.Disk{}, filepath.Join(t.TempDir(), "store"))
 	for n := range 20 {
 		if err := s.PutGeneration("site", generation(n)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if entries, _ := os.ReadDir(filepath.Join(s.root, "certs", "site")); len(entries) != keepMost {
-		t.Errorf("%d files, want %d", len(entries), keepMost)
+	if entries, _ := os.ReadDir(filepath.Join(s.root, "certs", "site")); len(entries) != maxKept {
+		t.Errorf("%d files, want %d", len(entries), maxKept)
 	}
 	if _, n, err := s.Generation("site"); n != 20 || err != nil {
 		t.Errorf("generation %d, %v", n, err)
@@ -251,7 +253,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var g Generation
 		if err := decode(1, data, &g); err != nil && !errors.Is(err, ErrTorn) && !errors.Is(err, ErrNewer) {
-			t.Errorf("an error of another kind: %v", err)
+			t.Errorf("unexpected error: %v", err)
 		}
 	})
 }
