--- a/internal/lab/mutants/audit.go
+++ b/internal/lab/mutants/audit.go
@@ -21,5 +21,5 @@
 	{"grace by the wall clock", "internal/decide/straggler/straggler.go", "s = seen{session, t.Lowest, now}", "s = seen{session, t.Lowest, time.Duration(time.Now().UnixNano())}", "./internal/decide", "TestDecisionsDoNoIO"},
 	{"grace that a new judge does not wait for", "internal/decide/straggler/straggler.go", "	grace = max(grace, LeastGrace(term))\n", "", "./internal/decide/straggler", "TestTheLeastGraceIsLongerThanABoxActs"},
 	{"back to a number that an old log still has", "internal/fleet/versions.go", "at.Fleet != n.ledger.State().Fleet || at.Index <= n.ledger.State().Index", "at.Fleet|1 != 0", "./internal/fleet", "TestABoxDoesNotGoBackWithItsLedger"},
-	{"in force before it is on the disk", "internal/state/configs/configs.go", "	if err := s.write(name, encode(f)); err != nil {", "	s.now = f\n	if err := s.write(name, encode(f)); err != nil {", "./internal/state/configs", "TestWhatTheDiskRefusesIsNotInForce"},
+	{"in force before it is on the disk", "internal/state/configs/configs.go", "	if err := s.write(inForceFile, encode(f)); err != nil {", "	s.inForce = f\n	if err := s.write(inForceFile, encode(f)); err != nil {", "./internal/state/configs", "TestFailedWriteIsNotInForce"},
 }
--- a/internal/state/configs/configs.go
+++ b/internal/state/configs/configs.go
@@ -1,11 +1,12 @@
-// Package configs keeps a box's copies of the fleet's numbered configurations, and which one it has in force, over restarts.
+// Package configs persists a box's copies of the fleet's numbered configurations, and which of them is in force.
 //
-//	DIR/SHA256.hcl   a body, by its SHA-256
-//	DIR/inforce      number, digest, the place in the ledger and a checksum: the one that this box acts on
+//	DIR/SHA256.hcl   a configuration body, named by its SHA-256
+//	DIR/inforce      number, digest, ledger position and a checksum of the configuration in force
 //
-// A body is whole or not there: it is written beside and renamed, and what does not fit its name is left out at the next start. What
-// is in force changes by one rename, after its body is on the disk; a cut at any place leaves the old one or the new one in force.
-// Bodies are bounded: beyond bodiesMost those that are not in force go, the oldest first.
+// A body is either complete or absent: it is written to a temporary file and renamed, and a body that does not match its
+// name is ignored at the next start. The configuration in force changes by one rename, after its body is on the disk; an
+// interruption at any point leaves the old or the new one in force. The number of bodies is bounded: beyond maxBodies,
+// bodies that are not in force are removed, oldest first.
 package configs
 
 import (
@@ -24,52 +25,52 @@
 	"cairnlane/internal/faultfs"
 )
 
-// bodiesMost is how many bodies are kept.
-const bodiesMost = 16
+// maxBodies is the maximum number of stored bodies.
+const maxBodies = 16
 
 const (
-	suffix = ".hcl"
-	name   = "inforce"
-	magic  = "CLIF\x01"
+	suffix      = ".hcl"
+	inForceFile = "inforce"
+	magic       = "CLIF\x01"
 )
 
-// InForce is what a box acts on.
+// InForce identifies the configuration that a box runs.
 type InForce struct {
-	N      uint64 // 0: nothing
+	N      uint64 // 0: none
 	Digest string
-	Fleet  uint64 // by whose ledger it is in force, and at which place of it
+	Fleet  uint64 // fleet whose ledger put it in force, and at which index
 	Index  uint64
 }
 
-// Store is one folder. Its methods may be called from any goroutine.
+// Store is a folder of configurations. Its methods may be called from any goroutine.
 type Store struct {
 	fs  faultfs.FS
 	dir string
 
-	mu     sync.Mutex
-	now    InForce
-	bodies map[string][]byte
-	order  []string // oldest first
+	mu      sync.Mutex
+	inForce InForce
+	bodies  map[string][]byte
+	order   []string // oldest first
 }
 
-// Digest names a body.
+// Digest returns the hex SHA-256 that names a body.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
 
-// Open takes up what a folder holds. how says what was found wrong, "" for nothing: a body that is damaged is as if it were not
-// there, and a box whose body in force is damaged has nothing in force.
-func Open(fs faultfs.FS, dir string) (s *Store, how string, err error) {
+// Open loads the contents of a folder. problems describes what was found wrong, "" if nothing: a damaged body is treated
+// as absent, and a box whose body in force is damaged has no configuration in force.
+func Open(fs faultfs.FS, dir string) (s *Store, problems string, err error) {
 	if err := fs.MkdirAll(dir, 0o700); err != nil {
-		return nil, "", fmt.Errorf("configurations of the fleet: %w", err)
+		return nil, "", fmt.Errorf("open fleet configurations: %w", err)
 	}
 	s = &Store{fs: fs, dir: dir, bodies: map[string][]byte{}}
 	list, err := fs.ReadDir(dir)
 	if err != nil {
-		return nil, "", fmt.Errorf("configurations of the fleet: %w", err)
+		return nil, "", fmt.Errorf("open fleet configurations: %w", err)
 	}
-	var wrong []string
+	var found []string
 	for _, e := range list {
 		digest, ok := strings.CutSuffix(e.Name(), suffix)
 		if !ok {
@@ -77,30 +78,30 @@
 		}
 		body, err := fs.ReadFile(filepath.Join(dir, e.Name()))
 		if err != nil || Digest(body) != digest {
-			wrong = append(wrong, e.Name()+" is damaged")
+			found = append(found, e.Name()+" is damaged")
 			continue
 		}
 		s.bodies[digest] = body
 		s.order = append(s.order, digest)
 	}
-	raw, err := fs.ReadFile(filepath.Join(dir, name))
+	raw, err := fs.ReadFile(filepath.Join(dir, inForceFile))
 	switch {
-	case err != nil: // a new folder, or one without anything in force
+	case err != nil: // new folder, or no configuration in force
 	default:
-		now, derr := decode(raw)
+		inForce, derr := decode(raw)
 		switch {
 		case derr != nil:
-			wrong = append(wrong, derr.Error())
-		case now.N != 0 && s.bodies[now.Digest] == nil:
-			wrong = append(wrong, fmt.Sprintf("the body of %d, which was in force, is missing", now.N))
+			found = append(found, derr.Error())
+		case inForce.N != 0 && s.bodies[inForce.Digest] == nil:
+			found = append(found, fmt.Sprintf("body of configuration %d, which was in force, is missing or damaged", inForce.N))
 		default:
-			s.now = now
+			s.inForce = inForce
 		}
 	}
-	return s, strings.Join(wrong, "; "), nil
+	return s, strings.Join(found, "; "), nil
 }
 
-var errDamaged = errors.New("what was in force cannot be read")
+var errDamaged = errors.New("inforce file is damaged")
 
 func encode(f InForce) []byte {
 	raw := []byte(magic)
@@ -120,21 +121,21 @@
 	return InForce{N: n(0), Fleet: n(1), Index: n(2), Digest: string(raw[len(magic)+24 : at])}, nil
 }
 
-// InForce tells what the box acts on.
+// InForce returns the configuration in force.
 func (s *Store) InForce() InForce {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now
+	return s.inForce
 }
 
-// Body returns a body, nil if it is not here. It is not to be changed.
+// Body returns a body, or nil if it is not stored. The caller must not modify it.
 func (s *Store) Body(digest string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bodies[digest]
 }
 
-// Put keeps a body. It is on the disk when Put returns without an error.
+// Put stores a body. It is on the disk when Put returns without an error.
 func (s *Store) Put(body []byte) (digest string, err error) {
 	digest = Digest(body)
 	s.mu.Lock()
@@ -143,37 +144,37 @@
 		return digest, nil
 	}
 	if err := s.write(digest+suffix, body); err != nil {
-		return digest, fmt.Errorf("a configuration of the fleet cannot be stored: %w", err)
+		return digest, fmt.Errorf("store fleet configuration %s: %w", digest, err)
 	}
 	s.bodies[digest] = slices.Clone(body)
 	s.order = append(s.order, digest)
-	for i := 0; len(s.order) > bodiesMost && i < len(s.order); {
-		if old := s.order[i]; old == s.now.Digest || old == digest {
+	for i := 0; len(s.order) > maxBodies && i < len(s.order); {
+		if old := s.order[i]; old == s.inForce.Digest || old == digest {
 			i++
 			continue
 		}
-		s.fs.Remove(filepath.Join(s.dir, s.order[i]+suffix)) // what stays is taken up at the next start
+		s.fs.Remove(filepath.Join(s.dir, s.order[i]+suffix)) // if this fails, the file is loaded again at the next start
 		delete(s.bodies, s.order[i])
 		s.order = slices.Delete(s.order, i, i+1)
 	}
 	return digest, nil
 }
 
-// Enter has a configuration be the one in force from when it returns without an error, and not before.
+// Enter puts a configuration in force. It is in force only once Enter has returned without an error.
 func (s *Store) Enter(f InForce) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.N != 0 && s.bodies[f.Digest] == nil {
-		return fmt.Errorf("the body of configuration %d is not here", f.N)
+		return fmt.Errorf("body %s of configuration %d is not stored", f.Digest, f.N)
 	}
-	if err := s.write(name, encode(f)); err != nil {
-		return fmt.Errorf("configuration %d cannot be put in force: %w", f.N, err)
+	if err := s.write(inForceFile, encode(f)); err != nil {
+		return fmt.Errorf("put configuration %d in force: %w", f.N, err)
 	}
-	s.now = f
+	s.inForce = f
 	return nil
 }
 
-// write replaces a file as a whole.
+// write replaces a file atomically.
 func (s *Store) write(file string, data []byte) error {
 	at := filepath.Join(s.dir, file)
 	if err := s.fs.WriteFile(at+".new", data, 0o600); err != nil {
