--- a/internal/decide/decide_test.go
+++ b/internal/decide/decide_test.go
@@ -11,15 +11,15 @@
 	"testing"
 )
 
-// forbidden is what a decision must not reach: the network, files, the log, the process.
+// forbidden lists the imports that decision packages must not use: network, files, log, process.
 var forbidden = []string{"net", "os", "syscall", "log", "io/fs", "golang.org/x/sys", "github.com/rs/zerolog", "github.com/cloudwego"}
 
-// faults lists what makes a file more than a decision.
-func faults(f *ast.File) (list []string) {
+// violations returns what the file does beyond pure decisions: forbidden imports, goroutines, uses of the clock.
+func violations(f *ast.File) (list []string) {
 	for _, i := range f.Imports {
 		path, _ := strconv.Unquote(i.Path.Value)
-		for _, bad := range forbidden {
-			if path == bad || strings.HasPrefix(path, bad+"/") {
+		for _, banned := range forbidden {
+			if path == banned || strings.HasPrefix(path, banned+"/") {
 				list = append(list, "imports "+path)
 			}
 		}
@@ -41,7 +41,7 @@
 	return list
 }
 
-// TestDecisionsDoNoIO reads the source of every package below this one.
+// TestDecisionsDoNoIO checks the source of every package below this folder.
 func TestDecisionsDoNoIO(t *testing.T) {
 	files := 0
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
@@ -53,7 +53,7 @@
 			return err
 		}
 		files++
-		for _, fault := range faults(f) {
+		for _, fault := range violations(f) {
 			t.Errorf("%s %s", path, fault)
 		}
 		return nil
@@ -63,14 +63,14 @@
 	}
 }
 
-func TestTheCheckOfDecisionsBites(t *testing.T) {
+func TestViolationsAreDetected(t *testing.T) {
 	for _, src := range []string{`import "net/http"`, `import "os"`, `import "golang.org/x/sys/unix"`, `func f() { go f() }`, `var x = time.Now()`, `func f() { time.Sleep(1) }`} {
 		f, err := parser.ParseFile(token.NewFileSet(), "x.go", "package x\n"+src, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(faults(f)) != 1 {
-			t.Errorf("%s is let through", src)
+		if len(violations(f)) != 1 {
+			t.Errorf("%s: want one violation", src)
 		}
 	}
 }
--- a/internal/decide/timeline/load.go
+++ b/internal/decide/timeline/load.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// second is what the whole fleet did in one.
+// second holds the counts of the whole fleet in one second.
 type second struct {
-	boxes                                      int // that told of it
-	read, retries, refused, served, in, failed int
+	boxes                                          int // boxes that recorded the second
+	read, retries, rejected, served, inAim, failed int
 }
 
-// firsts is how many first tries came.
-func (s second) firsts() float64 { return float64(s.read - s.retries) }
+// firstAttempts returns the number of first attempts.
+func (s second) firstAttempts() float64 { return float64(s.read - s.retries) }
 
-// each is how many came to a box in the mean.
-func (s second) each() float64 { return s.firsts() / float64(max(s.boxes, 1)) }
+// firstAttemptsPerBox returns the mean number of first attempts per box.
+func (s second) firstAttemptsPerBox() float64 { return s.firstAttempts() / float64(max(s.boxes, 1)) }
 
-// usual is how many seconds the usual reads are taken from.
-const usual = 20
+// baseWindow is the number of seconds from which the baseline is computed.
+const baseWindow = 20
 
-// perSecond sums what the boxes counted, by the second of their own clocks.
-func (c *course) perSecond() (list []second, first time.Duration) {
+// perSecond sums the counts of all boxes, by the second of their own clocks.
+func (c *analysis) perSecond() (list []second, first time.Duration) {
 	first = c.from.Truncate(time.Second)
 	if c.to < c.from {
 		return nil, first
@@ -39,9 +39,9 @@
 				s.boxes++
 				s.read += e.Read
 				s.retries += e.Retries
-				s.refused += e.Refused
+				s.rejected += e.Refused
 				s.served += e.Served
-				s.in += e.InAim
+				s.inAim += e.InAim
 				s.failed += e.Failed
 			}
 		}
@@ -49,8 +49,9 @@
 	return list, first
 }
 
-// stretches yields the runs of seconds in which something holds, of at least so many, with holes of one second closed.
-func stretches(n, least int, holds func(int) bool) (list [][2]int) {
+// ranges returns the ranges [from, to) of at least minLength seconds in which holds is true. Interruptions of one second
+// are ignored.
+func ranges(n, minLength int, holds func(int) bool) (list [][2]int) {
 	for i := 0; i < n; i++ {
 		if !holds(i) {
 			continue
@@ -59,7 +60,7 @@
 		for to < n && (holds(to) || to+1 < n && holds(to+1)) {
 			to++
 		}
-		if to-i >= least {
+		if to-i >= minLength {
 			list = append(list, [2]int{i, to})
 		}
 		i = to
@@ -67,8 +68,8 @@
 	return list
 }
 
-// load finds bursts, overload and retry storms of the fleet.
-func (c *course) load() {
+// loadFindings finds bursts, overload and retry storms of the fleet.
+func (c *analysis) loadFindings() {
 	list, first := c.perSecond()
 	if len(list) == 0 {
 		return
@@ -77,39 +78,39 @@
 	for _, b := range c.boxes {
 		all = append(all, b.Name)
 	}
-	at := func(i int) time.Duration { return first + time.Duration(i)*time.Second }
-	say := func(kind Kind, holds func(int) bool, evidence func(from, to int) string) {
-		for _, s := range stretches(len(list), c.set.Sustain, holds) {
-			from, to := at(s[0]), at(s[1])
+	secondStart := func(i int) time.Duration { return first + time.Duration(i)*time.Second }
+	report := func(kind Kind, holds func(int) bool, evidence func(from, to int) string) {
+		for _, s := range ranges(len(list), c.settings.Sustain, holds) {
+			from, to := secondStart(s[0]), secondStart(s[1])
 			f := Finding{Kind: kind, From: from, To: to, Boxes: all, Evidence: []string{evidence(s[0], s[1])}, Confidence: 0.9, Open: s[1] == len(list)}
 			if n := c.missingIn(from, to); n > 0 {
 				f.Confidence = 0.6
-				f.Evidence = append(f.Evidence, fmt.Sprintf("%d boxes have records missing in it", n))
+				f.Evidence = append(f.Evidence, fmt.Sprintf("%d boxes have missing records in this interval", n))
 			}
 			c.add(f)
 		}
 	}
-	// A burst shows in all that came and in what came to each box that told of it: when boxes are away, the others get
-	// their share, and when their records are, the sum falls.
-	base, each := c.base(list, second.firsts), c.base(list, second.each)
-	say(Burst, func(i int) bool {
-		return base[i] > 0 && list[i].firsts() >= c.set.Burst*base[i] && list[i].each() >= c.set.Burst*each[i]
+	// A burst must show both in the total and in the mean per recording box: when some boxes are away, the others
+	// receive their share of the load, and when the records of some boxes are missing, the total falls.
+	base, basePerBox := c.baseline(list, second.firstAttempts), c.baseline(list, second.firstAttemptsPerBox)
+	report(Burst, func(i int) bool {
+		return base[i] > 0 && list[i].firstAttempts() >= c.settings.Burst*base[i] && list[i].firstAttemptsPerBox() >= c.settings.Burst*basePerBox[i]
 	}, func(from, to int) string {
 		peak := 0.0
 		for i := from; i < to; i++ {
 			if base[i] > 0 {
-				peak = max(peak, list[i].firsts()/base[i])
+				peak = max(peak, list[i].firstAttempts()/base[i])
 			}
 		}
-		return fmt.Sprintf("first tries come at %.2f times the usual", peak)
+		return fmt.Sprintf("first attempts at %.2f times the baseline", peak)
 	})
 	share := func(part func(second) int) func(int) bool {
 		return func(i int) bool {
 			return list[i].read > 0 && float64(part(list[i])) >= c.limit(part)*float64(list[i].read)
 		}
 	}
-	refused, retries := func(s second) int { return s.refused + s.failed }, func(s second) int { return s.retries }
-	most := func(part func(second) int) func(from, to int) string {
+	rejected, retries := func(s second) int { return s.rejected + s.failed }, func(s second) int { return s.retries }
+	peakShare := func(part func(second) int) func(from, to int) string {
 		return func(from, to int) string {
 			worst := 0.0
 			for i := from; i < to; i++ {
@@ -117,24 +118,24 @@
 					worst = max(worst, float64(part(list[i]))/float64(list[i].read))
 				}
 			}
-			return fmt.Sprintf("%.0f%% of what was read, at the worst", 100*worst)
+			return fmt.Sprintf("up to %.0f%% of the requests read", 100*worst)
 		}
 	}
-	say(Overload, share(refused), most(refused))
-	say(RetryStorm, share(retries), most(retries))
+	report(Overload, share(rejected), peakShare(rejected))
+	report(RetryStorm, share(retries), peakShare(retries))
 }
 
-// limit is the share from which a part of the reads is a trouble.
-func (c *course) limit(part func(second) int) float64 {
+// limit returns the share of the reads from which on part is reported.
+func (c *analysis) limit(part func(second) int) float64 {
 	if part(second{retries: 1}) > 0 {
-		return c.set.Retries
+		return c.settings.Retries
 	}
-	return c.set.Refused
+	return c.settings.Refused
 }
 
-// base is the usual value before each second: the median of those before it that were no burst themselves, so that a
-// long burst does not become the usual.
-func (c *course) base(list []second, value func(second) float64) []float64 {
+// baseline returns the baseline for each second: the median of the preceding seconds that were not part of a burst, so that
+// a long burst does not raise the baseline.
+func (c *analysis) baseline(list []second, value func(second) float64) []float64 {
 	base := make([]float64, len(list))
 	var window []float64
 	for i, s := range list {
@@ -144,8 +145,8 @@
 			base[i] = sorted[len(sorted)/2]
 		}
 		v := value(s)
-		if s.boxes > 0 && (base[i] == 0 || v < c.set.Burst*base[i]) {
-			if window = append(window, v); len(window) > usual {
+		if s.boxes > 0 && (base[i] == 0 || v < c.settings.Burst*base[i]) {
+			if window = append(window, v); len(window) > baseWindow {
 				window = window[1:]
 			}
 		}
@@ -153,8 +154,8 @@
 	return base
 }
 
-// missingIn counts the boxes with absent records in an interval.
-func (c *course) missingIn(from, to time.Duration) (n int) {
+// missingIn returns the number of boxes with missing records in an interval.
+func (c *analysis) missingIn(from, to time.Duration) (n int) {
 	for _, b := range c.boxes {
 		hit := false
 		for _, l := range b.Lives {
@@ -169,14 +170,14 @@
 	return n
 }
 
-// speed is the answers of a box for each running request, over some seconds.
+// speedOver is the number of seconds over which the speed of a box (answers per running request) is averaged.
 const speedOver = 3
 
-// slow finds boxes that get much less done with what they run than their peers do at the same time. A box that is cold
-// is slow by nature, and told of as that.
-func (c *course) slow() {
+// slowBoxes finds boxes that answer far fewer requests per running request than their peers at the same time. Cold boxes are
+// expected to be slow and are reported as cold starts instead.
+func (c *analysis) slowBoxes() {
 	if len(c.boxes) < 3 {
-		return // no peers to speak of
+		return // too few peers for a comparison
 	}
 	first := c.from.Truncate(time.Second)
 	n := int((c.to-first)/time.Second) + 1
@@ -200,8 +201,8 @@
 		}
 	}
 	for b, box := range c.boxes {
-		for _, s := range stretches(n, c.set.Sustain+1, func(i int) bool {
-			return median[i] > 0 && speeds[b][i] > 0 && !cold[b][i] && speeds[b][i] < c.set.Slow*median[i]
+		for _, s := range ranges(n, c.settings.Sustain+1, func(i int) bool {
+			return median[i] > 0 && speeds[b][i] > 0 && !cold[b][i] && speeds[b][i] < c.settings.Slow*median[i]
 		}) {
 			worst := 1.0
 			for i := s[0]; i < s[1]; i++ {
@@ -210,20 +211,20 @@
 				}
 			}
 			f := Finding{Kind: SlowBox, From: first + time.Duration(s[0])*time.Second, To: first + time.Duration(s[1])*time.Second, Boxes: []string{box.Name},
-				Evidence: []string{fmt.Sprintf("it answers %.2f of what its peers do for each running request", worst)}, Confidence: 0.85, Open: s[1] == n}
+				Evidence: []string{fmt.Sprintf("it answers %.2f times as many requests per running request as its peers", worst)}, Confidence: 0.85, Open: s[1] == n}
 			for i := range box.Lives {
-				factor, said := box.Lives[i].unsure(f.From, f.To)
+				factor, evidence := box.Lives[i].confidenceAcross(f.From, f.To)
 				f.Confidence *= factor
-				f.Evidence = append(f.Evidence, said...)
+				f.Evidence = append(f.Evidence, evidence...)
 			}
 			c.add(f)
 		}
 	}
 }
 
-// speeds gives a box's answers for each running request second by second, 0 where that is not known, and whether it
-// was cold then.
-func (c *course) speeds(b int, first time.Duration, n int) ([]float64, []bool) {
+// speeds returns the answers per running request of a box for each second, 0 if unknown, and whether the box was cold in
+// that second.
+func (c *analysis) speeds(b int, first time.Duration, n int) ([]float64, []bool) {
 	served, running, cold := make([]float64, n), make([]float64, n), make([]bool, n)
 	for _, l := range c.boxes[b].Lives {
 		isCold := false
--- a/internal/decide/timeline/timeline.go
+++ b/internal/decide/timeline/timeline.go
@@ -1,9 +1,9 @@
-// Package timeline works out what happened to a fleet from what its boxes recorded. It does no I/O: it takes the lives
-// of the boxes and yields findings, each with its interval, boxes, evidence and confidence.
+// Package timeline derives from the records of the boxes what happened to a fleet. It does no I/O: its input are the
+// lives of the boxes, its output are findings, each with interval, boxes, evidence and confidence.
 //
-// Two rules hold for all of them. What is absent is a finding of its own, and no conclusion is drawn across it unsaid:
-// a finding that leans on an absent stretch says so and is less sure. And the boxes' clocks are not trusted: an interval
-// is widened by what they may be apart, never narrowed.
+// Two rules hold for all findings. Missing records are a finding of their own, and a finding that relies on an interval
+// with missing records says so and has a lower confidence. The clocks of the boxes are not trusted: an interval is
+// widened by the possible skew and never narrowed.
 package timeline
 
 import (
@@ -16,45 +16,45 @@
 // EventKind is the kind of an event.
 type EventKind uint8
 
-// The kinds of events.
+// Kinds of events.
 const (
 	Started EventKind = iota + 1
 	Warmed
-	Link    // to the engine: OK says whether it was attached or lost
-	Reload  // OK says whether it was taken
-	Catalog // OK says whether it answers
-	Drain   // the notice to leave
-	Ended   // all was answered
-	Second  // the counts of a second
+	Link    // connection to the engine: OK if it was established, else lost
+	Reload  // OK if the new configuration was accepted
+	Catalog // OK if it became available
+	Drain   // the drain notice was received
+	Ended   // all requests were answered
+	Second  // counts of one second
 )
 
-// Event is what a box recorded at a time.
+// Event is something that a box recorded.
 type Event struct {
 	At   time.Duration // since the Unix epoch, by the box's clock
 	Kind EventKind
 	OK   bool
-	Cold bool // Started: its cores were cold
+	Cold bool // for Started: the cores were cold
 
-	// Of a Second:
+	// For Second:
 	Read, Retries, Refused, Served, InAim, Failed int
 	Running                                       int
 }
 
-// Gap is a stretch without records, between two that are there or behind the last.
+// Gap is an interval without records, between two records or after the last one.
 type Gap struct {
-	From, To time.Duration // To is 0 behind the last
-	Absent   uint64        // how many records, if it is known
-	Why      string        // dropped, cut, absent
+	From, To time.Duration // To is 0 if the gap follows the last record
+	Absent   uint64        // number of missing records, 0 if unknown
+	Why      string        // "dropped", "cut" or "absent"
 }
 
-// Life is one start of a box's process.
+// Life is the records of one process start of a box.
 type Life struct {
 	Name, Build string
-	Events      []Event // in order of their numbers
+	Events      []Event // ordered by record number
 	Gaps        []Gap
 }
 
-// Box is all that is there of one.
+// Box is the records of one box.
 type Box struct {
 	Name  string
 	Lives []Life
@@ -63,10 +63,10 @@
 // Kind is the kind of a finding.
 type Kind string
 
-// The kinds of findings.
+// Kinds of findings.
 const (
-	Crash       Kind = "crash"           // ended without notice
-	KilledDrain Kind = "killed in drain" // the notice was taken, the end did not come
+	Crash       Kind = "crash"           // the process ended without a drain
+	KilledDrain Kind = "killed in drain" // the process ended during the drain
 	Drained     Kind = "drain"
 	ColdStart   Kind = "cold start"
 	Deploy      Kind = "deploy"
@@ -82,27 +82,27 @@
 	NoRecords   Kind = "no records"
 )
 
-// Finding is something that happened.
+// Finding is an event or problem derived from the records.
 type Finding struct {
 	Kind       Kind
 	From, To   time.Duration
 	Boxes      []string
 	Evidence   []string
 	Confidence float64 // 0 to 1
-	Open       bool    // it went on when the records end
-	First      bool    // of those that overlap with it, none began before
+	Open       bool    // it was still in progress when the records ended
+	First      bool    // none of the overlapping findings began earlier
 }
 
-// Settings are what is taken for a trouble. The zero value of each is its default.
+// Settings are the thresholds for findings. A zero value selects the default.
 type Settings struct {
-	Skew     time.Duration // how far clocks may be apart; findings of several boxes are widened by it
-	Wave     time.Duration // drains or crashes no further apart than this belong together
-	Burst    float64       // of the usual reads
-	Refused  float64       // share of the reads
-	Retries  float64       // share of the reads
-	Slow     float64       // of the peers' answers for each running request
-	Sustain  int           // seconds in a row that it takes
-	Expected []string      // boxes that must have records
+	Skew     time.Duration // maximum difference between the clocks; findings of several boxes are widened by it
+	Wave     time.Duration // maximum time between drains or crashes of one wave
+	Burst    float64       // multiple of the baseline of first attempts
+	Refused  float64       // minimum share of the reads
+	Retries  float64       // minimum share of the reads
+	Slow     float64       // share of the peers' answers per running request
+	Sustain  int           // minimum consecutive seconds
+	Expected []string      // boxes that should have records
 }
 
 func (s Settings) defaults() Settings {
@@ -124,17 +124,17 @@
 	return s
 }
 
-// course is what is worked on.
-type course struct {
-	set      Settings
+// analysis is the state of one call of Find.
+type analysis struct {
+	settings Settings
 	boxes    []Box
-	from, to time.Duration // of all records
+	from, to time.Duration // interval of all records
 	findings []Finding
 }
 
-// Find works out what happened.
+// Find derives the findings from the records of the boxes.
 func Find(boxes []Box, set Settings) []Finding {
-	c := &course{set: set.defaults(), boxes: boxes, from: 1<<63 - 1}
+	c := &analysis{settings: set.defaults(), boxes: boxes, from: 1<<63 - 1}
 	for _, b := range boxes {
 		for _, l := range b.Lives {
 			for _, e := range l.Events { // a clock may step back within a life
@@ -142,29 +142,29 @@
 			}
 		}
 	}
-	c.absent()
+	c.missingRecords()
 	for _, b := range boxes {
 		c.lives(b)
 		c.states(b)
 	}
 	c.waves(Drained, Deploy)
 	c.waves(Crash, CrashWave)
-	c.load()
-	c.slow()
+	c.loadFindings()
+	c.slowBoxes()
 	c.order()
 	return c.findings
 }
 
-func (c *course) add(f Finding) {
+func (c *analysis) add(f Finding) {
 	if len(f.Boxes) > 1 {
-		f.From -= c.set.Skew
-		f.To += c.set.Skew
+		f.From -= c.settings.Skew
+		f.To += c.settings.Skew
 	}
 	c.findings = append(c.findings, f)
 }
 
-// order sorts the findings by their begin and marks those that came first.
-func (c *course) order() {
+// order sorts the findings by their start and marks those that began first.
+func (c *analysis) order() {
 	slices.SortStableFunc(c.findings, func(a, b Finding) int {
 		return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Kind, b.Kind), slices.Compare(a.Boxes, b.Boxes))
 	})
@@ -179,14 +179,14 @@
 	}
 }
 
-// absent finds what is missing.
-func (c *course) absent() {
-	there := map[string]bool{}
+// missingRecords reports missing records and expected boxes without records.
+func (c *analysis) missingRecords() {
+	hasRecords := map[string]bool{}
 	for _, b := range c.boxes {
-		there[b.Name] = len(b.Lives) > 0
+		hasRecords[b.Name] = len(b.Lives) > 0
 		for _, l := range b.Lives {
 			for _, g := range l.Gaps {
-				if g.To == 0 { // a tail is told with the life's end
+				if g.To == 0 { // a missing tail is reported with the end of the life
 					continue
 				}
 				text := fmt.Sprintf("%s: records are %s", l.Name, g.Why)
@@ -197,14 +197,14 @@
 			}
 		}
 	}
-	for _, name := range c.set.Expected {
-		if !there[name] {
-			c.add(Finding{Kind: NoRecords, From: c.from, To: c.to, Boxes: []string{name}, Evidence: []string{"others name it, and it has left none"}, Confidence: 1})
+	for _, name := range c.settings.Expected {
+		if !hasRecords[name] {
+			c.add(Finding{Kind: NoRecords, From: c.from, To: c.to, Boxes: []string{name}, Evidence: []string{"it is expected, but has left no records"}, Confidence: 1})
 		}
 	}
 }
 
-// last gives the last event of a kind, or nil.
+// last returns the last event of a kind, or nil.
 func (l *Life) last(k EventKind) *Event {
 	for i := len(l.Events) - 1; i >= 0; i-- {
 		if l.Events[i].Kind == k {
@@ -214,23 +214,24 @@
 	return nil
 }
 
-// unsure is how much is left of a confidence across the gaps of a life that lie in an interval.
-func (l *Life) unsure(from, to time.Duration) (factor float64, said []string) {
+// confidenceAcross returns the factor by which the gaps of a life within an interval reduce a confidence, and the evidence for it.
+func (l *Life) confidenceAcross(from, to time.Duration) (factor float64, evidence []string) {
 	factor = 1
 	for _, g := range l.Gaps {
 		if g.To != 0 && g.From <= to && g.To >= from {
 			factor = 0.6
-			said = append(said, fmt.Sprintf("records are missing from %v to %v", g.From, g.To))
+			evidence = append(evidence, fmt.Sprintf("records are missing from %v to %v", g.From, g.To))
 		}
 	}
-	return factor, said
+	return factor, evidence
 }
 
-// aliveFor is how long before the end of all records a box may have fallen silent and still count as alive.
+// aliveFor is the maximum time between the last record of a box and the end of all records for which the box counts as
+// alive.
 const aliveFor = 3 * time.Second
 
-// lives tells how each life of a box began and ended: drained, killed in a drain, crashed, or still there.
-func (c *course) lives(b Box) {
+// lives reports how each life of a box began and ended: drained, killed during a drain, crashed, or still alive.
+func (c *analysis) lives(b Box) {
 	for i := range b.Lives {
 		l := &b.Lives[i]
 		if len(l.Events) == 0 {
@@ -249,39 +250,39 @@
 		switch {
 		case drain != nil && end != nil:
 			f.Kind, f.From, f.To = Drained, drain.At, end.At
-			f.Evidence = []string{"the notice was taken", "all was answered"}
+			f.Evidence = []string{"the drain notice was received", "all requests were answered"}
 		case drain != nil:
 			f.Kind, f.From = KilledDrain, drain.At
-			f.Evidence = []string{"the notice was taken", "no end was recorded"}
+			f.Evidence = []string{"the drain notice was received", "no end was recorded"}
 			if c.to-final.At < aliveFor && i == len(b.Lives)-1 {
-				continue // it drains still
+				continue // the drain may still be in progress
 			}
 		case end != nil:
 			continue
 		case i == len(b.Lives)-1 && c.to-final.At < aliveFor:
-			continue // alive
+			continue // still alive
 		default:
 			f.Kind, f.From = Crash, final.At
-			f.Evidence = []string{"its records stop without a notice or an end"}
+			f.Evidence = []string{"its records stop without a drain notice or an end"}
 			if i+1 < len(b.Lives) {
-				f.Evidence = append(f.Evidence, "it came back as "+b.Lives[i+1].Name)
+				f.Evidence = append(f.Evidence, "it restarted as "+b.Lives[i+1].Name)
 			} else {
 				f.Confidence = 0.6
-				f.Evidence = append(f.Evidence, "it did not come back, so its records may only be cut")
+				f.Evidence = append(f.Evidence, "it did not restart, so its records may merely be truncated")
 			}
 		}
 		for _, g := range l.Gaps {
 			if g.To == 0 && g.Why == "cut" {
 				f.Confidence *= 0.7
-				f.Evidence = append(f.Evidence, "its last records are cut, so what came after is not known")
+				f.Evidence = append(f.Evidence, "its last records are truncated, so what happened afterwards is not known")
 			}
 		}
 		c.add(f)
 	}
 }
 
-// states finds the stretches in which a box had no engine or no catalog, and its reloads.
-func (c *course) states(b Box) {
+// states reports the intervals in which a box had no engine or no catalog, and its reloads.
+func (c *analysis) states(b Box) {
 	for i := range b.Lives {
 		l := &b.Lives[i]
 		away := map[EventKind]time.Duration{}
@@ -289,20 +290,20 @@
 		for _, e := range l.Events {
 			switch e.Kind {
 			case Reload:
-				text := "a new configuration was taken"
+				text := "a new configuration was accepted"
 				if !e.OK {
-					text = "a new configuration was turned down"
+					text = "a new configuration was rejected"
 				}
 				c.add(Finding{Kind: Reloaded, From: e.At, To: e.At, Boxes: []string{b.Name}, Evidence: []string{text}, Confidence: 1})
 			case Link, Catalog:
-				from, is := away[e.Kind]
+				from, known := away[e.Kind]
 				switch {
-				case !e.OK && !is:
+				case !e.OK && !known:
 					away[e.Kind] = e.At
-				case e.OK && is:
+				case e.OK && known:
 					delete(away, e.Kind)
-					factor, said := l.unsure(from, e.At)
-					c.add(Finding{Kind: names[e.Kind], From: from, To: e.At, Boxes: []string{b.Name}, Evidence: append([]string{"lost, then there again"}, said...), Confidence: factor})
+					factor, evidence := l.confidenceAcross(from, e.At)
+					c.add(Finding{Kind: names[e.Kind], From: from, To: e.At, Boxes: []string{b.Name}, Evidence: append([]string{"lost, then available again"}, evidence...), Confidence: factor})
 				}
 			}
 		}
@@ -312,8 +313,9 @@
 	}
 }
 
-// waves puts findings of one kind that follow each other closely together.
-func (c *course) waves(of, as Kind) {
+// waves finds sequences of findings of kind of in which each starts soon after the previous one ended, and adds a
+// finding of kind as for each sequence that involves several boxes.
+func (c *analysis) waves(of, as Kind) {
 	var list []Finding
 	for _, f := range c.findings {
 		if f.Kind == of {
@@ -323,7 +325,7 @@
 	slices.SortFunc(list, func(a, b Finding) int { return cmp.Compare(a.From, b.From) })
 	for from := 0; from < len(list); {
 		to := from + 1
-		for to < len(list) && list[to].From-list[to-1].To <= c.set.Wave {
+		for to < len(list) && list[to].From-list[to-1].To <= c.settings.Wave {
 			to++
 		}
 		if wave := list[from:to]; len(wave) > 1 {
--- a/internal/decide/timeline/timeline_test.go
+++ b/internal/decide/timeline/timeline_test.go
@@ -15,23 +15,23 @@
 
 const s = time.Second
 
-// day is what happens to a fleet, in seconds from its begin.
-type day struct {
+// scenario describes the events in a fleet, in seconds from its start.
+type scenario struct {
 	boxes, seconds int
-	crash          map[int][2]int // box: dies at, back at
-	drain          map[int][3]int // box: notice, end (or -1 for a kill), back at
+	crash          map[int][2]int // by box: crash, restart
+	drain          map[int][3]int // by box: drain notice, end (or -1 for a kill), restart
 	slow           map[int][2]int
 	burst          [2]int
-	refuse         [2]int
-	retry          [2]int
+	reject         [2]int
+	retries        [2]int
 	engine         map[int][2]int
 	reload         map[int]int
-	silent         map[int][2]int // box: records absent from, to
+	silent         map[int][2]int // by box: start and end of the missing records
 }
 
 func within(t int, span [2]int) bool { return span[1] > 0 && t >= span[0] && t < span[1] }
 
-func (d day) play(seed uint64) []Box {
+func (d scenario) play(seed uint64) []Box {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var list []Box
 	for b := range d.boxes {
@@ -85,11 +85,11 @@
 			if within(t, d.burst) {
 				e.Read = e.Read * 3 / 2
 			}
-			if within(t, d.retry) {
+			if within(t, d.retries) {
 				e.Retries = e.Read
 				e.Read *= 2
 			}
-			if within(t, d.refuse) {
+			if within(t, d.reject) {
 				e.Refused = e.Read / 3
 			}
 			e.Served = e.Read - e.Refused
@@ -111,8 +111,8 @@
 	return list
 }
 
-// told lists the findings as text, with their times in seconds from the begin.
-func told(list []Finding) (out []string) {
+// summaries formats the findings as text, with times in seconds from the start.
+func summaries(list []Finding) (out []string) {
 	for _, f := range list {
 		who := strings.Join(f.Boxes, "+")
 		if len(f.Boxes) > 3 {
@@ -123,43 +123,43 @@
 	return out
 }
 
-func TestWhatHappenedIsFoundAndNothingElse(t *testing.T) {
-	for name, k := range map[string]struct {
-		day  day
+func TestScenariosGiveExpectedFindings(t *testing.T) {
+	for name, c := range map[string]struct {
+		day  scenario
 		want []string
 	}{
-		"calm":            {day{boxes: 8, seconds: 90}, nil},
-		"a crash":         {day{boxes: 8, seconds: 90, crash: map[int][2]int{2: {40, 55}}}, []string{"crash n2 39-39", "cold start n2 55-65"}},
-		"a drain":         {day{boxes: 8, seconds: 90, drain: map[int][3]int{1: {30, 33, 40}}}, []string{"drain n1 30-33"}},
-		"a killed drain":  {day{boxes: 8, seconds: 90, drain: map[int][3]int{1: {30, -1, 40}}}, []string{"killed in drain n1 30-32"}},
-		"a deploy":        {day{boxes: 4, seconds: 90, drain: map[int][3]int{0: {20, 23, 26}, 1: {26, 29, 32}, 2: {32, 35, 38}}}, []string{"deploy n0+n1+n2 20-35", "drain n0 20-23", "drain n1 26-29", "drain n2 32-35"}},
-		"two crash":       {day{boxes: 8, seconds: 90, crash: map[int][2]int{2: {40, 55}, 5: {42, 56}}}, []string{"crash n2 39-39", "crashes together n2+n5 39-41", "crash n5 41-41", "cold start n2 55-65", "cold start n5 56-66"}},
-		"a slow box":      {day{boxes: 8, seconds: 90, slow: map[int][2]int{3: {40, 60}}}, []string{"slow box n3 42-61"}},
-		"a burst":         {day{boxes: 8, seconds: 90, burst: [2]int{40, 47}}, []string{"burst 8 boxes 40-47"}},
-		"a slow in burst": {day{boxes: 8, seconds: 90, burst: [2]int{40, 47}, slow: map[int][2]int{3: {35, 60}}}, []string{"slow box n3 37-61", "burst 8 boxes 40-47"}},
-		"overload":        {day{boxes: 8, seconds: 90, refuse: [2]int{50, 60}}, []string{"overload 8 boxes 50-60"}},
-		"a storm":         {day{boxes: 8, seconds: 90, retry: [2]int{50, 60}}, []string{"retry storm 8 boxes 50-60"}},
-		"an engine away":  {day{boxes: 8, seconds: 90, engine: map[int][2]int{6: {30, 36}}}, []string{"engine away n6 30-36"}},
-		"a reload":        {day{boxes: 8, seconds: 90, reload: map[int]int{6: 30}}, []string{"reload n6 30-30"}},
-		"a gap":           {day{boxes: 8, seconds: 90, silent: map[int][2]int{4: {30, 40}}}, []string{"records missing n4 29-40"}},
+		"no event":          {scenario{boxes: 8, seconds: 90}, nil},
+		"a crash":           {scenario{boxes: 8, seconds: 90, crash: map[int][2]int{2: {40, 55}}}, []string{"crash n2 39-39", "cold start n2 55-65"}},
+		"a drain":           {scenario{boxes: 8, seconds: 90, drain: map[int][3]int{1: {30, 33, 40}}}, []string{"drain n1 30-33"}},
+		"a killed drain":    {scenario{boxes: 8, seconds: 90, drain: map[int][3]int{1: {30, -1, 40}}}, []string{"killed in drain n1 30-32"}},
+		"a deploy":          {scenario{boxes: 4, seconds: 90, drain: map[int][3]int{0: {20, 23, 26}, 1: {26, 29, 32}, 2: {32, 35, 38}}}, []string{"deploy n0+n1+n2 20-35", "drain n0 20-23", "drain n1 26-29", "drain n2 32-35"}},
+		"two crashes":       {scenario{boxes: 8, seconds: 90, crash: map[int][2]int{2: {40, 55}, 5: {42, 56}}}, []string{"crash n2 39-39", "crashes together n2+n5 39-41", "crash n5 41-41", "cold start n2 55-65", "cold start n5 56-66"}},
+		"a slow box":        {scenario{boxes: 8, seconds: 90, slow: map[int][2]int{3: {40, 60}}}, []string{"slow box n3 42-61"}},
+		"a burst":           {scenario{boxes: 8, seconds: 90, burst: [2]int{40, 47}}, []string{"burst 8 boxes 40-47"}},
+		"slow box in burst": {scenario{boxes: 8, seconds: 90, burst: [2]int{40, 47}, slow: map[int][2]int{3: {35, 60}}}, []string{"slow box n3 37-61", "burst 8 boxes 40-47"}},
+		"overload":          {scenario{boxes: 8, seconds: 90, reject: [2]int{50, 60}}, []string{"overload 8 boxes 50-60"}},
+		"retry storm":       {scenario{boxes: 8, seconds: 90, retries: [2]int{50, 60}}, []string{"retry storm 8 boxes 50-60"}},
+		"engine away":       {scenario{boxes: 8, seconds: 90, engine: map[int][2]int{6: {30, 36}}}, []string{"engine away n6 30-36"}},
+		"a reload":          {scenario{boxes: 8, seconds: 90, reload: map[int]int{6: 30}}, []string{"reload n6 30-30"}},
+		"missing records":   {scenario{boxes: 8, seconds: 90, silent: map[int][2]int{4: {30, 40}}}, []string{"records missing n4 29-40"}},
 	} {
 		for seed := range uint64(5) {
-			got := Find(k.day.play(seed), Settings{})
+			got := Find(c.day.play(seed), Settings{})
 			var want []string
-			for i, w := range k.want {
+			for i, w := range c.want {
 				want = append(want, w)
-				if i < len(got) && near(told(got[i : i+1])[0], w) { // to the second before or after
-					want[i] = told(got[i : i+1])[0]
+				if i < len(got) && near(summaries(got[i : i+1])[0], w) { // within one second
+					want[i] = summaries(got[i : i+1])[0]
 				}
 			}
-			if !slices.Equal(told(got), want) {
-				t.Errorf("%s, seed %d:\n got %q\nwant %q", name, seed, told(got), k.want)
+			if !slices.Equal(summaries(got), want) {
+				t.Errorf("%s, seed %d:\n got %q\nwant %q", name, seed, summaries(got), c.want)
 			}
 		}
 	}
 }
 
-// near tells whether two findings are the same but for a second at each end.
+// near reports whether two summaries are equal apart from at most one second at each end.
 func near(a, b string) bool {
 	var kind [2]string
 	var from, to [2]int
@@ -171,45 +171,46 @@
 	return kind[0] == kind[1] && max(from[0]-from[1], from[1]-from[0], to[0]-to[1], to[1]-to[0]) <= 1
 }
 
-// TestNothingIsConcludedAcrossAGapUnsaid: the same trouble with and without records is less sure, and says why.
-func TestNothingIsConcludedAcrossAGapUnsaid(t *testing.T) {
-	whole := day{boxes: 8, seconds: 90, burst: [2]int{40, 47}, engine: map[int][2]int{4: {38, 50}}}
-	holed := whole
-	holed.silent = map[int][2]int{4: {41, 45}}
+// TestMissingRecordsLowerConfidence checks that a finding across a gap has a lower confidence and names the missing
+// records.
+func TestMissingRecordsLowerConfidence(t *testing.T) {
+	whole := scenario{boxes: 8, seconds: 90, burst: [2]int{40, 47}, engine: map[int][2]int{4: {38, 50}}}
+	withGap := whole
+	withGap.silent = map[int][2]int{4: {41, 45}}
 	sure, unsure := map[Kind]Finding{}, map[Kind]Finding{}
 	for _, f := range Find(whole.play(1), Settings{}) {
 		sure[f.Kind] = f
 	}
-	for _, f := range Find(holed.play(1), Settings{}) {
+	for _, f := range Find(withGap.play(1), Settings{}) {
 		unsure[f.Kind] = f
 	}
 	for _, k := range []Kind{Burst, NoEngine} {
 		a, b := sure[k], unsure[k]
 		if b.Confidence >= a.Confidence || !strings.Contains(strings.Join(b.Evidence, " "), "missing") {
-			t.Errorf("%s: confidence %v whole and %v with a gap, evidence %v", k, a.Confidence, b.Confidence, b.Evidence)
+			t.Errorf("%s: confidence %v with all records and %v with a gap, evidence %v", k, a.Confidence, b.Confidence, b.Evidence)
 		}
 	}
 	if _, ok := unsure[Missing]; !ok {
-		t.Error("the gap itself is not told")
+		t.Error("no finding reports the gap")
 	}
 }
 
-func TestABoxWithoutRecordsAndACutTail(t *testing.T) {
-	boxes := day{boxes: 4, seconds: 60}.play(1)
+func TestBoxWithoutRecordsAndTruncatedTail(t *testing.T) {
+	boxes := scenario{boxes: 4, seconds: 60}.play(1)
 	boxes[1].Lives[0].Events = boxes[1].Lives[0].Events[:20]
 	boxes[1].Lives[0].Gaps = []Gap{{From: boxes[1].Lives[0].Events[19].At, Why: "cut"}}
 	got := Find(boxes, Settings{Expected: []string{"n0", "n9"}})
-	if s := told(got); !slices.Equal(s, []string{"no records n9 0-59", "crash n1 19-19"}) {
+	if s := summaries(got); !slices.Equal(s, []string{"no records n9 0-59", "crash n1 19-19"}) {
 		t.Fatalf("%q", s)
 	}
 	if f := got[1]; f.Confidence > 0.5 || !strings.Contains(strings.Join(f.Evidence, " "), "not known") {
-		t.Errorf("a tail that is cut is taken for a crash with confidence %v: %v", f.Confidence, f.Evidence)
+		t.Errorf("truncated records are reported as a crash with confidence %v: %v", f.Confidence, f.Evidence)
 	}
 }
 
-// TestSkewWidensAndNeverNarrows: with clocks that may be apart, findings of several boxes reach further.
-func TestSkewWidensAndNeverNarrows(t *testing.T) {
-	boxes := day{boxes: 8, seconds: 90, burst: [2]int{40, 47}, drain: map[int][3]int{1: {30, 33, 40}, 2: {34, 37, 44}}}.play(1)
+// TestSkewWidensFindingsOfSeveralBoxes checks that clock skew extends the intervals of findings of several boxes.
+func TestSkewWidensFindingsOfSeveralBoxes(t *testing.T) {
+	boxes := scenario{boxes: 8, seconds: 90, burst: [2]int{40, 47}, drain: map[int][3]int{1: {30, 33, 40}, 2: {34, 37, 44}}}.play(1)
 	plain, wide := Find(boxes, Settings{}), Find(boxes, Settings{Skew: 3 * s})
 	if len(plain) != len(wide) {
 		t.Fatalf("%d and %d findings", len(plain), len(wide))
@@ -220,14 +221,14 @@
 	for _, k := range []Kind{Burst, Deploy} {
 		a, b := find(plain, k), find(wide, k)
 		if a.From-b.From != 3*s || b.To-a.To != 3*s {
-			t.Errorf("%s: %v-%v became %v-%v", k, a.From, a.To, b.From, b.To)
+			t.Errorf("%s: interval %v-%v became %v-%v", k, a.From, a.To, b.From, b.To)
 		}
 	}
 }
 
-// TestWhatCameFirstIsMarked: of troubles that overlap, the one that began before the others.
-func TestWhatCameFirstIsMarked(t *testing.T) {
-	list := Find(day{boxes: 8, seconds: 120, burst: [2]int{40, 50}, refuse: [2]int{42, 55}, reload: map[int]int{0: 100}}.play(1), Settings{})
+// TestEarliestFindingIsMarkedFirst checks that of overlapping findings the earliest is marked.
+func TestEarliestFindingIsMarkedFirst(t *testing.T) {
+	list := Find(scenario{boxes: 8, seconds: 120, burst: [2]int{40, 50}, reject: [2]int{42, 55}, reload: map[int]int{0: 100}}.play(1), Settings{})
 	var first []Kind
 	for _, f := range list {
 		if f.First {
@@ -235,12 +236,12 @@
 		}
 	}
 	if !slices.Equal(first, []Kind{Burst, Reloaded}) {
-		t.Errorf("first: %v of %q", first, told(list))
+		t.Errorf("marked as first: %v of %q", first, summaries(list))
 	}
 }
 
-// TestAnyRecordsGiveFindingsInOrder feeds random lives: no panic, intervals the right way round, gaps always told.
-func TestAnyRecordsGiveFindingsInOrder(t *testing.T) {
+// TestRandomRecordsGiveOrderedFindings feeds random lives: no panic, valid and ordered findings, every gap reported.
+func TestRandomRecordsGiveOrderedFindings(t *testing.T) {
 	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		boxes := make([]Box, rapid.IntRange(1, 5).Draw(rt, "boxes"))
 		gaps := 0
@@ -275,7 +276,7 @@
 					}
 				}
 				if n != gaps {
-					rt.Fatalf("%d gaps, %d told", gaps, n)
+					rt.Fatalf("%d gaps, %d reported", gaps, n)
 				}
 			},
 		}
--- a/internal/state/audit/audit_test.go
+++ b/internal/state/audit/audit_test.go
@@ -15,7 +15,7 @@
 
 func open(t *testing.T, dir string, limits Limits) (*Log, string) {
 	t.Helper()
-	l, how, err := Open(dir, "n1", limits, wall)
+	l, found, err := Open(dir, "n1", limits, wall)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 		f, err := create(path)
 		return noWaitFile{f}, err
 	}
-	return l, how
+	return l, found
 }
 
 // noWaitFile is a file whose Sync does not wait for the disk: the tests check only its contents.
@@ -63,14 +63,14 @@
 
 func TestWrittenEntriesAreReadAndProven(t *testing.T) {
 	dir := t.TempDir()
-	l, how := open(t, dir, smallLimits)
+	l, found := open(t, dir, smallLimits)
 	marks := write(t, l, 100)
 	l.Close()
 	again, resumed := open(t, dir, smallLimits)
 	marks = append(marks, write(t, again, 50)...)
 	again.Close()
-	if how != "a new chain" || resumed != "the chain goes on" || l.Chain() != again.Chain() {
-		t.Errorf("state at first open %q, at second open %q", how, resumed)
+	if found != "a new chain" || resumed != "the chain goes on" || l.Chain() != again.Chain() {
+		t.Errorf("state at first open %q, at second open %q", found, resumed)
 	}
 	b := read(t, dir)
 	proven, old := b.Against(marks)
@@ -258,7 +258,7 @@
 		return limitedFile{f, &room}, err
 	}
 	write(t, l, 10)
-	for _, left := range []int{0, 1, 30, 60, 100, 150} { // free bytes, so that the write stops at different places within a frame
+	for _, left := range []int{0, 1, 30, 60, 100, 150} { // free bytes; the write stops at different offsets within a frame
 		room = left
 		lost := 0
 		for range 5 {
@@ -268,7 +268,7 @@
 			room = min(room, left)
 		}
 		if lost == 0 {
-			t.Fatalf("room for %d bytes, and nothing is lost", left)
+			t.Fatalf("%d bytes free: no write failed", left)
 		}
 		room = 1 << 20
 		if n, err := l.Write(Entry{Kind: Drain}); err != nil || n == 0 {
@@ -276,7 +276,7 @@
 		}
 		b := read(t, dir)
 		if len(b.Faults) > 0 || b.Lost == 0 {
-			t.Fatalf("room for %d bytes: %v, %d lost", left, b.Faults, b.Lost)
+			t.Fatalf("%d bytes free: faults %v, %d entries lost", left, b.Faults, b.Lost)
 		}
 	}
 	m, err := l.Sync()
@@ -298,7 +298,7 @@
 		l.Write(Entry{Kind: Standing, Index: i})
 	}
 	l.Close()
-	l, how := open(t, dir, DefaultLimits)
+	l, found := open(t, dir, DefaultLimits)
 	l.Write(Entry{Kind: Standing, Index: 1})
 	l.Write(Entry{Kind: Standing, Index: 12})
 	l.Close()
@@ -306,8 +306,8 @@
 	for _, e := range read(t, dir).Entries {
 		got = append(got, e.Index)
 	}
-	if fmt.Sprint(got) != "[5 9 9 9 12]" || !strings.HasPrefix(how, "the chain goes on") {
-		t.Errorf("%v, %s", got, how)
+	if fmt.Sprint(got) != "[5 9 9 9 12]" || !strings.HasPrefix(found, "the chain goes on") {
+		t.Errorf("%v, %s", got, found)
 	}
 }
 
--- a/internal/state/keystore/keystore_test.go
+++ b/internal/state/keystore/keystore_test.go
@@ -97,31 +97,31 @@
 	for at := range ops {
 		for _, torn := range []int{-1, 0, 1, 20, 40, 1 << 20} { // -1: full disk; otherwise bytes written before the kill
 			root := filepath.Join(t.TempDir(), "store")
-			files, kept := faultfs.NewFaulty(), 0
+			files, stored := faultfs.NewFaulty(), 0
 			if torn < 0 {
 				files.FullAt(at)
 			} else {
 				files.KillAt(at, torn)
 			}
 			s := open(t, files, root)
-			tried := 0
+			attempted := 0
 			for n := 1; n <= 5; n++ {
-				tried = n
+				attempted = n
 				if err := s.PutGeneration("site", generation(n)); err == nil {
-					kept = n
+					stored = n
 				} else if torn >= 0 {
 					break
 				}
 			}
 			again := open(t, faultfs.Disk{}, root)
 			g, _, err := again.Generation("site")
-			if kept == 0 && errors.Is(err, ErrNone) {
+			if stored == 0 && errors.Is(err, ErrNone) {
 				continue
 			}
 			var got int
 			fmt.Sscanf(string(g.Key), "key %d", &got)
-			if err != nil || got < kept || got > tried {
-				t.Fatalf("operation %d, %d bytes: found generation %d (%v), last stored %d, last attempted %d", at, torn, got, err, kept, tried)
+			if err != nil || got < stored || got > attempted {
+				t.Fatalf("operation %d, %d bytes: found generation %d (%v), last stored %d, last attempted %d", at, torn, got, err, stored, attempted)
 			}
 			if err := again.PutGeneration("site", generation(9)); err != nil {
 				t.Fatal(err)
--- a/internal/state/records/records.go
+++ b/internal/state/records/records.go
@@ -32,7 +32,7 @@
 const (
 	KindHead    Kind = iota + 1 // first record of a segment
 	KindStart                   // the process accepts requests
-	KindWarm                    // the CPU cores have warmed up
+	KindWarm                    // the cores have warmed up
 	KindLink                    // the connection to the engine was established or lost
 	KindReload                  // a new configuration was accepted or rejected
 	KindDrain                   // the drain notice was received
--- a/internal/state/records/records_test.go
+++ b/internal/state/records/records_test.go
@@ -162,12 +162,12 @@
 		dir := t.TempDir()
 		d := &limitedDisk{free: room}
 		r, _ := newRecorder(t, d, dir, "i", DefaultLimits)
-		refused := false
+		writeFailed := false
 		for i := range 20 {
 			r.Add(Record{Kind: KindGauge, Gauge: &Gauge{Held: uint16(i)}})
 			if i%3 == 0 {
 				err := r.Flush()
-				refused = refused || err != nil
+				writeFailed = writeFailed || err != nil
 				if err != nil && !errors.Is(err, syscall.ENOSPC) {
 					t.Fatal(err)
 				}
@@ -184,10 +184,10 @@
 		if len(list) != 1 {
 			t.Fatalf("room for %d bytes: %d incarnations", room, len(list))
 		}
-		seen, absent, told := map[uint64]bool{}, uint64(0), uint64(0)
+		seen, absent, reported := map[uint64]bool{}, uint64(0), uint64(0)
 		for _, rec := range list[0].Records {
 			seen[rec.N] = true
-			told += rec.Lost
+			reported += rec.Lost
 		}
 		last := list[0].Records[len(list[0].Records)-1]
 		for n := uint64(1); n <= last.N; n++ {
@@ -195,8 +195,8 @@
 				absent++
 			}
 		}
-		if last.Kind != KindEnd || (absent > 0) != refused && absent > 0 || told < absent {
-			t.Fatalf("room for %d bytes: %d records absent, %d reported as lost, write failed %v, last kind %v", room, absent, told, refused, last.Kind)
+		if last.Kind != KindEnd || (absent > 0) != writeFailed && absent > 0 || reported < absent {
+			t.Fatalf("room for %d bytes: %d records absent, %d reported as lost, write failed %v, last kind %v", room, absent, reported, writeFailed, last.Kind)
 		}
 	}
 }
