--- a/internal/lab/mutants/crossings.go
+++ b/internal/lab/mutants/crossings.go
@@ -32,5 +32,5 @@
 	{"an engine's end word that is not known is fine", "internal/engine/lines.go", "		if !known {", "		if false && !known {", "./internal/engine", "TestGarbageEndsTheLink"},
 	{"an end that is carried out twice", "internal/front/ends.go", "	case conns.Close:\n		c.mu.Lock()\n		first := !c.shut", "	case conns.Close:\n		c.mu.Lock()\n		first := true", "./internal/front", "TestAnEndIsCarriedOutOnce"},
 	{"an address that is taken ends the start", "internal/daemon/daemon.go", "if !errors.Is(err, syscall.EADDRINUSE) || ", "if err == nil || errors.Is(err, syscall.EADDRINUSE) || ", "./cmd/cairnlane", "TestAnAddressThatIsStillTakenIsWaitedFor"},
-	{"claims given up before the engine", "internal/daemon/daemon.go", "		s.endEngine()\n		s.endClaims()\n", "		s.endClaims()\n		s.endEngine()\n", "./internal/daemon", "TestTheClaimsAreGivenUpWhenNothingCanBeRun"},
+	{"claims given up before the engine", "internal/daemon/daemon.go", "		s.endEngine()\n		if s.index != nil {\n			s.index.Close()\n		}\n		s.endClaims()\n", "		s.endClaims()\n		s.endEngine()\n		if s.index != nil {\n			s.index.Close()\n		}\n", "./internal/daemon", "TestTheClaimsAreGivenUpWhenNothingCanBeRun"},
 }
