--- a/internal/decide/conns/ending.go
+++ b/internal/decide/conns/ending.go
@@ -1,148 +1,149 @@
-// Package conns decides which router connections are kept and when one of them may be ended. It does no I/O:
-// the front tells what it sees of a connection and carries out what is decided.
+// Package conns decides which router connections are kept and when one may be closed. It does no I/O: the front
+// passes in what it observes of a connection and carries out the decisions.
 //
-// One rule holds for every end, whatever its reason. What was written whole to the connection before the look
-// that the end rests on has been read and answered, and its answer has been taken by the peer. A request that
-// is written after that look crosses the close: nothing of it is run, so its router sends it again.
+// Every close follows one rule, whatever its reason. Each request that was completely written to the connection
+// before the observation that the close is based on has been read and answered, and the peer has acknowledged the
+// answer. A request written after that observation races with the close: no part of it is run, so the router sends
+// it again.
 package conns
 
 import "time"
 
-// Reason says why a connection is to be ended.
+// Reason says why a connection is closed.
 type Reason uint8
 
-// The reasons. The first four are withdrawn when the connection turns out to be in use.
+// The reasons. Evicted, Idle, Overdue and Exit are withdrawn when the connection turns out to be in use.
 const (
 	None    Reason = iota
-	Evicted        // the table is full and this one is missed least
-	Idle           // it has carried nothing for too long
-	Overdue        // its first good call, or the rest of a frame, is late (see Stay)
-	Exit           // the process ends
-	Garbage        // it sent what cannot be read
-	Deaf           // it does not read its answers, and the bound on them is reached
+	Evicted        // the table is full and this connection is the first to be evicted
+	Idle           // nothing was transferred for the idle time-out
+	Overdue        // its first valid call, or the rest of a frame, is late (see Stay)
+	Exit           // the process exits
+	Garbage        // its input cannot be parsed
+	Deaf           // the peer does not read its answers, and the limit on unread output is reached
 	Broken         // a write to it failed
 	reasons
 )
 
-// Reasons is how many there are.
+// Reasons is the number of reasons.
 const Reasons = int(reasons)
 
 var names = [Reasons]string{"none", "evicted", "idle", "overdue", "exit", "garbage", "deaf", "broken"}
 
-// String is the reason's name in counters and logs.
+// String returns the reason's name in counters and logs.
 func (r Reason) String() string { return names[r] }
 
 const (
-	// answerTime bounds how long a peer that sent garbage is kept for the answers to what it sent before.
-	// Such a client is owed an end within 3 s of connecting.
+	// answerTime bounds how long a connection with malformed input is kept for the answers to its earlier requests.
+	// Such a client must be disconnected within 3 s of connecting.
 	answerTime = time.Second
-	// lingerTime bounds how long input is read and thrown away after our side of the connection was ended.
-	// Closed with unread input, the kernel would reset the connection and take back answers on their way.
+	// lingerTime bounds how long input is read and discarded after the write side was closed. If the socket were
+	// closed with unread input, the kernel would send a reset and the peer could lose answers in flight.
 	lingerTime = 500 * time.Millisecond
-	// DiscardMost bounds the input that is thrown away for such a peer, in bytes.
+	// DiscardMost bounds the input in bytes that is discarded before the connection is closed.
 	DiscardMost = 256 << 10
 )
 
-// View is what is seen of a connection. Input moves from each of the first three fields to the next. Between
-// Kernel and Reader lies a place that cannot be seen, the poller's hands. So whoever looks is either the poller
-// itself, or has found Kernel at 0 once before and has seen the poller go round since.
+// View is an observation of a connection. Input moves from Kernel to Reader to Feeding. Input that the poller has
+// read from the kernel and not yet passed to the reader is not visible. So the observer must either be the poller
+// itself, or have seen Kernel at 0 before and have waited for one full poller iteration since.
 type View struct {
-	Kernel  int  // bytes of input that the kernel holds
-	Reader  int  // bytes of input that were read and not yet handed to the session
-	Feeding bool // the session is at work on input
-	Partial bool // a frame is begun and not whole
-	Open    int  // calls without their answer
-	Unsent  bool // answers that the kernel has not yet taken
-	Unacked int  // bytes of answers that the peer's kernel has not yet taken
+	Kernel  int  // bytes of input in the kernel's receive buffer
+	Reader  int  // bytes of input that were read and not yet passed to the session
+	Feeding bool // the session is processing input
+	Partial bool // a frame is incomplete
+	Open    int  // calls that are not answered yet
+	Unsent  bool // there are answers that were not yet written to the kernel
+	Unacked int  // bytes of answers that the peer's kernel has not acknowledged
 }
 
-// Quiet tells whether nothing whole stands unread and nothing unanswered or on its way.
+// Quiet reports whether no complete request is unread and no answer is outstanding or in flight.
 func (v View) Quiet() bool {
 	return v.Kernel == 0 && v.Reader == 0 && !v.Feeding && v.Open == 0 && !v.Unsent && v.Unacked == 0
 }
 
-// owes tells whether there are answers that the peer has not got.
-func (v View) owes() bool { return v.Open > 0 || v.Unsent || v.Unacked > 0 }
+// hasPendingAnswers reports whether there are answers that the peer has not received.
+func (v View) hasPendingAnswers() bool { return v.Open > 0 || v.Unsent || v.Unacked > 0 }
 
-// State is how far the end of a connection has come.
+// State is the stage that the close of a connection has reached.
 type State uint8
 
-// The states. Answering, Lingering and Ended take no more calls.
+// The states. In Answering, Lingering and Ended no calls are accepted.
 const (
 	Serving   State = iota
-	Answering       // input is thrown away; what was taken before is still answered
-	Lingering       // our side is ended; input is read out until the peer ends its own
+	Answering       // input is discarded; calls accepted earlier are still answered
+	Lingering       // the write side is closed; input is discarded until the peer closes its side
 	Ended           // closed, or to be closed at once
 )
 
-// Action is what is to be done with the connection now.
+// Action is the next operation on the connection.
 type Action uint8
 
 // The actions.
 const (
 	Keep      Action = iota
-	HalfClose        // end our side, after which the connection is Lingering
+	HalfClose        // close the write side; the connection is Lingering afterwards
 	Close
 )
 
-// Ending is the end of one connection. The zero value is that of one in service. It is not safe for
-// concurrent use; whoever carries it out must take the View and the step under one lock with the taking of
-// calls, so that none is taken between the look and the end.
+// Ending is the state machine that closes one connection. The zero value is a connection in service. It is not safe
+// for concurrent use; the caller must hold, while it takes the View and calls Want or Step, the lock under which
+// calls are accepted, so that no call is accepted between the observation and the decision.
 type Ending struct {
-	state     State
-	reason    Reason
-	began     time.Duration
-	until     time.Duration // of the linger
-	discarded int
+	state       State
+	reason      Reason
+	startedAt   time.Duration
+	lingerUntil time.Duration // end of the linger period
+	discarded   int
 }
 
-// State tells how far it has come.
+// State returns the current state.
 func (e *Ending) State() State { return e.state }
 
-// Reason tells why it ends, or None.
+// Reason returns why the connection is closed, or None.
 func (e *Ending) Reason() Reason { return e.reason }
 
-// Takes tells whether calls are still taken.
+// Takes reports whether calls are still accepted.
 func (e *Ending) Takes() bool { return e.state == Serving }
 
-// Discard counts input that was thrown away.
+// Discard adds n bytes to the input that was discarded.
 func (e *Ending) Discard(n int) { e.discarded += n }
 
-// Want asks for an end. A reason that can be withdrawn ends a quiet connection at once and leaves any other as
-// it is: it may be asked for again. The others begin an end that Step carries on.
-func (e *Ending) Want(now time.Duration, why Reason, v View) Action {
+// Want requests a close. For a reason that can be withdrawn, it closes a quiet connection at once and leaves any
+// other unchanged; the caller may request it again. Any other reason starts a close that Step continues.
+func (e *Ending) Want(now time.Duration, reason Reason, v View) Action {
 	if e.state != Serving {
 		return e.Step(now, v)
 	}
-	switch why {
-	case Evicted, Idle, Overdue, Exit: // a frame that is not whole is no request yet
+	switch reason {
+	case Evicted, Idle, Overdue, Exit: // an incomplete frame is not a request yet
 		if !v.Quiet() {
 			return Keep
 		}
 	case Garbage:
-		e.state, e.reason, e.began = Answering, why, now
-		if v.owes() {
+		e.state, e.reason, e.startedAt = Answering, reason, now
+		if v.hasPendingAnswers() {
 			return Keep
 		}
 	}
-	e.state, e.reason = Ended, why
+	e.state, e.reason = Ended, reason
 	return Close
 }
 
-// Step carries an end on that has begun. At Ended it says Close each time.
+// Step continues a close that has started. In state Ended it returns Close each time.
 func (e *Ending) Step(now time.Duration, v View) Action {
 	switch e.state {
 	case Answering:
-		late := now >= e.began+answerTime || e.discarded > DiscardMost
-		if v.owes() && !late {
+		expired := now >= e.startedAt+answerTime || e.discarded > DiscardMost
+		if v.hasPendingAnswers() && !expired {
 			return Keep
 		}
-		if !late {
-			e.state, e.until = Lingering, now+lingerTime
+		if !expired {
+			e.state, e.lingerUntil = Lingering, now+lingerTime
 			return HalfClose
 		}
 	case Lingering:
-		if now < e.until && e.discarded <= DiscardMost {
+		if now < e.lingerUntil && e.discarded <= DiscardMost {
 			return Keep
 		}
 	case Serving:
--- a/internal/decide/conns/model_test.go
+++ b/internal/decide/conns/model_test.go
@@ -6,75 +6,76 @@
 	"testing"
 )
 
-// The model: one connection from the router's write to the router's kernel that takes the answer, with all that
-// can happen in any order, and a closer that looks and then closes. A request is two bytes, so that one can be
-// half written, half read. Every state that can be reached is visited.
+// The model covers one connection from the router's write to the acknowledgement of the answer by the router's
+// kernel, with all events in any order, and a closer that observes the connection and then closes it. A request has
+// two bytes, so that it can be half written or half read. Every reachable state is visited.
 const (
-	asked = 3         // requests that the router writes
-	bytes = 2 * asked // and their bytes
+	requestCount = 3                // requests that the router writes
+	byteCount    = 2 * requestCount // bytes of all requests
 )
 
-// What has become of a request.
+// The stages of a request.
 const (
-	unread  = iota
-	taken   // handed to the core: it may run
-	waiting // answered, in the outbox
-	sent    // in our kernel
-	got     // in the router's kernel
+	stageUnread   = iota
+	stageAccepted // handed to the core: it may run
+	stageAnswered // answered; the answer is in the outbox
+	stageSent     // the answer is in our kernel
+	stageReceived // the answer is in the router's kernel
 )
 
-// world is a state. The first five count bytes that have come past a place, in the order in which they do.
-type world struct {
-	wrote, left, acked, next, parsed uint8 // written; out of the kernel; in the reader; with the feed; parsed
+// modelState is one state of the model. The first five fields count the bytes that have passed a stage, in the
+// order of the stages.
+type modelState struct {
+	written, polled, queued, fed, parsed uint8 // written by the router; read from the kernel; passed to the reader; taken by the task; parsed
 
-	stage  [asked]uint8
-	task   uint8 // 0 none, 1 queued, 2 feeding
-	garble bool  // the last byte that the router writes is garbage
+	stage   [requestCount]uint8
+	task    uint8 // 0 none, 1 queued, 2 feeding
+	garbage bool  // the last byte that the router writes is malformed
 
-	end     Ending
-	step    uint8 // of the closer
-	locked  bool  // the closer holds the session's lock
-	looked  uint8 // wrote, at the look that counts
-	kernel  uint8 // what it saw there
-	closing bool  // the close was called
-	closed  bool  // the descriptor is closed
-	half    bool  // our side is ended
+	end           Ending
+	closerStep    uint8 // the closer's next step
+	locked        bool  // the closer holds the session's lock
+	writtenAtLook uint8 // value of written at the observation that the close is based on
+	kernelSeen    uint8 // unread bytes in the kernel at that observation
+	closing       bool  // close was called
+	closed        bool  // the descriptor is closed
+	halfClosed    bool  // our write side is closed
 }
 
-// way is how the closer works. The zero value of each part leaves it out, for the mutants.
-type way struct {
-	name   string
-	why    Reason
-	before bool // looks at the usage alone and closes later, as before there was one place for it
-	poller bool // is called by the poller
-	fence  bool
-	seal   bool // what is fed after the decision is thrown away
-	kernel bool // looks at the kernel
-	reader bool
-	feed   bool
-	unsent bool
-	acks   bool
+// closer configures how the closer works. Each check that is false is left out, which gives the mutants.
+type closer struct {
+	name          string
+	reason        Reason
+	separateClose bool // observes only the usage and closes in a separate step
+	onPoller      bool // runs in the poller's goroutine
+	awaitPoller   bool // waits for a full poller iteration between two observations
+	discardLate   bool // input that arrives after the decision is discarded
+	checkKernel   bool
+	checkReader   bool
+	checkFeeding  bool
+	checkUnsent   bool
+	checkUnacked  bool
 }
 
 var (
-	evict = way{name: "evict", why: Evicted, poller: true, seal: true, kernel: true, reader: true, feed: true, unsent: true, acks: true}
-	sweep = way{name: "sweep", why: Idle, fence: true, seal: true, kernel: true, reader: true, feed: true, unsent: true, acks: true}
+	evict = closer{name: "evict", reason: Evicted, onPoller: true, discardLate: true, checkKernel: true, checkReader: true, checkFeeding: true, checkUnsent: true, checkUnacked: true}
+	sweep = closer{name: "sweep", reason: Idle, awaitPoller: true, discardLate: true, checkKernel: true, checkReader: true, checkFeeding: true, checkUnsent: true, checkUnacked: true}
 )
 
-// done tells how many whole requests lie within so many bytes.
-func done(n uint8) int { return int(n) / 2 }
+// completeRequests returns how many complete requests n bytes hold.
+func completeRequests(n uint8) int { return int(n) / 2 }
 
-func (w *world) open() (n int) {
+func (w *modelState) openCalls() (n int) {
 	for _, s := range w.stage {
-		if s == taken {
+		if s == stageAccepted {
 			n++
 		}
 	}
 	return n
 }
 
-// count tells how many requests stand at a stage.
-func (w *world) count(stage uint8) (n int) {
+// countStage returns the number of requests at a stage.
+func (w *modelState) countStage(stage uint8) (n int) {
 	for _, s := range w.stage {
 		if s == stage {
 			n++
@@ -83,98 +84,100 @@
 	return n
 }
 
-// shut closes the descriptor and tells what that loses.
-func (w *world) shut(y way) string {
+// closeAndFindLoss closes the descriptor and describes the request that is lost by it, or returns "".
+func (w *modelState) closeAndFindLoss(c closer) string {
 	w.closed = true
 	for i, s := range w.stage {
 		switch {
-		case w.garble && i == asked-1: // no request
-		case s == taken || s == waiting:
-			return fmt.Sprintf("request %d was taken and its answer goes nowhere", i)
-		case s == sent && w.wrote > w.left:
-			return fmt.Sprintf("request %d: the reset for unread input takes its answer back", i)
-		case s == unread && done(w.looked) > i && !w.garble:
-			return fmt.Sprintf("request %d stood whole before the look and was not read", i)
+		case w.garbage && i == requestCount-1: // malformed input is not a request
+		case s == stageAccepted || s == stageAnswered:
+			return fmt.Sprintf("request %d was accepted and its answer cannot be sent", i)
+		case s == stageSent && w.written > w.polled:
+			return fmt.Sprintf("request %d: the reset for unread input discards its answer", i)
+		case s == stageUnread && completeRequests(w.writtenAtLook) > i && !w.garbage:
+			return fmt.Sprintf("request %d was complete before the observation and was not read", i)
 		}
 	}
 	return ""
 }
 
-// pollerHeld tells whether the closer stands in the poller's own call.
-func (w *world) pollerHeld(y way) bool { return y.poller && w.step > 0 && !w.closing }
+// pollerBlocked reports whether the closer runs inside a call of the poller.
+func (w *modelState) pollerBlocked(c closer) bool {
+	return c.onPoller && w.closerStep > 0 && !w.closing
+}
 
-type move struct {
+type transition struct {
 	name string
-	w    world
+	w    modelState
 	lost string
 }
 
-// moves lists all that can happen next.
-func (w world) moves(y way) (list []move) {
-	add := func(name string, n world, lost string) { list = append(list, move{name, n, lost}) }
+// transitions returns all events that can happen next.
+func (w modelState) transitions(c closer) (list []transition) {
+	add := func(name string, n modelState, lost string) { list = append(list, transition{name, n, lost}) }
 	if w.closed && w.task == 0 {
 		return nil
 	}
-	if w.wrote < bytes && !w.closed {
+	if w.written < byteCount && !w.closed {
 		n := w
-		n.wrote++
+		n.written++
 		add("router writes a byte", n, "")
 	}
-	if !w.closing && !w.pollerHeld(y) {
-		if w.left == w.acked && w.wrote > w.left {
+	if !w.closing && !w.pollerBlocked(c) {
+		if w.polled == w.queued && w.written > w.polled {
 			n := w
-			n.left = w.wrote
+			n.polled = w.written
 			add("poller reads the kernel", n, "")
 		}
-		if w.left > w.acked {
+		if w.polled > w.queued {
 			n := w
-			n.acked = w.left
+			n.queued = w.polled
 			if n.task == 0 {
 				n.task = 1
 			}
-			add("poller hands it to the reader", n, "")
+			add("poller passes input to the reader", n, "")
 		}
 	}
 	switch {
 	case w.task == 1 && !w.locked:
 		n := w
 		switch {
-		case y.seal && !w.end.Takes():
-			n.end.Discard(int(w.acked - w.next)) // as the front does
-			n.next, n.parsed = w.acked, w.acked
-			n.end.discarded = 0 // the bound is not reached here
+		case c.discardLate && !w.end.Takes():
+			n.end.Discard(int(w.queued - w.fed)) // as the front does it
+			n.fed, n.parsed = w.queued, w.queued
+			n.end.discarded = 0 // the model never reaches the limit
 			n.task = 0
 			if w.closing {
-				add("the task throws input away and closes", n, n.shut(y))
+				add("the task discards input and closes", n, n.closeAndFindLoss(c))
 			} else {
-				add("the task throws input away", n, "")
+				add("the task discards input", n, "")
 			}
 		default:
 			n.task = 2
 			add("the task begins", n, "")
 		}
-	case w.task == 2 && w.next < w.acked && w.parsed == w.next:
+	case w.task == 2 && w.fed < w.queued && w.parsed == w.fed:
 		n := w
-		n.next = w.acked
+		n.fed = w.queued
 		add("the task takes input", n, "")
-	case w.task == 2 && w.parsed < w.next && !w.locked:
+	case w.task == 2 && w.parsed < w.fed && !w.locked:
 		n := w
 		n.parsed++
 		lost := ""
 		switch {
-		case w.garble && n.parsed == bytes: // cannot be read: the connection is to end
-			n.task, n.next = 0, n.parsed
-			act := n.end.Want(0, Garbage, n.see(y))
-			n.do(act, y)
+		case w.garbage && n.parsed == byteCount: // malformed input: the connection is to be closed
+			n.task, n.fed = 0, n.parsed
+			act := n.end.Want(0, Garbage, n.view(c))
+			n.apply(act, c)
 			if n.closing {
-				lost = n.shut(y)
+				lost = n.closeAndFindLoss(c)
 			}
-			add("the task meets garbage", n, lost)
+			add("the task reads malformed input", n, lost)
 			return list
 		case n.parsed%2 == 0:
-			n.stage[done(n.parsed)-1] = taken
+			n.stage[completeRequests(n.parsed)-1] = stageAccepted
 			if w.closing {
-				lost = "taken after the close"
+				lost = "accepted after the close"
 			}
 		}
 		add("the task parses a byte", n, lost)
@@ -182,108 +185,108 @@
 		n := w
 		n.task = 0
 		if w.closing {
-			add("the task ends and closes", n, n.shut(y))
+			add("the task ends and closes", n, n.closeAndFindLoss(c))
 		} else {
 			add("the task ends", n, "")
 		}
 	}
 	if !w.closed {
 		for i, s := range w.stage {
-			if s != taken && s != waiting && s != sent || s == taken && w.locked {
+			if s != stageAccepted && s != stageAnswered && s != stageSent || s == stageAccepted && w.locked {
 				continue
 			}
 			n := w
 			n.stage[i]++
-			add([]string{"", "the core answers", "the outbox writes", "the router's kernel takes"}[s]+fmt.Sprint(" ", i), n, "")
+			add([]string{"", "the core answers", "the outbox writes", "the router's kernel acknowledges"}[s]+fmt.Sprint(" ", i), n, "")
 		}
 	}
-	return append(list, w.closerMoves(y)...)
+	return append(list, w.closerTransitions(c)...)
 }
 
-// see is the whole view at once.
-func (w *world) see(y way) View {
-	v := View{Feeding: y.feed && w.task == 2, Partial: w.parsed%2 == 1, Open: w.open()}
-	if y.kernel {
-		v.Kernel = int(w.wrote - w.left)
+// view returns the View that the closer observes, with the checks that are configured.
+func (w *modelState) view(c closer) View {
+	v := View{Feeding: c.checkFeeding && w.task == 2, Partial: w.parsed%2 == 1, Open: w.openCalls()}
+	if c.checkKernel {
+		v.Kernel = int(w.written - w.polled)
 	}
-	if y.reader {
-		v.Reader = int(w.acked - w.next)
+	if c.checkReader {
+		v.Reader = int(w.queued - w.fed)
 	}
-	if y.unsent {
-		v.Unsent = w.count(waiting) > 0
+	if c.checkUnsent {
+		v.Unsent = w.countStage(stageAnswered) > 0
 	}
-	if y.acks {
-		v.Unacked = w.count(sent)
+	if c.checkUnacked {
+		v.Unacked = w.countStage(stageSent)
 	}
 	return v
 }
 
-// do carries an action out; the close itself waits for a task.
-func (w *world) do(a Action, y way) {
+// apply carries out an action; the close itself waits for the task.
+func (w *modelState) apply(a Action, c closer) {
 	switch a {
 	case HalfClose:
-		w.half = true
+		w.halfClosed = true
 	case Close:
 		w.closing = true
 	}
 }
 
-// closerMoves lists the closer's next step, if it has one.
-func (w world) closerMoves(y way) (list []move) {
-	add := func(name string, n world, lost string) { list = append(list, move{name, n, lost}) }
+// closerTransitions returns the closer's next step, if there is one.
+func (w modelState) closerTransitions(c closer) (list []transition) {
+	add := func(name string, n modelState, lost string) { list = append(list, transition{name, n, lost}) }
 	if w.closing {
 		if !w.closed && w.task == 0 {
 			n := w
-			add("the close is carried out", n, n.shut(y))
-			return []move{{"the close is carried out", n, n.shut(y)}}
+			add("the close is carried out", n, n.closeAndFindLoss(c))
+			return []transition{{"the close is carried out", n, n.closeAndFindLoss(c)}}
 		}
 		return nil
 	}
-	if w.garble {
+	if w.garbage {
 		if st := w.end.State(); st == Answering {
 			n := w
-			act := n.end.Step(0, n.see(y))
-			n.do(act, y)
+			act := n.end.Step(0, n.view(c))
+			n.apply(act, c)
 			if act != Keep {
-				add("the end goes on", n, "")
+				add("the close continues", n, "")
 			}
 		}
 		return list
 	}
 	n := w
-	switch w.step {
+	switch w.closerStep {
 	case 0:
 		switch {
-		case y.before:
-			if w.open() > 0 || y.reader && w.acked > w.next {
+		case c.separateClose:
+			if w.openCalls() > 0 || c.checkReader && w.queued > w.fed {
 				return nil
 			}
-			n.step, n.looked = 9, w.wrote
-			add("the closer looks at the usage", n, "")
-		case y.poller:
-			if w.left == w.acked { // it is in prepare, so its hands are empty
-				n.step, n.looked = 3, w.wrote
-				add("the poller calls for room", n, "")
+			n.closerStep, n.writtenAtLook = 9, w.written
+			add("the closer observes the usage", n, "")
+		case c.onPoller:
+			if w.polled == w.queued { // the poller is in prepare and holds no input
+				n.closerStep, n.writtenAtLook = 3, w.written
+				add("the poller needs room", n, "")
 			}
-		case !y.kernel || w.wrote == w.left:
-			n.step, n.looked = 1, w.wrote
-			add("the sweep looks first", n, "")
+		case !c.checkKernel || w.written == w.polled:
+			n.closerStep, n.writtenAtLook = 1, w.written
+			add("the sweep makes its first observation", n, "")
 		}
 	case 1:
-		if !y.fence || w.left == w.acked {
-			n.step = 3
-			add("the fence is passed", n, "")
+		if !c.awaitPoller || w.polled == w.queued {
+			n.closerStep = 3
+			add("the poller iteration is complete", n, "")
 		}
-	case 3: // under the lock, which does not hold the poller up
-		n.locked, n.step, n.kernel = true, 4, uint8(w.see(y).Kernel)
-		add("the closer looks at the kernel", n, "")
+	case 3: // under the lock, which does not block the poller
+		n.locked, n.closerStep, n.kernelSeen = true, 4, uint8(w.view(c).Kernel)
+		add("the closer observes the kernel", n, "")
 	case 4:
-		v := w.see(y)
-		v.Kernel = int(w.kernel)
-		n.kernel, n.locked = 0, false
-		act := n.end.Want(0, y.why, v)
-		if n.step = 9; act == Keep {
-			n.step, n.looked = 0, 0
+		v := w.view(c)
+		v.Kernel = int(w.kernelSeen)
+		n.kernelSeen, n.locked = 0, false
+		act := n.end.Want(0, c.reason, v)
+		if n.closerStep = 9; act == Keep {
+			n.closerStep, n.writtenAtLook = 0, 0
 		}
 		add(fmt.Sprintf("the closer decides %v", act == Close), n, "")
 	case 9:
@@ -293,19 +296,20 @@
 	return list
 }
 
-// explore visits every state and returns the moves to the first loss whose text holds like, and how many states and steps there were.
-func explore(t *testing.T, start world, y way, like string) (trace []string, lost string, states, depth int) {
+// explore visits every state. It returns the events that lead to the first loss whose text contains like, and the
+// numbers of states and steps.
+func explore(t *testing.T, start modelState, c closer, like string) (trace []string, lost string, states, depth int) {
 	t.Helper()
 	type from struct {
-		prev world
+		prev modelState
 		name string
 	}
-	seen := map[world]from{start: {}}
-	level := []world{start}
+	seen := map[modelState]from{start: {}}
+	level := []modelState{start}
 	for ; len(level) > 0; depth++ {
-		var next []world
+		var next []modelState
 		for _, w := range level {
-			for _, m := range w.moves(y) {
+			for _, m := range w.transitions(c) {
 				if m.lost != "" && !strings.Contains(m.lost, like) {
 					continue
 				}
@@ -327,57 +331,57 @@
 	return nil, "", len(seen), depth
 }
 
-// TestNoOrderOfEventsLosesARequest visits every order of events on one connection of two requests, for both
-// callers of the closer and for garbage behind a request.
+// TestNoOrderOfEventsLosesARequest visits every order of events on one connection of three requests, for both
+// callers of the closer and for malformed input behind a request.
 func TestNoOrderOfEventsLosesARequest(t *testing.T) {
-	for _, y := range []way{evict, sweep} {
-		for _, start := range []world{{}, {garble: true}} {
-			trace, lost, states, depth := explore(t, start, y, "")
+	for _, c := range []closer{evict, sweep} {
+		for _, start := range []modelState{{}, {garbage: true}} {
+			trace, lost, states, depth := explore(t, start, c, "")
 			if lost != "" {
-				t.Errorf("%s (garbage %v): %s after\n  %s", y.name, start.garble, lost, strings.Join(trace, "\n  "))
+				t.Errorf("%s (garbage %v): %s after\n  %s", c.name, start.garbage, lost, strings.Join(trace, "\n  "))
 			}
-			t.Logf("%s (garbage %v): %d states, all that can be reached, in %d steps at most", y.name, start.garble, states, depth)
+			t.Logf("%s (garbage %v): %d states, all that are reachable, in at most %d steps", c.name, start.garbage, states, depth)
 			if states < 500 {
-				t.Errorf("only %d states", states)
+				t.Errorf("visited only %d states, want at least 500", states)
 			}
 		}
 	}
 }
 
-// TestTheModelFindsTheLossesOfTheCloserBefore: a closer that looked at the usage of a connection and closed it
-// later. The last of these is what a probe saw on the bench: evicted for room with a whole request in the reader,
-// a connection had its task run once more, which took the request; the answer to it went nowhere.
-func TestTheModelFindsTheLossesOfTheCloserBefore(t *testing.T) {
-	for _, y := range []way{
-		{name: "evicted before", before: true},
-		{name: "idle before", before: true, reader: true},
+// TestModelFindsLossesOfSeparateClose checks that the model detects the losses of a closer that observes the usage
+// of a connection and closes it in a separate step. In the last kind of loss, a connection is evicted with a
+// complete request in the reader; its task runs once more and accepts the request, and the answer cannot be sent.
+func TestModelFindsLossesOfSeparateClose(t *testing.T) {
+	for _, c := range []closer{
+		{name: "evict in two steps", separateClose: true},
+		{name: "idle in two steps", separateClose: true, checkReader: true},
 	} {
-		for _, like := range []string{"stood whole before the look", "its answer goes nowhere", "taken after the close"} {
-			trace, lost, _, depth := explore(t, world{}, y, like)
+		for _, like := range []string{"was complete before the observation", "its answer cannot be sent", "accepted after the close"} {
+			trace, lost, _, depth := explore(t, modelState{}, c, like)
 			if lost == "" {
-				t.Errorf("%s: no loss found of the kind: %s", y.name, like)
+				t.Errorf("%s: found no loss of the kind %q", c.name, like)
 			}
-			t.Logf("%s, %d steps: %s after\n  %s", y.name, depth, lost, strings.Join(trace, "\n  "))
+			t.Logf("%s, %d steps: %s after\n  %s", c.name, depth, lost, strings.Join(trace, "\n  "))
 		}
 	}
 }
 
-// TestEveryPartOfTheLookIsNeeded leaves out one part at a time; the model must find what that loses.
-func TestEveryPartOfTheLookIsNeeded(t *testing.T) {
-	for name, mutate := range map[string]func(*way){
-		"the kernel is not looked at":     func(y *way) { y.kernel = false },
-		"the reader is not looked at":     func(y *way) { y.reader = false },
-		"the feed is not looked at":       func(y *way) { y.feed = false },
-		"the outbox is not looked at":     func(y *way) { y.unsent = false },
-		"acknowledgements do not count":   func(y *way) { y.acks = false },
-		"the poller is not fenced":        func(y *way) { y.fence = false },
-		"calls are taken after the close": func(y *way) { y.seal = false },
+// TestEachCheckOfTheCloserIsNeeded leaves out one check at a time; the model must find a loss.
+func TestEachCheckOfTheCloserIsNeeded(t *testing.T) {
+	for name, mutate := range map[string]func(*closer){
+		"kernel not checked":           func(c *closer) { c.checkKernel = false },
+		"reader not checked":           func(c *closer) { c.checkReader = false },
+		"feeding not checked":          func(c *closer) { c.checkFeeding = false },
+		"outbox not checked":           func(c *closer) { c.checkUnsent = false },
+		"acknowledgements not checked": func(c *closer) { c.checkUnacked = false },
+		"poller iteration not awaited": func(c *closer) { c.awaitPoller = false },
+		"late input not discarded":     func(c *closer) { c.discardLate = false },
 	} {
-		y := sweep
-		mutate(&y)
-		trace, lost, _, _ := explore(t, world{}, y, "")
+		c := sweep
+		mutate(&c)
+		trace, lost, _, _ := explore(t, modelState{}, c, "")
 		if lost == "" {
-			t.Errorf("%s: no loss found", name)
+			t.Errorf("%s: found no loss", name)
 			continue
 		}
 		t.Logf("%s: %s after\n  %s", name, lost, strings.Join(trace, "\n  "))
--- a/internal/decide/conns/output.go
+++ b/internal/decide/conns/output.go
@@ -1,16 +1,17 @@
 package conns
 
-// Output bounds what waits to be written to peers that do not read, in bytes.
+// Output limits the bytes of output that are buffered for peers that do not read.
 type Output struct {
-	Each int // one connection
-	All  int // all together; 0 for no bound
+	Each int // limit for one connection
+	All  int // limit for all connections together; 0 means no limit
 }
 
-// Reading is what a connection may always hold that takes its answers as they come: while all is used up, only who holds
-// more is one that does not read.
+// Reading is the number of bytes that a connection may always buffer. While the common limit is reached, only
+// connections with more buffered output count as not reading their answers.
 const Reading = 8 << 10
 
-// Takes tells whether a connection that holds so much may hold more, while all hold so much.
+// Takes reports whether a connection that buffers own bytes may buffer more while all connections together buffer
+// all bytes.
 func (o Output) Takes(own, all int) bool {
 	return own <= o.Each && (o.All == 0 || all < o.All || own <= Reading)
 }
--- a/internal/decide/conns/stay.go
+++ b/internal/decide/conns/stay.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// CallTime is how long a client may take to its first good call. Routers open a connection when they need it.
+// CallTime is how long a client may take to send its first valid call. Routers open a connection only when they
+// need it.
 const CallTime = 2 * time.Second
 
-// WriteTime is how long a client may take to finish a frame that it has begun, and to its first good call with one begun:
-// some need 2 s for one request. A client that means harm is owed an end within 3 s of connecting, and the sweep
-// comes four times a second.
+// WriteTime is how long a client may take to complete a frame that it has started, and to send its first valid call
+// once a frame has started: some clients need 2 s for one request. A malicious client must be disconnected within 3
+// s of connecting, and the sweep runs four times a second.
 const WriteTime = 2500 * time.Millisecond
 
-// Stay is what counts for how long a connection may stay.
+// Stay holds the times that decide how long a connection may stay open.
 type Stay struct {
-	Kind  Kind          // what it has carried; not Writing
+	Kind  Kind          // most significant use so far; never Writing
 	Began time.Duration // when it was accepted
-	Used  time.Duration // when something last came in or went out
-	Frame time.Duration // since when a frame is begun and not whole; 0 when none is
-	Busy  bool          // a call is open, or input is being read
+	Used  time.Duration // when data was last received or sent
+	Frame time.Duration // when the incomplete frame started; 0 when there is none
+	Busy  bool          // a call is open, or input is being processed
 }
 
-// Due tells why a connection is to be ended by now, or None. closeIdle of 0 leaves idle ones alone.
+// Due returns the reason to close the connection at time now, or None. A closeIdle of 0 disables the idle time-out.
 func (s Stay) Due(now, closeIdle time.Duration) Reason {
 	writing := s.Frame > 0
 	switch {
--- a/internal/decide/conns/table_test.go
+++ b/internal/decide/conns/table_test.go
@@ -12,14 +12,14 @@
 	"cairnlane/internal/testkit"
 )
 
-// TestVictimsComeInTheOrderInWhichTheyAreMissed checks the lists against a plain sort of all connections.
-func TestVictimsComeInTheOrderInWhichTheyAreMissed(t *testing.T) {
+// TestVictimsMatchSortedOrder compares the lists with a plain sort of all connections.
+func TestVictimsMatchSortedOrder(t *testing.T) {
 	testkit.Steps(t, func(*rapid.T) map[string]func(*rapid.T) {
 		limits := Limits{Most: 12, Fresh: 250 * time.Millisecond, Silent: 3}
 		table, uses, now := NewTable(limits), map[*Conn]Use{}, time.Hour
-		carried := map[*Conn]Kind{}
-		var order []*Conn // by age, so that ties are settled in one way
-		pick := func(rt *rapid.T) *Conn {
+		kinds := map[*Conn]Kind{}
+		var order []*Conn // by age, so that ties are broken in one way
+		drawConn := func(rt *rapid.T) *Conn {
 			if len(order) == 0 {
 				rt.Skip()
 			}
@@ -35,29 +35,29 @@
 				table.Add(c, now)
 			},
 			"remove": func(rt *rapid.T) {
-				c := pick(rt)
+				c := drawConn(rt)
 				table.Remove(c)
 				table.Remove(c)
 				delete(uses, c)
 				order = slices.DeleteFunc(order, func(o *Conn) bool { return o == c })
 			},
 			"use": func(rt *rapid.T) {
-				c := pick(rt)
-				carried[c] = max(carried[c], Kind(rapid.IntRange(0, 2).Draw(rt, "kind")))
-				uses[c] = Use{Kind: carried[c], Last: now, Busy: rapid.IntRange(0, 3).Draw(rt, "busy") == 0}
+				c := drawConn(rt)
+				kinds[c] = max(kinds[c], Kind(rapid.IntRange(0, 2).Draw(rt, "kind")))
+				uses[c] = Use{Kind: kinds[c], Last: now, Busy: rapid.IntRange(0, 3).Draw(rt, "busy") == 0}
 				if rapid.IntRange(0, 3).Draw(rt, "writing") == 0 {
 					uses[c] = Use{Kind: Writing, Last: now}
 				}
 			},
 			"wait": func(rt *rapid.T) { now += time.Duration(1+rapid.IntRange(0, 200).Draw(rt, "ms")) * time.Millisecond },
 			"": func(rt *rapid.T) {
-				now++ // so that no two uses are at one time
+				now++ // no two uses have the same time
 				use := func(c *Conn) Use { return uses[c] }
-				for range table.Victims(now, use) { // file what was used since; what is offered then is in order
+				for range table.Victims(now, use) { // re-sort connections used since; the next iteration is then in order
 				}
 				silent := table.Count(Silent)
 				var want []*Conn
-				rank := func(c *Conn) int {
+				evictionRank := func(c *Conn) int {
 					u := uses[c]
 					switch fresh := now-u.Last < limits.Fresh; {
 					case u.Busy:
@@ -70,18 +70,18 @@
 						return 2
 					case u.Kind == Silent:
 						return 3
-					case u.Kind == Writing && c.kind == Writing: // one that is not filed so yet was used just now, and is spared
+					case u.Kind == Writing && c.kind == Writing: // one that is not in this list yet was used just now and is protected
 						return 4
 					}
 					return -1
 				}
 				for _, c := range order {
-					if rank(c) >= 0 {
+					if evictionRank(c) >= 0 {
 						want = append(want, c)
 					}
 				}
 				slices.SortStableFunc(want, func(a, b *Conn) int {
-					return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(uses[a].Last, uses[b].Last))
+					return cmp.Or(cmp.Compare(evictionRank(a), evictionRank(b)), cmp.Compare(uses[a].Last, uses[b].Last))
 				})
 				var got []*Conn
 				for c := range table.Victims(now, use) {
@@ -97,9 +97,10 @@
 	})
 }
 
-// TestHowLongAConnectionMayStay has a request that takes 2 s to write, in halves or in pieces, come through, and a client
-// that means harm ended within 3 s of connecting, less the 250 ms of the sweep, whatever it has begun and when.
-func TestHowLongAConnectionMayStay(t *testing.T) {
+// TestStayDue checks that a request that takes 2 s to write, in halves or in pieces, is served, and that a
+// malicious client is disconnected within 3 s of connecting, less the 250 ms between sweeps, whatever it has
+// started and when.
+func TestStayDue(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name string
@@ -107,57 +108,57 @@
 		at   time.Duration
 		want Reason
 	}{
-		{"silent, in time", Stay{Began: 1}, CallTime, None},
+		{"silent, within the limit", Stay{Began: 1}, CallTime, None},
 		{"silent", Stay{}, CallTime, Overdue},
-		{"half a request for 2 s", Stay{Frame: 1, Used: 1}, 2100 * ms, None},
-		{"half a request that stays half", Stay{Frame: 1, Used: 2400 * ms}, WriteTime + 1, Overdue},
-		{"begun late, in time", Stay{Frame: 1900 * ms, Used: 1900 * ms}, WriteTime - 1, None},
-		{"begun late", Stay{Frame: 1900 * ms, Used: 1900 * ms}, WriteTime, Overdue},
+		{"half a request after 2 s", Stay{Frame: 1, Used: 1}, 2100 * ms, None},
+		{"half a request that is never completed", Stay{Frame: 1, Used: 2400 * ms}, WriteTime + 1, Overdue},
+		{"started late, within the limit", Stay{Frame: 1900 * ms, Used: 1900 * ms}, WriteTime - 1, None},
+		{"started late", Stay{Frame: 1900 * ms, Used: 1900 * ms}, WriteTime, Overdue},
 		{"a caller's frame", Stay{Kind: Caller, Frame: 9000 * ms, Used: 9000 * ms}, 9000*ms + WriteTime - 1, None},
-		{"a caller's frame that stays half", Stay{Kind: Caller, Frame: 9000 * ms, Used: 9000 * ms}, 9000*ms + WriteTime, Overdue},
-		{"a caller that is idle", Stay{Kind: Caller, Used: 1000 * ms}, 4000 * ms, Idle},
-		{"a caller that waits", Stay{Kind: Caller, Used: 1000 * ms, Busy: true}, 9000 * ms, None},
+		{"a caller's frame that is never completed", Stay{Kind: Caller, Frame: 9000 * ms, Used: 9000 * ms}, 9000*ms + WriteTime, Overdue},
+		{"an idle caller", Stay{Kind: Caller, Used: 1000 * ms}, 4000 * ms, Idle},
+		{"a caller with an open call", Stay{Kind: Caller, Used: 1000 * ms, Busy: true}, 9000 * ms, None},
 	} {
 		if got := c.s.Due(c.at, 3*time.Second); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 	if WriteTime+250*ms >= 3*time.Second {
-		t.Error("a client that means harm is owed an end within 3 s")
+		t.Errorf("WriteTime %v plus a sweep of 250 ms is not below 3 s", WriteTime)
 	}
 }
 
-func TestWhoeverReadsIsNeverDeaf(t *testing.T) {
+func TestOutputLimitsSpareReadingPeers(t *testing.T) {
 	o := Output{Each: 100 << 10, All: 1 << 20}
 	for _, c := range []struct {
 		own, all int
 		want     bool
 	}{{0, 0, true}, {100 << 10, 500 << 10, true}, {100<<10 + 1, 500 << 10, false}, {Reading, 9 << 20, true}, {Reading + 1, 1 << 20, false}} {
 		if got := o.Takes(c.own, c.all); got != c.want {
-			t.Errorf("%d of %d: %v", c.own, c.all, got)
+			t.Errorf("Takes(%d, %d) = %v", c.own, c.all, got)
 		}
 	}
 	if !(Output{Each: 100}).Takes(100, 1<<40) {
-		t.Error("a bound where none is set")
+		t.Error("output is limited although All is 0")
 	}
 }
 
-// TestAnEndGoesThroughItsStates checks each reason on a connection that owes answers and on one that does not.
-func TestAnEndGoesThroughItsStates(t *testing.T) {
+// TestEndingStates checks each reason on a connection with pending answers and on one without.
+func TestEndingStates(t *testing.T) {
 	busy, quiet := View{Open: 1}, View{}
 	for why := Evicted; why < reasons; why++ {
 		var e Ending
-		withdrawn := why <= Exit
+		revocable := why <= Exit
 		switch got := e.Want(0, why, busy); {
-		case withdrawn && (got != Keep || !e.Takes()):
-			t.Errorf("%v: one in use: action %v, takes calls %v", why, got, e.Takes())
+		case revocable && (got != Keep || !e.Takes()):
+			t.Errorf("%v: connection in use: action %v, takes calls %v", why, got, e.Takes())
 		case why == Garbage && (got != Keep || e.Takes()):
-			t.Errorf("%v: one that owes answers: action %v, takes calls %v", why, got, e.Takes())
+			t.Errorf("%v: connection with pending answers: action %v, takes calls %v", why, got, e.Takes())
 		case why > Garbage && got != Close:
 			t.Errorf("%v: action %v", why, got)
 		}
 		if e = (Ending{}); e.Want(0, why, quiet) != Close || e.State() != Ended || e.Reason() != why || e.Step(0, busy) != Close {
-			t.Errorf("%v: a quiet one is in state %v for %v", why, e.State(), e.Reason())
+			t.Errorf("%v: quiet connection: state %v, reason %v", why, e.State(), e.Reason())
 		}
 	}
 	for _, k := range []struct {
@@ -165,13 +166,13 @@
 		steps []Action
 		step  func(*Ending, int) Action
 	}{
-		{"its answers are taken", []Action{Keep, HalfClose, Keep, Close}, func(e *Ending, i int) Action {
+		{"answers acknowledged", []Action{Keep, HalfClose, Keep, Close}, func(e *Ending, i int) Action {
 			return e.Step([]time.Duration{0, 10, 20, 10 + lingerTime}[i], []View{busy, quiet, quiet, quiet}[i])
 		}},
-		{"its answers do not come", []Action{Keep, Close, Close}, func(e *Ending, i int) Action {
+		{"answers never come", []Action{Keep, Close, Close}, func(e *Ending, i int) Action {
 			return e.Step([]time.Duration{0, answerTime, answerTime}[i], busy)
 		}},
-		{"it sends on", []Action{Keep, Close}, func(e *Ending, i int) Action { e.Discard(i * (DiscardMost + 1)); return e.Step(1, busy) }},
+		{"peer keeps sending", []Action{Keep, Close}, func(e *Ending, i int) Action { e.Discard(i * (DiscardMost + 1)); return e.Step(1, busy) }},
 	} {
 		var e Ending
 		e.Want(0, Garbage, busy)
@@ -183,15 +184,15 @@
 	}
 }
 
-// BenchmarkVictim compares the lists with the look at every connection that they replace, in a full table of which
-// most are in use and whose next victim is wanted.
+// BenchmarkVictim compares the lists with a search of all connections, in a full table of which most are in use,
+// for the next victim.
 func BenchmarkVictim(b *testing.B) {
 	for _, n := range []int{60, 480, 4096, 32768} {
 		table, all, now := NewTable(DefaultLimits(n)), make([]Conn, n), time.Hour
 		uses := make(map[*Conn]Use, n)
 		for i := range all {
 			uses[&all[i]] = Use{Kind: Caller, Last: now + time.Duration(i)}
-			table.file(&all[i], uses[&all[i]])
+			table.insert(&all[i], uses[&all[i]])
 		}
 		now += time.Minute
 		b.Run(fmt.Sprintf("lists/%d", n), func(b *testing.B) {
@@ -200,7 +201,7 @@
 					table.Remove(c)
 					now++
 					uses[c] = Use{Kind: Caller, Last: now}
-					table.file(c, uses[c])
+					table.insert(c, uses[c])
 					break
 				}
 				now += time.Second
@@ -208,15 +209,15 @@
 		})
 		b.Run(fmt.Sprintf("plain/%d", n), func(b *testing.B) {
 			for b.Loop() {
-				var least *Conn
-				var of Use
+				var victim *Conn
+				var victimUse Use
 				for i := range all {
-					if u := uses[&all[i]]; !u.Busy && (least == nil || u.Kind < of.Kind || u.Kind == of.Kind && u.Last < of.Last) {
-						least, of = &all[i], u
+					if u := uses[&all[i]]; !u.Busy && (victim == nil || u.Kind < victimUse.Kind || u.Kind == victimUse.Kind && u.Last < victimUse.Last) {
+						victim, victimUse = &all[i], u
 					}
 				}
 				now++
-				uses[least] = Use{Kind: Caller, Last: now}
+				uses[victim] = Use{Kind: Caller, Last: now}
 			}
 		})
 	}
