--- a/internal/decide/handover/book.go
+++ b/internal/decide/handover/book.go
@@ -1,123 +1,128 @@
-// Package handover decides which of the two processes of a replacement may start the run of a keyed request. It does
-// no I/O: the replica asks, internal/handover carries the messages.
+// Package handover decides which of the two processes of a replacement may start the run of a keyed request. It
+// does no I/O: the replica calls it, and internal/handover transports the messages.
 //
-// One process owns the claims at any time: the older one until it has ended, and its guest from then on. The owner
-// tells its guest how each key stands, before it writes RUN for it. So a guest whose owner has ended knows all that
-// has run, and a key that it has never heard of did not run. The guest asks the owner for each key that it does not
-// know, before it lets the module see the try.
+// Exactly one process owns the claims on keys at any time: the older one until it has ended, and its guest (the
+// newer process) from then on. The owner tells its guest the state of each key before it writes RUN for it. So a
+// guest whose owner has ended knows all requests that have run, and a key that it was not told about did not run.
+// The guest asks the owner about each key that it does not know before it passes the attempt to the module.
 package handover
 
 import "time"
 
-// Role is what a process may do about keys.
+// Role is what a process may do with keys.
 type Role uint8
 
 // The roles.
 const (
-	Owner Role = iota // grants claims; also where there is no other process
-	Guest             // asks for them
-	Cut               // was or will be a guest, and has no link to an owner that may be alive; claims wait for one
+	Owner Role = iota // grants claims; also the role of a process without a peer
+	Guest             // asks the owner for claims
+	Cut               // follows another process and has no link to it, although it may be alive; attempts wait for a link
 )
 
-// Verdict is what becomes of a keyed try whose key is not known here.
+// Verdict is the decision on a keyed attempt whose key is not known in this process.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Take  Verdict = iota // nobody has it: the module may have it run here
-	Ask                  // claim it under the number given; the try waits
-	Wait                 // it is claimed already and not granted yet; the try waits as well
-	Doubt                // it may have run in the other process: it must neither run nor be refused here
+	Take  Verdict = iota // nobody else has the key: the module may start the run here
+	Ask                  // send a claim with the returned number; the attempt waits
+	Wait                 // a claim is already sent and not granted yet; the attempt waits too
+	Doubt                // the key may have run in the other process: the attempt must neither run nor be rejected here
 )
 
-// Book is one process's share of the decision. The zero value owns all claims. Not safe for concurrent use.
+// Book is one process's state of the claims on keys. The zero value owns all claims. It is not safe for concurrent
+// use.
 type Book struct {
-	role  Role
-	doubt time.Duration     // Owner: keys that are not known may have run elsewhere until then
-	last  uint64            // number of the last claim made
-	asked map[string]uint64 // Guest: claims that have no answer
-	lent  map[string]uint64 // Owner: keys that the guest may run, by the claim that was granted
+	role       Role
+	doubtUntil time.Duration     // Owner: unknown keys may have run elsewhere until then
+	lastClaim  uint64            // number of the last claim
+	pending    map[string]uint64 // Guest: claims without an answer
+	granted    map[string]uint64 // Owner: keys that the guest may run, with the number of the granted claim
 }
 
-// Role tells what this process may do.
+// Role returns the current role.
 func (b *Book) Role() Role { return b.role }
 
-// Try decides on a keyed try whose key is not known here.
+// Try decides on a keyed attempt whose key is not known in this process. The number is that of the claim to send,
+// for Ask.
 func (b *Book) Try(now time.Duration, key string) (Verdict, uint64) {
 	switch {
-	case b.role == Owner && now < b.doubt:
+	case b.role == Owner && now < b.doubtUntil:
 		return Doubt, 0
 	case b.role == Owner:
 		return Take, 0
-	case b.asked[key] != 0:
+	case b.pending[key] != 0:
 		return Wait, 0
 	}
-	b.last++
-	b.asked[key] = b.last
-	return Ask, b.last
+	b.lastClaim++
+	b.pending[key] = b.lastClaim
+	return Ask, b.lastClaim
 }
 
-// Granted takes the owner's leave. False means that the claim is not waited for any more and the key is given back.
+// Granted handles the owner's grant. It returns false if the claim is no longer waited for; the caller must then
+// give the key back.
 func (b *Book) Granted(key string, seq uint64) bool {
-	if b.asked[key] != seq || seq == 0 {
+	if b.pending[key] != seq || seq == 0 {
 		return false
 	}
-	delete(b.asked, key)
+	delete(b.pending, key)
 	return true
 }
 
-// GaveUp says that no try waits for a claim on the key any more.
-func (b *Book) GaveUp(key string) { delete(b.asked, key) }
+// GaveUp records that no attempt waits for a claim on the key any more.
+func (b *Book) GaveUp(key string) { delete(b.pending, key) }
 
-// Told says that the owner has told how a key stands; a claim on it needs no other answer.
-func (b *Book) Told(key string) { delete(b.asked, key) }
+// Told records that the owner has sent the state of a key; a claim on it needs no other answer.
+func (b *Book) Told(key string) { delete(b.pending, key) }
 
-// Claimed takes the guest's claim and tells whether it is granted; free says that the key is not known here. A guest
-// that claims what it was lent has not used the earlier grant, or it would know the key.
+// Claimed handles the guest's claim and reports whether it is granted; free means that the key is not known here. A
+// guest that claims a key again has not used the earlier grant, or it would know the key.
 func (b *Book) Claimed(key string, seq uint64, free bool) bool {
-	if b.role != Owner || !free && b.lent[key] == 0 {
+	if b.role != Owner || !free && b.granted[key] == 0 {
 		return false
 	}
-	b.lent[key] = seq
+	b.granted[key] = seq
 	return true
 }
 
-// Returned takes a key that the guest gives back unrun. False means that the claim was granted anew since.
+// Returned handles a key that the guest gives back without a run. It returns false if the key was granted again
+// under another claim since.
 func (b *Book) Returned(key string, seq uint64) bool {
-	if b.lent[key] != seq || seq == 0 {
+	if b.granted[key] != seq || seq == 0 {
 		return false
 	}
-	delete(b.lent, key)
+	delete(b.granted, key)
 	return true
 }
 
-// Ended says that the guest's run of a key has ended.
-func (b *Book) Ended(key string) { delete(b.lent, key) }
+// Ended records that the guest's run of a key has ended.
+func (b *Book) Ended(key string) { delete(b.granted, key) }
 
-// Joined says that there is a link: to a guest for an owner, to an owner for any other.
+// Joined records that a link is up: to a guest if this process is the owner, otherwise to an owner.
 func (b *Book) Joined() {
-	b.lent, b.asked = map[string]uint64{}, map[string]uint64{}
+	b.granted, b.pending = map[string]uint64{}, map[string]uint64{}
 	if b.role == Cut {
 		b.role = Guest
 	}
 }
 
-// Lost says that the link has ended, and TookOver that the owner has: all is false if this process was not told of all
-// that ran there. Keys that are not known are in doubt then, until repeats of them can no longer come.
+// Lost records that the link is down.
 func (b *Book) Lost() {
-	b.lent, b.asked = nil, map[string]uint64{}
+	b.granted, b.pending = nil, map[string]uint64{}
 	if b.role == Guest {
 		b.role = Cut
 	}
 }
 
-// Follow says that there is a process before this one.
-func (b *Book) Follow() { b.role, b.asked = Cut, map[string]uint64{} }
+// Follow records that another process owns the claims when this one starts.
+func (b *Book) Follow() { b.role, b.pending = Cut, map[string]uint64{} }
 
-// TookOver is described at Lost.
-func (b *Book) TookOver(all bool, doubt time.Duration) {
-	b.lent, b.asked, b.role = nil, nil, Owner
+// TookOver records that the owner has ended and makes this process the owner. all is false if this process was not
+// told of all runs of the old owner; unknown keys are then in doubt until doubtUntil, when repeats of them can no
+// longer arrive.
+func (b *Book) TookOver(all bool, doubtUntil time.Duration) {
+	b.granted, b.pending, b.role = nil, nil, Owner
 	if !all {
-		b.doubt = doubt
+		b.doubtUntil = doubtUntil
 	}
 }
--- a/internal/decide/handover/book_test.go
+++ b/internal/decide/handover/book_test.go
@@ -8,47 +8,47 @@
 	"time"
 )
 
-// The model has one key and two processes whose messages are on their way for as long as it likes. What a process
-// knows of the key beside its book is one word of its table of keys.
-type table byte
+// The model has one key and two processes whose messages may be delayed for any time. What a process knows of the
+// key beside its Book is one value of its key table.
+type keyState byte
 
 const (
-	none    table = iota
-	held          // its own try is held: nothing has run
-	ran           // its own try was given to the engine
-	over          // its own run has ended
-	foreign       // the other process has the key
-	gone          // the other process's run has ended, or nobody knows how
+	none    keyState = iota
+	held             // its own attempt is pending: nothing has run
+	ran              // its own attempt was sent to the engine
+	over             // its own run has ended
+	foreign          // the other process has the key
+	gone             // the other process's run has ended, or its state is unknown
 )
 
-// letter is a message on its way; entries carry what they say of the sender's table.
-type letter struct {
+// message is a message in flight; over of an Entry is the state of the run at the sender.
+type message struct {
 	kind Kind
 	seq  uint64
 	over bool
 }
 
 type side struct {
-	book  Book
-	table table
-	claim uint64 // under which its own try is held
-	waits int    // tries that wait for leave
-	inbox []letter
-	heard bool // Synced has come
-	dead  bool
+	book     Book
+	keyState keyState
+	claim    uint64 // number of the claim of its own attempt
+	waiting  int    // attempts that wait for a grant
+	inbox    []message
+	synced   bool // Synced was received
+	dead     bool
 }
 
 type state struct {
 	old, new side
 	linked   bool
 	runs     int
-	refused  int // tries refused after a run
-	tries    int
+	rejected int // attempts rejected after a run
+	attempts int
 }
 
 func (s *side) copy() side {
 	c := *s
-	c.book.asked, c.book.lent, c.inbox = maps.Clone(s.book.asked), maps.Clone(s.book.lent), slices.Clone(s.inbox)
+	c.book.pending, c.book.granted, c.inbox = maps.Clone(s.book.pending), maps.Clone(s.book.granted), slices.Clone(s.inbox)
 	return c
 }
 
@@ -57,7 +57,7 @@
 	return s
 }
 
-func (s *state) send(from *side, l letter) {
+func (s *state) send(from *side, l message) {
 	if !s.linked || from.dead {
 		return
 	}
@@ -68,183 +68,184 @@
 	to.inbox = append(to.inbox, l)
 }
 
-// try has a try of the key arrive.
-func (s *state) try(p *side) {
-	s.tries++
-	if p.table != none {
-		return // a repeat: joined to what is there
+// attempt handles the arrival of an attempt at p.
+func (s *state) attempt(p *side) {
+	s.attempts++
+	if p.keyState != none {
+		return // a repeat joins the known attempt
 	}
 	switch v, seq := p.book.Try(0, "k"); v {
 	case Take:
 		s.hold(p, 0)
 	case Ask:
-		p.waits++
-		s.send(p, letter{kind: Claim, seq: seq})
+		p.waiting++
+		s.send(p, message{kind: Claim, seq: seq})
 	case Wait:
-		p.waits++
+		p.waiting++
 	}
 }
 
 func (s *state) hold(p *side, claim uint64) {
-	p.table, p.claim = held, claim
+	p.keyState, p.claim = held, claim
 	if p.book.Role() == Owner {
-		s.send(p, letter{kind: Entry})
+		s.send(p, message{kind: Entry})
 	}
 }
 
-func (s *state) refuse(p *side) {
-	p.table = none
+func (s *state) reject(p *side) {
+	p.keyState = none
 	if s.runs > 0 {
-		s.refused++
+		s.rejected++
 	}
-	s.send(p, letter{kind: Drop, seq: p.claim})
+	s.send(p, message{kind: Drop, seq: p.claim})
 }
 
-// again decides once more on those who wait.
-func (s *state) again(p *side) {
-	n := p.waits
-	p.waits = 0
+// retryWaiting decides again on the attempts that wait at p.
+func (s *state) retryWaiting(p *side) {
+	n := p.waiting
+	p.waiting = 0
 	for range n {
-		s.tries--
-		s.try(p)
+		s.attempts--
+		s.attempt(p)
 	}
 }
 
-// take delivers the first message.
-func (s *state) take(p *side) {
+// receive delivers the first message in flight to p.
+func (s *state) receive(p *side) {
 	l := p.inbox[0]
 	p.inbox = p.inbox[1:]
-	own := p.table == held || p.table == ran || p.table == over
+	own := p.keyState == held || p.keyState == ran || p.keyState == over
 	switch l.kind {
 	case Synced:
-		p.heard = true
+		p.synced = true
 	case Entry:
 		if own {
 			return
 		}
-		if p.table = foreign; l.over {
-			p.table = gone
+		if p.keyState = foreign; l.over {
+			p.keyState = gone
 			p.book.Ended("k")
 		}
 		p.book.Told("k")
-		p.waits = 0 // joined
+		p.waiting = 0 // they join the known attempt
 	case Drop:
-		if p.table == foreign && (p.book.Role() != Owner || p.book.Returned("k", l.seq)) {
-			p.table = none
+		if p.keyState == foreign && (p.book.Role() != Owner || p.book.Returned("k", l.seq)) {
+			p.keyState = none
 		}
 	case Claim:
-		if p.book.Claimed("k", l.seq, p.table == none) {
-			p.table = foreign
-			s.send(p, letter{kind: Grant, seq: l.seq})
+		if p.book.Claimed("k", l.seq, p.keyState == none) {
+			p.keyState = foreign
+			s.send(p, message{kind: Grant, seq: l.seq})
 			return
 		}
-		s.send(p, letter{kind: Entry, over: p.table == over || p.table == gone})
+		s.send(p, message{kind: Entry, over: p.keyState == over || p.keyState == gone})
 	case Grant:
 		if !p.book.Granted("k", l.seq) {
-			s.send(p, letter{kind: Drop, seq: l.seq})
+			s.send(p, message{kind: Drop, seq: l.seq})
 			return
 		}
-		p.waits--
+		p.waiting--
 		s.hold(p, l.seq)
-		p.waits = 0 // the others repeat it
+		p.waiting = 0 // the others join it as repeats
 	}
 }
 
-func (s *state) part(p *side) {
+func (s *state) loseLink(p *side) {
 	owner := p.book.Role() == Owner
 	p.book.Lost()
-	if owner && p.table == foreign {
-		p.table = gone
+	if owner && p.keyState == foreign {
+		p.keyState = gone
 	}
-	s.again(p)
+	s.retryWaiting(p)
 }
 
-// join takes up a link: each tells its own, the owner all.
-func (s *state) join() {
-	s.linked, s.new.heard = true, false
+// linkUp establishes a link: each process sends its own entries, the owner sends all.
+func (s *state) linkUp() {
+	s.linked, s.new.synced = true, false
 	s.old.inbox, s.new.inbox = nil, nil
 	for _, p := range []*side{&s.new, &s.old} {
 		p.book.Joined()
-		if own := p.table == held || p.table == ran || p.table == over; own || p == &s.old && p.table != none {
-			s.send(p, letter{kind: Entry, over: p.table == over || p.table == gone})
+		if own := p.keyState == held || p.keyState == ran || p.keyState == over; own || p == &s.old && p.keyState != none {
+			s.send(p, message{kind: Entry, over: p.keyState == over || p.keyState == gone})
 		}
 	}
-	s.send(&s.old, letter{kind: Synced})
-	s.again(&s.new)
+	s.send(&s.old, message{kind: Synced})
+	s.retryWaiting(&s.new)
 }
 
-// steps lists all that may happen next.
-func (s state) steps() map[string]func(*state) {
+// transitions returns all events that can happen next.
+func (s state) transitions() map[string]func(*state) {
 	all := map[string]func(*state){}
 	for name, at := range map[string]func(*state) *side{"old": func(s *state) *side { return &s.old }, "new": func(s *state) *side { return &s.new }} {
 		p := at(&s)
 		if p.dead {
 			continue
 		}
-		if s.tries < 3 {
-			all["a try at "+name] = func(s *state) { s.try(at(s)) }
+		if s.attempts < 3 {
+			all["an attempt at "+name] = func(s *state) { s.attempt(at(s)) }
 		}
-		switch p.table {
+		switch p.keyState {
 		case held:
-			all[name+" refuses"] = func(s *state) { s.refuse(at(s)) }
-			all[name+" runs"] = func(s *state) { at(s).table = ran; s.runs++ }
+			all[name+" rejects"] = func(s *state) { s.reject(at(s)) }
+			all[name+" runs"] = func(s *state) { at(s).keyState = ran; s.runs++ }
 		case ran:
-			all[name+" ends its run"] = func(s *state) { at(s).table = over; s.send(at(s), letter{kind: Entry, over: true}) }
+			all[name+" ends its run"] = func(s *state) { at(s).keyState = over; s.send(at(s), message{kind: Entry, over: true}) }
 		}
 		if len(p.inbox) > 0 {
-			all["a message reaches "+name] = func(s *state) { s.take(at(s)) }
+			all["a message reaches "+name] = func(s *state) { s.receive(at(s)) }
 		}
-		if p.waits > 0 {
-			all[name+" gives up"] = func(s *state) { at(s).waits = 0; at(s).book.GaveUp("k") }
+		if p.waiting > 0 {
+			all[name+" gives up"] = func(s *state) { at(s).waiting = 0; at(s).book.GaveUp("k") }
 		}
 	}
 	switch {
 	case !s.old.dead && s.linked:
-		all["the old one is killed"] = func(s *state) {
+		all["the old process is killed"] = func(s *state) {
 			s.old.dead, s.linked = true, false
 		}
 		all["the link breaks"] = func(s *state) {
 			s.linked = false
 			s.old.inbox, s.new.inbox = nil, nil
-			s.part(&s.old)
-			s.part(&s.new)
-			s.new.heard = false
+			s.loseLink(&s.old)
+			s.loseLink(&s.new)
+			s.new.synced = false
 		}
 	case !s.old.dead:
-		all["a new link"] = func(s *state) { s.join() }
-		all["the old one is killed"] = func(s *state) { s.old.dead = true }
-	case len(s.new.inbox) == 0 && s.new.book.Role() != Owner: // all that was on its way was read
-		all["the new one takes over"] = func(s *state) {
-			s.part(&s.new)
-			s.new.book.TookOver(s.new.heard, time.Hour)
-			if s.new.table == foreign {
-				s.new.table = gone
+		all["a new link is established"] = func(s *state) { s.linkUp() }
+		all["the old process is killed"] = func(s *state) { s.old.dead = true }
+	case len(s.new.inbox) == 0 && s.new.book.Role() != Owner: // all messages in flight were read
+		all["the new process takes over"] = func(s *state) {
+			s.loseLink(&s.new)
+			s.new.book.TookOver(s.new.synced, time.Hour)
+			if s.new.keyState == foreign {
+				s.new.keyState = gone
 			}
-			s.again(&s.new)
+			s.retryWaiting(&s.new)
 		}
 	}
 	return all
 }
 
-// TestOneRunInEveryOrder explores every order of what can happen to three tries of one key at two processes, with the
-// link broken and taken up, claims given up on, the old process killed at any moment and the new one taking over.
-func TestOneRunInEveryOrder(t *testing.T) {
+// TestAtMostOneRunInEveryOrderOfEvents explores every order of events for three attempts with one key at two
+// processes: the link breaks and is re-established, claims are given up, the old process is killed at any moment,
+// and the new one takes over.
+func TestAtMostOneRunInEveryOrderOfEvents(t *testing.T) {
 	start := state{}
 	start.new.book.Follow()
-	start.join()
+	start.linkUp()
 	seen := map[string]bool{}
 	frontier, depth := []state{start}, 0
-	const most = 14
-	for ; depth < most && len(frontier) > 0; depth++ {
+	const maxDepth = 14
+	for ; depth < maxDepth && len(frontier) > 0; depth++ {
 		var next []state
 		for _, s := range frontier {
-			for name, do := range s.steps() {
+			for name, do := range s.transitions() {
 				c := s.copy()
 				do(&c)
-				if c.runs > 1 || c.refused > 0 {
-					t.Fatalf("after %q at depth %d: %d runs, %d refused after a run: %+v", name, depth, c.runs, c.refused, c)
+				if c.runs > 1 || c.rejected > 0 {
+					t.Fatalf("after %q at depth %d: %d runs, %d attempts rejected after a run: %+v", name, depth, c.runs, c.rejected, c)
 				}
-				// Numbers of claims only ever grow; what matters of them is which are alike.
+				// Claim numbers only grow; only their equality matters.
 				if key := fmt.Sprintf("%+v", c); !seen[key] {
 					seen[key] = true
 					next = append(next, c)
@@ -255,6 +256,6 @@
 	}
 	t.Logf("%d states in %d steps", len(seen), depth)
 	if len(seen) < 10_000 {
-		t.Errorf("only %d states", len(seen))
+		t.Errorf("visited only %d states, want at least 10000", len(seen))
 	}
 }
--- a/internal/decide/handover/message.go
+++ b/internal/decide/handover/message.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// Kind says what a message is.
+// Kind is the type of a message.
 type Kind uint8
 
 // The messages. The owner is the process that grants claims, the guest is its successor.
 const (
-	Hello  Kind = 1 + iota // guest: the first message, N is the version
-	Entry                  // both: how a key stands whose run is the sender's
-	Drop                   // both: such a key is free again, its try never ran
-	Claim                  // guest: may I run this key?
-	Grant                  // owner: you may
-	Synced                 // owner: all that I owe has been told
-	Ready                  // guest: I have read it and am about to take clients
-	Known                  // owner: I know, and hand over when I am told to leave
-	Drain                  // both: the operator wants callers elsewhere (OK) or has them back
-	Share                  // owner: N descriptors are the guest's
+	Hello  Kind = 1 + iota // guest: the first message; N is the protocol version
+	Entry                  // both: the state of a key whose run belongs to the sender
+	Drop                   // both: the key of an earlier Entry or Grant is free again; its attempt never ran
+	Claim                  // guest: asks to run a key
+	Grant                  // owner: grants a claim
+	Synced                 // owner: all entries were sent
+	Ready                  // guest: has read all entries and is about to accept clients
+	Known                  // owner: has received Ready, and will hand over on SIGTERM
+	Drain                  // both: the operator drains the replica (OK is true) or ends the drain
+	Share                  // owner: the guest may use N descriptors
 	kinds
 )
 
-// Version is that of the messages. Processes of different versions do not hand over: the new one never says yes.
+// Version is the version of the protocol. Processes of different versions do not hand over: the new one never
+// reports that it is ready.
 const Version = 1
 
-// Digest stands for the class and the body that all tries of one keyed request share.
+// Digest identifies the class and the body, which are the same in all attempts of one keyed request.
 type Digest [16]byte
 
-// Message is what one process tells the other. Kind says which fields are set.
+// Message is sent from one process to the other. Kind determines which fields are set.
 type Message struct {
 	Kind   Kind
 	Key    string
-	Seq    uint64 // of a claim; with Drop from the guest, of the claim that is given back
+	Seq    uint64 // number of a claim; in a Drop from the guest, of the claim that is given back
 	Digest Digest
-	Until  time.Duration // Unix time: tries that came to the machine before it are tries of the same request
+	Until  time.Duration // Unix time: attempts that arrived on the machine before it belong to the same request
 	Over   bool          // the run has ended
-	OK     bool          // with a result; with Drain, that it is on
-	Stored bool          // which is in Body
+	OK     bool          // the run has a result; in Drain: the drain is on
+	Stored bool          // the result is in Body
 	Body   []byte
-	Later  time.Duration // Drop: the advice that the refusal of the try carried
+	Later  time.Duration // Drop: the back-off advice in the rejection of the attempt
 	GiveUp bool
-	N      int64 // Hello: the version. Claim: when the try came to the machine, Unix nanoseconds. Share: descriptors
+	N      int64 // Hello: the version. Claim: when the attempt arrived on the machine, in Unix nanoseconds. Share: descriptors
 }
 
-// Valid tells whether there is such a message.
+// Valid reports whether k is a known message type.
 func (k Kind) Valid() bool { return k > 0 && k < kinds }
--- a/internal/decide/handover/split.go
+++ b/internal/decide/handover/split.go
@@ -1,33 +1,34 @@
 package handover
 
 // Split decides how many connections each of the two processes of a replacement may hold. The platform counts the
-// descriptors of both together, so what one gives away it must have freed before. The zero value is that of a process
-// that is alone and has given nothing.
+// descriptors of both processes together, so a process must free descriptors before it gives them to the other. The
+// zero value is the state of a process without a successor.
 type Split struct {
 	Sockets int // the limit on descriptors of all processes together
-	Spare   int // descriptors that each process needs for what is no connection
+	Spare   int // descriptors that each process needs for other purposes than connections
 
-	given int // what the other process was told it may hold
+	given int // connections that the successor was told it may hold
 }
 
-// Alone is what a process may hold that has no other one beside it.
+// Alone returns how many connections a process may hold when there is no other process.
 func (s *Split) Alone() int { return max(s.Sockets-s.Spare, 1) }
 
-// Waiting is what a process may hold that replaces another one and was given nothing yet.
+// Waiting returns how many connections a successor may hold before it was given a share.
 func (s *Split) Waiting() int { return 1 }
 
-// together is what both may hold.
+// together returns how many connections both processes may hold in total.
 func (s *Split) together() int { return max(s.Sockets-2*s.Spare, 2) }
 
-// Half is what the older process is to shrink to, and the most that the newer one is given before it is alone.
+// Half returns the number that the older process must shrink to, which is also the most that the newer one may hold
+// before it is alone.
 func (s *Split) Half() int { return s.together() / 2 }
 
-// Begin says that a successor is about to take clients. What an earlier one was given is free again.
+// Begin records that a successor is about to accept clients. The share of an earlier successor is free again.
 func (s *Split) Begin() { s.given = s.Waiting() }
 
-// Give tells what the successor may hold while so many connections are left here: all that both may hold less these, or
-// less the half that this process may grow back to. It only grows, as what was given is in use. False means that
-// nothing has changed.
+// Give returns how many connections the successor may hold while this process holds left: the total less left, or
+// less the half that this process may grow back to. The number only grows, as the successor may already use its
+// share. changed is false if it is the same as before.
 func (s *Split) Give(left int) (n int, changed bool) {
 	n = max(s.together()-max(left, s.Half()), s.Waiting())
 	if n <= s.given {
--- a/internal/decide/lifecycle/lifecycle.go
+++ b/internal/decide/lifecycle/lifecycle.go
@@ -1,10 +1,10 @@
-// Package lifecycle decides what this process is, from its start to its end. It does no I/O: the daemon tells it what
-// has happened and carries out the effects; health checks, the operators' door, the catalog and the signals ask it and
-// decide nothing by themselves.
+// Package lifecycle is the state machine of one process from start to exit. It does no I/O: the daemon passes in
+// events and carries out the effects. Health checks, the operators' socket, the catalog reporter and the signal
+// handling query it and decide nothing themselves.
 //
-// A process of a replacement shares its replica with another one. A drain by the operator belongs to the replica, so
-// both processes are told of it; the notice to leave belongs to the process. With a successor that takes clients it
-// is a hand-over, without one a drain.
+// During a replacement two processes share one replica. A drain by the operator applies to the replica, so both
+// processes are told of it; SIGTERM applies to one process. It starts a hand-over if a successor accepts clients,
+// and a drain otherwise.
 package lifecycle
 
 import (
@@ -13,71 +13,73 @@
 	"time"
 )
 
-// State is what the process is.
+// State is the state of the process.
 type State uint8
 
 // The states.
 const (
-	Starting    State = iota // does not take clients yet
-	Serving                  // takes clients, and tells so
-	Drained                  // the operator wants callers elsewhere; who comes all the same is served as usual
-	HandingOver              // told to leave while a successor takes clients
-	Leaving                  // told to leave, and nobody takes over
+	Starting    State = iota // does not accept clients yet
+	Serving                  // accepts clients and is advertised as healthy
+	Drained                  // the operator wants callers to use other replicas; those that connect are served as usual
+	HandingOver              // told to exit while a successor accepts clients
+	Leaving                  // told to exit without a successor
 )
 
-// String is the state's name in logs and answers.
+// String returns the state's name in logs and answers.
 func (s State) String() string {
 	return [...]string{"starting", "serving", "drained by the operator", "handing over", "leaving"}[s]
 }
 
-// Event is something that has happened.
+// Event is an input of the state machine.
 type Event uint8
 
 // The events.
 const (
-	Engine        Event = iota // the engine has said hello
-	Inherited                  // what a process before this one owes is known; at once where there is none
-	Known                      // the process before this one knows that this one is about to take clients, or has ended
-	DrainOn                    // the operators' calls, at this process or at the other one
-	DrainOff                   //
-	Successor                  // a process that replaces this one takes clients
-	SuccessorGone              // it has ended
-	Term                       // the notice to leave
+	Engine        Event = iota // the engine has completed its handshake
+	Inherited                  // the state of the previous process is known; at once where there is none
+	Known                      // the previous process knows that this one is about to accept clients, or has ended
+	DrainOn                    // an operator's call, at this process or at the other one
+	DrainOff                   // an operator ends the drain
+	Successor                  // a process that replaces this one accepts clients
+	SuccessorGone              // the successor has ended
+	Term                       // the request to exit (SIGTERM, SIGINT)
 	Events
 )
 
-// Effect is what is to be done now, as a set of bits.
+// Effect is a bit set of operations that the daemon must carry out.
 type Effect uint8
 
 // The effects.
 const (
-	Announce   Effect = 1 << iota // tell the process before this one that clients are about to be taken
-	Accept                        // begin to take clients
-	StopAccept                    // take no more, but leave the listening socket to the successor
-	Part                          // ask all callers to open no new request on their connections
-	DrainAll                      // the module drains, the catalog hears of it, and listening ends after the grace
-	EndEmpty                      // the process ends as soon as nothing is owed
+	Announce   Effect = 1 << iota // tell the previous process that this one is about to accept clients
+	Accept                        // start accepting clients
+	StopAccept                    // stop accepting clients, but leave the listening socket to the successor
+	Part                          // ask all callers to send no new requests on their connections
+	DrainAll                      // drain the module, tell the catalog, and stop listening after the grace period
+	EndEmpty                      // exit as soon as nothing is outstanding
 )
 
 const (
-	handOverMost = 3 * time.Second
-	handOverRest = 700 * time.Millisecond
+	maxHandOverDeadline = 3 * time.Second
+	handOverMargin      = 700 * time.Millisecond
 )
 
-// HandOverTime is how long after the notice to leave a process that hands over is killed: the longest deadline, taken as
-// 3 s if it is longer, and a rest.
+// HandOverTime returns the time after SIGTERM at which a process that hands over is killed: the longest deadline,
+// at most 3 s, and a margin.
 func HandOverTime(longest time.Duration) time.Duration {
-	return min(longest, handOverMost) + handOverRest
+	return min(longest, maxHandOverDeadline) + handOverMargin
 }
 
-// ErrNotNow is wrapped by what is said of a call that cannot be carried out.
+// ErrNotNow is wrapped by errors of calls that the current state does not allow.
 var ErrNotNow = errors.New("not now")
 
-// Life is one process. The zero value has no predecessor to wait for and is not safe for concurrent use.
+// Life is the state of one process. The zero value has no previous process to wait for. It is not safe for
+// concurrent use.
 type Life struct {
-	// Waits says that there is a process before this one. Clients are then taken only once what it owes is known
-	// and the engine is there: until then it serves them better. And it must know of this one first: its notice to
-	// leave may come as soon as this one says yes, and without a successor it would drain the whole replica.
+	// Waits is true if there is a previous process. Clients are then accepted only once its state is known and the
+	// engine is connected, as the previous process serves them better until then. The previous process must also know
+	// of this one first: it may receive SIGTERM as soon as this one reports that it is ready, and without a successor
+	// it would drain the whole replica.
 	Waits bool
 
 	state     State
@@ -89,7 +91,8 @@
 	successor bool
 }
 
-// Take takes an event. An error says why an operator's call cannot be carried out; nothing has changed then.
+// Take handles an event. An error says why an operator's call is not possible in the current state; the state is
+// unchanged then.
 func (l *Life) Take(e Event) (Effect, error) {
 	switch e {
 	case Engine:
@@ -113,7 +116,7 @@
 	return 0, nil
 }
 
-// open begins the service once all that it needs is there.
+// open starts the service once its preconditions hold.
 func (l *Life) open() Effect {
 	switch {
 	case l.state != Starting || !l.inherited || l.Waits && !l.engine:
@@ -132,12 +135,12 @@
 	return Accept
 }
 
-// drain carries the operator's wish. Twice the same is no error. A process that leaves without a successor is in a
-// drain that cannot be taken back.
+// drain applies the operator's drain or the end of it. Repeating a call is no error. A process that is leaving
+// without a successor is in a drain that cannot be ended.
 func (l *Life) drain(on bool) error {
 	switch {
 	case l.state == Leaving && !on:
-		return fmt.Errorf("%w: this process was told to leave and ends soon", ErrNotNow)
+		return fmt.Errorf("%w: this process was told to exit and ends soon", ErrNotNow)
 	case l.state == Serving && on:
 		l.state = Drained
 	case l.state == Drained && !on:
@@ -149,7 +152,7 @@
 
 func (l *Life) term() Effect {
 	switch {
-	case l.state == HandingOver || l.state == Leaving: // told twice
+	case l.state == HandingOver || l.state == Leaving: // a repeated SIGTERM
 		return 0
 	case l.successor:
 		l.state = HandingOver
@@ -159,17 +162,18 @@
 	return DrainAll | EndEmpty
 }
 
-// State tells what the process is.
+// State returns the current state.
 func (l *Life) State() State { return l.state }
 
-// Announced tells whether the process before this one was told of it, which a new link to it has to repeat.
+// Announced reports whether the previous process was told of this one; a new link to it must repeat the
+// announcement.
 func (l *Life) Announced() bool { return l.announced }
 
-// Drained tells whether the operator wants callers elsewhere, whatever the process is.
+// Drained reports whether the operator has drained the replica, in any state.
 func (l *Life) Drained() bool { return l.drained }
 
-// Good is the answer to health checks; module is what the module would say. In a hand-over the replica goes on, so
-// that its callers must not be sent away.
+// Good returns the answer to health checks; module is the module's own answer. During a hand-over the replica stays
+// in service, so callers must not be sent to other replicas.
 func (l *Life) Good(module bool) bool {
 	switch l.state {
 	case Leaving:
@@ -180,7 +184,7 @@
 	return module && !l.drained
 }
 
-// Ready is the answer to the operators' check: nil as soon as, and as long as, this process takes clients.
+// Ready returns nil while this process accepts clients, and the reason otherwise. It answers the operators' check.
 func (l *Life) Ready() error {
 	switch l.state {
 	case Serving, Drained:
@@ -188,11 +192,11 @@
 	case Starting:
 		switch {
 		case l.Waits && !l.inherited:
-			return fmt.Errorf("%w: the process before this one has not told yet what it owes", ErrNotNow)
+			return fmt.Errorf("%w: the previous process has not sent all of its state yet", ErrNotNow)
 		case l.Waits && !l.engine:
-			return fmt.Errorf("%w: the engine has not said hello", ErrNotNow)
+			return fmt.Errorf("%w: the engine has not completed its handshake", ErrNotNow)
 		case l.Waits && !l.known:
-			return fmt.Errorf("%w: the process before this one has not heard of it", ErrNotNow)
+			return fmt.Errorf("%w: the previous process has not acknowledged this one", ErrNotNow)
 		}
 	}
 	return fmt.Errorf("%w: this process is %v", ErrNotNow, l.state)
--- a/internal/decide/lifecycle/lifecycle_test.go
+++ b/internal/decide/lifecycle/lifecycle_test.go
@@ -5,26 +5,27 @@
 	"testing"
 )
 
-// depth is how many events the exhaustive search puts in a row, in every order: 8^6 rows for each kind of start.
-const depth = 6
+// sequenceLength is the number of events in each sequence of the exhaustive search: 8^6 sequences for each kind of
+// start.
+const sequenceLength = 6
 
-// world is what the search knows beside the process: the facts that an answer must follow from.
-type world struct {
-	life                                       Life
-	engine, inherited, known, drain, follows   bool
-	told, tookOver                             bool // Term came; a successor was there when it came
-	announced, accepts, stopped, modules, ends int
+// modelState is the process under test with the facts that its answers must follow from.
+type modelState struct {
+	life                                              Life
+	engine, inherited, known, drain, hasSuccessor     bool
+	terminated, successorAtTerm                       bool // Term was received; a successor existed at that time
+	announced, accepted, stopped, moduleDrains, exits int
 }
 
-func (w *world) take(e Event) error {
+func (w *modelState) take(e Event) error {
 	before := w.life
 	effect, err := w.life.Take(e)
 	if err != nil {
 		if w.life != before || effect != 0 {
-			return errors.New("a call that is refused has changed something")
+			return errors.New("a rejected call has changed the state")
 		}
-		if !errors.Is(err, ErrNotNow) || e != DrainOff || !w.told || w.tookOver {
-			return errors.New("refused without a reason: " + err.Error())
+		if !errors.Is(err, ErrNotNow) || e != DrainOff || !w.terminated || w.successorAtTerm {
+			return errors.New("rejected without a reason: " + err.Error())
 		}
 		return nil
 	}
@@ -38,13 +39,13 @@
 	case DrainOn, DrainOff:
 		w.drain = e == DrainOn
 	case Successor, SuccessorGone:
-		w.follows = e == Successor
+		w.hasSuccessor = e == Successor
 	case Term:
-		if !w.told {
-			w.told, w.tookOver = true, w.follows
+		if !w.terminated {
+			w.terminated, w.successorAtTerm = true, w.hasSuccessor
 		}
 	}
-	for bit, n := range map[Effect]*int{Announce: &w.announced, Accept: &w.accepts, StopAccept: &w.stopped, DrainAll: &w.modules, EndEmpty: &w.ends} {
+	for bit, n := range map[Effect]*int{Announce: &w.announced, Accept: &w.accepted, StopAccept: &w.stopped, DrainAll: &w.moduleDrains, EndEmpty: &w.exits} {
 		if effect&bit != 0 {
 			*n++
 		}
@@ -52,89 +53,89 @@
 	return w.check()
 }
 
-// check compares every answer with the facts.
-func (w *world) check() error {
+// check compares every answer with the recorded facts.
+func (w *modelState) check() error {
 	l := &w.life
-	able := w.inherited && (w.engine || !l.Waits)
-	takes := able && (w.known || !l.Waits)
+	canServe := w.inherited && (w.engine || !l.Waits)
+	mustAccept := canServe && (w.known || !l.Waits)
 	switch {
-	case w.announced > 0 && !(able && l.Waits), able && l.Waits && !w.known && !w.told && w.announced == 0:
-		return errors.New("announced if and only if it waits for the process before it alone")
-	case w.announced > 1 || w.accepts > 1 || w.stopped > 1 || w.modules > 1 || w.ends > 1:
-		return errors.New("an effect came twice")
-	case w.accepts > 0 && !takes:
-		return errors.New("clients are taken too early")
-	case takes && !w.told && w.accepts == 0:
-		return errors.New("clients are not taken")
-	case (w.modules > 0) != (w.told && !w.tookOver):
-		return errors.New("the module drains if and only if nobody takes over")
-	case (w.stopped > 0) != (w.told && w.tookOver):
-		return errors.New("accepting stops at once if and only if somebody takes over")
-	case (w.ends > 0) != w.told:
-		return errors.New("the process ends if and only if it was told to")
-	case (l.Ready() == nil) != (takes && !w.told):
-		return errors.New("the check does not tell whether clients are taken")
+	case w.announced > 0 && !(canServe && l.Waits), canServe && l.Waits && !w.known && !w.terminated && w.announced == 0:
+		return errors.New("Announce must be sent if and only if only the acknowledgement of the previous process is missing")
+	case w.announced > 1 || w.accepted > 1 || w.stopped > 1 || w.moduleDrains > 1 || w.exits > 1:
+		return errors.New("an effect was returned twice")
+	case w.accepted > 0 && !mustAccept:
+		return errors.New("clients are accepted too early")
+	case mustAccept && !w.terminated && w.accepted == 0:
+		return errors.New("clients are not accepted")
+	case (w.moduleDrains > 0) != (w.terminated && !w.successorAtTerm):
+		return errors.New("the module must drain if and only if there is no successor")
+	case (w.stopped > 0) != (w.terminated && w.successorAtTerm):
+		return errors.New("accepting must stop at once if and only if there is a successor")
+	case (w.exits > 0) != w.terminated:
+		return errors.New("the process must exit if and only if it received Term")
+	case (l.Ready() == nil) != (mustAccept && !w.terminated):
+		return errors.New("Ready does not match whether clients are accepted")
 	case l.Drained() != w.drain:
-		return errors.New("the drain is not the operator's last word")
+		return errors.New("Drained does not match the operator's last call")
 	case l.Good(true) && w.drain:
-		return errors.New("good health in a drain")
-	case l.Good(true) != (!w.drain && !(w.told && !w.tookOver)):
-		return errors.New("bad health without a drain: a hand-over is none")
-	case !w.told && l.Good(false):
-		return errors.New("the module's word on health is not heard")
+		return errors.New("healthy during a drain")
+	case l.Good(true) != (!w.drain && !(w.terminated && !w.successorAtTerm)):
+		return errors.New("health does not match the drain; a hand-over must stay healthy")
+	case !w.terminated && l.Good(false):
+		return errors.New("the module's health is ignored")
 	}
 	return nil
 }
 
-// TestEveryOrderOfEvents plays all rows of events on a first process and on a successor.
+// TestEveryOrderOfEvents runs all sequences of events on a first process and on a successor.
 func TestEveryOrderOfEvents(t *testing.T) {
-	rows := 0
-	var walk func(w world, row []Event)
-	walk = func(w world, row []Event) {
-		if len(row) == depth {
-			rows++
+	sequences := 0
+	var walk func(w modelState, sequence []Event)
+	walk = func(w modelState, sequence []Event) {
+		if len(sequence) == sequenceLength {
+			sequences++
 			return
 		}
 		for e := range Events {
 			next := w
 			if err := next.take(e); err != nil {
-				t.Fatalf("waits %v, %v then %v: %v (state %v)", w.life.Waits, row, e, err, next.life.State())
+				t.Fatalf("waits %v, %v then %v: %v (state %v)", w.life.Waits, sequence, e, err, next.life.State())
 			}
-			walk(next, append(row[:len(row):len(row)], e))
+			walk(next, append(sequence[:len(sequence):len(sequence)], e))
 		}
 	}
 	for _, waits := range []bool{false, true} {
-		walk(world{life: Life{Waits: waits}}, nil)
+		walk(modelState{life: Life{Waits: waits}}, nil)
 	}
-	if rows != 2*262144 {
-		t.Errorf("%d rows", rows)
+	if sequences != 2*262144 {
+		t.Errorf("played %d sequences, want %d", sequences, 2*262144)
 	}
 }
 
-// TestReasons has an operator read why.
-func TestReasons(t *testing.T) {
+// TestReadyReasons checks the reasons that an operator reads.
+func TestReadyReasons(t *testing.T) {
 	l := Life{Waits: true}
 	for _, step := range []struct {
 		e    Event
 		want string
-	}{{Engine, "not now: the process before this one has not told yet what it owes"}, {Inherited, "not now: the process before this one has not heard of it"}, {Known, ""}, {DrainOn, ""}, {Term, "not now: this process is leaving"}} {
+	}{{Engine, "not now: the previous process has not sent all of its state yet"}, {Inherited, "not now: the previous process has not acknowledged this one"}, {Known, ""}, {DrainOn, ""}, {Term, "not now: this process is leaving"}} {
 		l.Take(step.e)
 		if got := l.Ready(); (got == nil) != (step.want == "") || got != nil && got.Error() != step.want {
-			t.Errorf("after %d: %v, not %q", step.e, got, step.want)
+			t.Errorf("after event %d: Ready() = %v, want %q", step.e, got, step.want)
 		}
 	}
 	if _, err := l.Take(DrainOff); !errors.Is(err, ErrNotNow) {
-		t.Errorf("drain-off while leaving: %v", err)
+		t.Errorf("DrainOff while leaving: %v, want ErrNotNow", err)
 	}
 	if l = (Life{Waits: true}); l.Ready() == nil {
-		t.Error("ready at the start")
+		t.Error("Ready() = nil before any event")
 	}
 	l.Take(Inherited)
-	if err := l.Ready(); err == nil || err.Error() != "not now: the engine has not said hello" {
+	if err := l.Ready(); err == nil || err.Error() != "not now: the engine has not completed its handshake" {
 		t.Error(err)
 	}
 	l.Take(Engine)
-	if err := l.Ready(); err == nil || err.Error() != "not now: the process before this one has not heard of it" {
+	if err := l.Ready(); err == nil || err.Error() != "not now: the previous process has not acknowledged this one" {
 		t.Error(err)
 	}
 }
