--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon runs one replica: it wires the parts, takes the signals, and drains.
+// Package daemon runs one replica: it creates and connects its parts, handles signals, and carries out drains and
+// hand-overs.
 package daemon
 
 import (
@@ -32,35 +33,36 @@
 )
 
 const (
-	spareSockets = 48 // descriptors kept for the links, the poller and the runtime
-	memoryShare  = 0.7
-	// An eighth of the memory each may hold results for repeats, what waits for the engine, and what waits for the other
-	// process of a replacement, which are those results and little more.
-	resultShare, engineShare, peerShare = 8, 8, 6
-	exitBefore                          = 60 * time.Millisecond
-	closeTime                           = 5 * time.Millisecond  // what the process holds is closed within it, or by its end
-	killBefore                          = 10 * time.Millisecond // what is not quiet by then is not waited for
-	drainPoll                           = 5 * time.Millisecond
-	claimTime                           = 10 * time.Second // see claim
-	claimPoll                           = 20 * time.Millisecond
+	reservedSockets = 48 // descriptors reserved for links, the poller and the runtime
+	memoryShare     = 0.7
+	// Each share is the divisor of the memory: results kept for repeats, output that the engine has not read yet, and
+	// messages that the other process of a replacement has not read yet, which are those results and little more.
+	resultDivisor, engineDivisor, peerDivisor = 8, 8, 6
+	exitMargin                                = 60 * time.Millisecond
+	closeTime                                 = 5 * time.Millisecond  // time limit for closing resources before the process exits anyway
+	killMargin                                = 10 * time.Millisecond // connections that are not quiet by then are abandoned
+	drainPollInterval                         = 5 * time.Millisecond
+	listenTimeout                             = 10 * time.Second // see listenWithRetry
+	listenRetryInterval                       = 20 * time.Millisecond
 )
 
-// Part is what a process may have beside the replica and its plain listener: TLS, a control socket, a fleet.
+// Part is an optional component beside the replica and its plain listener: TLS, a control socket, a fleet.
 //
-// Parts are started in the order in which they are given, after the replica's own (door, link to the other process, link to
-// the engine) and before clients are taken. At the end they leave and close in the reverse order: in a drain all leave
-// when its grace is over, while what was begun is still answered; all close when nothing is open any more.
+// Parts are started in the given order, after the replica's own components (operators' listener, link to the other
+// process, link to the engine) and before clients are accepted. At exit Leave and Close are called in the reverse
+// order. In a drain, Leave is called on all parts when the grace period is over, while calls in progress are still
+// answered; Close is called on all when no connection is open any more.
 type Part interface {
-	// Start begins; it is called once. An error ends the process before it has served.
+	// Start starts the part; it is called once. An error ends the process before it has served.
 	Start(ctx context.Context, server *front.Server, set *counters.Set) error
-	// Leave ends what would bring new work, when the grace of a drain is over. A hand-over to another process has no grace
-	// and does not call it.
+	// Leave stops the intake of new work when the grace period of a drain is over. A hand-over to another process has
+	// no grace period and does not call it.
 	Leave()
-	// Close ends what is left, at the end of the process.
+	// Close releases what is left when the process exits.
 	Close()
 }
 
-// Replica is what the rest of the program sees of a running one.
+// Replica is the running replica as the rest of the program sees it.
 type Replica struct {
 	Name     string
 	Addr     string
@@ -69,45 +71,47 @@
 	service  *service
 }
 
-// Drain has the replica leave, as SIGTERM does.
+// Drain makes the replica drain and exit, as SIGTERM does.
 func (r *Replica) Drain() { r.service.signals.Leave() }
 
-// Operator is the replica as operators call it.
-func (r *Replica) Operator() operator.Replica { return door{r.process} }
+// Operator returns the replica with the calls that operators may make.
+func (r *Replica) Operator() operator.Replica { return operatorReplica{r.process} }
 
-// Advise has requests that are read from now on decided with what the box's fleet advises; nil ends it. It waits for nobody.
+// Advise applies the fleet's advice of this box to the decisions on requests that are read from now on; nil ends
+// it. It does not block.
 func (r *Replica) Advise(a *shed.Advice) { r.process.Replica.Advise(a) }
 
-// Pace has the box ask what all boxes depend on when its fleet says so: reports to the catalog, and tries to reconnect to its engine.
-func (r *Replica) Pace(reports catalog.Pace, reconnects func(try int) time.Duration) {
+// Pace lets the fleet pace the requests of this box to services that all boxes share: reports to the catalog, and
+// attempts to reconnect to its engine.
+func (r *Replica) Pace(reports catalog.Pace, reconnects func(attempt int) time.Duration) {
 	r.service.reporter.Pace(reports)
 	r.service.engine.Pauses(reconnects)
 }
 
-// Level is what the module by itself would have callers hold back.
+// Level returns the shed level that the module would use by itself.
 func (r *Replica) Level() float64 { return r.process.Replica.Level() }
 
-// Leaving tells whether it drains.
+// Leaving reports whether the process drains or hands over.
 func (r *Replica) Leaving() bool {
 	s := r.process.state()
 	return s == lifecycle.Leaving || s == lifecycle.HandingOver
 }
 
-// Drained tells whether an operator has drained it.
+// Drained reports whether an operator has drained the replica.
 func (r *Replica) Drained() bool {
 	r.process.mu.Lock()
 	defer r.process.mu.Unlock()
 	return r.process.life.Drained()
 }
 
-// limit fits the runtime into the limits of the program.
-func limit(l settings.Limits) {
+// limit sets the limits of the Go runtime from the limits of the program.
+func limitRuntime(l settings.Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	debug.SetMemoryLimit(int64(memoryShare * float64(l.MemoryMB<<20)))
 }
 
-// service is one running process: the replica's own parts in fields, in the order in which they are made, and the parts
-// that the program adds.
+// service is one running process: the replica's own components in the order in which they are created, and the
+// parts that the program adds.
 type service struct {
 	path    string
 	cfg     *settings.Replica
@@ -118,52 +122,52 @@
 	set                  *counters.Set
 	clk                  *clock.System
 	engine               *engine.Link
-	index                *index.Client // nil at sites whose runs make no calls
-	process              *process      // with the replica and the link to the other process
+	index                *index.Client // nil at sites whose runs make no index calls
+	process              *process      // the replica and the link to the other process
 	server               *front.Server
-	door                 *operator.Door // nil without an address for it
+	operators            *operator.Door // nil if no address is configured
 	past                 link.Past
 	reporter             *catalog.Reporter
-	failed               chan error // of the listener
-	endEngine, endClaims func()     // end the link to the engine, and the one to the other process with the claims on keys
+	listenerErrors       chan error // error of the listener
+	stopEngine, stopPeer func()     // stop the link to the engine, and the link to the other process with the claims on keys
 	reloads              *counters.Counter
-	turned               *counters.Counter // configurations that were turned down
+	rejectedConfigs      *counters.Counter // configurations that were rejected
 }
 
-// Run serves until the notice to leave was carried out; the process ends then with exit code 0. started is told once
-// clients are taken; it may be nil.
+// Run serves until SIGTERM has been handled; the process then exits with code 0. started is called once clients are
+// accepted; it may be nil.
 func Run(path string, cfg *settings.Replica, started func(*Replica), parts ...Part) error {
-	limit(cfg.Limits)
+	limitRuntime(cfg.Limits)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s, err := assemble(path, cfg, started, parts)
-	if errors.Is(err, errLeft) {
+	s, err := newService(path, cfg, started, parts)
+	if errors.Is(err, errTerminated) {
 		log.Print(err)
 		os.Exit(0)
 	}
 	if err != nil {
 		return err
 	}
-	if err := s.begin(ctx); err != nil {
+	if err := s.start(ctx); err != nil {
 		return err
 	}
 	return s.serve(ctx)
 }
 
-// assemble makes the parts; nobody is served, and nothing is started.
-func assemble(path string, cfg *settings.Replica, started func(*Replica), parts []Part) (*service, error) {
+// newService creates all components and starts none.
+func newService(path string, cfg *settings.Replica, started func(*Replica), parts []Part) (*service, error) {
 	s := &service{path: path, cfg: cfg, parts: parts, started: started, signals: Catch(), set: new(counters.Set), clk: clock.NewSystem(),
-		process: &process{effects: make(chan lifecycle.Effect, 8)}, past: link.Fresh, failed: make(chan error, 1)}
-	s.reloads, s.turned = s.set.Get("configurations_reloaded"), s.set.Get("configurations_turned_down")
+		process: &process{effects: make(chan lifecycle.Effect, 8)}, past: link.Fresh, listenerErrors: make(chan error, 1)}
+	s.reloads, s.rejectedConfigs = s.set.Get("configurations_reloaded"), s.set.Get("configurations_turned_down")
 	memory := int(cfg.Limits.MemoryMB << 20)
 	s.engine = engine.NewLink(cfg.Engine, s.clk.Now, s.set)
-	s.engine.BoundOutput(memory / engineShare)
+	s.engine.BoundOutput(memory / engineDivisor)
 	p := s.process
 	rc := replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, OnCores: cfg.OnCores,
-		ResultBytes: memory / resultShare, Replaceable: cfg.Inherited > 0,
+		ResultBytes: memory / resultDivisor, Replaceable: cfg.Inherited > 0,
 		CloseIdle: func(after time.Duration) { s.server.CloseIdle(after) }}
 	if cfg.Index != "" {
-		s.index = index.New(cfg.Index, indexReplies{p}, s.set) // replies come only after the replica's calls
+		s.index = index.New(cfg.Index, indexReplies{p}, s.set) // replies arrive only after calls of the replica
 		rc.Index = s.index
 	}
 	var err error
@@ -171,7 +175,7 @@
 	if err != nil {
 		return nil, err
 	}
-	err = s.claim(func() (err error) {
+	err = s.listenWithRetry(func() (err error) {
 		s.server, err = listen(cfg, p, s.clk, s.set)
 		return err
 	})
@@ -179,12 +183,12 @@
 		return nil, err
 	}
 	p.split = newSplit(cfg.Limits, s.server, p.Replica)
-	p.split.alone()
-	s.server.Waits(longest(cfg))
-	s.server.CloseIdle(cfg.Policy.IdleMax) // routers close theirs by then; who does not holds a descriptor for nothing
+	p.split.useAll()
+	s.server.Waits(longestDeadline(cfg))
+	s.server.CloseIdle(cfg.Policy.IdleMax) // routers close idle connections by then; any other client would occupy a descriptor for nothing
 	if cfg.Control != "" {
-		err = s.claim(func() (err error) {
-			s.door, err = operator.Listen(cfg.Control, door{p}, s.clk.Now, s.set)
+		err = s.listenWithRetry(func() (err error) {
+			s.operators, err = operator.Listen(cfg.Control, operatorReplica{p}, s.clk.Now, s.set)
 			return err
 		})
 		if err != nil {
@@ -195,33 +199,33 @@
 		if p.peer, s.past, err = link.Open(cfg.Folder); err != nil {
 			return nil, err
 		}
-		p.peer.Bound(memory / peerShare)
+		p.peer.Bound(memory / peerDivisor)
 	}
 	s.reporter = catalog.NewReporter(cfg.Directory, cfg.Name, s.set)
 	return s, nil
 }
 
-// begin starts the parts in their order.
-func (s *service) begin(ctx context.Context) error {
+// start starts the components in their order.
+func (s *service) start(ctx context.Context) error {
 	p := s.process
 	switch s.past {
 	case link.Follows:
 		p.life.Waits = true
 		p.Follow()
 		p.split.follow()
-	case link.Died: // its saves may come again, and what it ran is not known
-		log.Print("the last process here has died; saves that it may have run fail until they can no longer come again")
+	case link.Died: // its keyed requests may be repeated, and it is unknown which of them ran
+		log.Print("the previous process has crashed; keyed requests that it may have run are failed until they can no longer be repeated")
 		p.Replica.TookOver(false)
 	}
-	if s.door != nil { // callers have waited in the backlog until it is known what this process is
-		go s.door.Serve()
-		go s.door.Sweep(ctx)
-		log.Printf("operators may call at %s", s.door.Addr())
+	if s.operators != nil { // calls wait in the backlog until the role of this process is known
+		go s.operators.Serve()
+		go s.operators.Sweep(ctx)
+		log.Printf("operators' listener is at %s", s.operators.Addr())
 	}
-	s.endEngine = keep(ctx, func(ctx context.Context) { s.engine.Keep(ctx, p) })
-	s.endClaims = func() {}
+	s.stopEngine = startBackground(ctx, func(ctx context.Context) { s.engine.Keep(ctx, p) })
+	s.stopPeer = func() {}
 	if p.peer != nil {
-		s.endClaims = keep(ctx, func(ctx context.Context) { p.peer.Keep(ctx, s.past, neighbour{p}) })
+		s.stopPeer = startBackground(ctx, func(ctx context.Context) { p.peer.Keep(ctx, s.past, peerEvents{p}) })
 	}
 	if s.past != link.Follows {
 		p.take(lifecycle.Inherited)
@@ -235,38 +239,38 @@
 	return nil
 }
 
-// serve takes signals and what follows from the process's life, one at a time.
+// serve handles signals and the effects of state changes, one at a time.
 func (s *service) serve(ctx context.Context) error {
-	reload, read := s.signals.reload, (chan reading)(nil) // one at a time; what comes meanwhile waits
+	reload, read := s.signals.reload, (chan configResult)(nil) // one reload at a time; a signal during a reload waits
 	for {
 		select {
-		case err := <-s.failed:
+		case err := <-s.listenerErrors:
 			if state := s.process.state(); state != lifecycle.Leaving && state != lifecycle.HandingOver {
-				return fmt.Errorf("the listener ended: %w", err)
+				return fmt.Errorf("listener failed: %w", err)
 			}
-			s.failed = nil
+			s.listenerErrors = nil
 		case effect := <-s.process.effects:
 			s.carryOut(ctx, effect)
 		case <-s.signals.leave:
 			s.process.take(lifecycle.Term)
 		case <-s.signals.report:
-			s.report()
-		case <-reload: // in a drain as well: its runs still end at the engine
-			reload, read = nil, s.read()
+			s.logCounters()
+		case <-reload: // also during a drain, as runs still end at the engine
+			reload, read = nil, s.readConfig()
 		case r := <-read:
-			s.reload(r.next, r.err)
+			s.applyConfig(r.next, r.err)
 			reload, read = s.signals.reload, nil
 		}
 	}
 }
 
-// carryOut does what an event of the process's life has asked for.
+// carryOut carries out the effects of an event.
 func (s *service) carryOut(ctx context.Context, effect lifecycle.Effect) {
 	if effect&lifecycle.Announce != 0 {
 		s.process.peer.Send(&handover.Message{Kind: handover.Ready})
 	}
 	if effect&lifecycle.Accept != 0 {
-		go func(failed chan<- error) { failed <- s.server.Serve() }(s.failed)
+		go func(errs chan<- error) { errs <- s.server.Serve() }(s.listenerErrors)
 		go s.reporter.Keep(ctx)
 		if s.started != nil {
 			s.started(&Replica{Name: s.cfg.Name, Addr: s.server.Addr(), Counters: s.set, process: s.process, service: s})
@@ -278,18 +282,18 @@
 	}
 }
 
-// end ends the process, in a drain or by a hand-over.
+// end drains or hands over, and exits the process.
 func (s *service) end(cfg *settings.Replica, drain bool) {
 	if drain {
 		s.reporter.Leave()
-		s.leave(cfg)
+		s.drain(cfg)
 		if s.process.peer != nil {
 			s.process.peer.End()
 		}
 	} else {
 		s.handOver(cfg)
 	}
-	s.report()
+	s.logCounters()
 	for _, part := range slices.Backward(s.parts) {
 		part.Close()
 	}
@@ -297,8 +301,8 @@
 	os.Exit(0)
 }
 
-// keep has f go on until the end that it returns is called, which waits for f.
-func keep(ctx context.Context, f func(context.Context)) (end func()) {
+// startBackground runs f in a goroutine. The returned stop function cancels its context and waits for f.
+func startBackground(ctx context.Context, f func(context.Context)) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
@@ -311,29 +315,31 @@
 	}
 }
 
-// close ends what others wait for, as nothing is owed any more. The end of a process that has exited was seen to take the
-// kernel 1.4 s, and its successor waited for it. The claims on keys are given up when nothing can be run here any more:
-// whoever takes them over runs what it does not know. What has not ended within most is left to the end of the process.
-func (s *service) close(most time.Duration) {
+// close releases resources that others wait for, once nothing is outstanding. Without it, a successor would wait
+// until the kernel has cleaned up this process, which was observed to take 1.4 s. The claims on keys are released
+// after the links to the engine and the index are closed, when no run can start here any more, because the process
+// that takes the claims over runs each key that it does not know. Resources that are not closed within timeout are
+// left to the exit of the process.
+func (s *service) close(timeout time.Duration) {
 	closed := make(chan struct{})
 	go func() {
-		s.endEngine()
+		s.stopEngine()
 		if s.index != nil {
 			s.index.Close()
 		}
-		s.endClaims()
-		if s.door != nil {
-			s.door.Close()
+		s.stopPeer()
+		if s.operators != nil {
+			s.operators.Close()
 		}
 		close(closed)
 	}()
 	select {
 	case <-closed:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
 
-// indexReplies hands the ends of calls to the index to the replica.
+// indexReplies passes results of index calls to the replica.
 type indexReplies struct{ p *process }
 
 // Reply implements index.Replies.
@@ -341,26 +347,26 @@
 	x.p.Replica.Called(txn, outcome, took, reply)
 }
 
-// reading is a configuration that was read anew, or why it was turned down.
-type reading struct {
+// configResult is a reloaded configuration, or the error that rejected it.
+type configResult struct {
 	next *settings.Replica
 	err  error
 }
 
-// read reads the configuration anew, beside all else: however long that takes, the notice to leave is not late.
-func (s *service) read() chan reading {
-	cfg, done := s.cfg, make(chan reading, 1)
+// readConfig reads the configuration in the background, so that a slow read does not delay the handling of SIGTERM.
+func (s *service) readConfig() chan configResult {
+	cfg, done := s.cfg, make(chan configResult, 1)
 	go func() {
 		next, err := cfg.Reload(s.path)
-		done <- reading{next, err}
+		done <- configResult{next, err}
 	}()
 	return done
 }
 
-// reload moves the links to the addresses in a configuration that was read anew.
-func (s *service) reload(next *settings.Replica, err error) {
+// applyConfig moves the links to the addresses of a reloaded configuration.
+func (s *service) applyConfig(next *settings.Replica, err error) {
 	if err != nil {
-		s.turned.Inc()
+		s.rejectedConfigs.Inc()
 		log.Print("the old settings stay in force: ", err)
 		return
 	}
@@ -374,7 +380,7 @@
 	log.Printf("configuration read anew: engine %s, directory %s, index %s", next.Engine, next.Directory, next.Index)
 }
 
-// Platform runs the platform's replica as its environment tells, to the end. It only returns an error.
+// Platform runs the replica as the environment variables of the platform configure it. It returns only on an error.
 func Platform() error {
 	path := os.Getenv("RELAY_CONFIG")
 	cfg, err := settings.Load(path)
@@ -387,42 +393,43 @@
 	return Run(path, cfg, nil)
 }
 
-// listen takes the platform's listening socket, or opens one.
+// listen inherits the platform's listening socket, or opens one.
 func listen(cfg *settings.Replica, core front.Core, clk *clock.System, set *counters.Set) (*front.Server, error) {
-	plan := connections(cfg.Limits)
+	plan := newPlan(cfg.Limits)
 	if cfg.Inherited > 0 {
 		return front.Inherit(cfg.Inherited, plan.Alone(), core, clk.Now, set)
 	}
 	return front.Listen(cfg.Listen, plan.Alone(), core, clk.Now, set)
 }
 
-// errLeft says that the notice to leave came before anything was begun.
-var errLeft = errors.New("told to leave before the addresses were free")
+// errTerminated is returned when SIGTERM arrives before any component was started.
+var errTerminated = errors.New("told to exit before the listen addresses were free")
 
-// claim takes an address. A process that was here before may hold it for a moment longer than it seems to live: its end was
-// seen to take the kernel 1.4 s. So one that is taken is waited for; a platform gives a start 30 s.
-func (s *service) claim(listen func() error) error {
-	said := false
-	for end := s.clk.Now() + claimTime; ; time.Sleep(claimPoll) {
+// listenWithRetry calls listen until the address is free. A previous process may hold the address for a moment
+// after it seems to have exited, as the cleanup by the kernel was observed to take 1.4 s. The time-out stays within
+// the 30 s that a platform allows for a start.
+func (s *service) listenWithRetry(listen func() error) error {
+	logged := false
+	for end := s.clk.Now() + listenTimeout; ; time.Sleep(listenRetryInterval) {
 		err := listen()
 		if !errors.Is(err, syscall.EADDRINUSE) || s.clk.Now() >= end {
 			return err
 		}
-		if !said {
-			said = true
-			log.Printf("%v: waiting for it, %v at the most", err, claimTime)
+		if !logged {
+			logged = true
+			log.Printf("%v: waiting for it, at most %v", err, listenTimeout)
 		}
 		select {
 		case <-s.signals.leave:
-			return errLeft
+			return errTerminated
 		default:
 		}
 	}
 }
 
-// leave drains: work goes on through the grace, then routers are asked to go, and the process ends as
-// soon as they have, at the latest just before it would be stopped.
-func (s *service) leave(cfg *settings.Replica) {
+// drain serves through the grace period, then asks routers to disconnect, and returns as soon as they have, at the
+// latest shortly before the process would be stopped.
+func (s *service) drain(cfg *settings.Replica) {
 	stopAt := s.clk.Now() + cfg.Stop
 	s.process.Replica.Drain(cfg.Stop)
 	time.Sleep(min(cfg.Policy.DrainGrace, cfg.Stop*3/4))
@@ -430,40 +437,40 @@
 		part.Leave()
 	}
 	s.server.Leave()
-	s.empty(stopAt)
+	s.closeConnections(stopAt)
 }
 
-// longest is the longest deadline.
-func longest(cfg *settings.Replica) (d time.Duration) {
+// longestDeadline returns the longest deadline of all classes.
+func longestDeadline(cfg *settings.Replica) (d time.Duration) {
 	for _, c := range cfg.Policy.Classes {
 		d = max(d, c.Deadline)
 	}
 	return d
 }
 
-// handOver leaves the service to the successor: nothing new is taken, routers are asked to go, and the process ends as
-// soon as they have, at the latest just before it would be killed.
+// handOver hands the service over to the successor: it accepts nothing new, asks routers to disconnect, and returns
+// as soon as they have, at the latest shortly before the process would be killed.
 func (s *service) handOver(cfg *settings.Replica) {
-	stopAt := s.clk.Now() + lifecycle.HandOverTime(longest(cfg))
+	stopAt := s.clk.Now() + lifecycle.HandOverTime(longestDeadline(cfg))
 	s.process.StopAt(stopAt)
 	s.server.HandOver()
-	s.empty(stopAt)
+	s.closeConnections(stopAt)
 }
 
-// empty ends the process's connections by stopAt.
-func (s *service) empty(stopAt time.Duration) {
-	for s.clk.Now() < stopAt-exitBefore {
+// closeConnections waits until all connections are closed, and closes the rest by stopAt.
+func (s *service) closeConnections(stopAt time.Duration) {
+	for s.clk.Now() < stopAt-exitMargin {
 		if s.server.Connections() == 0 && s.process.Owed() == 0 {
 			return
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
-	for !s.server.Close() && s.clk.Now() < stopAt-killBefore {
-		time.Sleep(drainPoll)
+	for !s.server.Close() && s.clk.Now() < stopAt-killMargin {
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// report prints the counters.
-func (s *service) report() {
+// logCounters logs the counters.
+func (s *service) logCounters() {
 	log.Printf("counters: %v invariants_broken=%d", s.set, assert.Failures())
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// The process that takes over the claims on keys runs what it does not know, so that nothing may be run here by then.
-func TestTheClaimsAreGivenUpWhenNothingCanBeRun(t *testing.T) {
+// The process that takes over the claims on keys runs each key that it does not know, so no run may start here
+// after the claims are released.
+func TestClaimsAreReleasedAfterEngineLinkStops(t *testing.T) {
 	var order []string
-	part := func(name string) func() {
-		return keep(t.Context(), func(ctx context.Context) {
+	component := func(name string) func() {
+		return startBackground(t.Context(), func(ctx context.Context) {
 			<-ctx.Done()
 			order = append(order, name)
 		})
 	}
-	s := &service{endEngine: part("engine"), endClaims: part("claims")}
+	s := &service{stopEngine: component("engine"), stopPeer: component("claims")}
 	s.close(time.Minute)
 	if !slices.Equal(order, []string{"engine", "claims"}) {
-		t.Errorf("ended %v", order)
+		t.Errorf("stopped in order %v, want engine before claims", order)
 	}
 }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -12,19 +12,19 @@
 	"cairnlane/internal/replica"
 )
 
-// process is one process as everybody else sees it: routers and the engine see the replica with what the process is
-// laid over it, operators call it through their door, and the other process of a replacement through the link.
+// process is this process with the state around the replica. Routers and the engine see the replica through it,
+// operators call it through operatorReplica, and the other process of a replacement through peerEvents.
 type process struct {
 	*replica.Replica
-	peer    *link.Link // nil where no replacement is possible
-	split   *split     // of the limits, with the other process
+	peer    *link.Link // nil if no replacement is possible
+	split   *split     // shares the limits with the other process
 	effects chan lifecycle.Effect
 
-	mu   sync.Mutex // guards life; nothing is called under it
+	mu   sync.Mutex // guards life; no calls are made while it is held
 	life lifecycle.Life
 }
 
-// take takes an event and hands on what is to be done about it. Each effect comes once, so the channel never fills.
+// take handles an event and queues the effects. Each effect occurs once, so the channel never fills.
 func (p *process) take(e lifecycle.Event) error {
 	p.mu.Lock()
 	before := p.life.State()
@@ -32,7 +32,7 @@
 	after := p.life.State()
 	p.mu.Unlock()
 	if before != after {
-		log.Printf("this process was %v and is %v", before, after)
+		log.Printf("process state changed from %v to %v", before, after)
 	}
 	if effect != 0 {
 		p.effects <- effect
@@ -60,18 +60,18 @@
 	p.take(lifecycle.Engine)
 }
 
-// door is the process as operators call it.
-type door struct{ *process }
+// operatorReplica implements operator.Replica.
+type operatorReplica struct{ *process }
 
 // Ready implements operator.Replica.
-func (d door) Ready() error {
+func (d operatorReplica) Ready() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.life.Ready()
 }
 
-// Drain implements operator.Replica. The other process of a replacement is told: the two are one replica.
-func (d door) Drain(on bool) error {
+// Drain implements operator.Replica. It also tells the other process of a replacement, as the two are one replica.
+func (d operatorReplica) Drain(on bool) error {
 	e := lifecycle.DrainOff
 	if on {
 		e = lifecycle.DrainOn
@@ -79,47 +79,47 @@
 	if err := d.take(e); err != nil {
 		return err
 	}
-	d.tellDrain(on)
+	d.sendDrain(on)
 	return nil
 }
 
-func (p *process) tellDrain(on bool) {
+func (p *process) sendDrain(on bool) {
 	if p.peer != nil {
 		p.peer.Send(&handover.Message{Kind: handover.Drain, OK: on})
 	}
 }
 
-// neighbour is the process as the other one of a replacement sees it.
-type neighbour struct{ *process }
+// peerEvents handles the events of the link to the other process of a replacement.
+type peerEvents struct{ *process }
 
 // Joined implements handover.Events.
-func (n neighbour) Joined(guest bool) {
+func (n peerEvents) Joined(guest bool) {
 	if !guest {
 		n.mu.Lock()
 		drained := n.life.Drained()
 		n.mu.Unlock()
-		n.tellDrain(drained)
+		n.sendDrain(drained)
 	}
 	n.Replica.Joined(n.peer)
 }
 
 // Told implements handover.Events.
-func (n neighbour) Told(m *handover.Message) {
+func (n peerEvents) Told(m *handover.Message) {
 	switch m.Kind {
 	case handover.Synced:
 		n.take(lifecycle.Inherited)
 		n.mu.Lock()
-		again := n.life.Announced()
+		announced := n.life.Announced()
 		n.mu.Unlock()
-		if again {
+		if announced {
 			n.peer.Send(&handover.Message{Kind: handover.Ready})
 		}
 	case handover.Ready:
-		n.split.halve(n.peer.Send)
+		n.split.shareWithSuccessor(n.peer.Send)
 		n.take(lifecycle.Successor)
 		n.peer.Send(&handover.Message{Kind: handover.Known})
 	case handover.Share:
-		n.split.told(int(m.N))
+		n.split.setShare(int(m.N))
 	case handover.Known:
 		n.take(lifecycle.Known)
 	case handover.Drain:
@@ -128,7 +128,7 @@
 			e = lifecycle.DrainOn
 		}
 		if err := n.take(e); err != nil {
-			log.Print("the other process was told of a drain: ", err)
+			log.Print("drain call at the other process not applied here: ", err)
 		}
 	default:
 		n.Replica.Told(m)
@@ -136,19 +136,19 @@
 }
 
 // Parted implements handover.Events.
-func (n neighbour) Parted() {
+func (n peerEvents) Parted() {
 	n.Replica.Parted()
-	if n.Replica.Owner() { // else the other one may be there still
-		n.split.alone()
+	if n.Replica.Owner() { // otherwise the other process may still be running
+		n.split.useAll()
 	}
 	n.take(lifecycle.SuccessorGone)
 }
 
 // TookOver implements handover.Events.
-func (n neighbour) TookOver(all bool) {
-	log.Printf("the process before this one has ended; it told all that it owed: %v", all)
+func (n peerEvents) TookOver(all bool) {
+	log.Printf("the previous process has ended; all of its state was received: %v", all)
 	n.Replica.TookOver(all)
-	n.split.alone()
+	n.split.useAll()
 	n.take(lifecycle.Inherited)
 	n.take(lifecycle.Known)
 }
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -7,16 +7,16 @@
 	"syscall"
 )
 
-// Signals are the process's. Each kind waits by itself, so that none of one kind takes the place of another, and one that
-// waits stands for all of its kind that came since.
+// Signals are the signals of this process. Each kind has its own channel, so that one kind cannot displace another.
+// A waiting signal also stands for later ones of its kind.
 type Signals struct {
 	leave, reload, report chan os.Signal
 }
 
-// Catch takes the process's signals from the first call on, which should be the program's first step: SIGHUP ends a process
-// that does not expect it, and the notice to leave would be a crash.
+// Catch handles the signals of this process from its first call on. The program should call it first: until then
+// SIGHUP ends the process, and SIGTERM looks like a crash.
 var Catch = sync.OnceValue(func() *Signals {
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more is no reason to die
+	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not end the process
 	s := &Signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(s.leave, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
@@ -24,10 +24,10 @@
 	return s
 })
 
-// Leave has the process leave, as the notice does.
+// Leave makes the process exit in order, as SIGTERM does.
 func (s *Signals) Leave() {
 	select {
 	case s.leave <- syscall.SIGTERM:
-	default: // one waits already
+	default: // a request is already waiting
 	}
 }
--- a/internal/daemon/split.go
+++ b/internal/daemon/split.go
@@ -11,20 +11,20 @@
 	"cairnlane/internal/settings"
 )
 
-// outputShare is which part of the memory may hold what waits for routers that do not read.
+// outputShare is the share of the memory for output that routers have not read yet.
 const outputShare = 0.25
 
-// half is each process's share of memory and pool.
+// half is each process's share of the memory and of the pool during a replacement.
 const half = 0.5
 
-// sharePeriod is how often the older process tells the newer one what it has freed since.
+// sharePeriod is the interval at which the older process tells the newer one its share of connections.
 const sharePeriod = 100 * time.Millisecond
 
-// split keeps the two processes of a replacement within the limits of one: from the moment at which the new one is about
-// to take clients until one of them has ended, each has half. The older one frees what is over its half as it becomes
-// quiet, and leaves the rest to the newer one.
+// split keeps the two processes of a replacement within the limits of one replica. From the moment when the new
+// process is about to accept clients until one of the two has ended, each has half. The older process closes
+// connections above its half as they become quiet, and gives the freed descriptors to the newer one.
 //
-// What each may hold is decided by handover.Split; this carries it out.
+// handover.Split makes the decisions; split applies them.
 type split struct {
 	limits  settings.Limits
 	server  *front.Server
@@ -32,20 +32,20 @@
 
 	mu   sync.Mutex
 	plan handover.Split
-	stop chan struct{} // ends the telling; nil while this process is alone
+	stop chan struct{} // stops keepSending; nil while this process is alone
 }
 
 func newSplit(l settings.Limits, s *front.Server, r *replica.Replica) *split {
-	return &split{limits: l, server: s, replica: r, plan: connections(l)}
+	return &split{limits: l, server: s, replica: r, plan: newPlan(l)}
 }
 
-// connections is the plan of a process that is alone.
-func connections(l settings.Limits) handover.Split {
-	return handover.Split{Sockets: l.Sockets, Spare: spareSockets}
+// newPlan returns the plan of a process that is alone.
+func newPlan(l settings.Limits) handover.Split {
+	return handover.Split{Sockets: l.Sockets, Spare: reservedSockets}
 }
 
-// alone gives this process all.
-func (s *split) alone() {
+// useAll gives this process the whole limits.
+func (s *split) useAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stop != nil {
@@ -56,44 +56,45 @@
 	s.server.SetMost(s.plan.Alone())
 }
 
-// bound sets what is no connection.
+// bound sets the limits other than connections.
 func (s *split) bound(share float64) {
 	debug.SetMemoryLimit(int64(memoryShare * share * float64(s.limits.MemoryMB<<20)))
 	s.server.BoundOutput(int(share * outputShare * float64(s.limits.MemoryMB<<20)))
 	s.replica.Share(share)
 }
 
-// follow bounds a process that is to replace another one. It is told how many connections are its.
+// follow limits a process that is to replace another one, which then tells it how many connections it may hold.
 func (s *split) follow() {
 	s.bound(half)
 	s.server.SetMost(s.plan.Waiting())
 }
 
-// told takes the older process's word on how many connections are this one's.
-func (s *split) told(n int) { s.server.SetMost(n) }
+// setShare sets the number of connections that the older process gives to this one.
+func (s *split) setShare(n int) { s.server.SetMost(n) }
 
-// halve bounds a process whose successor is about to take clients, and goes on to tell the successor what is its.
-func (s *split) halve(send func(*handover.Message)) {
+// shareWithSuccessor limits this process to its half when a successor is about to accept clients, and keeps the
+// successor informed of its share.
+func (s *split) shareWithSuccessor(send func(*handover.Message)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.bound(half)
 	s.plan.Begin()
-	s.tell(send)
-	if s.stop != nil { // its link was taken up anew
+	s.sendShare(send)
+	if s.stop != nil { // the link was re-established
 		close(s.stop)
 	}
 	s.stop = make(chan struct{})
-	go s.keepTelling(s.stop, send)
+	go s.keepSending(s.stop, send)
 }
 
-// tell tells how many connections are the successor's, if they are more than before.
-func (s *split) tell(send func(*handover.Message)) {
+// sendShare sends the successor's number of connections if it has grown.
+func (s *split) sendShare(send func(*handover.Message)) {
 	if n, changed := s.plan.Give(s.server.SetMost(s.plan.Half())); changed {
 		send(&handover.Message{Kind: handover.Share, N: int64(n)})
 	}
 }
 
-func (s *split) keepTelling(stop chan struct{}, send func(*handover.Message)) {
+func (s *split) keepSending(stop chan struct{}, send func(*handover.Message)) {
 	tick := time.NewTicker(sharePeriod)
 	defer tick.Stop()
 	for {
@@ -104,7 +105,7 @@
 		}
 		s.mu.Lock()
 		if s.stop == stop {
-			s.tell(send)
+			s.sendShare(send)
 		}
 		s.mu.Unlock()
 	}
--- a/internal/daemon/split_test.go
+++ b/internal/daemon/split_test.go
@@ -14,27 +14,28 @@
 	"cairnlane/internal/settings"
 )
 
-// idle is an engine that is never there.
-type idle struct{}
+// absentEngine is an engine that is not connected.
+type absentEngine struct{}
 
-func (idle) Run(string, string, []byte) bool { return false }
-func (idle) AskGauges() bool                 { return false }
-func (idle) Feed(string, []byte) bool        { return false }
-func (idle) Skip(string, int64) bool         { return false }
+func (absentEngine) Run(string, string, []byte) bool { return false }
+func (absentEngine) AskGauges() bool                 { return false }
+func (absentEngine) Feed(string, []byte) bool        { return false }
+func (absentEngine) Skip(string, int64) bool         { return false }
 
-// TestAFullTableMakesRoomForASuccessor has a process whose table clients hold for nothing halve it for its successor, tell
-// it what is left, and take all back when it is alone again. Without the split the successor had 0 of 160 descriptors.
-func TestAFullTableMakesRoomForASuccessor(t *testing.T) {
+// TestFullTableIsSharedWithSuccessor checks that a process whose table is full of idle clients shrinks to half for
+// its successor, gives it the rest, and takes all back when it is alone again. Without the split the successor had
+// 0 of 160 descriptors.
+func TestFullTableIsSharedWithSuccessor(t *testing.T) {
 	cfg, err := settings.Load("../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
 	limits := settings.Limits{Cores: 1, MemoryMB: 64, Sockets: 160}
-	plan := connections(limits)
+	plan := newPlan(limits)
 	alone := plan.Alone()
 	clk, set := clock.NewSystem(), new(counters.Set)
-	rep, err := replica.New(replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, OnCores: cfg.OnCores, ResultBytes: 1 << 20, Replaceable: true}, clk, idle{}, set)
+	rep, err := replica.New(replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, OnCores: cfg.OnCores, ResultBytes: 1 << 20, Replaceable: true}, clk, absentEngine{}, set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,36 +53,36 @@
 	}
 	for end := time.Now().Add(20 * time.Second); server.Connections() < alone; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections are held", server.Connections())
+			t.Fatalf("%d connections are open, want %d", server.Connections(), alone)
 		}
 	}
 	s := newSplit(limits, server, rep)
-	given := make(chan int, 100)
-	s.halve(func(m *handover.Message) {
+	shares := make(chan int, 100)
+	s.shareWithSuccessor(func(m *handover.Message) {
 		if m.Kind == handover.Share {
-			given <- int(m.N)
+			shares <- int(m.N)
 		}
 	})
 	all := 2 * plan.Half()
 	for end := time.After(20 * time.Second); ; {
 		select {
-		case n := <-given:
+		case n := <-shares:
 			held := server.Connections()
 			if n+max(held, all/2) > all+1 {
-				t.Fatalf("%d are given away while %d are held, of %d", n, held, all)
+				t.Fatalf("successor was given %d while %d connections are open, limit %d", n, held, all)
 			}
 			if n == all/2 {
 				if held > all/2 {
-					t.Errorf("%d are held, want %d at most", held, all/2)
+					t.Errorf("%d connections are open, want at most %d", held, all/2)
 				}
-				s.alone()
+				s.useAll()
 				if got := debug.SetMemoryLimit(-1); got != int64(memoryShare*float64(limits.MemoryMB<<20)) {
-					t.Errorf("memory limit %d when alone again", got)
+					t.Errorf("memory limit is %d after the successor has ended", got)
 				}
 				return
 			}
 		case <-end:
-			t.Fatalf("%d connections are held, and half were never given", server.Connections())
+			t.Fatalf("successor was not given half within 20 s; %d connections are open", server.Connections())
 		}
 	}
 }
--- a/internal/decide/lifecycle/lifecycle.go
+++ b/internal/decide/lifecycle/lifecycle.go
@@ -1,6 +1,6 @@
 // Package lifecycle is the state machine of one process from start to exit. It does no I/O: the daemon passes in
-// events and carries out the effects. Health checks, the operators' socket, the catalog reporter and the signal
-// handling query it and decide nothing themselves.
+// events and carries out the effects. Health checks, operators' calls, the catalog reporter and the signal handling
+// query it and decide nothing themselves.
 //
 // During a replacement two processes share one replica. A drain by the operator applies to the replica, so both
 // processes are told of it; SIGTERM applies to one process. It starts a hand-over if a successor accepts clients,
--- a/internal/handover/replace/replace_test.go
+++ b/internal/handover/replace/replace_test.go
@@ -71,7 +71,7 @@
 	w.pause.Store(true)
 	call(next, "drain-on")
 	call(next, "drain-on")
-	until(t, "the drain at the other process", says(old, "is drained by the operator"))
+	until(t, "the drain at the other process", says(old, "to drained by the operator"))
 	w.drained.Store(true)
 	w.pause.Store(false)
 	checks()
@@ -88,13 +88,13 @@
 	}
 	w.pause.Store(true)
 	call(old, "drain-off")
-	until(t, "the end of the drain at the other process", says(next, "was drained by the operator and is serving"))
+	until(t, "the end of the drain at the other process", says(next, "from drained by the operator to serving"))
 	w.drained.Store(false)
 	w.pause.Store(false)
 	checks()
 	old.Signal(syscall.SIGTERM)
 	<-old.Ended()
-	if !strings.Contains(old.Log(), "is handing over") || old.Err() != nil {
+	if !strings.Contains(old.Log(), "to handing over") || old.Err() != nil {
 		t.Errorf("the old process ended with %v: %s", old.Err(), old.Log())
 	}
 	f := w.finish()
--- a/internal/lab/mutants/crossings.go
+++ b/internal/lab/mutants/crossings.go
@@ -28,9 +28,9 @@
 	{"a move that waits for the old catalog", "internal/catalog/catalog.go", "		(*end)()\n", "		_ = end\n", "./internal/catalog", "TestAMoveWaitsForNoAnswerOfTheOldCatalog"},
 	{"half a request keeps its connection", "internal/decide/conns/ending.go", "return v.Kernel == 0 && ", "return !v.Partial && v.Kernel == 0 && ", "./cmd/cairnlane", "TestHalfARequestDoesNotTakeTheLastAnswer"},
 	{"signals once the configuration is read", "cmd/cairnlane/main.go", "	daemon.Catch()\n", "", "./cmd/cairnlane", "TestSignalsWhileTheConfigurationIsRead"},
-	{"the notice to leave waits for a file", "internal/daemon/daemon.go", "			reload, read = nil, s.read()\n", "			r := <-s.read()\n			s.reload(r.next, r.err)\n", "./cmd/cairnlane", "TestTheNoticeToLeaveWaitsForNothing"},
+	{"the notice to leave waits for a file", "internal/daemon/daemon.go", "			reload, read = nil, s.readConfig()\n", "			r := <-s.readConfig()\n			s.applyConfig(r.next, r.err)\n", "./cmd/cairnlane", "TestTheNoticeToLeaveWaitsForNothing"},
 	{"an engine's end word that is not known is fine", "internal/engine/lines.go", "		if !known {", "		if false && !known {", "./internal/engine", "TestGarbageEndsTheLink"},
 	{"an end that is carried out twice", "internal/front/ends.go", "	case conns.Close:\n		c.mu.Lock()\n		first := !c.shut", "	case conns.Close:\n		c.mu.Lock()\n		first := true", "./internal/front", "TestAnEndIsCarriedOutOnce"},
 	{"an address that is taken ends the start", "internal/daemon/daemon.go", "if !errors.Is(err, syscall.EADDRINUSE) || ", "if err == nil || errors.Is(err, syscall.EADDRINUSE) || ", "./cmd/cairnlane", "TestAnAddressThatIsStillTakenIsWaitedFor"},
-	{"claims given up before the engine", "internal/daemon/daemon.go", "		s.endEngine()\n		if s.index != nil {\n			s.index.Close()\n		}\n		s.endClaims()\n", "		s.endClaims()\n		s.endEngine()\n		if s.index != nil {\n			s.index.Close()\n		}\n", "./internal/daemon", "TestTheClaimsAreGivenUpWhenNothingCanBeRun"},
+	{"claims given up before the engine", "internal/daemon/daemon.go", "		s.stopEngine()\n		if s.index != nil {\n			s.index.Close()\n		}\n		s.stopPeer()\n", "		s.stopPeer()\n		s.stopEngine()\n		if s.index != nil {\n			s.index.Close()\n		}\n", "./internal/daemon", "TestClaimsAreReleasedAfterEngineLinkStops"},
 }
