--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -1,5 +1,5 @@
 // Package handover is the link between the two processes of a replacement: a unix socket in the folder that they
-// share, and the lock there that says who owns the claims on keys. What is decided stands in decide/handover.
+// share, and a lock file in it whose holder owns the claims on keys. Package decide/handover makes the decisions.
 package handover
 
 import (
@@ -12,12 +12,13 @@
 )
 
 const (
-	headBytes = 4
-	// frameMost bounds a message: a result of 64 KiB, which the engine's codec takes at most, and room for the rest.
-	frameMost = 66 << 10
+	headerBytes = 4
+	// maxFrame bounds a message: a result of 64 KiB, which is the limit of the engine's codec, and room for the other
+	// fields.
+	maxFrame = 66 << 10
 )
 
-// ErrMalformed is wrapped by the errors of the codec.
+// ErrMalformed is wrapped by errors of the codec.
 var ErrMalformed = errors.New("malformed hand-over message")
 
 // The flags of a message.
@@ -29,9 +30,10 @@
 	flagsEnd
 )
 
-// appendMessage appends a message as a frame: four bytes of length, kind, flags, and the fields in their order.
+// appendMessage appends a message as a frame: four bytes of length, the kind, the flags, and the fields in their
+// order.
 func appendMessage(dst []byte, m *handover.Message) []byte {
-	at := len(dst)
+	start := len(dst)
 	var flags byte
 	for bit, on := range map[byte]bool{flagOver: m.Over, flagOK: m.OK, flagStored: m.Stored, flagGiveUp: m.GiveUp} {
 		if on {
@@ -46,23 +48,23 @@
 	dst = append(dst, m.Digest[:]...)
 	dst = append(binary.AppendUvarint(dst, uint64(len(m.Key))), m.Key...)
 	dst = append(binary.AppendUvarint(dst, uint64(len(m.Body))), m.Body...)
-	binary.BigEndian.PutUint32(dst[at:], uint32(len(dst)-at-headBytes))
+	binary.BigEndian.PutUint32(dst[start:], uint32(len(dst)-start-headerBytes))
 	return dst
 }
 
-// nextMessage cuts the first message off buf; done is false while it is not all there. Body is borrowed from buf.
-func nextMessage(buf []byte) (m handover.Message, rest []byte, done bool, err error) {
-	if len(buf) < headBytes {
+// nextMessage decodes the first message of buf; complete is false while parts of it are missing. Body aliases buf.
+func nextMessage(buf []byte) (m handover.Message, rest []byte, complete bool, err error) {
+	if len(buf) < headerBytes {
 		return m, buf, false, nil
 	}
 	n := binary.BigEndian.Uint32(buf)
-	if n > frameMost {
-		return m, buf, false, fmt.Errorf("%w: %d bytes", ErrMalformed, n)
+	if n > maxFrame {
+		return m, buf, false, fmt.Errorf("%w: length of %d bytes is above the limit of %d", ErrMalformed, n, maxFrame)
 	}
-	if len(buf) < headBytes+int(n) {
+	if len(buf) < headerBytes+int(n) {
 		return m, buf, false, nil
 	}
-	r := reader{buf: buf[headBytes : headBytes+int(n)]}
+	r := fieldReader{buf: buf[headerBytes : headerBytes+int(n)]}
 	head := r.take(2)
 	m.Seq = r.uvarint()
 	m.Until, m.Later = time.Duration(r.varint()), time.Duration(r.varint())
@@ -71,45 +73,45 @@
 	m.Key = string(r.take(int(r.length())))
 	m.Body = r.take(int(r.length()))
 	if r.bad || len(r.buf) > 0 {
-		return m, buf, false, fmt.Errorf("%w: its fields do not fill %d bytes", ErrMalformed, n)
+		return m, buf, false, fmt.Errorf("%w: fields do not match the length of %d bytes", ErrMalformed, n)
 	}
 	m.Kind = handover.Kind(head[0])
 	if !m.Kind.Valid() || head[1] >= flagsEnd {
-		return m, buf, false, fmt.Errorf("%w: kind %d, flags %x", ErrMalformed, head[0], head[1])
+		return m, buf, false, fmt.Errorf("%w: unknown kind %d or flags %x", ErrMalformed, head[0], head[1])
 	}
 	m.Over, m.OK = head[1]&flagOver != 0, head[1]&flagOK != 0
 	m.Stored, m.GiveUp = head[1]&flagStored != 0, head[1]&flagGiveUp != 0
-	return m, buf[headBytes+int(n):], true, nil
+	return m, buf[headerBytes+int(n):], true, nil
 }
 
-// reader reads fields and keeps that one was bad.
-type reader struct {
+// fieldReader decodes fields and remembers whether one was malformed.
+type fieldReader struct {
 	buf []byte
 	bad bool
 }
 
-func (r *reader) take(n int) []byte {
+func (r *fieldReader) take(n int) []byte {
 	if n < 0 || n > len(r.buf) {
 		r.bad = true
-		return make([]byte, 2) // enough for the head
+		return make([]byte, 2) // long enough for kind and flags
 	}
 	p := r.buf[:n:n]
 	r.buf = r.buf[n:]
 	return p
 }
 
-func (r *reader) uvarint() uint64 {
+func (r *fieldReader) uvarint() uint64 {
 	v, n := binary.Uvarint(r.buf)
 	return v * uint64(r.skip(n))
 }
 
-func (r *reader) varint() int64 {
+func (r *fieldReader) varint() int64 {
 	v, n := binary.Varint(r.buf)
 	return v * int64(r.skip(n))
 }
 
-// skip passes over a number of n bytes and returns 1, or 0 if there is none.
-func (r *reader) skip(n int) int {
+// skip drops a number of n bytes and returns 1, or 0 if the number is malformed.
+func (r *fieldReader) skip(n int) int {
 	if n <= 0 {
 		r.bad = true
 		return 0
@@ -118,4 +120,4 @@
 	return 1
 }
 
-func (r *reader) length() uint64 { return min(r.uvarint(), frameMost+1) }
+func (r *fieldReader) length() uint64 { return min(r.uvarint(), maxFrame+1) }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -21,71 +21,72 @@
 const (
 	lockName   = "cairnlane.owner"
 	socketName = "cairnlane.handover"
-	// queueMost bounds what the other process has not read.
-	queueMost  = 16 << 20
-	flushPause = 2 * time.Millisecond  // between tries to write to a process that does not read
-	dialPause  = 20 * time.Millisecond // between tries to reach the owner, and to become it
-	// waitForTold is how long a process that was not told all leaves the lock to one that was.
-	waitForTold = 250 * time.Millisecond
-	pathMost    = 100 // bytes of a socket's path that the kernel takes
+	// maxQueue bounds the bytes that the other process has not read.
+	maxQueue      = 16 << 20
+	flushInterval = 2 * time.Millisecond  // between attempts to write to a process that does not read
+	dialInterval  = 20 * time.Millisecond // between attempts to connect to the owner, and to get the lock
+	// syncedHeadStart is how long a process that did not receive all state leaves the lock to one that did.
+	syncedHeadStart = 250 * time.Millisecond
+	maxPath         = 100 // bytes of a socket path that the kernel accepts
 )
 
-// Events takes what the link tells. The calls come one at a time, from one goroutine.
+// Events receives the events of a link. The calls come one at a time, from one goroutine.
 type Events interface {
-	Joined(guest bool)        // there is a link; guest says that the other process owns the claims
-	Told(m *handover.Message) // a message; it is lent for the call
-	Parted()                  // the link has ended
-	TookOver(all bool)        // the process before this one has ended; all says that all it owed was told
+	Joined(guest bool)        // the link is up; guest is true if this process is the guest, so that the other one owns the claims
+	Told(m *handover.Message) // a message was received; m is only valid during the call
+	Parted()                  // the link is down
+	TookOver(all bool)        // the owner has ended and this process owns the claims; all is true if it received all state
 }
 
-// Link is one process's end. There is one owner, who holds a lock on a file in the folder, and at most one guest.
+// Link is one process's end of the link. There is one owner, which holds a lock on a file in the folder, and at
+// most one guest.
 //
-// Messages are written to the socket in the call that sends them. It is not netpoll's: a key must be with the kernel
-// before RUN is written for it, so that it reaches the other process also if this one is killed between the two. When
-// the other process does not read, messages queue here, and a mark in the lock's file says, until they are written,
-// that it was not told all; whoever takes over reads the mark.
+// Send writes a message to the socket within the call, not through a poller: a key must have reached the kernel
+// before RUN is written for it, so that the other process receives it even if this one is killed between the two.
+// When the other process does not read, messages are queued here, and until they are written a mark in the lock
+// file says that it has not received all state. The process that takes over reads the mark.
 type Link struct {
 	dir    string
 	lock   *os.File
 	events Events
 
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	conn  *net.UnixConn
 	raw   syscall.RawConn
 	queue []byte
-	bound int  // of the queue
-	timer bool // a flush is due
-	mark  byte // what the file says
+	bound int  // limit of the queue
+	timer bool // a flush is scheduled
+	mark  byte // the mark in the lock file
 	owner bool
 }
 
-// The marks.
+// The marks in the lock file: the guest is missing state, the guest was sent all state, the owner exited in order.
 const (
-	someTold byte = '0'
-	allTold  byte = '1'
-	inOrder  byte = 'e'
+	markPartial   byte = '0'
+	markComplete  byte = '1'
+	markCleanExit byte = 'e'
 )
 
-// Past is what a process finds in the folder.
+// Past describes the previous process, as found in the folder.
 type Past int
 
-// What a process may find.
+// The values of Past.
 const (
-	Fresh   Past = iota // no process was here, or the last one has ended in order
-	Follows             // there is a process before this one
-	Died                // the last one has died and told nobody what it ran
+	Fresh   Past = iota // there was no process, or the last one has exited in order
+	Follows             // the previous process is still running
+	Died                // the last process crashed, and which requests it ran is unknown
 )
 
-// Open prepares a link in a folder that both processes share, and tells what it finds there.
+// Open prepares a link in a folder that both processes share, and returns what it finds there.
 func Open(dir string) (l *Link, past Past, err error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, Fresh, fmt.Errorf("hand-over: %w", err)
 	}
-	l = &Link{dir: dir, lock: f, bound: queueMost}
+	l = &Link{dir: dir, lock: f, bound: maxQueue}
 	got, err := l.tryLock(false)
-	for end := time.Now().Add(waitForTold); err == nil && !got && time.Now().Before(end) && !l.held(); {
-		time.Sleep(dialPause)
+	for end := time.Now().Add(syncedHeadStart); err == nil && !got && time.Now().Before(end) && !l.held(); {
+		time.Sleep(dialInterval)
 		got, err = l.tryLock(false)
 	}
 	if err == nil && !got && !l.held() {
@@ -98,31 +99,33 @@
 	switch {
 	case !got:
 		return l, Follows, nil
-	case l.readMark() != inOrder:
+	case l.readMark() != markCleanExit:
 		return l, Died, nil
 	}
 	return l, Fresh, nil
 }
 
-// Bound sets how many bytes may wait for the other process, queueMost at most. It must hold all results that are kept.
+// Bound sets how many bytes may wait for the other process, at most maxQueue. The limit must allow for all results
+// that are kept.
 func (l *Link) Bound(most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.bound = min(most, queueMost)
+	l.bound = min(most, maxQueue)
 }
 
-// End says that this process ends in order: whoever starts next has nothing to doubt. A guest that is there takes over,
-// and reads from the mark whether it was told all.
+// End records that this process exits in order, so that no key is in doubt for the next one. If there is a guest,
+// the mark is left unchanged: the guest takes over and reads from it whether it received all state.
 func (l *Link) End() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
-		l.setMark(inOrder)
+		l.setMark(markCleanExit)
 	}
 }
 
-// tryLock tries to own the claims. One who was not told all leaves them to one who was, unless sure.
-func (l *Link) tryLock(sure bool) (bool, error) {
+// tryLock tries to take the lock, whose holder owns the claims. Unless force is set, it gives the lock back if the
+// mark says that another process has received all state.
+func (l *Link) tryLock(force bool) (bool, error) {
 	err := unix.Flock(int(l.lock.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 	if errors.Is(err, unix.EWOULDBLOCK) {
 		return false, nil
@@ -130,13 +133,13 @@
 	if err != nil {
 		return false, fmt.Errorf("lock %s: %w", l.lock.Name(), err)
 	}
-	if !sure && l.readMark() == allTold {
+	if !force && l.readMark() == markComplete {
 		return false, unix.Flock(int(l.lock.Fd()), unix.LOCK_UN)
 	}
 	return true, nil
 }
 
-// held tells whether some process owns the claims.
+// held reports whether a process owns the claims.
 func (l *Link) held() bool {
 	err := unix.Flock(int(l.lock.Fd()), unix.LOCK_SH|unix.LOCK_NB)
 	if err == nil {
@@ -148,24 +151,24 @@
 func (l *Link) readMark() byte {
 	var b [1]byte
 	if _, err := l.lock.ReadAt(b[:], 0); err != nil {
-		return inOrder // the file is new
+		return markCleanExit // the file is empty
 	}
 	return b[0]
 }
 
-// setMark writes the mark if it has changed; l.mu is held. The file lies in memory, so it does not wait.
+// setMark writes the mark if it has changed; l.mu is held. The lock file is in memory, so the write does not block.
 func (l *Link) setMark(m byte) {
 	if l.mark == m || !l.owner {
 		return
 	}
 	if _, err := l.lock.WriteAt([]byte{m}, 0); err != nil {
-		log.Print("hand-over: mark: ", err)
+		log.Print("hand-over: write mark: ", err)
 	}
 	l.mark = m
 }
 
-// Keep keeps up the link until ctx ends, and has given up the lock then: the other process must not wait for this one's
-// end, which may take its time. past is Open's.
+// Keep maintains the link until ctx ends, and releases the lock before it returns, so that the other process need
+// not wait for the exit of this one, which may take long. past is the result of Open.
 func (l *Link) Keep(ctx context.Context, past Past, events Events) {
 	l.events = events
 	defer l.release()
@@ -176,11 +179,11 @@
 	}
 	l.mu.Lock()
 	l.owner = true
-	l.setMark(someTold)
+	l.setMark(markPartial)
 	l.mu.Unlock()
 	for ctx.Err() == nil {
 		if err := l.serve(ctx); err != nil && ctx.Err() == nil {
-			log.Print("hand-over: no process can replace this one: ", err)
+			log.Print("hand-over: cannot serve a successor, retrying in 1 s: ", err)
 			select {
 			case <-time.After(time.Second):
 			case <-ctx.Done():
@@ -189,7 +192,7 @@
 	}
 }
 
-// release gives up the lock.
+// release releases the lock.
 func (l *Link) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -197,10 +200,11 @@
 	l.lock.Close()
 }
 
-// path is the socket's, through the folder's descriptor where it would be too long.
+// path returns the socket's path, through the descriptor of the folder if the plain path is too long, and a
+// function that closes the descriptor.
 func (l *Link) path() (string, func(), error) {
 	p := filepath.Join(l.dir, socketName)
-	if len(p) <= pathMost {
+	if len(p) <= maxPath {
 		return p, func() {}, nil
 	}
 	d, err := os.Open(l.dir)
@@ -210,13 +214,13 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), socketName), func() { d.Close() }, nil
 }
 
-// serve takes guests, one at a time, as the owner.
+// serve accepts guests as the owner, one at a time.
 func (l *Link) serve(ctx context.Context) error {
 	p, done, err := l.path()
 	if err != nil {
 		return err
 	}
-	if err := os.Remove(p); err != nil && !errors.Is(err, os.ErrNotExist) { // left by an owner that has ended
+	if err := os.Remove(p); err != nil && !errors.Is(err, os.ErrNotExist) { // left behind by a previous owner
 		done()
 		return err
 	}
@@ -243,28 +247,28 @@
 	return nil
 }
 
-// follow is a guest's life, until it owns the claims. False means that ctx has ended.
+// follow connects to the owner as a guest until this process owns the claims. It returns false if ctx has ended.
 func (l *Link) follow(ctx context.Context) bool {
-	told := false
-	var gone time.Time // since when no owner answers
+	synced := false
+	var unreachableSince time.Time // since when the owner does not answer
 	for ctx.Err() == nil {
 		if c, err := l.dial(); err == nil {
-			// An owner that ends may leave its socket for a moment longer than the link: a link on which nothing is said
-			// takes nothing back. Whether the owner has run anything since the one before, its mark says.
-			if all, heard := l.run(ctx, c, true); heard {
-				told = all
+			// The socket of an exiting owner may outlive its link by a moment, so a link on which nothing was received
+			// leaves the state unchanged. Whether the owner has run anything since the earlier link is in the mark.
+			if all, received := l.run(ctx, c, true); received {
+				synced = all
 			}
-			gone = time.Time{}
-			if !told {
-				time.Sleep(dialPause) // it does not want us, or has ended; see waitForTold
+			unreachableSince = time.Time{}
+			if !synced {
+				time.Sleep(dialInterval) // the owner serves another guest or has ended; see syncedHeadStart
 			}
 		}
-		if gone.IsZero() {
-			gone = time.Now()
+		if unreachableSince.IsZero() {
+			unreachableSince = time.Now()
 		}
-		// The kernel ends an owner's link before or after its lock, so the lock may be a moment late.
-		all := told && l.readMark() == allTold
-		got, err := l.tryLock(told || time.Since(gone) > waitForTold)
+		// The kernel closes an owner's link before or after its lock, so the lock may become free a moment late.
+		all := synced && l.readMark() == markComplete
+		got, err := l.tryLock(synced || time.Since(unreachableSince) > syncedHeadStart)
 		if err != nil {
 			log.Print("hand-over: ", err)
 		}
@@ -273,7 +277,7 @@
 			return true
 		}
 		select {
-		case <-time.After(dialPause):
+		case <-time.After(dialInterval):
 		case <-ctx.Done():
 		}
 	}
@@ -289,9 +293,9 @@
 	return net.DialUnix("unix", nil, &net.UnixAddr{Name: p, Net: "unix"})
 }
 
-// run carries one link to its end and tells whether this process, as a guest, was told all that the owner owed, and
-// whether it was told anything.
-func (l *Link) run(ctx context.Context, c *net.UnixConn, guest bool) (told, heard bool) {
+// run serves one link until it ends. It returns whether this process, as a guest, received all state of the owner,
+// and whether it received anything.
+func (l *Link) run(ctx context.Context, c *net.UnixConn, guest bool) (synced, received bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		log.Print("hand-over: ", err)
@@ -305,8 +309,8 @@
 	defer func() {
 		l.mu.Lock()
 		l.conn, l.raw, l.queue = nil, nil, nil
-		if ctx.Err() == nil { // else this process ends, and the other one reads what is on its way
-			l.setMark(someTold)
+		if ctx.Err() == nil { // otherwise this process is exiting, and the other one still reads the messages in flight
+			l.setMark(markPartial)
 		}
 		l.mu.Unlock()
 		c.Close()
@@ -316,30 +320,30 @@
 		l.Send(&handover.Message{Kind: handover.Hello, N: handover.Version})
 		l.events.Joined(true)
 	}
-	greeted := guest
-	err = read(c, func(m *handover.Message) error {
-		heard = true
+	helloReceived := guest
+	err = readMessages(c, func(m *handover.Message) error {
+		received = true
 		switch {
-		case m.Kind == handover.Hello && !greeted && m.N == handover.Version:
-			greeted = true
+		case m.Kind == handover.Hello && !helloReceived && m.N == handover.Version:
+			helloReceived = true
 			l.events.Joined(false)
-		case m.Kind == handover.Hello, !greeted:
-			return fmt.Errorf("%w: kind %d, number %d where a hello of version %d is due", ErrMalformed, m.Kind, m.N, handover.Version)
+		case m.Kind == handover.Hello, !helloReceived:
+			return fmt.Errorf("%w: kind %d with number %d where a hello of version %d is expected", ErrMalformed, m.Kind, m.N, handover.Version)
 		default:
-			told = told || m.Kind == handover.Synced
+			synced = synced || m.Kind == handover.Synced
 			l.events.Told(m)
 		}
 		return nil
 	})
 	if err != nil && ctx.Err() == nil {
-		log.Print("hand-over: the link to the other process: ", err)
-		told, heard = false, true // what came after it is not known
+		log.Print("hand-over: link to the other process failed: ", err)
+		synced, received = false, true // later messages are missing
 	}
-	return told && guest, heard
+	return synced && guest, received
 }
 
-// read reads messages to the end of the link.
-func read(c io.Reader, take func(*handover.Message) error) error {
+// readMessages passes messages to take until the link ends.
+func readMessages(c io.Reader, take func(*handover.Message) error) error {
 	var in []byte
 	for buf := make([]byte, 16<<10); ; {
 		n, err := c.Read(buf)
@@ -360,7 +364,7 @@
 		}
 		in = append(in[:0], rest...)
 		if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
-			return nil // the other process has ended; half a message that it left is none
+			return nil // the other process has ended; an incomplete message is ignored
 		}
 		if err != nil {
 			return err
@@ -368,7 +372,7 @@
 	}
 }
 
-// Send implements replica.Peer.
+// Send implements replica.Peer. It does not block; without a link it does nothing.
 func (l *Link) Send(m *handover.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -376,7 +380,7 @@
 		return
 	}
 	if len(l.queue) > l.bound {
-		l.conn.Close() // it comes back, and is told all anew
+		l.conn.Close() // the guest reconnects and receives all state again
 		return
 	}
 	l.queue = appendMessage(l.queue, m)
@@ -385,13 +389,13 @@
 	}
 }
 
-// flush writes what the other process's socket has room for; l.mu is held.
+// flush writes as much of the queue as the socket accepts; l.mu is held.
 func (l *Link) flush() {
 	for len(l.queue) > 0 {
 		n, err := 0, error(nil)
 		if e := l.raw.Write(func(fd uintptr) bool {
 			n, err = unix.Write(int(fd), l.queue)
-			return true // whatever came of it: nobody waits here
+			return true // do not wait until the socket is writable
 		}); e != nil {
 			err = e
 		}
@@ -399,19 +403,19 @@
 			l.queue = l.queue[n:]
 		}
 		if err != nil && !errors.Is(err, unix.EINTR) {
-			l.setMark(someTold)
+			l.setMark(markPartial)
 			if errors.Is(err, unix.EAGAIN) && !l.timer {
 				l.timer = true
-				time.AfterFunc(flushPause, l.flushLate)
+				time.AfterFunc(flushInterval, l.flushDelayed)
 			}
-			return // at any other error the reader ends the link
+			return // after any other error readMessages ends the link
 		}
 	}
 	l.queue = nil
-	l.setMark(allTold)
+	l.setMark(markComplete)
 }
 
-func (l *Link) flushLate() {
+func (l *Link) flushDelayed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.timer = false
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -19,38 +19,38 @@
 	"cairnlane/internal/decide/handover"
 )
 
-// process is one end of a link as a test sees it: what it is told comes out of a channel.
+// process is one end of a link; the events that it receives are sent to a channel.
 type process struct {
 	*Link
-	told   chan string
+	events chan string
 	cancel context.CancelFunc
 	ended  chan struct{}
 	past   Past
 }
 
 func (p *process) Joined(guest bool) {
-	p.told <- fmt.Sprint("joined ", guest)
+	p.events <- fmt.Sprint("joined ", guest)
 	if !guest {
 		p.Send(&handover.Message{Kind: handover.Entry, Key: "u k", Body: []byte("result")})
 		p.Send(&handover.Message{Kind: handover.Synced})
 	}
 }
 func (p *process) Told(m *handover.Message) {
-	p.told <- fmt.Sprintf("told %d %s%s", m.Kind, m.Key, m.Body)
+	p.events <- fmt.Sprintf("told %d %s%s", m.Kind, m.Key, m.Body)
 }
-func (p *process) Parted()           { p.told <- "parted" }
-func (p *process) TookOver(all bool) { p.told <- fmt.Sprint("took over ", all) }
+func (p *process) Parted()           { p.events <- "parted" }
+func (p *process) TookOver(all bool) { p.events <- fmt.Sprint("took over ", all) }
 
-func begin(t *testing.T, dir string) *process {
+func startProcess(t *testing.T, dir string) *process {
 	t.Helper()
 	l, past, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &process{Link: l, told: make(chan string, 1000), cancel: cancel, ended: make(chan struct{}), past: past}
+	p := &process{Link: l, events: make(chan string, 1000), cancel: cancel, ended: make(chan struct{}), past: past}
 	go func() {
-		p.Keep(ctx, past, p) // which gives up the lock; the end of the process may be late
+		p.Keep(ctx, past, p) // releases the lock when it returns
 		close(p.ended)
 	}()
 	t.Cleanup(p.end)
@@ -62,52 +62,53 @@
 	<-p.ended
 }
 
-func (p *process) want(t *testing.T, words ...string) {
+func (p *process) expect(t *testing.T, events ...string) {
 	t.Helper()
-	for _, w := range words {
+	for _, w := range events {
 		select {
-		case got := <-p.told:
+		case got := <-p.events:
 			if got != w {
-				t.Fatalf("told %q, want %q", got, w)
+				t.Fatalf("event %q, want %q", got, w)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("not told %q", w)
+			t.Fatalf("no event within 20 s, want %q", w)
 		}
 	}
 }
 
 const (
-	entry  = "told 2 u kresult"
-	synced = "told 6 "
+	entryEvent  = "told 2 u kresult"
+	syncedEvent = "told 6 "
 )
 
-func TestAProcessTakesOverFromTheOneBeforeIt(t *testing.T) {
+func TestGuestTakesOverFromOwner(t *testing.T) {
 	dir := t.TempDir()
-	old := begin(t, dir)
+	old := startProcess(t, dir)
 	if old.past != Fresh {
-		t.Fatal("the first follows somebody")
+		t.Fatal("the first process finds a previous one")
 	}
-	next := begin(t, dir)
+	next := startProcess(t, dir)
 	if next.past != Follows {
-		t.Fatal("the second follows nobody")
+		t.Fatal("the second process does not find the first one")
 	}
-	next.want(t, "joined true", entry, synced)
-	old.want(t, "joined false")
+	next.expect(t, "joined true", entryEvent, syncedEvent)
+	old.expect(t, "joined false")
 	next.Send(&handover.Message{Kind: handover.Claim, Key: "u j"})
-	old.want(t, "told 4 u j")
+	old.expect(t, "told 4 u j")
 	old.end()
-	next.want(t, "parted", "took over true")
-	third := begin(t, dir) // right after
-	third.want(t, "joined true", entry, synced)
-	next.want(t, "joined false")
+	next.expect(t, "parted", "took over true")
+	third := startProcess(t, dir) // without a pause
+	third.expect(t, "joined true", entryEvent, syncedEvent)
+	next.expect(t, "joined false")
 	next.end()
-	third.want(t, "parted", "took over true")
+	third.expect(t, "parted", "took over true")
 }
 
-// An owner's link used to end with its process, whose socket could stay for longer: a guest that reached it once more and
-// heard nothing forgot that it had been told all, and failed every save that it did not know. Told in between, it does.
-func TestALinkOnWhichNothingIsSaidTakesNothingBack(t *testing.T) {
-	for name, says := range map[string][]byte{"nothing": nil, "part of it": appendMessage(nil, &handover.Message{Kind: handover.Entry, Key: "u k"})} {
+// The socket of an owner may outlive its link. A guest that connects to it once more and receives nothing must keep
+// its synced state; otherwise it would fail every keyed request that it does not know. If it receives part of the
+// state on the new link, it is no longer synced.
+func TestSilentLinkKeepsSyncedState(t *testing.T) {
+	for name, output := range map[string][]byte{"no message": nil, "part of the state": appendMessage(nil, &handover.Message{Kind: handover.Entry, Key: "u k"})} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			lock, err := os.Create(filepath.Join(dir, lockName))
@@ -118,7 +119,7 @@
 			if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := lock.WriteAt([]byte{allTold}, 0); err != nil {
+			if _, err := lock.WriteAt([]byte{markComplete}, 0); err != nil {
 				t.Fatal(err)
 			}
 			ln, err := net.Listen("unix", filepath.Join(dir, socketName))
@@ -126,132 +127,133 @@
 				t.Fatal(err)
 			}
 			defer ln.Close()
-			next := begin(t, dir)
-			for i, out := range [][]byte{appendMessage(nil, &handover.Message{Kind: handover.Synced}), says} {
+			next := startProcess(t, dir)
+			for i, out := range [][]byte{appendMessage(nil, &handover.Message{Kind: handover.Synced}), output} {
 				c, err := ln.Accept()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if _, err := io.ReadFull(c, make([]byte, 1)); err != nil { // its hello
+				if _, err := io.ReadFull(c, make([]byte, 1)); err != nil { // the guest's hello
 					t.Fatal(err)
 				}
 				if _, err := c.Write(out); err != nil {
 					t.Fatal(err)
 				}
-				next.want(t, "joined true")
+				next.expect(t, "joined true")
 				if i == 0 {
-					next.want(t, synced)
+					next.expect(t, syncedEvent)
 				} else if out != nil {
-					next.want(t, "told 2 u k")
+					next.expect(t, "told 2 u k")
 				}
 				if i == 1 {
 					ln.Close()
 				}
 				c.Close()
-				next.want(t, "parted")
+				next.expect(t, "parted")
 			}
 			lock.Close()
-			next.want(t, fmt.Sprint("took over ", says == nil))
+			next.expect(t, fmt.Sprint("took over ", output == nil))
 		})
 	}
 }
 
-// Of two that wait for the lock the one that was told all gets it, whoever comes first.
-func TestASecondSuccessorWaitsItsTurn(t *testing.T) {
+// Of two processes that wait for the lock, the one that has received all state gets it, whichever asks first.
+func TestSyncedGuestGetsLockBeforeSecondGuest(t *testing.T) {
 	dir := t.TempDir()
-	old := begin(t, dir)
-	next := begin(t, dir)
-	next.want(t, "joined true", entry, synced)
-	third := begin(t, dir) // its link is not taken while there is another guest
-	third.want(t, "joined true")
+	old := startProcess(t, dir)
+	next := startProcess(t, dir)
+	next.expect(t, "joined true", entryEvent, syncedEvent)
+	third := startProcess(t, dir) // the owner does not accept its link while there is another guest
+	third.expect(t, "joined true")
 	old.end()
-	next.want(t, "parted", "took over true", "joined false")
-	third.want(t, "parted", "joined true", entry, synced)
+	next.expect(t, "parted", "took over true", "joined false")
+	third.expect(t, "parted", "joined true", entryEvent, syncedEvent)
 }
 
-func TestTheEndOfASuccessorLeavesTheOwner(t *testing.T) {
+func TestOwnerStaysWhenGuestEnds(t *testing.T) {
 	dir := t.TempDir()
-	old := begin(t, dir)
-	next := begin(t, dir)
-	next.want(t, "joined true", entry, synced)
+	old := startProcess(t, dir)
+	next := startProcess(t, dir)
+	next.expect(t, "joined true", entryEvent, syncedEvent)
 	next.end()
-	old.want(t, "joined false", "parted")
-	again := begin(t, dir)
-	again.want(t, "joined true", entry, synced)
+	old.expect(t, "joined false", "parted")
+	again := startProcess(t, dir)
+	again.expect(t, "joined true", entryEvent, syncedEvent)
 }
 
-// A process that was never told what is owed takes over all the same, and knows that it was not.
-func TestAnOwnerThatDiesUnheardIsTakenOverFromInDoubt(t *testing.T) {
+// A process that never received the owner's state takes over all the same and reports that state is missing.
+func TestTakeoverWithoutStateIsReported(t *testing.T) {
 	dir := t.TempDir()
 	lock, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		t.Fatal(err)
 	}
-	mute := &Link{dir: dir, lock: lock}
-	if got, err := mute.tryLock(true); !got || err != nil {
+	silent := &Link{dir: dir, lock: lock}
+	if got, err := silent.tryLock(true); !got || err != nil {
 		t.Fatal(got, err)
 	}
 	ln, err := net.Listen("unix", filepath.Join(dir, socketName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := begin(t, dir)
-	next.want(t, "joined true")
+	next := startProcess(t, dir)
+	next.expect(t, "joined true")
 	lock.Close()
 	ln.Close()
-	next.want(t, "parted", "took over false")
+	next.expect(t, "parted", "took over false")
 }
 
-// A socket and a lock file that a dead process has left are no process.
-func TestWhatADeadProcessLeftIsTakenOver(t *testing.T) {
+// A socket and a lock file that a crashed process left behind do not count as a running process.
+func TestLeftoverSocketAndLockAreTakenOver(t *testing.T) {
 	dir := t.TempDir()
-	old := begin(t, dir)
-	next := begin(t, dir)
-	next.want(t, "joined true", entry, synced)
+	old := startProcess(t, dir)
+	next := startProcess(t, dir)
+	next.expect(t, "joined true", entryEvent, syncedEvent)
 	next.end()
 	old.end()
-	if err := os.WriteFile(filepath.Join(dir, lockName), []byte{allTold}, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, lockName), []byte{markComplete}, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	again := begin(t, dir)
+	again := startProcess(t, dir)
 	if again.past != Died {
-		t.Errorf("it finds %v, not a process that has died", again.past)
+		t.Errorf("past is %v, want Died", again.past)
 	}
-	begin(t, dir).want(t, "joined true", entry, synced)
+	startProcess(t, dir).expect(t, "joined true", entryEvent, syncedEvent)
 }
 
-func TestAProcessThatEndsInOrderLeavesNoDoubt(t *testing.T) {
+func TestCleanExitLeavesNoDoubt(t *testing.T) {
 	dir := t.TempDir()
-	old := begin(t, dir)
-	for old.readMark() != someTold { // until it owns the claims
+	old := startProcess(t, dir)
+	for old.readMark() != markPartial { // wait until it owns the claims
 		time.Sleep(time.Millisecond)
 	}
 	old.End()
 	old.end()
-	if next := begin(t, dir); next.past != Fresh {
-		t.Errorf("it finds %v", next.past)
+	if next := startProcess(t, dir); next.past != Fresh {
+		t.Errorf("past is %v, want Fresh", next.past)
 	}
 }
 
-// A successor that does not read holds up nobody: messages queue, and the mark says that it was not told all.
-func TestASuccessorThatDoesNotReadIsMarked(t *testing.T) {
+// A successor that does not read must not block the owner: messages are queued, and the mark says that it has not
+// received all state.
+func TestUnreadMessagesClearTheCompleteMark(t *testing.T) {
 	dir := t.TempDir()
-	old := begin(t, dir)
+	old := startProcess(t, dir)
 	var c net.Conn
-	for c == nil { // until the socket is there
+	for c == nil { // wait until the socket exists
 		c, _ = net.Dial("unix", filepath.Join(dir, socketName))
 	}
 	defer c.Close()
 	c.Write(appendMessage(nil, &handover.Message{Kind: handover.Hello, N: handover.Version}))
-	old.want(t, "joined false")
-	for old.readMark() != allTold {
+	old.expect(t, "joined false")
+	for old.readMark() != markComplete {
 		time.Sleep(time.Millisecond)
 	}
 	for range 100 {
 		old.Send(&handover.Message{Kind: handover.Entry, Key: "u k", Body: make([]byte, 8<<10)})
 	}
-	if old.readMark() != someTold {
-		t.Error("800 kB were sent to a process that does not read, and the mark says that it was told all")
+	if old.readMark() != markPartial {
+		t.Error("mark says complete although 800 kB were sent to a process that does not read")
 	}
 	go func() {
 		for buf := make([]byte, 64<<10); ; {
@@ -260,30 +262,30 @@
 			}
 		}
 	}()
-	for end := time.Now().Add(20 * time.Second); old.readMark() != allTold; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); old.readMark() != markComplete; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it reads again, and is never told all")
+			t.Fatal("mark not complete 20 s after the successor reads again")
 		}
 	}
 }
 
-func TestALongFolderAndABadOne(t *testing.T) {
+func TestOpenWithLongAndMissingFolder(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 30))
 	if _, _, err := Open(dir); err == nil {
-		t.Error("a folder that is not there is taken")
+		t.Error("Open succeeded in a missing folder")
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	old := begin(t, dir)
-	begin(t, dir).want(t, "joined true", entry, synced)
-	old.want(t, "joined false")
+	old := startProcess(t, dir)
+	startProcess(t, dir).expect(t, "joined true", entryEvent, syncedEvent)
+	old.expect(t, "joined false")
 }
 
-// Garbage and a hello of another version end the link, not the process.
-func TestGarbageEndsTheLinkOnly(t *testing.T) {
+// Malformed input and a hello of another version end the link, not the process.
+func TestMalformedInputEndsOnlyTheLink(t *testing.T) {
 	dir := t.TempDir()
-	old := begin(t, dir)
+	old := startProcess(t, dir)
 	for _, p := range [][]byte{[]byte("GET / HTTP/1.1\r\n"), appendMessage(nil, &handover.Message{Kind: handover.Hello, N: 99}),
 		appendMessage(nil, &handover.Message{Kind: handover.Claim})} {
 		var c net.Conn
@@ -293,24 +295,24 @@
 		c.Write(p)
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%q: the link goes on: %v", p, err)
+			t.Errorf("%q: the link was not closed: %v", p, err)
 		}
 		c.Close()
-		old.want(t, "parted")
+		old.expect(t, "parted")
 	}
-	begin(t, dir).want(t, "joined true", entry, synced)
+	startProcess(t, dir).expect(t, "joined true", entryEvent, syncedEvent)
 }
 
-var samples = []handover.Message{
+var sampleMessages = []handover.Message{
 	{Kind: handover.Hello, N: handover.Version},
 	{Kind: handover.Entry, Key: "u 5c0f", Seq: 7, Digest: handover.Digest{1, 2, 3}, Until: 1 << 60, Over: true, OK: true, Stored: true, Body: []byte("result")},
 	{Kind: handover.Drop, Key: "u 5c0f", Seq: 1 << 40, Later: time.Second, GiveUp: true},
 	{Kind: handover.Share, N: -1},
 }
 
-func TestMessagesCutAtAnyByte(t *testing.T) {
+func TestMessagesSplitAtAnyByte(t *testing.T) {
 	var all []byte
-	for _, m := range samples {
+	for _, m := range sampleMessages {
 		all = appendMessage(all, &m)
 	}
 	for cut := range all {
@@ -332,14 +334,14 @@
 				got, in = append(got, m), rest
 			}
 		}
-		if !reflect.DeepEqual(got, samples) {
-			t.Fatalf("cut at %d: %+v", cut, got)
+		if !reflect.DeepEqual(got, sampleMessages) {
+			t.Fatalf("split at %d: got %+v", cut, got)
 		}
 	}
 }
 
 func FuzzMessage(f *testing.F) {
-	for _, m := range samples {
+	for _, m := range sampleMessages {
 		f.Add(appendMessage(nil, &m))
 	}
 	f.Add([]byte{0, 0, 0, 2, 1, 0})
@@ -350,7 +352,7 @@
 		}
 		again, tail, done, err := nextMessage(appendMessage(nil, &m))
 		if err != nil || !done || len(tail) > 0 || !bytes.Equal(again.Body, m.Body) || again.Key != m.Key || again.Seq != m.Seq || len(rest) >= len(p) {
-			t.Errorf("%x: read as %+v, written and read again as %+v: %v", p, m, again, err)
+			t.Errorf("%x: decoded as %+v, encoded and decoded again as %+v: %v", p, m, again, err)
 		}
 	})
 }
