--- a/internal/handover/replace/process.go
+++ b/internal/handover/replace/process.go
@@ -21,56 +21,57 @@
 // process is one process of the replica.
 type process struct {
 	*rig.Process
-	path   string // of its configuration
-	door   string
-	engine *engine.Address
+	path        string // configuration file
+	controlAddr string
+	engine      *engine.Address // the address at which the engine stand-in serves it
 }
 
-// start starts a process beside those that are there: same folder, same listening socket, its own door and engine.
-func (w *world) start() (*process, error) {
+// startProcess starts a process beside the running ones: with the same folder and listening socket, and an
+// operators' address and an engine address of its own.
+func (tr *trial) startProcess() (*process, error) {
 	p := new(process)
 	var err error
-	if p.engine, err = w.engine.Listen(); err != nil {
+	if p.engine, err = tr.engine.Listen(); err != nil {
 		return nil, err
 	}
-	if p.door, err = rig.FreeAddr(); err != nil {
+	if p.controlAddr, err = rig.FreeAddr(); err != nil {
 		return nil, err
 	}
-	w.n++
-	p.path = filepath.Join(w.cfg.Dir, fmt.Sprintf("config-%d.json", w.n))
-	if err := w.configure(p); err != nil {
+	tr.started++
+	p.path = filepath.Join(tr.cfg.Dir, fmt.Sprintf("config-%d.json", tr.started))
+	if err := tr.writeConfig(p); err != nil {
 		return nil, err
 	}
-	tmp := filepath.Join(w.cfg.Dir, "tmp")
+	tmp := filepath.Join(tr.cfg.Dir, "tmp")
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
 		return nil, err
 	}
-	f, err := w.ln.File()
+	f, err := tr.ln.File()
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	cmd := exec.Command(w.cfg.Command[0], w.cfg.Command[1:]...)
-	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+p.path, "RELAY_CONTROL="+p.door, "RELAY_INHERITED_FD=3", "TMPDIR="+tmp)
+	cmd := exec.Command(tr.cfg.Command[0], tr.cfg.Command[1:]...)
+	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+p.path, "RELAY_CONTROL="+p.controlAddr, "RELAY_INHERITED_FD=3", "TMPDIR="+tmp)
 	cmd.ExtraFiles = []*os.File{f}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
 	p.Process, err = rig.Start(cmd, func(*rig.Process) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.alive = slices.DeleteFunc(w.alive, func(o *process) bool { return o == p })
+		tr.mu.Lock()
+		defer tr.mu.Unlock()
+		tr.alive = slices.DeleteFunc(tr.alive, func(o *process) bool { return o == p })
 		p.engine.Close()
 	})
 	if err != nil {
 		return nil, err
 	}
-	w.alive = append(w.alive, p)
+	tr.alive = append(tr.alive, p)
 	return p, nil
 }
 
-// configure writes a process's configuration: the site's, with deadlines that let a trial be short.
-func (w *world) configure(p *process) error {
-	raw, err := os.ReadFile(w.cfg.Site)
+// writeConfig writes a process's configuration: the site's, with deadlines that keep a trial short.
+func (tr *trial) writeConfig(p *process) error {
+	raw, err := os.ReadFile(tr.cfg.Site)
 	if err != nil {
 		return err
 	}
@@ -78,12 +79,12 @@
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return err
 	}
-	c["listen"], c["engine"], c["directory"] = w.ln.Addr().String(), p.engine.String(), w.catalog.String()
-	if w.index != nil {
-		c["index"] = w.index.String()
+	c["listen"], c["engine"], c["directory"] = tr.ln.Addr().String(), p.engine.String(), tr.catalog.String()
+	if tr.index != nil {
+		c["index"] = tr.index.String()
 	}
 	c["stop_ms"] = 1500
-	c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": w.cfg.Sockets}
+	c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": tr.cfg.Sockets}
 	s := c["settings"].(map[string]any)
 	for _, l := range s["lanes"].([]any) {
 		lane := l.(map[string]any)
@@ -97,24 +98,25 @@
 	return os.WriteFile(p.path, raw, 0o600)
 }
 
-// ask calls a process's door.
-func (w *world) ask(p *process, call string) (string, error) {
+// callOperator sends a call to a process's operators' listener.
+func (tr *trial) callOperator(p *process, call string) (string, error) {
 	began := time.Now()
-	a, err := operator.Ask(p.door, call, doorTime)
+	a, err := operator.Ask(p.controlAddr, call, operatorTimeout)
 	if err == nil {
-		w.fig.mu.Lock()
-		w.fig.DoorMost = max(w.fig.DoorMost, time.Since(began))
-		w.fig.mu.Unlock()
+		tr.figures.mu.Lock()
+		tr.figures.DoorMost = max(tr.figures.DoorMost, time.Since(began))
+		tr.figures.mu.Unlock()
 	}
 	return a, err
 }
 
-// ready waits until a process says that it takes clients; false means that it ended or took too long.
-func (w *world) ready(p *process) bool {
+// waitReady waits until a process reports that it accepts clients; it returns false if the process ended or took
+// too long.
+func (tr *trial) waitReady(p *process) bool {
 	began := time.Now()
-	for time.Since(began) < readyTime {
-		if _, err := w.ask(p, "check"); err == nil {
-			w.fig.ReadyMost = max(w.fig.ReadyMost, time.Since(began))
+	for time.Since(began) < readyTimeout {
+		if _, err := tr.callOperator(p, "check"); err == nil {
+			tr.figures.ReadyMost = max(tr.figures.ReadyMost, time.Since(began))
 			return true
 		}
 		select {
@@ -126,87 +128,87 @@
 	return false
 }
 
-// strike kills a process outright and remembers when, as what was open there is lost with it.
-func (w *world) strike(p *process) {
-	w.fig.Kills++
-	w.kills.Add(1)
-	w.dying.Store(true)
+// kill kills a process with SIGKILL and records the time, as requests that were open at the time may be lost.
+func (tr *trial) kill(p *process) {
+	tr.figures.Kills++
+	tr.kills.Add(1)
+	tr.killing.Store(true)
 	p.Kill()
-	w.killed.Store(time.Now().UnixNano())
-	w.dying.Store(false)
+	tr.lastKill.Store(time.Now().UnixNano())
+	tr.killing.Store(false)
 }
 
-// The moments of a replacement at which a process may be killed.
+// The points of a replacement at which a process may be killed.
 const (
-	newBeforeYes = iota
-	newAfterYes
-	oldBeforeYes
-	oldAfterYes
+	newBeforeReady = iota
+	newAfterReady
+	oldBeforeReady
+	oldAfterReady
 	oldAfterTerm
-	moments
+	killPoints
 )
 
-// replace plays one replacement; one in three has a kill.
-func (w *world) replace() error {
-	time.Sleep(time.Duration(w.rand.IntN(60)) * time.Millisecond)
-	w.mu.Lock()
-	old := w.alive[len(w.alive)-1]
-	w.mu.Unlock()
-	next, err := w.start()
+// replace runs one replacement; one in three includes a kill.
+func (tr *trial) replace() error {
+	time.Sleep(time.Duration(tr.rand.IntN(60)) * time.Millisecond)
+	tr.mu.Lock()
+	old := tr.alive[len(tr.alive)-1]
+	tr.mu.Unlock()
+	next, err := tr.startProcess()
 	if err != nil {
 		return err
 	}
-	w.fig.Replacements++
-	kill, moment := -1, time.Duration(0)
-	if w.rand.IntN(3) == 0 {
-		kill, moment = w.rand.IntN(moments), time.Duration(w.rand.IntN(30_000))*time.Microsecond
-	}
-	if kill == newBeforeYes || kill == oldBeforeYes {
-		time.Sleep(moment)
-		if kill == newBeforeYes {
-			w.strike(next)
-			w.fig.GivenUp++
-			return nil // the old one goes on alone
+	tr.figures.Replacements++
+	killPoint, delay := -1, time.Duration(0)
+	if tr.rand.IntN(3) == 0 {
+		killPoint, delay = tr.rand.IntN(killPoints), time.Duration(tr.rand.IntN(30_000))*time.Microsecond
+	}
+	if killPoint == newBeforeReady || killPoint == oldBeforeReady {
+		time.Sleep(delay)
+		if killPoint == newBeforeReady {
+			tr.kill(next)
+			tr.figures.GivenUp++
+			return nil // the old process continues alone
 		}
-		w.strike(old)
+		tr.kill(old)
 	}
-	if !w.ready(next) {
-		return fmt.Errorf("replacement %d: the new process does not take clients: %v %s", w.fig.Replacements, next.Err(), next.Log())
+	if !tr.waitReady(next) {
+		return fmt.Errorf("replacement %d: the new process does not accept clients: %v %s", tr.figures.Replacements, next.Err(), next.Log())
 	}
-	switch kill {
-	case oldBeforeYes:
+	switch killPoint {
+	case oldBeforeReady:
 		return nil
-	case newAfterYes:
-		time.Sleep(moment)
-		w.strike(next)
-		w.fig.GivenUp++
+	case newAfterReady:
+		time.Sleep(delay)
+		tr.kill(next)
+		tr.figures.GivenUp++
 		return nil
-	case oldAfterYes:
-		time.Sleep(moment)
-		w.strike(old)
+	case oldAfterReady:
+		time.Sleep(delay)
+		tr.kill(old)
 		return nil
 	}
 	began := time.Now()
 	if err := old.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
-	if kill == oldAfterTerm {
-		time.Sleep(moment)
-		w.strike(old)
+	if killPoint == oldAfterTerm {
+		time.Sleep(delay)
+		tr.kill(old)
 		return nil
 	}
 	select {
 	case <-old.Ended():
-		w.fig.HandOverMost = max(w.fig.HandOverMost, time.Since(began))
-	case <-time.After(deadline + killRest):
-		atomic.AddInt64(&w.fig.Exits, 1)
-		w.fig.note("the old process had to be killed: %s", old.Log())
-		w.strike(old)
+		tr.figures.HandOverMost = max(tr.figures.HandOverMost, time.Since(began))
+	case <-time.After(deadline + killMargin):
+		atomic.AddInt64(&tr.figures.Exits, 1)
+		tr.figures.note("the old process did not exit in time and was killed: %s", old.Log())
+		tr.kill(old)
 		return nil
 	}
 	if old.Err() != nil || !bytes.Contains([]byte(old.Log()), []byte("invariants_broken=0")) {
-		atomic.AddInt64(&w.fig.Exits, 1)
-		w.fig.note("the old process ended with %v: %s", old.Err(), old.Log())
+		atomic.AddInt64(&tr.figures.Exits, 1)
+		tr.figures.note("the old process ended with %v: %s", old.Err(), old.Log())
 	}
 	return nil
 }
--- a/internal/handover/replace/replace.go
+++ b/internal/handover/replace/replace.go
@@ -1,5 +1,5 @@
-// Package replace plays replacements of real processes under load, with stand-ins for all that they talk to, and counts
-// what the rules forbid: requests lost or answered twice, runs that came twice, callers turned back.
+// Package replace runs replacements of real processes under load, with stand-ins for all services that they use,
+// and counts violations: lost requests, requests answered twice, double runs, and rejected callers.
 package replace
 
 import (
@@ -22,18 +22,18 @@
 	"cairnlane/internal/standin/router"
 )
 
-// Config is what a trial is played with.
+// Config holds the settings of a trial.
 type Config struct {
 	Seed         uint64
 	Replacements int
-	Command      []string // starts a replica
-	Site         string   // the settings, as in examples/config.json
-	Dir          string   // for configurations and $TMPDIR
-	Sockets      int      // limit on descriptors of both processes
+	Command      []string // command that starts a replica
+	Site         string   // path of the settings, as in examples/config.json
+	Dir          string   // folder for configurations and $TMPDIR
+	Sockets      int      // limit on descriptors of both processes together
 	Progress     io.Writer
 }
 
-// Figures are what a trial came to.
+// Figures are the results of a trial.
 type Figures struct {
 	rig.Tally
 	Replacements, Kills, GivenUp      int
@@ -46,39 +46,39 @@
 	mu                                sync.Mutex
 }
 
-// The bounds of the platform.
+// The limits of the platform.
 const (
-	readyTime = 6 * time.Second
-	deadline  = 800 * time.Millisecond // the longest of the trial's classes
-	killRest  = 700 * time.Millisecond
-	doorTime  = time.Second
+	readyTimeout    = 6 * time.Second
+	deadline        = 800 * time.Millisecond // the longest deadline of the trial's classes
+	killMargin      = 700 * time.Millisecond
+	operatorTimeout = time.Second
 )
 
-// servedTooFew is the missed bound on how many requests were served.
+// servedTooFew is reported when fewer than half of the requests were served.
 const servedTooFew = "served: less than half"
 
-// world is a replica's surroundings.
-type world struct {
-	cfg     Config
-	fig     *Figures
-	rand    *rand.Rand
-	ln      *net.TCPListener
-	engine  *engine.Engine
-	catalog *catalog.Catalog
-	index   *index.Index // nil where runs call none
-	load    *rig.Load
-	stop    atomic.Bool
-	kills   atomic.Int64 // processes killed so far; a request open across one may be lost with it
-	dying   atomic.Bool  // one is being killed
-	killed  atomic.Int64 // when the last one had ended
-	wait    sync.WaitGroup
-	began   time.Time
-	drained atomic.Bool // by the operator: health is to be bad
-	pause   atomic.Bool // a drain begins or ends: health may be either
+// trial holds one trial with the services that a replica uses.
+type trial struct {
+	cfg         Config
+	figures     *Figures
+	rand        *rand.Rand
+	ln          *net.TCPListener
+	engine      *engine.Engine
+	catalog     *catalog.Catalog
+	index       *index.Index // nil if runs make no index calls
+	load        *rig.Load
+	stop        atomic.Bool
+	kills       atomic.Int64 // processes killed so far; a request that is open during a kill may be lost
+	killing     atomic.Bool  // a process is being killed
+	lastKill    atomic.Int64 // when the last killed process had ended
+	background  sync.WaitGroup
+	startedAt   time.Time
+	drained     atomic.Bool // drained by the operator: health checks must be negative
+	pauseHealth atomic.Bool // a drain begins or ends: either health is allowed
 
-	mu    sync.Mutex
-	alive []*process
-	n     int
+	mu      sync.Mutex
+	alive   []*process
+	started int // processes started so far; numbers the configuration files
 }
 
 func (f *Figures) note(format string, a ...any) {
@@ -89,30 +89,30 @@
 	}
 }
 
-// Run plays a trial.
+// Run runs a trial.
 func Run(cfg Config) (*Figures, error) {
-	w, err := begin(cfg)
+	tr, err := newTrial(cfg)
 	if err != nil {
 		return nil, err
 	}
-	defer w.end()
+	defer tr.close()
 	for range cfg.Replacements {
-		if err := w.replace(); err != nil {
+		if err := tr.replace(); err != nil {
 			return nil, err
 		}
-		if cfg.Progress != nil && w.fig.Replacements%20 == 0 {
-			fmt.Fprintf(cfg.Progress, "%d replacements, %d kills, %d requests\n", w.fig.Replacements, w.fig.Kills, atomic.LoadInt64(&w.load.Requests))
+		if cfg.Progress != nil && tr.figures.Replacements%20 == 0 {
+			fmt.Fprintf(cfg.Progress, "%d replacements, %d kills, %d requests\n", tr.figures.Replacements, tr.figures.Kills, atomic.LoadInt64(&tr.load.Requests))
 		}
 	}
-	return w.finish(), nil
+	return tr.finish(), nil
 }
 
-// begin starts the surroundings, the first process and the load. Whoever has begun a world ends it.
-func begin(cfg Config) (*world, error) {
-	w := &world{cfg: cfg, fig: &Figures{Limit: cfg.Sockets}, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), began: time.Now()}
+// newTrial starts the stand-ins, the first process and the load. The caller must close the trial.
+func newTrial(cfg Config) (*trial, error) {
+	tr := &trial{cfg: cfg, figures: &Figures{Limit: cfg.Sockets}, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), startedAt: time.Now()}
 	work := rand.New(rand.NewPCG(cfg.Seed, 2))
 	var workMu sync.Mutex
-	w.engine = engine.New(func(string) time.Duration {
+	tr.engine = engine.New(func(string) time.Duration {
 		workMu.Lock()
 		defer workMu.Unlock()
 		return time.Duration(3+work.ExpFloat64()*15) * time.Millisecond
@@ -121,122 +121,122 @@
 	if err != nil {
 		return nil, err
 	}
-	w.ln = ln.(*net.TCPListener)
-	if w.catalog, err = catalog.Start(); err != nil {
+	tr.ln = ln.(*net.TCPListener)
+	if tr.catalog, err = catalog.Start(); err != nil {
 		ln.Close()
 		return nil, err
 	}
 	traffic, err := rig.TrafficOf(cfg.Site)
 	if err == nil && traffic.Calls {
-		w.engine.Calls(true)
-		w.index, err = index.Start(rig.CallTakes)
+		tr.engine.Calls(true)
+		tr.index, err = index.Start(rig.CallTakes)
 	}
 	if err != nil {
-		w.end()
+		tr.close()
 		return nil, err
 	}
-	w.load = &rig.Load{Seed: cfg.Seed, Traffic: traffic, Limit: deadline * 3 / 4, Pause: 8 * time.Millisecond, Spread: true, Engines: func() []*engine.Engine { return []*engine.Engine{w.engine} },
-		Excused: func(_ int, began time.Time) bool { return w.dying.Load() || began.UnixNano() <= w.killed.Load() }}
+	tr.load = &rig.Load{Seed: cfg.Seed, Traffic: traffic, Limit: deadline * 3 / 4, Pause: 8 * time.Millisecond, Spread: true, Engines: func() []*engine.Engine { return []*engine.Engine{tr.engine} },
+		Excused: func(_ int, began time.Time) bool { return tr.killing.Load() || began.UnixNano() <= tr.lastKill.Load() }}
 	for range 4 {
-		w.load.Routers = append(w.load.Routers, &router.Router{Addr: ln.Addr().String()})
+		tr.load.Routers = append(tr.load.Routers, &router.Router{Addr: ln.Addr().String()})
 	}
-	first, err := w.start()
-	if err == nil && !w.ready(first) {
-		err = fmt.Errorf("the first process does not take clients: %s", first.Log())
+	first, err := tr.startProcess()
+	if err == nil && !tr.waitReady(first) {
+		err = fmt.Errorf("the first process does not accept clients: %s", first.Log())
 	}
 	if err != nil {
-		w.end()
+		tr.close()
 		return nil, err
 	}
-	w.load.Begin()
-	w.wait.Add(2)
-	go w.health()
-	go w.watch()
-	return w, nil
+	tr.load.Begin()
+	tr.background.Add(2)
+	go tr.pollHealth()
+	go tr.watchDescriptors()
+	return tr, nil
 }
 
-// finish ends the load and returns what the trial came to.
-func (w *world) finish() *Figures {
-	w.stop.Store(true)
-	w.wait.Wait()
-	w.load.End()
-	w.fig.Tally = w.load.Tally
-	_, _, wrong := w.engine.Fed()
-	w.fig.Wrong += int64(wrong)
-	w.fig.Notes = append(w.fig.Notes, w.load.Notes()...)
-	w.settle()
-	w.fig.Took = time.Since(w.began)
-	return w.fig
+// finish stops the load and returns the results of the trial.
+func (tr *trial) finish() *Figures {
+	tr.stop.Store(true)
+	tr.background.Wait()
+	tr.load.End()
+	tr.figures.Tally = tr.load.Tally
+	_, _, wrong := tr.engine.Fed()
+	tr.figures.Wrong += int64(wrong)
+	tr.figures.Notes = append(tr.figures.Notes, tr.load.Notes()...)
+	tr.checkGauges()
+	tr.figures.Took = time.Since(tr.startedAt)
+	return tr.figures
 }
 
-// end kills what is left and closes the routers.
-func (w *world) end() {
-	w.stop.Store(true)
-	w.mu.Lock()
-	left := w.alive
-	w.mu.Unlock()
-	for _, p := range left {
+// close kills the remaining processes and closes the stand-ins.
+func (tr *trial) close() {
+	tr.stop.Store(true)
+	tr.mu.Lock()
+	remaining := tr.alive
+	tr.mu.Unlock()
+	for _, p := range remaining {
 		p.Kill()
 	}
-	w.catalog.Close()
-	if w.index != nil {
-		w.index.Close()
+	tr.catalog.Close()
+	if tr.index != nil {
+		tr.index.Close()
 	}
-	w.ln.Close()
+	tr.ln.Close()
 }
 
-// settle compares the last process's figures with each other.
-func (w *world) settle() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, p := range w.alive {
-		v, err := operator.Ask(p.door, "vars", doorTime)
+// checkGauges checks that each remaining process reports no request in progress.
+func (tr *trial) checkGauges() {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	for _, p := range tr.alive {
+		v, err := operator.Ask(p.controlAddr, "vars", operatorTimeout)
 		if err != nil || !strings.Contains(v, "edge_relay_in_progress 0\n") {
-			w.fig.FiguresWrong++
-			w.fig.note("figures at rest: %v %q", err, v)
+			tr.figures.FiguresWrong++
+			tr.figures.note("figures at rest: %v %q", err, v)
 		}
 	}
 }
 
-// health asks as the platform does. Nothing in a replacement may make the replica leave the list.
-func (w *world) health() {
-	defer w.wait.Done()
-	for !w.stop.Load() {
-		if w.pause.Load() {
+// pollHealth checks the health as the platform does. No replacement may make the replica appear unhealthy.
+func (tr *trial) pollHealth() {
+	defer tr.background.Done()
+	for !tr.stop.Load() {
+		if tr.pauseHealth.Load() {
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		kills, drained := w.kills.Load(), w.drained.Load()
-		good, err := router.Check(w.ln.Addr().String(), time.Second)
-		if kills == w.kills.Load() && drained == w.drained.Load() && !w.pause.Load() {
-			atomic.AddInt64(&w.fig.Checks, 1)
-			if err != nil || good == drained {
-				atomic.AddInt64(&w.fig.HealthGaps, 1)
-				w.fig.note("health: good %v in a drain %v, %v", good, drained, err)
+		kills, drained := tr.kills.Load(), tr.drained.Load()
+		healthy, err := router.Check(tr.ln.Addr().String(), time.Second)
+		if kills == tr.kills.Load() && drained == tr.drained.Load() && !tr.pauseHealth.Load() {
+			atomic.AddInt64(&tr.figures.Checks, 1)
+			if err != nil || healthy == drained {
+				atomic.AddInt64(&tr.figures.HealthGaps, 1)
+				tr.figures.note("health check: good %v, drained %v, error %v", healthy, drained, err)
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// watch counts the descriptors of all processes together.
-func (w *world) watch() {
-	defer w.wait.Done()
-	for !w.stop.Load() {
-		w.mu.Lock()
+// watchDescriptors counts the descriptors of all processes together.
+func (tr *trial) watchDescriptors() {
+	defer tr.background.Done()
+	for !tr.stop.Load() {
+		tr.mu.Lock()
 		n := 0
-		for _, p := range w.alive {
+		for _, p := range tr.alive {
 			if list, err := os.ReadDir(filepath.Join("/proc", fmt.Sprint(p.Pid()), "fd")); err == nil {
 				n += len(list)
 			}
 		}
-		w.fig.DescriptorsMax = max(w.fig.DescriptorsMax, n)
-		w.mu.Unlock()
+		tr.figures.DescriptorsMax = max(tr.figures.DescriptorsMax, n)
+		tr.mu.Unlock()
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// String is the line of figures.
+// String returns the results as one line.
 func (f *Figures) String() string {
 	return fmt.Sprintf("figures: replacements=%d kills=%d given_up=%d requests=%d served=%d refused=%d failed=%d killed=%d lost=%d ended_twice=%d double_runs=%d wrong=%d late=%d turned_back=%d repeats=%d repeats_served=%d descriptors_max=%d limit=%d health_checks=%d health_gaps=%d figures_wrong=%d bad_exits=%d ready_ms=%d door_ms=%d handover_ms=%d seconds=%.1f",
 		f.Replacements, f.Kills, f.GivenUp, f.Requests, f.Served, f.Refused, f.Failed, f.Killed, f.Lost, f.EndedTwice, f.DoubleRuns, f.Wrong, f.Late, f.TurnedBack,
@@ -244,7 +244,7 @@
 		f.ReadyMost.Milliseconds(), f.DoorMost.Milliseconds(), f.HandOverMost.Milliseconds(), f.Took.Seconds())
 }
 
-// Missed lists the bounds that were missed.
+// Missed returns the bounds that were not met.
 func (f *Figures) Missed() (list []string) {
 	for name, n := range map[string]int64{"lost": f.Lost, "ended twice": f.EndedTwice, "double runs": f.DoubleRuns, "wrong results": f.Wrong,
 		"late": f.Late, "turned back": max(0, f.TurnedBack-int64(2*f.Replacements)), "health gaps": f.HealthGaps, "figures wrong": f.FiguresWrong, "bad exits": f.Exits} {
@@ -255,8 +255,8 @@
 	if f.DescriptorsMax > f.Limit {
 		list = append(list, fmt.Sprintf("descriptors: %d of %d", f.DescriptorsMax, f.Limit))
 	}
-	if f.DoorMost > doorTime || f.ReadyMost > readyTime {
-		list = append(list, "the door answers late")
+	if f.DoorMost > operatorTimeout || f.ReadyMost > readyTimeout {
+		list = append(list, "an operator call or a start took too long")
 	}
 	if f.Served < f.Requests/2 {
 		list = append(list, servedTooFew)
--- a/internal/handover/replace/replace_test.go
+++ b/internal/handover/replace/replace_test.go
@@ -21,7 +21,7 @@
 	"cairnlane/internal/thrift"
 )
 
-// TestMain is the replica's process when the trial starts this binary again.
+// TestMain runs a replica when the trial starts this test binary as a child process.
 func TestMain(m *testing.M) {
 	if os.Getenv("RELAY_INHERITED_FD") == "" {
 		os.Exit(m.Run())
@@ -32,96 +32,96 @@
 
 const site = "../../../examples/config.json"
 
-// until waits for what has to come.
-func until(t *testing.T, what string, is func() bool) {
+// waitUntil polls a condition for up to 20 s.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not in time: ", what)
+			t.Fatal("not within 20 s: ", what)
 		}
 	}
 }
 
-// TestDrainAndReloadInAnOverlap has the operator drain the replica at the new process, both processes read a new
-// configuration that moves their engine, and the drain end at the old one, all while both take clients.
-func TestDrainAndReloadInAnOverlap(t *testing.T) {
-	w, err := begin(Config{Seed: 2, Command: []string{os.Args[0]}, Site: site, Dir: t.TempDir(), Sockets: 256})
+// TestDrainAndReloadDuringReplacement drains the replica through the new process, reloads a configuration in both
+// processes that moves their engine, and ends the drain through the old process, all while both accept clients.
+func TestDrainAndReloadDuringReplacement(t *testing.T) {
+	tr, err := newTrial(Config{Seed: 2, Command: []string{os.Args[0]}, Site: site, Dir: t.TempDir(), Sockets: 256})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.end()
-	old := w.alive[0]
-	next, err := w.start()
-	if err != nil || !w.ready(next) {
+	defer tr.close()
+	old := tr.alive[0]
+	next, err := tr.startProcess()
+	if err != nil || !tr.waitReady(next) {
 		t.Fatal(err, next.Log())
 	}
 	call := func(p *process, call string) {
 		t.Helper()
-		if _, err := w.ask(p, call); err != nil {
+		if _, err := tr.callOperator(p, call); err != nil {
 			t.Fatalf("%s: %v", call, err)
 		}
 	}
-	says := func(p *process, words string) func() bool {
+	logContains := func(p *process, words string) func() bool {
 		return func() bool { return strings.Contains(p.Log(), words) }
 	}
-	checks := func() { // by whichever process takes them
-		n := atomic.LoadInt64(&w.fig.Checks)
-		until(t, "health checks", func() bool { return atomic.LoadInt64(&w.fig.Checks) >= n+10 })
+	waitForChecks := func() { // answered by either process
+		n := atomic.LoadInt64(&tr.figures.Checks)
+		waitUntil(t, "health checks", func() bool { return atomic.LoadInt64(&tr.figures.Checks) >= n+10 })
 	}
-	w.pause.Store(true)
+	tr.pauseHealth.Store(true)
 	call(next, "drain-on")
 	call(next, "drain-on")
-	until(t, "the drain at the other process", says(old, "to drained by the operator"))
-	w.drained.Store(true)
-	w.pause.Store(false)
-	checks()
+	waitUntil(t, "the drain at the other process", logContains(old, "to drained by the operator"))
+	tr.drained.Store(true)
+	tr.pauseHealth.Store(false)
+	waitForChecks()
 	for _, p := range []*process{old, next} {
 		before := p.engine
-		if p.engine, err = w.engine.Move(before); err != nil {
+		if p.engine, err = tr.engine.Move(before); err != nil {
 			t.Fatal(err)
 		}
-		if err := w.configure(p); err != nil {
+		if err := tr.writeConfig(p); err != nil {
 			t.Fatal(err)
 		}
 		p.Signal(syscall.SIGHUP)
-		until(t, "the new configuration", says(p, "configuration read anew"))
+		waitUntil(t, "the new configuration", logContains(p, "configuration read anew"))
 	}
-	w.pause.Store(true)
+	tr.pauseHealth.Store(true)
 	call(old, "drain-off")
-	until(t, "the end of the drain at the other process", says(next, "from drained by the operator to serving"))
-	w.drained.Store(false)
-	w.pause.Store(false)
-	checks()
+	waitUntil(t, "the end of the drain at the other process", logContains(next, "from drained by the operator to serving"))
+	tr.drained.Store(false)
+	tr.pauseHealth.Store(false)
+	waitForChecks()
 	old.Signal(syscall.SIGTERM)
 	<-old.Ended()
 	if !strings.Contains(old.Log(), "to handing over") || old.Err() != nil {
 		t.Errorf("the old process ended with %v: %s", old.Err(), old.Log())
 	}
-	f := w.finish()
+	f := tr.finish()
 	if missed := f.Missed(); len(missed) > 0 {
 		t.Errorf("missed %s\n%s\n%s", strings.Join(missed, ", "), f, strings.Join(f.Notes, "\n"))
 	}
 }
 
-// TestTheDoorAnswersUnderOverload has routers flood a process of one core, silent callers and callers of half a line hold
-// the door, and an operator call all the while.
-func TestTheDoorAnswersUnderOverload(t *testing.T) {
-	w, err := begin(Config{Seed: 3, Command: []string{os.Args[0]}, Site: site, Dir: t.TempDir(), Sockets: 256})
+// TestOperatorCallsAnswerUnderOverload checks that operators' calls are answered in time while routers flood a
+// process of one core, and silent clients and clients with incomplete lines occupy its operators' listener.
+func TestOperatorCallsAnswerUnderOverload(t *testing.T) {
+	tr, err := newTrial(Config{Seed: 3, Command: []string{os.Args[0]}, Site: site, Dir: t.TempDir(), Sockets: 256})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.end()
-	p := w.alive[0]
+	defer tr.close()
+	p := tr.alive[0]
 	var stop atomic.Bool
 	var floods sync.WaitGroup
 	for range 16 {
-		c, err := net.Dial("tcp", w.ln.Addr().String())
+		c, err := net.Dial("tcp", tr.ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		floods.Go(func() {
-			for seq := int32(1); !stop.Load(); { // health checks, as many at once as a router may have open
+			for seq := int32(1); !stop.Load(); { // health checks, as many concurrent ones as a router may have open
 				var batch []byte
 				for range 32 {
 					batch = thrift.AppendFrame(batch, func(b []byte) []byte {
@@ -145,7 +145,7 @@
 		})
 	}
 	for i := range 3 * operator.Most {
-		c, err := net.Dial("tcp", p.door)
+		c, err := net.Dial("tcp", p.controlAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -154,26 +154,26 @@
 			io.WriteString(c, "va")
 		}
 	}
-	before := cpu(t, p)
+	before := cpuTime(t, p)
 	began := time.Now()
 	for range 100 {
-		if _, err := w.ask(p, "vars"); err != nil {
+		if _, err := tr.callOperator(p, "vars"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	busy := float64(cpu(t, p)-before) / float64(time.Since(began))
+	busy := float64(cpuTime(t, p)-before) / float64(time.Since(began))
 	stop.Store(true)
 	floods.Wait()
-	w.finish()
-	t.Logf("figures: worst_door_ms=%.1f cores_busy=%.2f", float64(w.fig.DoorMost.Microseconds())/1e3, busy)
-	if w.fig.DoorMost >= doorTime {
-		t.Errorf("an answer took %v", w.fig.DoorMost)
+	tr.finish()
+	t.Logf("figures: worst_door_ms=%.1f cores_busy=%.2f", float64(tr.figures.DoorMost.Microseconds())/1e3, busy)
+	if tr.figures.DoorMost >= operatorTimeout {
+		t.Errorf("the slowest answer took %v, limit %v", tr.figures.DoorMost, operatorTimeout)
 	}
 }
 
-// cpu tells the processor time of a process.
-func cpu(t *testing.T, p *process) time.Duration {
+// cpuTime returns the processor time of a process.
+func cpuTime(t *testing.T, p *process) time.Duration {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 	if err != nil {
@@ -185,29 +185,29 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// TestReplacementsWhereRunsCallAnIndex: the same at a site with two keyed classes whose runs call the index that all replicas share. Runs
-// wait for their calls across replacements and kills.
-func TestReplacementsWhereRunsCallAnIndex(t *testing.T) {
-	w, err := begin(Config{Seed: 1, Command: []string{os.Args[0]}, Site: "../../../examples/images/config.json", Dir: t.TempDir(), Sockets: 256})
+// TestReplacementsWithIndexCalls runs replacements at a site with two keyed classes whose runs call the index that
+// all replicas share. Runs wait for their calls across replacements and kills.
+func TestReplacementsWithIndexCalls(t *testing.T) {
+	tr, err := newTrial(Config{Seed: 1, Command: []string{os.Args[0]}, Site: "../../../examples/images/config.json", Dir: t.TempDir(), Sockets: 256})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.end()
+	defer tr.close()
 	for range 8 {
-		if err := w.replace(); err != nil {
+		if err := tr.replace(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f := w.finish()
-	// How much is served tells how busy the machine is: what is rejected for that breaks no rule.
+	f := tr.finish()
+	// The share of served requests depends on the load of the machine; rejecting requests under overload is allowed.
 	missed := slices.DeleteFunc(f.Missed(), func(bound string) bool { return bound == servedTooFew })
 	if len(missed) > 0 || f.Kills == 0 || f.Served < 100 {
 		t.Errorf("missed %s\n%s\n%s", strings.Join(missed, ", "), f, strings.Join(f.Notes, "\n"))
 	}
-	calls, _ := w.index.Calls()
-	fed, skipped, wrong := w.engine.Fed()
+	calls, _ := tr.index.Calls()
+	fed, skipped, wrong := tr.engine.Fed()
 	if calls < 100 || fed < 100 || wrong > 0 {
-		t.Errorf("%d calls, %d fed, %d skipped, %d with the reply of another call", calls, fed, skipped, wrong)
+		t.Errorf("%d calls, %d fed, %d skipped, %d with the reply of a different call", calls, fed, skipped, wrong)
 	}
 	t.Logf("%d calls, %d fed, %d skipped; %s", calls, fed, skipped, f)
 }
