--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -33,12 +33,13 @@
 )
 
 const (
-	reservedSockets = 48 // descriptors reserved for links, the poller and the runtime
-	memoryShare     = 0.7
-	// Each share is the divisor of the memory: results kept for repeats, output that the engine has not read yet, and
-	// messages that the other process of a replacement has not read yet, which are those results and little more.
+	reservedSockets = 48  // descriptors reserved for links, the poller and the runtime
+	memoryShare     = 0.7 // part of the memory limit that the Go runtime may use
+	// Parts of the memory that buffers may use, as divisors: an eighth each for results kept for repeats and for
+	// output that the engine has not read yet, and a sixth for messages that the other process of a replacement has
+	// not read yet, which are those results and little more.
 	resultDivisor, engineDivisor, peerDivisor = 8, 8, 6
-	exitMargin                                = 60 * time.Millisecond
+	exitMargin                                = 60 * time.Millisecond // time before the stop at which open connections are closed
 	closeTime                                 = 5 * time.Millisecond  // time limit for closing resources before the process exits anyway
 	killMargin                                = 10 * time.Millisecond // connections that are not quiet by then are abandoned
 	drainPollInterval                         = 5 * time.Millisecond
