--- a/internal/decide/conns/ending.go
+++ b/internal/decide/conns/ending.go
@@ -21,7 +21,7 @@
 	Exit           // the process exits
 	Garbage        // its input cannot be parsed
 	Deaf           // the peer does not read its answers, and the limit on unread output is reached
-	Broken // a write to the connection failed
+	Broken         // a write to the connection failed
 	reasons
 )
 
@@ -73,7 +73,7 @@
 	Serving   State = iota
 	Answering       // input is discarded; calls accepted earlier are still answered
 	Lingering       // the write side is closed; input is discarded until the peer closes its side
-	Ended // closed, or to be closed immediately
+	Ended           // closed, or to be closed immediately
 )
 
 // Action is the next operation on the connection.
