--- a/internal/assert/assert.go
+++ b/internal/assert/assert.go
@@ -1,5 +1,5 @@
-// Package assert holds the checks of what must always hold. A failed check panics in builds with
-// the debug tag; in release builds it is counted and named once, and the caller carries on safely.
+// Package assert checks invariants at run time. A failed check panics in builds with the debug tag. In release builds the
+// failure is counted, the first failure of each invariant is written to standard error, and the caller continues on its safe path.
 package assert
 
 import (
@@ -10,11 +10,12 @@
 )
 
 var (
-	mu     sync.Mutex
-	failed = map[string]int64{}
+	mu       sync.Mutex
+	failures = map[string]int64{} // by invariant
 )
 
-// That checks one invariant and returns whether it holds, so that callers can take the safe way.
+// That checks one invariant and reports whether it holds, so that callers can take a safe path when it does not. invariant
+// describes the condition and is the key under which failures are counted.
 func That(ok bool, invariant string) bool {
 	if ok {
 		return true
@@ -24,32 +25,32 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	failed[invariant]++
-	if failed[invariant] == 1 {
+	failures[invariant]++
+	if failures[invariant] == 1 {
 		fmt.Fprintln(os.Stderr, "cairnlane: invariant does not hold:", invariant)
 	}
 	return false
 }
 
-// Panicked takes what a callback on one connection has panicked with, which would otherwise end in netpoll's pool as a
-// line in the log. In release builds it is counted like a check that failed, the stack is printed, and the caller ends
-// that connection alone; builds with the debug tag end.
-func Panicked(where string, p any) {
-	fmt.Fprintf(os.Stderr, "cairnlane: panic at %s: %v\n%s", where, p, debug.Stack())
+// Panicked handles the value recovered from a panic in a connection's callback; without it netpoll's goroutine pool would only
+// log the panic. The value and the stack are written to standard error. Builds with the debug tag then exit with status 2; in
+// release builds the panic is counted like a failed check and the caller closes only that connection.
+func Panicked(where string, recovered any) {
+	fmt.Fprintf(os.Stderr, "cairnlane: panic at %s: %v\n%s", where, recovered, debug.Stack())
 	if panics {
 		os.Exit(2)
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	failed["no panic at "+where]++
+	failures["no panic at "+where]++
 }
 
-// Failures tells how many checks have failed since the start.
+// Failures returns the number of failed checks and counted panics since the process started.
 func Failures() int64 {
 	mu.Lock()
 	defer mu.Unlock()
 	sum := int64(0)
-	for _, n := range failed {
+	for _, n := range failures {
 		sum += n
 	}
 	return sum
--- a/internal/clock/boot.go
+++ b/internal/clock/boot.go
@@ -6,12 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot tells the time since the machine was started, which also runs while the machine sleeps and is not set by anybody.
-// Leases are counted by it: a machine that slept must not take itself for a holder when it wakes.
+// Boot returns the time since the machine was booted. This clock also advances while the machine is suspended, and it cannot
+// be set. Lease durations are measured with it, so that a machine that was suspended does not still act as a holder after resuming.
 func Boot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic("clock: CLOCK_BOOTTIME cannot be read: " + err.Error()) // Linux has it since 2.6.39
+		panic("clock: read CLOCK_BOOTTIME: " + err.Error()) // CLOCK_BOOTTIME exists since Linux 2.6.39
 	}
-	return skew(time.Duration(ts.Nano()))
+	return applyRate(time.Duration(ts.Nano()))
 }
--- a/internal/clock/boot_test.go
+++ b/internal/clock/boot_test.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// TestBootCountsFromTheStartOfTheMachine, which no setting of the wall clock changes.
-func TestBootCountsFromTheStartOfTheMachine(t *testing.T) {
+// TestBootMatchesUptime checks that Boot agrees with /proc/uptime, so that it does not depend on the wall clock, and that it
+// never goes back.
+func TestBootMatchesUptime(t *testing.T) {
 	raw, err := os.ReadFile("/proc/uptime")
 	if err != nil {
 		t.Skip(err)
 	}
-	var up float64
-	fmt.Sscan(string(raw), &up)
-	if off := Boot() - time.Duration(up*float64(time.Second)); off < -time.Minute || off > time.Minute {
-		t.Errorf("Boot is %v off what /proc/uptime tells", off)
+	var uptime float64
+	fmt.Sscan(string(raw), &uptime)
+	if diff := Boot() - time.Duration(uptime*float64(time.Second)); diff < -time.Minute || diff > time.Minute {
+		t.Errorf("Boot differs from /proc/uptime by %v, want at most 1m", diff)
 	}
 	if a, b := Boot(), Boot(); b < a {
-		t.Error("it goes back")
+		t.Errorf("Boot went back from %v to %v", a, b)
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,16 +1,16 @@
-// Package clock gives the time on one monotonic base that is anchored to the system's Unix clock once.
+// Package clock provides a monotonic clock that is set from the system's wall clock once, the boot-time clock and the wall clock.
 package clock
 
 import "time"
 
-// System is the machine's clock. A reading is the time since the Unix epoch; later steps of the
-// wall clock do not show in it, so spans between readings are always true.
+// System is a monotonic clock whose readings are durations since the Unix epoch. Steps of the wall clock after NewSystem
+// do not affect it, so the difference of two readings is always the time that elapsed between them.
 type System struct {
 	base time.Time
-	unix time.Duration // the time of day at base, since the Unix epoch
+	unix time.Duration // wall-clock time at base, since the Unix epoch
 }
 
-// NewSystem anchors a clock to the present Unix time.
+// NewSystem returns a clock that starts at the current wall-clock time.
 func NewSystem() *System { return &System{base: time.Now(), unix: time.Duration(Wall().UnixNano())} }
 
 // Now returns the time since the Unix epoch.
@@ -18,5 +18,5 @@
 	return s.unix + time.Since(s.base)
 }
 
-// AfterFunc calls f on a goroutine of its own after d.
+// AfterFunc calls f in its own goroutine after d.
 func (s *System) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
--- a/internal/clock/skew_release.go
+++ b/internal/clock/skew_release.go
@@ -4,6 +4,8 @@
 
 import "time"
 
-func skew(t time.Duration) time.Duration { return t }
+// applyRate returns t unchanged: release builds have no simulated clock rate.
+func applyRate(t time.Duration) time.Duration { return t }
 
-func jump(t time.Time) time.Time { return t }
+// applyOffset returns t unchanged: release builds have no simulated wall-clock offset.
+func applyOffset(t time.Time) time.Time { return t }
--- a/internal/clock/skew_trial.go
+++ b/internal/clock/skew_trial.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// rate lets a trial have a process's clock run fast or slow. A release build has no such switch.
+// rate is the factor by which a trial makes the process's boot-time clock run fast or slow. Release builds have no such setting.
 var rate = func() float64 {
 	if r, err := strconv.ParseFloat(os.Getenv("CAIRNLANE_TRIAL_CLOCK_RATE"), 64); err == nil && r > 0 {
 		return r
@@ -17,13 +17,15 @@
 	return 1
 }()
 
-func skew(t time.Duration) time.Duration { return time.Duration(float64(t) * rate) }
+// applyRate scales a reading of the boot-time clock by rate.
+func applyRate(t time.Duration) time.Duration { return time.Duration(float64(t) * rate) }
 
-// wallFile holds by how much a trial has set the process's time of day off, as a span; no file, no offset. A jump is made
-// by putting another file in its place.
+// wallFile is the path of a file that holds the offset of the process's wall clock as a duration. Without a readable file the
+// offset is 0. A trial simulates a jump of the wall clock by replacing the file.
 var wallFile = os.Getenv("CAIRNLANE_TRIAL_WALL")
 
-func jump(t time.Time) time.Time {
+// applyOffset adds the offset in wallFile to a reading of the wall clock.
+func applyOffset(t time.Time) time.Time {
 	if wallFile == "" {
 		return t
 	}
@@ -31,9 +33,9 @@
 	if err != nil {
 		return t
 	}
-	off, err := time.ParseDuration(strings.TrimSpace(string(raw)))
+	offset, err := time.ParseDuration(strings.TrimSpace(string(raw)))
 	if err != nil {
 		return t
 	}
-	return t.Round(0).Add(off) // without the monotonic reading, as after a jump
+	return t.Round(0).Add(offset) // Round strips the monotonic reading, so that differences of two readings show the jump
 }
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// Wall is the time of day, for records that people read: logs, the audit, certificates. Nothing that the fleet agrees on
-// and nothing that a lease lasts by is counted by it, since it may jump.
-func Wall() time.Time { return jump(time.Now()) }
+// Wall returns the wall-clock time, for logs, audit records and certificates. The wall clock may jump, so neither the fleet's
+// replicated state nor lease durations use it.
+func Wall() time.Time { return applyOffset(time.Now()) }
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,4 +1,4 @@
-// Package counters holds the program's counters of what it takes in, sends and answers.
+// Package counters implements named, concurrency-safe event counters.
 package counters
 
 import (
@@ -9,58 +9,59 @@
 	"sync/atomic"
 )
 
-// Counter is one number that only grows. The zero value is ready for use.
+// Counter is an event counter that is safe for concurrent use. The zero value is ready for use.
 type Counter struct{ n atomic.Int64 }
 
-// Add adds n; Inc adds one; Load reads the counter.
+// Add adds n to the counter.
 func (c *Counter) Add(n int) { c.n.Add(int64(n)) }
 
-// Inc adds one.
+// Inc adds one to the counter.
 func (c *Counter) Inc() { c.n.Add(1) }
 
-// Load reads the counter.
+// Load returns the current value.
 func (c *Counter) Load() int64 { return c.n.Load() }
 
-// Set is a group of named counters. Counters are made on first use and never removed.
+// Set is a group of counters by name. A counter is created by the first Get of its name and is never removed. The zero value
+// is ready for use.
 type Set struct {
-	mu    sync.Mutex
-	named map[string]*Counter
+	mu     sync.Mutex
+	byName map[string]*Counter
 }
 
-// Get returns the counter of that name. Take it once, at the start, where it is used often.
+// Get returns the counter with the given name. It locks the set, so callers on hot paths should get a counter once and keep it.
 func (s *Set) Get(name string) *Counter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.named == nil {
-		s.named = map[string]*Counter{}
+	if s.byName == nil {
+		s.byName = map[string]*Counter{}
 	}
-	c := s.named[name]
+	c := s.byName[name]
 	if c == nil {
 		c = new(Counter)
-		s.named[name] = c
+		s.byName[name] = c
 	}
 	return c
 }
 
-// String lists all counters by name as "name=value", on one line.
+// String returns all counters on one line as "name=value", sorted and separated by spaces.
 func (s *Set) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	words := make([]string, 0, len(s.named))
-	for name, c := range s.named {
-		words = append(words, fmt.Sprintf("%s=%d", name, c.Load()))
+	pairs := make([]string, 0, len(s.byName))
+	for name, c := range s.byName {
+		pairs = append(pairs, fmt.Sprintf("%s=%d", name, c.Load()))
 	}
-	sort.Strings(words)
-	return strings.Join(words, " ")
+	sort.Strings(pairs)
+	return strings.Join(pairs, " ")
 }
 
-// Values gives all counters by name.
+// Values returns the values of all counters by name.
 func (s *Set) Values() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := make(map[string]int64, len(s.named))
-	for name, c := range s.named {
-		m[name] = c.Load()
+	values := make(map[string]int64, len(s.byName))
+	for name, c := range s.byName {
+		values[name] = c.Load()
 	}
-	return m
+	return values
 }
