--- a/internal/faultfs/faultfs.go
+++ b/internal/faultfs/faultfs.go
@@ -1,5 +1,5 @@
-// Package faultfs holds the file operations that lasting state needs, as a small interface, and an implementation
-// for tests that fails any one of them.
+// Package faultfs defines an interface for the file operations of persistent state, its implementation on the operating system's
+// file system, and an implementation for tests that injects faults.
 package faultfs
 
 import (
@@ -12,13 +12,13 @@
 	"syscall"
 )
 
-// FS is what state is kept in. Paths are those of the system.
+// FS is the file system that holds persistent state. Paths are those of the operating system.
 type FS interface {
-	// WriteFile makes or replaces a file with this content and mode, and has it on the disk when it returns.
+	// WriteFile creates or truncates the file, writes data to it and syncs it to disk before it returns. mode applies to a new file.
 	WriteFile(path string, data []byte, mode fs.FileMode) error
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncDir has the entries of a folder on the disk when it returns.
+	// SyncDir syncs a directory's entries to disk before it returns.
 	SyncDir(path string) error
 	ReadFile(path string) ([]byte, error)
 	ReadDir(path string) ([]fs.DirEntry, error)
@@ -26,7 +26,7 @@
 	MkdirAll(path string, mode fs.FileMode) error
 }
 
-// Disk is the system's own file system.
+// Disk is the operating system's file system.
 type Disk struct{}
 
 // WriteFile implements FS.
@@ -69,62 +69,69 @@
 // MkdirAll implements FS.
 func (Disk) MkdirAll(path string, mode fs.FileMode) error { return os.MkdirAll(path, mode) }
 
-// ErrKilled is what every operation gives after the one at which the process is taken to have died.
-var ErrKilled = errors.New("faultfs: the process is dead")
+// ErrKilled is returned by the operation at which a Faulty simulates the process's death, and by each changing operation after it.
+var ErrKilled = errors.New("faultfs: process was killed")
 
-// Faulty is a Disk that counts the operations that change something and lets one of them fail.
+// Faulty is a Disk that counts changing operations (WriteFile, Rename, Remove, SyncDir) and injects faults into them: a full disk, or
+// the death of the process at an operation.
 type Faulty struct {
 	Disk
-	mu   sync.Mutex
-	n    int
-	full map[int]bool
-	kill int
-	torn int
-	room int // bytes that may still be written; under 0 there is no bound
+	mu        sync.Mutex
+	ops       int          // changing operations so far
+	fullAt    map[int]bool // by number of the operation: fails with ENOSPC
+	killAt    int          // operation at which the process dies; negative for none
+	tornBytes int          // bytes that the operation killAt still writes
+	space     int          // bytes that may still be written; negative for no limit
 }
 
-// NewFaulty returns a file system without faults.
-func NewFaulty() *Faulty { return &Faulty{kill: -1, room: -1, full: map[int]bool{}} }
+// NewFaulty returns a file system with no faults set.
+func NewFaulty() *Faulty { return &Faulty{killAt: -1, space: -1, fullAt: map[int]bool{}} }
 
-// FullAt has the nth changing operation, counted from 0, fail for want of room, after half of it was written.
-func (f *Faulty) FullAt(n int) { f.mu.Lock(); defer f.mu.Unlock(); f.full[n] = true }
+// FullAt makes the nth changing operation, counted from 0, fail with ENOSPC after half of its bytes were written.
+func (f *Faulty) FullAt(n int) { f.mu.Lock(); defer f.mu.Unlock(); f.fullAt[n] = true }
 
-// KillAt has the process die at the nth changing operation, of which only so many bytes reach the disk.
-func (f *Faulty) KillAt(n, torn int) { f.mu.Lock(); defer f.mu.Unlock(); f.kill, f.torn = n, torn }
+// KillAt simulates the death of the process at the nth changing operation, counted from 0. At most written bytes of that operation
+// reach the disk.
+func (f *Faulty) KillAt(n, written int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.killAt, f.tornBytes = n, written
+}
 
-// Room bounds what may still be written; under 0 there is no bound again.
-func (f *Faulty) Room(bytes int) { f.mu.Lock(); defer f.mu.Unlock(); f.room = bytes }
+// Room limits the bytes that may still be written to the disk; a negative number removes the limit.
+func (f *Faulty) Room(bytes int) { f.mu.Lock(); defer f.mu.Unlock(); f.space = bytes }
 
-// Ops tells how many changing operations there were.
-func (f *Faulty) Ops() int { f.mu.Lock(); defer f.mu.Unlock(); return f.n }
+// Ops returns the number of changing operations so far.
+func (f *Faulty) Ops() int { f.mu.Lock(); defer f.mu.Unlock(); return f.ops }
 
-// step takes one operation of so many bytes and tells how many of them are carried out, and the fault.
-func (f *Faulty) step(what string, bytes int) (int, error) {
+// beginOp counts one changing operation that writes the given number of bytes. It returns how many of them may be written, and
+// the injected error or nil. name is the operation's name in the error.
+func (f *Faulty) beginOp(name string, bytes int) (writable int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := f.n
-	f.n++
+	n := f.ops
+	f.ops++
 	switch {
-	case f.kill >= 0 && n > f.kill:
+	case f.killAt >= 0 && n > f.killAt:
 		return 0, ErrKilled
-	case f.kill >= 0 && n == f.kill:
-		return min(f.torn, bytes), ErrKilled
-	case f.full[n]:
-		return bytes / 2, fmt.Errorf("%s: %w", what, syscall.ENOSPC)
-	case f.room >= 0 && bytes > f.room:
-		part := f.room
-		f.room = 0
-		return part, fmt.Errorf("%s: %w", what, syscall.ENOSPC)
+	case f.killAt >= 0 && n == f.killAt:
+		return min(f.tornBytes, bytes), ErrKilled
+	case f.fullAt[n]:
+		return bytes / 2, fmt.Errorf("%s: %w", name, syscall.ENOSPC)
+	case f.space >= 0 && bytes > f.space:
+		part := f.space
+		f.space = 0
+		return part, fmt.Errorf("%s: %w", name, syscall.ENOSPC)
 	}
-	if f.room >= 0 {
-		f.room -= bytes
+	if f.space >= 0 {
+		f.space -= bytes
 	}
 	return bytes, nil
 }
 
-// WriteFile implements FS.
+// WriteFile implements FS. An injected fault leaves a file with the bytes of data written until then, or the old file if there are none.
 func (f *Faulty) WriteFile(path string, data []byte, mode fs.FileMode) error {
-	n, err := f.step("write "+filepath.Base(path), len(data))
+	n, err := f.beginOp("write "+filepath.Base(path), len(data))
 	if n == 0 && err != nil {
 		return err
 	}
@@ -133,7 +140,7 @@
 
 // Rename implements FS.
 func (f *Faulty) Rename(from, to string) error {
-	if _, err := f.step("rename", 0); err != nil {
+	if _, err := f.beginOp("rename", 0); err != nil {
 		return err
 	}
 	return f.Disk.Rename(from, to)
@@ -141,7 +148,7 @@
 
 // Remove implements FS.
 func (f *Faulty) Remove(path string) error {
-	if _, err := f.step("remove", 0); err != nil {
+	if _, err := f.beginOp("remove", 0); err != nil {
 		return err
 	}
 	return f.Disk.Remove(path)
@@ -149,15 +156,15 @@
 
 // SyncDir implements FS.
 func (f *Faulty) SyncDir(path string) error {
-	if _, err := f.step("sync", 0); err != nil {
+	if _, err := f.beginOp("sync", 0); err != nil {
 		return err
 	}
 	return f.Disk.SyncDir(path)
 }
 
-// Dead tells whether the process has been taken to have died.
+// Dead reports whether the operation set by KillAt was reached.
 func (f *Faulty) Dead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.kill >= 0 && f.n > f.kill
+	return f.killAt >= 0 && f.ops > f.killAt
 }
--- a/internal/testkit/peer.go
+++ b/internal/testkit/peer.go
@@ -11,17 +11,18 @@
 	"time"
 )
 
-// Patience ends a test that hangs, and judges nothing: what is tested is the order of what a peer reads and says.
+// Patience is the timeout for a test that hangs. No test checks a duration by it: tests check the order of what a peer reads and writes.
 const Patience = time.Minute
 
-// Peer is the other end of a connection of what is tested. A test steps it: each call waits for what it names.
+// Peer is the remote end of a connection to the code under test. A test drives it step by step: each method blocks until its step
+// has happened and fails the test if something else happens.
 type Peer struct {
 	net.Conn
-	In *bufio.Reader
+	In *bufio.Reader // buffers what is read from Conn
 	t  testing.TB
 }
 
-// Listen opens a listener on loopback for peers, until the test ends.
+// Listen opens a loopback listener that is closed when the test ends.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,11 +33,12 @@
 	return ln
 }
 
-// Accept takes the next connection.
+// Accept returns a peer for the next connection to ln. The connection is closed when the test ends, and its reads and writes
+// time out after Patience.
 func Accept(t testing.TB, ln net.Listener) *Peer {
 	t.Helper()
-	if l, ok := ln.(interface{ SetDeadline(time.Time) error }); ok {
-		l.SetDeadline(time.Now().Add(Patience))
+	if d, ok := ln.(interface{ SetDeadline(time.Time) error }); ok {
+		d.SetDeadline(time.Now().Add(Patience))
 	}
 	c, err := ln.Accept()
 	if err != nil {
@@ -47,38 +49,38 @@
 	return &Peer{c, bufio.NewReader(c), t}
 }
 
-// Reads demands that these bytes come next.
+// Reads fails the test unless the next bytes received are exactly want.
 func (p *Peer) Reads(want string) {
 	p.t.Helper()
 	got := make([]byte, len(want))
 	n, err := io.ReadFull(p.In, got)
 	if string(got[:n]) != want {
-		p.t.Fatalf("the peer reads %q (%v), want %q", got[:n], err, want)
+		p.t.Fatalf("peer read %q (%v), want %q", got[:n], err, want)
 	}
 }
 
-// Says writes to the connection.
-func (p *Peer) Says(format string, a ...any) {
+// Says formats its arguments as fmt.Sprintf does and writes the result to the connection.
+func (p *Peer) Says(format string, args ...any) {
 	p.t.Helper()
-	if _, err := fmt.Fprintf(p.Conn, format, a...); err != nil {
+	if _, err := fmt.Fprintf(p.Conn, format, args...); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// Ends demands that the other side ends next, by an end and not by a reset.
+// Ends fails the test unless the next event is an orderly close (EOF) by the other side; a reset fails the test.
 func (p *Peer) Ends() {
 	p.t.Helper()
 	if b, err := p.In.ReadByte(); !errors.Is(err, io.EOF) {
-		p.t.Fatalf("the peer reads %q, %v, want the end", b, err)
+		p.t.Fatalf("peer read %q, %v, want EOF", b, err)
 	}
 }
 
-// Stays demands that nothing has come and that the other side has not ended.
+// Stays fails the test if data has arrived or the other side has closed the connection.
 func (p *Peer) Stays() {
 	p.t.Helper()
-	p.SetReadDeadline(time.Now().Add(time.Millisecond)) // nothing is to come, so that only this ends the read
+	p.SetReadDeadline(time.Now().Add(time.Millisecond)) // no data is expected, so the read must end with this deadline
 	if b, err := p.In.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		p.t.Fatalf("the peer reads %q, %v, want nothing", b, err)
+		p.t.Fatalf("peer read %q, %v, want no data on an open connection", b, err)
 	}
 	p.SetReadDeadline(time.Now().Add(Patience))
 }
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit is the shared helper of the tests: a clock that is moved by hand, and random steps
-// on a state machine with a fixed seed.
+// Package testkit holds helpers that tests share: a manually advanced clock, property and state-machine tests with a fixed seed,
+// and a network peer that a test drives step by step.
 package testkit
 
 import (
@@ -13,85 +13,88 @@
 	"pgregory.net/rapid"
 )
 
-// Start is the Unix time at which a Clock starts.
+// Start is the initial time of a Clock, as a duration since the Unix epoch.
 const Start = 1_764_576_000 * time.Second
 
-// Clock is moved by hand; timers fire inside Advance, in the order of their times.
+// Clock is a fake clock that only Advance moves. Timers run inside Advance, in the order of their due times.
 type Clock struct {
 	mu     sync.Mutex
 	now    time.Duration
-	timers []timer
+	timers []timer // in the order of their due times
 }
 
 type timer struct {
-	at time.Duration
-	f  func()
+	due      time.Duration
+	callback func()
 }
 
-// NewClock returns a clock that stands at Start.
+// NewClock returns a clock whose time is Start.
 func NewClock() *Clock { return &Clock{now: Start} }
 
-// Now returns the time.
+// Now returns the clock's time as a duration since the Unix epoch.
 func (c *Clock) Now() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-// Unix returns the time as a point in time.
+// Unix returns the clock's time as a time.Time.
 func (c *Clock) Unix() time.Time { return time.Unix(0, int64(c.Now())) }
 
-// AfterFunc has f called by the Advance that reaches the time.
+// AfterFunc schedules f for d from now. It is called by the Advance that reaches that time.
 func (c *Clock) AfterFunc(d time.Duration, f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.timers = append(c.timers, timer{c.now + d, f})
-	sort.SliceStable(c.timers, func(i, j int) bool { return c.timers[i].at < c.timers[j].at })
+	sort.SliceStable(c.timers, func(i, j int) bool { return c.timers[i].due < c.timers[j].due })
 }
 
-// Advance moves the clock and fires what is due on the way.
+// Advance moves the clock forward by d and calls each timer that falls due, with the clock at the timer's due time.
 func (c *Clock) Advance(d time.Duration) {
 	c.mu.Lock()
-	until := c.now + d
-	for len(c.timers) > 0 && c.timers[0].at <= until {
+	end := c.now + d
+	for len(c.timers) > 0 && c.timers[0].due <= end {
 		t := c.timers[0]
 		c.timers = c.timers[1:]
-		c.now = t.at
+		c.now = t.due
 		c.mu.Unlock()
-		t.f()
+		t.callback()
 		c.mu.Lock()
 	}
-	c.now = until
+	c.now = end
 	c.mu.Unlock()
 }
 
-// Steps plays random steps on machines that start makes, with the same seed on every run. Actions are
-// the methods and functions that rapid's Repeat takes; the one named "" checks what must always hold.
-func Steps(t *testing.T, start func(t *rapid.T) map[string]func(*rapid.T)) {
+// Steps runs a state-machine test: about 30 random actions on each of 100 machines, with the same seed on every run. newMachine
+// creates a machine and returns its actions by name, as rapid's Repeat takes them; the action named "" checks the invariants and
+// runs at the start and after each other action.
+func Steps(t *testing.T, newMachine func(t *rapid.T) map[string]func(*rapid.T)) {
 	t.Helper()
-	play(t, start, 100, 30)
+	runMachines(t, newMachine, 100, 30)
 }
 
-// LongSteps is Steps with so many machines and about so many steps on each.
-func LongSteps(t *testing.T, machines, steps int, start func(t *rapid.T) map[string]func(*rapid.T)) {
+// LongSteps is like Steps with the given number of machines and about the given number of actions on each.
+func LongSteps(t *testing.T, machines, steps int, newMachine func(t *rapid.T) map[string]func(*rapid.T)) {
 	t.Helper()
-	play(t, start, machines, steps)
+	runMachines(t, newMachine, machines, steps)
 }
 
-func play(t *testing.T, start func(t *rapid.T) map[string]func(*rapid.T), machines, steps int) {
+func runMachines(t *testing.T, newMachine func(t *rapid.T) map[string]func(*rapid.T), machines, steps int) {
 	t.Helper()
-	fix(t, machines, steps)
-	rapid.Check(t, func(rt *rapid.T) { rt.Repeat(start(rt)) })
+	setRapidFlags(t, machines, steps)
+	rapid.Check(t, func(rt *rapid.T) { rt.Repeat(newMachine(rt)) })
 }
 
-// Check tries a property so often with what is drawn from a fixed seed, so that a test gives the same verdict every time.
-func Check(t *testing.T, times int, property func(*rapid.T)) {
+// Check checks a property with the given number of random inputs. They are drawn with a fixed seed, so that the result is the same
+// on every run.
+func Check(t *testing.T, checks int, property func(*rapid.T)) {
 	t.Helper()
-	fix(t, times, 30)
+	setRapidFlags(t, checks, 30)
 	rapid.Check(t, property)
 }
 
-func fix(t *testing.T, checks, steps int) {
+// setRapidFlags sets rapid's flags to a fixed seed, no file of failures, and the given numbers of checks and of steps in each.
+func setRapidFlags(t *testing.T, checks, steps int) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.nofailfile": "true", "rapid.checks": strconv.Itoa(checks), "rapid.steps": strconv.Itoa(steps)} {
 		if err := flag.Set(name, value); err != nil {
