--- a/internal/standin/engine/calls.go
+++ b/internal/standin/engine/calls.go
@@ -10,56 +10,57 @@
 	"cairnlane/internal/standin/index"
 )
 
-// callMost is how long a run waits for its call. The real engine ends it once its request is over, which this one is not told.
-const callMost = 3 * time.Second
+// callTimeout is how long a run waits for its index call. The real engine ends a waiting run when its request is over, but this fake
+// does not learn the end of a request.
+const callTimeout = 3 * time.Second
 
-// call is what a run waits for.
+// call is the index call that a run waits for.
 type call struct {
-	notice int64
+	notice int64 // number of its NEED notice
 	body   string
-	begin  func()
-	giveUp *time.Timer
+	start  func() // starts the run's work
+	expiry *time.Timer
 }
 
-// Calls has every run make one call to the index before its work.
+// Calls sets whether each run makes one index call before its work.
 func (e *Engine) Calls(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.calls = on
+	e.callsIndex = on
 }
 
-// Fed tells how many calls were replied to, how many runs went on without, and how many replies were not those of their calls.
+// Fed returns the number of calls that got the expected reply, of calls that were skipped, and of calls that got a wrong reply.
 func (e *Engine) Fed() (fed, skipped, wrong int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.fed, e.skipped, e.wrong
 }
 
-// need asks for a run's call; begin does its work once the wait has ended.
-func (a *Address) need(id, body string, begin func()) {
+// requestCall sends the NEED notice of a run. start begins the run's work and is called once the call has ended.
+func (a *Address) requestCall(id, body string, start func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c := &call{body: "call for " + body, begin: begin, notice: a.last + 1}
-	c.giveUp = time.AfterFunc(callMost, func() { a.brokenOff(id, c) })
-	a.open[id] = c
-	a.tell("NEED %d %s %d\r\n%s\r\n", id, len(c.body), c.body)
+	c := &call{body: "call for " + body, start: start, notice: a.lastNotice + 1}
+	c.expiry = time.AfterFunc(callTimeout, func() { a.expireCall(id, c) })
+	a.openCalls[id] = c
+	a.sendNotice("NEED %d %s %d\r\n%s\r\n", id, len(c.body), c.body)
 }
 
-// brokenOff ends a run at its call.
-func (a *Address) brokenOff(id string, c *call) {
+// expireCall ends a run as broken off if c is still its open call.
+func (a *Address) expireCall(id string, c *call) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.open[id] != c {
+	if a.openCalls[id] != c {
 		return
 	}
-	delete(a.open, id)
-	a.tell("DONE %d %s broken_off %d 0\r\n\r\n", id, callMost.Milliseconds())
+	delete(a.openCalls, id)
+	a.sendNotice("DONE %d %s broken_off %d 0\r\n\r\n", id, callTimeout.Milliseconds())
 }
 
-// answer takes FEED and SKIP, the words behind the command. A run that waits for no such call is told so.
-func (a *Address) answer(c net.Conn, r io.Reader, words []string) error {
+// endCall handles FEED and SKIP, given as the command's words. It replies NO if the run has no such open call.
+func (a *Address) endCall(conn net.Conn, r io.Reader, words []string) error {
 	id, skip := words[1], words[0] == "SKIP"
-	n, err := strconv.ParseInt(words[2], 10, 64)
+	n, err := strconv.ParseInt(words[2], 10, 64) // number of the NEED notice in SKIP, length of the reply in FEED
 	if err != nil || n < 0 || !skip && n > 64<<10 {
 		return errCommand
 	}
@@ -72,27 +73,27 @@
 		reply = reply[:n]
 	}
 	a.mu.Lock()
-	w := a.open[id]
-	if w == nil || skip && w.notice != n {
-		io.WriteString(c, fmt.Sprintf("NO %s %s\r\n", words[0], id))
+	c := a.openCalls[id]
+	if c == nil || skip && c.notice != n {
+		io.WriteString(conn, fmt.Sprintf("NO %s %s\r\n", words[0], id))
 		a.mu.Unlock()
 		return nil
 	}
-	delete(a.open, id)
+	delete(a.openCalls, id)
 	a.mu.Unlock()
-	w.giveUp.Stop()
-	a.engine.count(skip, string(reply) == index.Reply(w.body))
-	w.begin()
+	c.expiry.Stop()
+	a.engine.countCall(skip, string(reply) == index.Reply(c.body))
+	c.start()
 	return nil
 }
 
-func (e *Engine) count(skip, right bool) {
+func (e *Engine) countCall(skip, expected bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case skip:
 		e.skipped++
-	case right:
+	case expected:
 		e.fed++
 	default:
 		e.wrong++
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,6 +1,7 @@
-// Package engine stands in for the engine that runs a replica's work, from the protocol page. One engine may be reached
-// at several addresses, as in a replacement: each numbers its notices separately and tells only of the runs that were
-// begun through it. It counts the runs of each body, which tells whether a request ran twice.
+// Package engine is a fake of the engine that executes a replica's runs, written from the protocol specification. One engine can
+// listen on several addresses, as it does while a replica process is replaced. Each address numbers its notices separately and sends
+// notices only for the runs that were begun through it. The engine records the runs of each body, so that a test can detect a
+// request that was run twice.
 package engine
 
 import (
@@ -15,138 +16,138 @@
 	"time"
 )
 
-// noticesKept is how many notices an address remembers for a link that is taken up again.
-const noticesKept = 4000
+// maxNotices is how many of its latest notices an address keeps, to send them again to a link that reconnects.
+const maxNotices = 4000
 
-// Engine runs what it is given, each run after the time that its Work tells.
+// Engine is a fake engine that executes runs and records them.
 type Engine struct {
-	begin  func(id, body string, done func(took time.Duration))
-	demand func() int // nil: how many runs are on
+	execute func(id, body string, done func(took time.Duration))
+	demand  func() int // current demand for cores; nil: the number of runs at work
 
-	mu     sync.Mutex
-	ran    map[string][]Run // by body
-	ids    map[string]int   // by id
-	onCore int
-	most   int
-	born   time.Time
-	calls  bool // each run makes one to the index
+	mu         sync.Mutex
+	runs       map[string][]Run // by body
+	begun      map[string]int   // number of runs by id
+	running    int              // runs at work
+	maxRunning int
+	startedAt  time.Time // zero: one minute ago
+	callsIndex bool      // each run makes one index call before its work
 
-	fed, skipped, wrong int // ends of calls
+	fed, skipped, wrong int // index calls by outcome
 }
 
-// New returns an engine whose runs take as long as work says.
-func New(work func(id string) time.Duration) *Engine {
+// New returns an engine whose runs take as long as duration returns.
+func New(duration func(id string) time.Duration) *Engine {
 	return On(func(id, _ string, done func(time.Duration)) {
-		took := work(id)
+		took := duration(id)
 		time.AfterFunc(took, func() { done(took) })
 	}, nil)
 }
 
-// On returns an engine whose runs are carried out by begin, which calls done when one has ended; demand tells what is on the cores, nil for
-// the runs alone.
-func On(begin func(id, body string, done func(took time.Duration)), demand func() int) *Engine {
-	return &Engine{begin: begin, demand: demand, ran: map[string][]Run{}, ids: map[string]int{}}
+// On returns an engine whose runs are carried out by execute, which calls done when a run has ended. demand returns the demand for
+// cores that STAT reports; if it is nil, STAT reports the number of runs at work.
+func On(execute func(id, body string, done func(took time.Duration)), demand func() int) *Engine {
+	return &Engine{execute: execute, demand: demand, runs: map[string][]Run{}, begun: map[string]int{}}
 }
 
-// Born says when the engine came up, as ATTACH is answered; a minute ago if it was never said.
+// Born sets the engine's start time, from which HELLO reports the engine's age. Without it the age is one minute.
 func (e *Engine) Born(at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.born = at
+	e.startedAt = at
 }
 
-// age is how long ago it came up, in milliseconds.
-func (e *Engine) age() int64 {
+// ageMS returns the time since the engine's start, in milliseconds.
+func (e *Engine) ageMS() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.born.IsZero() {
+	if e.startedAt.IsZero() {
 		return 60000
 	}
-	return time.Since(e.born).Milliseconds()
+	return time.Since(e.startedAt).Milliseconds()
 }
 
-// Began tells whether a run was begun under an id.
+// Began reports whether a run with the given id was begun.
 func (e *Engine) Began(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ids[id] > 0
+	return e.begun[id] > 0
 }
 
-// Ran tells how often the work of a body was begun.
+// Ran returns the number of runs that were begun with the given body.
 func (e *Engine) Ran(body string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.ran[body])
+	return len(e.runs[body])
 }
 
-// Run is the begin of a body's work.
+// Run is the start of a run.
 type Run struct {
 	At time.Time
 	ID string
 }
 
-// Runs tells when the work of a body was begun, and under which ids.
+// Runs returns the starts of all runs with the given body.
 func (e *Engine) Runs(body string) []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ran[body]
+	return e.runs[body]
 }
 
-// Most tells how many runs were on at once.
+// Most returns the highest number of runs that were at work at the same time.
 func (e *Engine) Most() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.most
+	return e.maxRunning
 }
 
-// Address is one address of an engine.
+// Address is an address that an engine listens on.
 type Address struct {
 	engine *Engine
 	ln     net.Listener
-	*book
+	*addressState
 }
 
-// book is what an address knows of its runs and has told.
-type book struct {
-	mu      sync.Mutex
-	last    int64
-	notices []string // the last ones, up to number last
-	link    net.Conn
-	begun   map[string]bool
-	open    map[string]*call // of runs that wait for theirs, by id
-	closed  bool
-	cut     bool // links are closed as they come
-	dials   int  // links that came
+// addressState is the state of an address's runs and notices. Move hands it on to the new address.
+type addressState struct {
+	mu          sync.Mutex
+	lastNotice  int64    // number of the latest notice
+	notices     []string // the latest notices, up to number lastNotice
+	link        net.Conn // the attached link; nil before ATTACH
+	begun       map[string]bool
+	openCalls   map[string]*call // by the id of the waiting run
+	closed      bool
+	rejectLinks bool // new links are closed at once
+	dials       int  // accepted connections, rejected ones included
 }
 
-// Listen opens one more address, on loopback.
+// Listen opens another address of the engine on loopback.
 func (e *Engine) Listen() (*Address, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in engine: %w", err)
+		return nil, fmt.Errorf("fake engine: %w", err)
 	}
-	a := &Address{engine: e, ln: ln, book: &book{begun: map[string]bool{}, open: map[string]*call{}}}
+	a := &Address{engine: e, ln: ln, addressState: &addressState{begun: map[string]bool{}, openCalls: map[string]*call{}}}
 	go a.accept()
 	return a, nil
 }
 
-// Move opens an address in place of another one, as in a new configuration: runs and the numbers of notices go on there.
-// The old one accepts nothing new, and its link is closed when the new one is attached to.
+// Move opens an address that replaces old, as a new configuration does. The runs and the numbering of notices continue at the new
+// address. The old address accepts no new links, and its link is closed when the new address accepts one.
 func (e *Engine) Move(old *Address) (*Address, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in engine: %w", err)
+		return nil, fmt.Errorf("fake engine: %w", err)
 	}
 	old.ln.Close()
-	a := &Address{engine: e, ln: ln, book: old.book}
+	a := &Address{engine: e, ln: ln, addressState: old.addressState}
 	go a.accept()
 	return a, nil
 }
 
-// String is the address.
+// String returns the address as host:port.
 func (a *Address) String() string { return a.ln.Addr().String() }
 
-// Close ends it; runs that are on go on unheard.
+// Close stops listening and closes the link. Runs in progress continue, but their notices are not sent.
 func (a *Address) Close() {
 	a.ln.Close()
 	a.mu.Lock()
@@ -157,16 +158,16 @@
 	}
 }
 
-// Cut has links be closed as they come, and ends the present one; or takes links again.
+// Cut sets whether the address rejects links. Turning it on closes the current link and each new one as soon as it is accepted.
 func (a *Address) Cut(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.cut = on; on && a.link != nil {
+	if a.rejectLinks = on; on && a.link != nil {
 		a.link.Close()
 	}
 }
 
-// Dials tells how many links came.
+// Dials returns the number of accepted connections, rejected ones included.
 func (a *Address) Dials() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -181,7 +182,7 @@
 		}
 		a.mu.Lock()
 		a.dials++
-		if a.cut {
+		if a.rejectLinks {
 			a.mu.Unlock()
 			c.Close()
 			continue
@@ -189,30 +190,32 @@
 		if a.link != nil { // a new link replaces the one before it
 			a.link.Close()
 		}
-		a.link = nil // nothing is told before ATTACH
+		a.link = nil // no notice is sent before ATTACH
 		a.mu.Unlock()
 		go a.serve(c)
 	}
 }
 
-var errCommand = errors.New("no command")
+var errCommand = errors.New("invalid command")
 
-// serve reads one link. What is no command ends it.
-func (a *Address) serve(c net.Conn) {
-	defer c.Close()
-	r := bufio.NewReader(c)
+// serve handles the commands of one link. An invalid command closes the link.
+func (a *Address) serve(conn net.Conn) {
+	defer conn.Close()
+	r := bufio.NewReader(conn)
 	for attached := false; ; {
 		line, err := r.ReadString('\n')
 		if err != nil {
 			return
 		}
-		if attached, err = a.command(c, r, strings.Fields(line), attached); err != nil {
+		if attached, err = a.handleCommand(conn, r, strings.Fields(line), attached); err != nil {
 			return
 		}
 	}
 }
 
-func (a *Address) command(c net.Conn, r *bufio.Reader, words []string, attached bool) (bool, error) {
+// handleCommand handles one command, given as the words of its line; r is at the bytes that follow the line. It returns whether the
+// link is attached after it. ATTACH must be the first command.
+func (a *Address) handleCommand(conn net.Conn, r *bufio.Reader, words []string, attached bool) (bool, error) {
 	if len(words) == 0 || !attached && words[0] != "ATTACH" {
 		return attached, errCommand
 	}
@@ -222,16 +225,16 @@
 		if err != nil {
 			return attached, err
 		}
-		a.attach(c, n)
+		a.attach(conn, n)
 		return true, nil
 	case words[0] == "STAT" && len(words) == 2:
 		a.engine.mu.Lock()
-		on := a.engine.onCore
+		demand := a.engine.running
 		a.engine.mu.Unlock()
 		if a.engine.demand != nil {
-			on = a.engine.demand()
+			demand = a.engine.demand()
 		}
-		a.write(c, fmt.Sprintf("STATS %s 0 %d 0 0\r\n", words[1], on))
+		a.write(conn, fmt.Sprintf("STATS %s 0 %d 0 0\r\n", words[1], demand))
 		return attached, nil
 	case words[0] == "RUN" && len(words) == 4:
 		length, err := strconv.Atoi(words[3])
@@ -242,74 +245,75 @@
 		if _, err := io.ReadFull(r, body); err != nil {
 			return attached, err
 		}
-		a.run(words[1], string(body[:length]))
+		a.beginRun(words[1], string(body[:length]))
 		return attached, nil
 	case (words[0] == "FEED" || words[0] == "SKIP") && len(words) == 3:
-		return attached, a.answer(c, r, words)
+		return attached, a.endCall(conn, r, words)
 	}
 	return attached, errCommand
 }
 
-func (a *Address) write(c net.Conn, s string) {
+func (a *Address) write(conn net.Conn, s string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	io.WriteString(c, s)
+	io.WriteString(conn, s)
 }
 
-// attach tells all notices after n and makes the link the one that is told.
-func (a *Address) attach(c net.Conn, n int64) {
+// attach makes conn the link that notices are sent to and sends the kept notices with numbers above n.
+func (a *Address) attach(conn net.Conn, n int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.link = c
-	missed := min(max(a.last-n, 0), int64(len(a.notices)))
-	io.WriteString(c, fmt.Sprintf("HELLO running %d\r\n", a.engine.age())+strings.Join(a.notices[int64(len(a.notices))-missed:], ""))
+	a.link = conn
+	missed := min(max(a.lastNotice-n, 0), int64(len(a.notices)))
+	io.WriteString(conn, fmt.Sprintf("HELLO running %d\r\n", a.engine.ageMS())+strings.Join(a.notices[int64(len(a.notices))-missed:], ""))
 }
 
-// run begins a run, unless it is on or was.
-func (a *Address) run(id, body string) {
+// beginRun begins a run, unless one with the same id was begun through this address before.
+func (a *Address) beginRun(id, body string) {
 	a.mu.Lock()
-	again := a.begun[id]
+	duplicate := a.begun[id]
 	a.begun[id] = true
 	a.mu.Unlock()
-	if again {
+	if duplicate {
 		return
 	}
 	e := a.engine
 	e.mu.Lock()
-	e.ran[body] = append(e.ran[body], Run{time.Now(), id})
-	e.ids[id]++
-	calls := e.calls
+	e.runs[body] = append(e.runs[body], Run{time.Now(), id})
+	e.begun[id]++
+	callsIndex := e.callsIndex
 	e.mu.Unlock()
-	begin := func() {
+	start := func() {
 		e.mu.Lock()
-		e.onCore++
-		e.most = max(e.most, e.onCore)
+		e.running++
+		e.maxRunning = max(e.maxRunning, e.running)
 		e.mu.Unlock()
-		e.begin(id, body, func(took time.Duration) {
+		e.execute(id, body, func(took time.Duration) {
 			e.mu.Lock()
-			e.onCore--
+			e.running--
 			e.mu.Unlock()
-			a.done(id, "did "+body, took)
+			a.sendDone(id, "did "+body, took)
 		})
 	}
-	if calls {
-		a.need(id, body, begin)
+	if callsIndex {
+		a.requestCall(id, body, start)
 		return
 	}
-	begin()
+	start()
 }
 
-func (a *Address) done(id, result string, took time.Duration) {
+func (a *Address) sendDone(id, result string, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.tell("DONE %d %s fine %d %d\r\n%s\r\n", id, took.Milliseconds(), len(result), result)
+	a.sendNotice("DONE %d %s fine %d %d\r\n%s\r\n", id, took.Milliseconds(), len(result), result)
 }
 
-// tell writes a notice with the next number, which is the first value of its format, and keeps it; a.mu is held.
-func (a *Address) tell(format string, values ...any) {
-	a.last++
-	notice := fmt.Sprintf(format, append([]any{a.last}, values...)...)
-	if a.notices = append(a.notices, notice); len(a.notices) > noticesKept {
+// sendNotice keeps a notice and sends it to the link. The notice's number, the next one, is the first value of its format. a.mu must
+// be held.
+func (a *Address) sendNotice(format string, values ...any) {
+	a.lastNotice++
+	notice := fmt.Sprintf(format, append([]any{a.lastNotice}, values...)...)
+	if a.notices = append(a.notices, notice); len(a.notices) > maxNotices {
 		a.notices = a.notices[1:]
 	}
 	if a.link != nil && !a.closed {
