--- a/internal/standin/index/index.go
+++ b/internal/standin/index/index.go
@@ -1,5 +1,5 @@
-// Package index stands in for the index that all replicas call, from the protocol page: it answers each call with a reply that is made of
-// the call's body, after a time, and counts what came.
+// Package index is a fake of the index that all replicas call, written from the protocol specification. It replies to each call after
+// a fixed time with a reply derived from the call's body, and counts the calls.
 package index
 
 import (
@@ -14,58 +14,58 @@
 	"time"
 )
 
-// bodyMost bounds the body of a call.
-const bodyMost = 64 << 10
+// maxBody is the limit on the length of a call's body, in bytes.
+const maxBody = 64 << 10
 
-// Reply is the reply to a call with a body.
+// Reply returns the reply to a call with the given body.
 func Reply(body string) string { return "found " + body }
 
-// Index is one, on loopback.
+// Index is a fake index that listens on loopback.
 type Index struct {
-	ln    net.Listener
-	takes time.Duration
-
-	mu      sync.Mutex
-	sockets map[net.Conn]bool
-	calls   int
-	stopped int
-	shed    func(call int) bool
+	ln       net.Listener
+	callTime time.Duration
+
+	mu        sync.Mutex
+	conns     map[net.Conn]bool
+	calls     int
+	abandoned int
+	shed      func(call int) bool // nil: no call is rejected
 }
 
-// Start starts one whose calls take a time.
-func Start(takes time.Duration) (*Index, error) {
+// Start starts an index that replies to each call after callTime.
+func Start(callTime time.Duration) (*Index, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in index: %w", err)
+		return nil, fmt.Errorf("fake index: %w", err)
 	}
-	x := &Index{ln: ln, takes: takes, sockets: map[net.Conn]bool{}}
+	x := &Index{ln: ln, callTime: callTime, conns: map[net.Conn]bool{}}
 	go x.accept()
 	return x, nil
 }
 
-// String is its address.
+// String returns the address as host:port.
 func (x *Index) String() string { return x.ln.Addr().String() }
 
-// Calls tells how many calls came, and how many of them were given up.
-func (x *Index) Calls() (calls, stopped int) {
+// Calls returns the number of calls received, and how many of them were abandoned by their callers.
+func (x *Index) Calls() (calls, abandoned int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.calls, x.stopped
+	return x.calls, x.abandoned
 }
 
-// Shed has calls be turned away for which which is true; they are numbered from 1.
-func (x *Index) Shed(which func(call int) bool) {
+// Shed makes the index reject, with SHED, each call for which reject returns true. Calls are numbered from 1.
+func (x *Index) Shed(reject func(call int) bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.shed = which
+	x.shed = reject
 }
 
-// Close ends it and its connections.
+// Close stops listening and closes all connections.
 func (x *Index) Close() {
 	x.ln.Close()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for c := range x.sockets {
+	for c := range x.conns {
 		c.Close()
 	}
 }
@@ -77,87 +77,89 @@
 			return
 		}
 		x.mu.Lock()
-		x.sockets[c] = true
+		x.conns[c] = true
 		x.mu.Unlock()
 		go x.serve(c)
 	}
 }
 
-var errCommand = errors.New("no command")
+var errCommand = errors.New("invalid command")
 
-// serve reads one connection. What is no command ends it.
-func (x *Index) serve(c net.Conn) {
-	l := &link{x: x, conn: c, open: map[string]*time.Timer{}}
-	in := bufio.NewReader(c)
+// serve handles the commands of one connection. An invalid command closes the connection.
+func (x *Index) serve(conn net.Conn) {
+	l := &link{index: x, conn: conn, open: map[string]*time.Timer{}}
+	in := bufio.NewReader(conn)
 	for {
 		line, err := in.ReadString('\n')
 		if err == nil {
-			err = l.command(in, strings.Fields(line))
+			err = l.handleCommand(in, strings.Fields(line))
 		}
 		if err != nil {
 			break
 		}
 	}
-	c.Close()
+	conn.Close()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	delete(x.sockets, c)
+	delete(x.conns, conn)
 }
 
-// link is one connection.
+// link is a connection and its open calls.
 type link struct {
-	x    *Index
-	conn net.Conn
+	index *Index
+	conn  net.Conn
 
 	mu   sync.Mutex
-	open map[string]*time.Timer // calls that run, by id
+	open map[string]*time.Timer // timers of the replies to open calls, by id
 }
 
-func (l *link) command(in io.Reader, w []string) error {
+// handleCommand handles one command, given as the words of its line; in is at the bytes that follow the line.
+func (l *link) handleCommand(in io.Reader, words []string) error {
 	switch {
-	case len(w) == 2 && w[0] == "STOP":
-		l.stop(w[1])
-	case len(w) == 4 && w[0] == "GET":
-		n, err := strconv.Atoi(w[3])
-		if err != nil || n < 0 || n > bodyMost {
+	case len(words) == 2 && words[0] == "STOP":
+		l.abandon(words[1])
+	case len(words) == 4 && words[0] == "GET":
+		n, err := strconv.Atoi(words[3])
+		if err != nil || n < 0 || n > maxBody {
 			return errCommand
 		}
 		body := make([]byte, n+len("\r\n"))
 		if _, err := io.ReadFull(in, body); err != nil {
 			return err
 		}
-		l.get(w[1], string(body[:n]))
+		l.startCall(words[1], string(body[:n]))
 	default:
 		return errCommand
 	}
 	return nil
 }
 
-func (l *link) stop(id string) {
+// abandon cancels the open call with the given id, if there is one.
+func (l *link) abandon(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t := l.open[id]; t != nil && t.Stop() {
 		delete(l.open, id)
-		l.x.mu.Lock()
-		defer l.x.mu.Unlock()
-		l.x.stopped++
+		l.index.mu.Lock()
+		defer l.index.mu.Unlock()
+		l.index.abandoned++
 	}
 }
 
-// get runs a call; an earlier one of the same request is given up.
-func (l *link) get(id, body string) {
-	l.stop(id)
-	l.x.mu.Lock()
-	l.x.calls++
-	shed := l.x.shed != nil && l.x.shed(l.x.calls)
-	l.x.mu.Unlock()
+// startCall starts a call. It cancels an open call with the same id, which belongs to the same request.
+func (l *link) startCall(id, body string) {
+	l.abandon(id)
+	l.index.mu.Lock()
+	l.index.calls++
+	shed := l.index.shed != nil && l.index.shed(l.index.calls)
+	l.index.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if shed {
 		fmt.Fprintf(l.conn, "%s SHED\r\n", id)
 		return
 	}
-	l.open[id] = time.AfterFunc(l.x.takes, func() {
+	l.open[id] = time.AfterFunc(l.index.callTime, func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		delete(l.open, id)
