--- a/internal/standin/catalog/catalog.go
+++ b/internal/standin/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog stands in for the catalog where routers learn of replicas, from the protocol page: it takes reports
-// and remembers when each name came last.
+// Package catalog is a fake of the catalog from which routers learn the replicas, written from the protocol specification. It accepts
+// the replicas' status reports and keeps the last one of each name.
 package catalog
 
 import (
@@ -11,40 +11,40 @@
 	"time"
 )
 
-// Report is what a replica said last.
+// Report is a status report of a replica.
 type Report struct {
-	Status string
-	At     time.Time
+	Status string    // passing or critical
+	At     time.Time // when it was received
 }
 
-// Catalog is a running one.
+// Catalog is a fake catalog that listens on loopback.
 type Catalog struct {
-	ln   net.Listener
-	http http.Server
+	ln     net.Listener
+	server http.Server
 
-	mu   sync.Mutex
-	down bool
-	came int
-	last map[string]Report
+	mu          sync.Mutex
+	down        bool              // all reports are rejected
+	received    int               // reports, rejected ones included
+	lastReports map[string]Report // by replica name
 }
 
-// Start opens one on loopback.
+// Start starts a catalog.
 func Start() (*Catalog, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in catalog: %w", err)
+		return nil, fmt.Errorf("fake catalog: %w", err)
 	}
-	c := &Catalog{ln: ln, last: map[string]Report{}}
+	c := &Catalog{ln: ln, lastReports: map[string]Report{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /catalog/register/{name}", c.register)
-	c.http.Handler = mux
-	go c.http.Serve(ln)
+	c.server.Handler = mux
+	go c.server.Serve(ln)
 	return c, nil
 }
 
 func (c *Catalog) register(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
-	c.came++
+	c.received++
 	down := c.down
 	c.mu.Unlock()
 	if down {
@@ -57,35 +57,35 @@
 		return
 	}
 	c.mu.Lock()
-	c.last[r.PathValue("name")] = Report{body.Status, time.Now()}
+	c.lastReports[r.PathValue("name")] = Report{body.Status, time.Now()}
 	c.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// String is the address.
+// String returns the address as host:port.
 func (c *Catalog) String() string { return c.ln.Addr().String() }
 
-// Down has it turn all reports down, or take them again.
+// Down sets whether the catalog rejects all reports with status 503.
 func (c *Catalog) Down(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = on
 }
 
-// Came tells how many reports came, taken or not.
+// Came returns the number of reports received, rejected ones included.
 func (c *Catalog) Came() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.came
+	return c.received
 }
 
-// Last tells what a replica said last.
+// Last returns the last accepted report of a replica, and false if there is none.
 func (c *Catalog) Last(name string) (Report, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r, ok := c.last[name]
+	r, ok := c.lastReports[name]
 	return r, ok
 }
 
-// Close ends it.
-func (c *Catalog) Close() error { return c.http.Close() }
+// Close closes the listener and all connections.
+func (c *Catalog) Close() error { return c.server.Close() }
