--- a/internal/standin/resource/resource.go
+++ b/internal/standin/resource/resource.go
@@ -1,6 +1,7 @@
-// Package resource stands in for what a fleet acts upon: things that take effects, one at a time, and note the begin, end and
-// token of each by the stand-in's own clock. A thing either compares tokens, and then refuses one that is older than it has
-// seen and ends what an older one is about, or it takes whatever comes.
+// Package resource is a fake of the outside systems that a fleet acts upon. It holds named things on which boxes carry out effects,
+// and records the token, the begin and the end of each effect by its own clock. A thing either checks tokens or accepts every
+// effect. A thing that checks tokens rejects an effect whose token is older than one it has seen, and fences, that is ends, the
+// effects of older tokens when an effect with a newer token begins.
 package resource
 
 import (
@@ -14,61 +15,62 @@
 	"time"
 )
 
-// Effect is one effect as the stand-in saw it.
+// Effect is an effect as the resource recorded it.
 type Effect struct {
 	Thing string
 	Ticket
 	Box    string
 	Pid    int
-	Called time.Duration // when it was announced: the permit has been checked by then
-	Begin  time.Duration // 0 when it was refused
-	End    time.Duration // 0 while it goes on; when it was refused, if it was
-	Fenced bool          // a newer token has ended it
-	Stale  bool          // refused: its token is older than one that was seen
-	Low    bool          // refused: its version is below the lowest that was told with an effect
-	Trap   bool          // its process was stopped between announcement and begin, by Trap
+	Called time.Duration // time of the announcement; the box has checked that it may act before it
+	Begin  time.Duration // 0 if the effect was rejected or has not begun
+	End    time.Duration // 0 while the effect is in progress; the time of the rejection if it was rejected
+	Fenced bool          // ended by an effect with a newer token
+	Stale  bool          // rejected: its token is older than one that was seen
+	Low    bool          // rejected: its version is below the lowest allowed version reported with an effect
+	Trap   bool          // the function set by Trap acted between announcement and begin, such as by stopping the box's process
 }
 
-// Ticket is what an effect is made under: the lease's token, the version that its box acts on, and the lowest version that its box
-// knows to be allowed. Versions are 0 where there are none.
+// Ticket is the authority for an effect: the lease's token, the version of the configuration that the box acts on, and the lowest
+// version that the box knows to be allowed. Versions are 0 if there are none.
 type Ticket struct{ Token, Version, Lowest uint64 }
 
-// Note is something that a box says of itself, with the time at which it was heard.
+// Note is an event that a box reported about one of its leases.
 type Note struct {
-	At    time.Duration
-	What  string // asked, granted, released
+	At    time.Duration // when the report was received
+	What  string        // asked, granted, released
 	Task  string
 	Token uint64
 	Box   string
 	Pid   int
 }
 
-// Resource listens on loopback. Each connection announces, begins and ends one effect after the other, a line each:
+// Resource is a fake resource that listens on loopback. Each connection announces, begins and ends one effect after the other. The
+// requests and their replies, one line each, are:
 //
 //	about THING TOKEN VERSION LOWEST BOX PID -> go
 //	begin                     -> ok, stale, or low
 //	end                       -> ok, or fenced
 //	note WHAT TASK TOKEN BOX PID -> ok
 type Resource struct {
-	ln    net.Listener
-	began time.Time
+	ln      net.Listener
+	started time.Time
 
-	mu      sync.Mutex
-	effects []*Effect
-	notes   []Note
-	newest  map[string]uint64 // token by thing
-	lowest  map[string]uint64 // version by thing
-	checks  func(thing string) bool
-	trap    func(e Effect) bool // called between announcement and answer, until it says that it has sprung
+	mu            sync.Mutex
+	effects       []*Effect
+	notes         []Note
+	newestToken   map[string]uint64 // by thing
+	lowestVersion map[string]uint64 // lowest allowed version, by thing
+	checksTokens  func(thing string) bool
+	trap          func(e Effect) bool // called between an announcement and its reply, until it returns true; nil for none
 }
 
-// Start opens a resource. checks tells which things compare tokens. Times count from now.
-func Start(checks func(thing string) bool) (*Resource, error) {
+// Start starts a resource. checksTokens reports whether a thing checks tokens. Times are measured from the start.
+func Start(checksTokens func(thing string) bool) (*Resource, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in resource: %w", err)
+		return nil, fmt.Errorf("fake resource: %w", err)
 	}
-	r := &Resource{ln: ln, began: time.Now(), newest: map[string]uint64{}, lowest: map[string]uint64{}, checks: checks}
+	r := &Resource{ln: ln, started: time.Now(), newestToken: map[string]uint64{}, lowestVersion: map[string]uint64{}, checksTokens: checksTokens}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -81,23 +83,23 @@
 	return r, nil
 }
 
-// String is the address.
+// String returns the address as host:port.
 func (r *Resource) String() string { return r.ln.Addr().String() }
 
-// Close takes no new connections.
+// Close stops listening. Open connections stay open.
 func (r *Resource) Close() { r.ln.Close() }
 
-// Now is the stand-in's clock.
-func (r *Resource) Now() time.Duration { return time.Since(r.began) }
+// Now returns the time since the start of the resource.
+func (r *Resource) Now() time.Duration { return time.Since(r.started) }
 
-// Trap has f called for each effect that is announced, before it is answered, until f tells that the trap has sprung.
+// Trap makes the resource call f with each announced effect, before it replies to the announcement, until f returns true.
 func (r *Resource) Trap(f func(Effect) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.trap = f
 }
 
-// Effects are all so far, in the order of their announcement.
+// Effects returns all effects so far, in the order of their announcement.
 func (r *Resource) Effects() (list []Effect) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,34 +109,35 @@
 	return list
 }
 
-// Notes are all so far.
+// Notes returns all notes so far, in the order received.
 func (r *Resource) Notes() []Note {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.notes)
 }
 
-func (r *Resource) serve(c net.Conn) {
-	defer c.Close()
+// serve handles the requests of one connection. When the connection ends, an effect in progress on it ends.
+func (r *Resource) serve(conn net.Conn) {
+	defer conn.Close()
 	var open *Effect
 	defer func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if open != nil && open.Begin != 0 && open.End == 0 { // whoever made it is gone
+		if open != nil && open.Begin != 0 && open.End == 0 { // the client that made it has disconnected
 			open.End = r.Now()
 		}
 	}()
-	for in := bufio.NewReader(c); ; {
+	for in := bufio.NewReader(conn); ; {
 		line, err := in.ReadString('\n')
 		if err != nil {
 			return
 		}
-		word, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
-		answer := "what"
-		switch word {
+		request, args, _ := strings.Cut(strings.TrimSpace(line), " ")
+		reply := "what"
+		switch request {
 		case "about":
 			e := &Effect{Called: r.Now()}
-			if _, err := fmt.Sscan(rest, &e.Thing, &e.Token, &e.Version, &e.Lowest, &e.Box, &e.Pid); err != nil {
+			if _, err := fmt.Sscan(args, &e.Thing, &e.Token, &e.Version, &e.Lowest, &e.Box, &e.Pid); err != nil {
 				break
 			}
 			r.mu.Lock()
@@ -144,57 +147,59 @@
 				r.trap, e.Trap = nil, true
 			}
 			r.mu.Unlock()
-			answer = "go"
+			reply = "go"
 		case "note":
 			n := Note{At: r.Now()}
-			if _, err := fmt.Sscan(rest, &n.What, &n.Task, &n.Token, &n.Box, &n.Pid); err == nil {
+			if _, err := fmt.Sscan(args, &n.What, &n.Task, &n.Token, &n.Box, &n.Pid); err == nil {
 				r.mu.Lock()
 				r.notes = append(r.notes, n)
 				r.mu.Unlock()
-				answer = "ok"
+				reply = "ok"
 			}
 		case "begin":
 			if open != nil {
-				answer = r.begin(open)
+				reply = r.begin(open)
 			}
 		case "end":
 			if open != nil {
-				answer = r.end(open)
+				reply = r.end(open)
 				open = nil
 			}
 		}
-		if _, err := io.WriteString(c, answer+"\n"); err != nil {
+		if _, err := io.WriteString(conn, reply+"\n"); err != nil {
 			return
 		}
 	}
 }
 
+// begin handles the begin of an announced effect and returns the reply.
 func (r *Resource) begin(e *Effect) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Now()
-	if r.checks(e.Thing) {
-		if e.Token < r.newest[e.Thing] {
+	if r.checksTokens(e.Thing) {
+		if e.Token < r.newestToken[e.Thing] {
 			e.Stale, e.End = true, now
 			return "stale"
 		}
-		if e.Version < r.lowest[e.Thing] {
+		if e.Version < r.lowestVersion[e.Thing] {
 			e.Low, e.End = true, now
 			return "low"
 		}
-		if e.Token > r.newest[e.Thing] {
-			for _, o := range r.effects {
-				if o.Thing == e.Thing && o.Begin != 0 && o.End == 0 && o.Token < e.Token {
-					o.End, o.Fenced = now, true
+		if e.Token > r.newestToken[e.Thing] {
+			for _, older := range r.effects {
+				if older.Thing == e.Thing && older.Begin != 0 && older.End == 0 && older.Token < e.Token {
+					older.End, older.Fenced = now, true
 				}
 			}
 		}
 	}
-	r.newest[e.Thing], r.lowest[e.Thing] = max(r.newest[e.Thing], e.Token), max(r.lowest[e.Thing], e.Lowest)
+	r.newestToken[e.Thing], r.lowestVersion[e.Thing] = max(r.newestToken[e.Thing], e.Token), max(r.lowestVersion[e.Thing], e.Lowest)
 	e.Begin = now
 	return "ok"
 }
 
+// end handles the end of an announced effect and returns the reply.
 func (r *Resource) end(e *Effect) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -207,50 +212,52 @@
 	return "ok"
 }
 
-// Client acts upon a resource over one connection.
+// Client carries out effects on a resource over one connection.
 type Client struct {
-	c  net.Conn
-	in *bufio.Reader
+	conn net.Conn
+	in   *bufio.Reader
 }
 
-// Dial opens a connection.
+// Dial connects a client to the resource at addr.
 func Dial(addr string) (*Client, error) {
-	c, err := net.DialTimeout("tcp", addr, time.Second)
+	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &Client{c, bufio.NewReader(c)}, nil
+	return &Client{conn, bufio.NewReader(conn)}, nil
 }
 
-// Close ends it; an effect that goes on ends with it.
-func (c *Client) Close() { c.c.Close() }
+// Close closes the connection, which ends an effect in progress.
+func (c *Client) Close() { c.conn.Close() }
 
-func (c *Client) say(line string) (string, error) {
-	if _, err := io.WriteString(c.c, line+"\n"); err != nil {
+// request sends one line and returns the reply.
+func (c *Client) request(line string) (string, error) {
+	if _, err := io.WriteString(c.conn, line+"\n"); err != nil {
 		return "", err
 	}
-	answer, err := c.in.ReadString('\n')
-	return strings.TrimSpace(answer), err
+	reply, err := c.in.ReadString('\n')
+	return strings.TrimSpace(reply), err
 }
 
-// Act announces an effect, begins it and ends it after it has taken its time. It tells whether the effect was taken.
-func (c *Client) Act(thing string, t Ticket, box string, pid int, takes func()) (taken bool, err error) {
-	if _, err := c.say(fmt.Sprintf("about %s %d %d %d %s %d", thing, t.Token, t.Version, t.Lowest, box, pid)); err != nil {
+// Act announces and begins an effect, calls work if the resource accepts the effect, and ends it. It reports whether the effect was
+// accepted.
+func (c *Client) Act(thing string, t Ticket, box string, pid int, work func()) (accepted bool, err error) {
+	if _, err := c.request(fmt.Sprintf("about %s %d %d %d %s %d", thing, t.Token, t.Version, t.Lowest, box, pid)); err != nil {
 		return false, err
 	}
-	answer, err := c.say("begin")
+	reply, err := c.request("begin")
 	if err != nil {
 		return false, err
 	}
-	if answer == "ok" {
-		takes()
+	if reply == "ok" {
+		work()
 	}
-	_, err = c.say("end")
-	return answer == "ok", err
+	_, err = c.request("end")
+	return reply == "ok", err
 }
 
-// Note tells the resource something.
+// Note reports an event of one of the box's leases to the resource.
 func (c *Client) Note(what, task string, token uint64, box string, pid int) error {
-	_, err := c.say(fmt.Sprintf("note %s %s %d %s %d", what, task, token, box, pid))
+	_, err := c.request(fmt.Sprintf("note %s %s %d %s %d", what, task, token, box, pid))
 	return err
 }
--- a/internal/standin/resource/resource_test.go
+++ b/internal/standin/resource/resource_test.go
@@ -4,9 +4,11 @@
 	"testing"
 )
 
-func TestAThingThatComparesTokensTakesTheNewestAlone(t *testing.T) {
-	for _, checks := range []bool{true, false} {
-		r, err := Start(func(string) bool { return checks })
+// TestThingThatChecksTokensFencesOlderOnes checks that a thing that checks tokens fences the effect of an older token and rejects an
+// old token later, and that a thing that does not check them accepts both.
+func TestThingThatChecksTokensFencesOlderOnes(t *testing.T) {
+	for _, checksTokens := range []bool{true, false} {
+		r, err := Start(func(string) bool { return checksTokens })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -18,24 +20,24 @@
 			}
 			return c
 		}
-		old, next := dial(), dial()
-		took, err := old.Act("x", Ticket{Token: 1}, "a", 7, func() {
-			if took, err := next.Act("x", Ticket{Token: 2}, "b", 8, func() {}); !took || err != nil {
-				t.Errorf("a newer one: %v %v", took, err)
+		older, newer := dial(), dial()
+		accepted, err := older.Act("x", Ticket{Token: 1}, "a", 7, func() {
+			if accepted, err := newer.Act("x", Ticket{Token: 2}, "b", 8, func() {}); !accepted || err != nil {
+				t.Errorf("effect of the newer token: accepted %v, %v", accepted, err)
 			}
 		})
-		if !took || err != nil {
-			t.Errorf("the first: %v %v", took, err)
+		if !accepted || err != nil {
+			t.Errorf("first effect of the older token: accepted %v, %v", accepted, err)
 		}
-		if took, _ := old.Act("x", Ticket{Token: 1}, "a", 7, func() {}); took == checks {
-			t.Errorf("checks %v, and an older token was taken: %v", checks, took)
+		if accepted, _ := older.Act("x", Ticket{Token: 1}, "a", 7, func() {}); accepted == checksTokens {
+			t.Errorf("checks tokens %v: effect of the older token accepted: %v", checksTokens, accepted)
 		}
-		list := r.Effects()
-		if len(list) != 3 || list[0].Fenced != checks || list[2].Stale != checks || list[1].Begin < list[0].Begin {
-			t.Errorf("checks %v: %+v", checks, list)
+		effects := r.Effects()
+		if len(effects) != 3 || effects[0].Fenced != checksTokens || effects[2].Stale != checksTokens || effects[1].Begin < effects[0].Begin {
+			t.Errorf("checks tokens %v: effects %+v", checksTokens, effects)
 		}
-		if before := list[0].End <= list[1].Begin; before != checks {
-			t.Errorf("checks %v: %+v and %+v", checks, list[0], list[1])
+		if endedBefore := effects[0].End <= effects[1].Begin; endedBefore != checksTokens {
+			t.Errorf("checks tokens %v: first effect ended before the second began: %v; effects %+v and %+v", checksTokens, endedBefore, effects[0], effects[1])
 		}
 	}
 }
