--- a/internal/standin/router/router.go
+++ b/internal/standin/router/router.go
@@ -1,5 +1,6 @@
-// Package router stands in for a router, from the protocol page: it opens a connection when it needs one, has up to 32
-// requests open on it, heeds goaway, and sends a request that crosses a close once more. It judges what it is answered.
+// Package router is a fake of a router, written from the protocol specification. It opens a connection when it needs one, keeps up to
+// 32 requests open on it, sends no new requests on it after goaway, and resends once a request that crossed the close of its
+// connection. It classifies the replies and reports replies that match no open request.
 package router
 
 import (
@@ -16,23 +17,25 @@
 	"cairnlane/internal/thrift"
 )
 
-// Request is one try.
+// Request is an attempt to send.
 type Request struct {
 	Txn, Class, Tenant, Unique, Item string
 	Body                             string
-	Limit                            time.Duration // from Door
+	Limit                            time.Duration // time limit, from Door
 	Retry                            bool
-	Rank                             float64   // 0.5 if it is 0
-	Door                             time.Time // when it came to the machine; now, if not told
+	Rank                             float64   // the router's rank of the request, sent as standing; 0 stands for 0.5
+	Door                             time.Time // arrival time at the router; zero stands for the time of sending
 }
 
-func (q *Request) door() time.Time {
+// arrivedAt returns Door or its default.
+func (q *Request) arrivedAt() time.Time {
 	if q.Door.IsZero() {
 		return time.Now()
 	}
 	return q.Door
 }
 
+// rank returns Rank or its default. It is limited to 0.9999, the highest value below 1 in the four digits that are sent.
 func (q *Request) rank() float64 {
 	if q.Rank == 0 {
 		return 0.5
@@ -40,32 +43,32 @@
 	return min(q.Rank, 0.9999)
 }
 
-// End is what became of a try.
+// End is the kind of outcome of an attempt.
 type End int
 
-// The ends.
+// The kinds of outcomes.
 const (
-	Served End = iota
-	Refused
-	Failed
-	Lost       // the connection ended, and the try may have been read
-	TurnedBack // proven: nobody has read it, as the connection was refused
+	Served     End = iota
+	Refused        // rejected by the replica
+	Failed         // the reply was an exception, malformed, or without success
+	Lost           // the connection ended without a reply; the replica may have read the request
+	TurnedBack     // no connection accepted the request, so that no replica can have read it
 )
 
-// Outcome is what became of a try.
+// Outcome is the outcome of an attempt.
 type Outcome struct {
 	End  End
 	Body string
 	Took time.Duration
-	// What the answer told beside.
-	Later    time.Duration
-	GiveUp   bool
+	// Fields of the reply's map.
+	Later    time.Duration // retry-after delay
+	GiveUp   bool          // do not retry
 	Feedback float64
-	Told     bool // Feedback was
+	Told     bool // the reply had a valid Feedback
 }
 
-// read takes the fields of an answer.
-func (o *Outcome) read(fields map[string]string) {
+// readFields sets the outcome's fields from the map of a reply.
+func (o *Outcome) readFields(fields map[string]string) {
 	if ms, err := strconv.ParseInt(fields["later"], 10, 64); err == nil {
 		o.Later = time.Duration(ms) * time.Millisecond
 	}
@@ -75,63 +78,68 @@
 	}
 }
 
-const openMost = 32
+// maxOpen is the limit on open requests on a connection.
+const maxOpen = 32
 
-// Router sends requests to one address.
+// Router is a fake router that sends requests to one address.
 type Router struct {
 	Addr   string
-	Number int
-	// Twice is called when a request gets a second answer, or one that nobody asked for.
+	Number int // the router's number, sent with each request
+	// Twice is called with the sequence number of a reply that matches no open request: a second reply or an unsolicited one.
 	Twice func(seq int32)
 
 	mu   sync.Mutex
-	conn *conn // what new requests go to; nil if one has to be opened
+	conn *conn // the connection for new requests; nil until the first one
 }
 
-// conn is one connection.
+// conn is a connection and its open requests.
 type conn struct {
 	net.Conn
-	mu    sync.Mutex
-	seq   int32
-	open  map[int32]*call
-	going bool // goaway was read, or the connection has ended
-	ended bool
+	mu       sync.Mutex
+	seq      int32
+	open     map[int32]*call // by sequence number
+	draining bool            // goaway was read, or the connection has ended: no new requests
+	ended    bool
 }
 
-// crossTime is how long before a close a request may be written and still count as crossing it.
-const crossTime = 50 * time.Millisecond
+// closeCrossing is the time before the close of a connection within which a request that was written without a reply counts as crossing
+// the close.
+const closeCrossing = 50 * time.Millisecond
 
+// call is an open request.
 type call struct {
-	request        Request
-	began, written time.Time
-	done           func(Outcome)
-	again          bool // it has crossed a close already
+	request          Request
+	started, written time.Time
+	done             func(Outcome)
+	resent           bool // it crossed a close before and is not resent again
 }
 
-// Send sends a try and has done called with its one outcome, on the reader's goroutine.
+// Send sends a request and calls done once with its outcome, from the goroutine that reads the connection, or before Send returns if
+// no connection accepts the request.
 func (r *Router) Send(q Request, done func(Outcome)) { r.send(q, time.Now(), done, false) }
 
-func (r *Router) send(q Request, began time.Time, done func(Outcome), again bool) {
-	for try := 0; ; try++ {
+func (r *Router) send(q Request, started time.Time, done func(Outcome), resent bool) {
+	for attempt := 0; ; attempt++ {
 		c, err := r.connection()
 		if err != nil {
-			done(Outcome{End: TurnedBack, Took: time.Since(began)})
+			done(Outcome{End: TurnedBack, Took: time.Since(started)})
 			return
 		}
-		if c.send(r, &call{request: q, began: began, done: done, again: again}) {
+		if c.send(r, &call{request: q, started: started, done: done, resent: resent}) {
 			return
 		}
-		if try == 2 {
-			done(Outcome{End: TurnedBack, Took: time.Since(began)})
+		if attempt == 2 {
+			done(Outcome{End: TurnedBack, Took: time.Since(started)})
 			return
 		}
 	}
 }
 
+// connection returns the current connection, or a new one if the current one takes no more requests.
 func (r *Router) connection() (*conn, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if c := r.conn; c != nil && c.free() {
+	if c := r.conn; c != nil && c.hasRoom() {
 		return c, nil
 	}
 	nc, err := net.DialTimeout("tcp", r.Addr, time.Second)
@@ -140,11 +148,11 @@
 	}
 	c := &conn{Conn: nc, open: map[int32]*call{}}
 	r.conn = c
-	go c.read(r)
+	go c.readReplies(r)
 	return c, nil
 }
 
-// Close ends the connection that new requests would go to.
+// Close closes the current connection.
 func (r *Router) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,20 +161,21 @@
 	}
 }
 
-func (c *conn) free() bool {
+// hasRoom reports whether the connection takes another request.
+func (c *conn) hasRoom() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.going && len(c.open) < openMost
+	return !c.draining && len(c.open) < maxOpen
 }
 
-// send writes a request; false means that the connection takes none any more.
+// send writes a request. It returns false, and does nothing, if the connection takes no more requests.
 func (c *conn) send(r *Router, l *call) bool {
 	q := &l.request
-	fields := [][2]string{{"verb", q.Class}, {"txn", q.Txn}, {"door", strconv.FormatInt(q.door().UnixMilli(), 10)}, {"lb", strconv.Itoa(r.Number)},
+	fields := [][2]string{{"verb", q.Class}, {"txn", q.Txn}, {"door", strconv.FormatInt(q.arrivedAt().UnixMilli(), 10)}, {"lb", strconv.Itoa(r.Number)},
 		{"team", q.Tenant}, {"limit", strconv.FormatInt(q.Limit.Milliseconds(), 10)}, {"ram", "9"}, {"standing", strconv.FormatFloat(q.rank(), 'f', 4, 64)}}
-	for name, v := range map[string]string{"unique": q.Unique, "item": q.Item} {
-		if v != "" {
-			fields = append(fields, [2]string{name, v})
+	for name, value := range map[string]string{"unique": q.Unique, "item": q.Item} {
+		if value != "" {
+			fields = append(fields, [2]string{name, value})
 		}
 	}
 	if q.Retry {
@@ -174,7 +183,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.going {
+	if c.draining {
 		return false
 	}
 	c.seq++
@@ -185,84 +194,86 @@
 		b = thrift.AppendStringMap(thrift.AppendField(b, thrift.Map, 1), fields)
 		return thrift.AppendStop(thrift.AppendString(thrift.AppendField(b, thrift.String, 2), q.Body))
 	}))
-	if err != nil { // what became of it the reader tells
+	if err != nil { // readReplies reports the outcome once the connection has ended
 		c.Close()
 	}
 	return true
 }
 
-// read takes answers to the end of the connection.
-func (c *conn) read(r *Router) {
+// readReplies handles messages until the connection ends. Then it resends the open requests that crossed the close, and reports the
+// others as Lost.
+func (c *conn) readReplies(r *Router) {
 	in := bufio.NewReader(c.Conn)
 	for {
-		p, err := frame(in)
+		payload, err := readFrame(in)
 		if err != nil {
 			break
 		}
-		if !c.message(r, p) {
+		if !c.handleMessage(r, payload) {
 			break
 		}
 	}
 	c.Close()
 	c.mu.Lock()
-	left := c.open
-	c.open, c.going, c.ended = map[int32]*call{}, true, true
+	unanswered := c.open
+	c.open, c.draining, c.ended = map[int32]*call{}, true, true
 	c.mu.Unlock()
-	for _, l := range left {
-		if !l.again && time.Since(l.written) < crossTime {
-			r.send(l.request, l.began, l.done, true)
+	for _, l := range unanswered {
+		if !l.resent && time.Since(l.written) < closeCrossing {
+			r.send(l.request, l.started, l.done, true)
 			continue
 		}
-		l.done(Outcome{End: Lost, Took: time.Since(l.began)})
+		l.done(Outcome{End: Lost, Took: time.Since(l.started)})
 	}
 }
 
-// message takes one message; false means that the connection is done with.
-func (c *conn) message(r *Router, p []byte) bool {
-	rd := thrift.NewReader(p)
+// handleMessage handles one message. It returns false if the connection can be closed: the message is malformed, or the connection is
+// draining and has no open requests.
+func (c *conn) handleMessage(r *Router, payload []byte) bool {
+	rd := thrift.NewReader(payload)
 	h := rd.Header()
 	if rd.Err() != nil {
 		return false
 	}
 	if h.Type == thrift.Oneway && h.Name == "goaway" {
 		c.mu.Lock()
-		c.going = true
+		c.draining = true
 		empty := len(c.open) == 0
 		c.mu.Unlock()
 		return !empty
 	}
-	out := result(rd, h)
+	out := readResult(rd, h)
 	c.mu.Lock()
 	l := c.open[h.Seq]
 	delete(c.open, h.Seq)
-	last := c.going && len(c.open) == 0
+	drained := c.draining && len(c.open) == 0
 	c.mu.Unlock()
 	if l == nil {
 		r.Twice(h.Seq)
-		return !last
+		return !drained
 	}
-	out.Took = time.Since(l.began)
+	out.Took = time.Since(l.started)
 	l.done(out)
-	return !last
+	return !drained
 }
 
-// result reads what a call returned.
-func result(rd *thrift.Reader, h thrift.Header) Outcome {
+// readResult reads the result of a serve call.
+func readResult(rd *thrift.Reader, h thrift.Header) Outcome {
 	if h.Type != thrift.Reply {
 		return Outcome{End: Failed}
 	}
 	var out Outcome
 	switch _, id := rd.Field(); id {
 	case 0:
-		body, good := answer(rd, &out)
-		if rd.Err() != nil || !good {
+		body, success := readAnswer(rd, &out)
+		if rd.Err() != nil || !success {
 			return Outcome{End: Failed}
 		}
 		out.End, out.Body = Served, body
 		return out
 	case 1:
 		if t, id := rd.Field(); t == thrift.Map && id == 1 {
-			out.read(rd.StringMap())
+			out.readFields(rd.StringMap())
 		}
 		out.End = Refused
 		return out
@@ -270,53 +281,55 @@
 	return Outcome{End: Failed}
 }
 
-// answer reads the struct Answer.
-func answer(rd *thrift.Reader, out *Outcome) (body string, good bool) {
+// readAnswer reads the Thrift struct Answer into out and returns its body and its success flag.
+func readAnswer(rd *thrift.Reader, out *Outcome) (body string, success bool) {
 	for {
 		t, id := rd.Field()
 		switch {
 		case t == thrift.Stop:
-			return body, good
+			return body, success
 		case id == 1 && t == thrift.String:
 			body = string(rd.Binary())
 		case id == 2 && t == thrift.Map:
-			out.read(rd.StringMap())
+			out.readFields(rd.StringMap())
 		case id == 3 && t == thrift.Bool:
-			good = rd.Byte() == 1
+			success = rd.Byte() == 1
 		default:
 			rd.Skip(t)
 		}
 	}
 }
 
-// frameMost bounds what is read of an answer.
-const frameMost = 1 << 20
+// maxFrame is the limit on the length of a reply's frame, in bytes.
+const maxFrame = 1 << 20
 
-var errFrame = errors.New("a frame that is too long")
+var errFrame = errors.New("invalid frame")
 
-func frame(in io.Reader) ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(in, head[:]); err != nil {
+// readFrame reads one frame and returns its payload.
+func readFrame(in io.Reader) ([]byte, error) {
+	var length [4]byte
+	if _, err := io.ReadFull(in, length[:]); err != nil {
 		return nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > frameMost {
-		return nil, fmt.Errorf("%w: %d bytes", errFrame, n)
+	n := binary.BigEndian.Uint32(length[:])
+	if n > maxFrame {
+		return nil, fmt.Errorf("%w: %d bytes, the limit is %d", errFrame, n, maxFrame)
 	}
-	p := make([]byte, n)
-	_, err := io.ReadFull(in, p)
-	return p, err
+	payload := make([]byte, n)
+	_, err := io.ReadFull(in, payload)
+	return payload, err
 }
 
-// Check asks for the replica's health on a connection of its own.
-func Check(addr string, most time.Duration) (good bool, err error) {
-	c, err := net.DialTimeout("tcp", addr, most)
+// Check makes one health check of the replica on a new connection and returns its result. timeout limits the connecting, and again
+// the check.
+func Check(addr string, timeout time.Duration) (good bool, err error) {
+	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return false, err
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(most))
-	_, err = c.Write(thrift.AppendFrame(nil, func(b []byte) []byte {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(timeout))
+	_, err = conn.Write(thrift.AppendFrame(nil, func(b []byte) []byte {
 		b = thrift.AppendHeader(b, thrift.Header{Type: thrift.Call, Name: "isWell", Seq: 1})
 		return thrift.AppendStop(thrift.AppendBool(thrift.AppendField(b, thrift.Bool, 1), true))
 	}))
@@ -324,19 +337,19 @@
 		return false, err
 	}
 	for {
-		p, err := frame(c)
+		payload, err := readFrame(conn)
 		if err != nil {
 			return false, err
 		}
-		rd := thrift.NewReader(p)
+		rd := thrift.NewReader(payload)
 		h := rd.Header()
 		if h.Type == thrift.Oneway {
-			continue // goaway: the answer comes all the same
+			continue // goaway: the replica still answers requests that were sent before it
 		}
 		if t, id := rd.Field(); t != thrift.Struct || id != 0 {
-			return false, errFrame
+			return false, fmt.Errorf("%w: reply to isWell begins with a field of type %d and id %d, want a struct with id 0", errFrame, t, id)
 		}
-		_, good = answer(rd, new(Outcome))
+		_, good = readAnswer(rd, new(Outcome))
 		return good, rd.Err()
 	}
 }
