--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,7 +1,6 @@
-// Command toy plays what a replica talks to, so that a newcomer can try one by hand: an engine that
-// sleeps and echoes, a catalog that says yes, the index if the settings know one, and a router that
-// sends a few requests of each class and prints the answers. Addresses, classes and tenants are those
-// of the replica's configuration. It measures nothing.
+// Command toy runs fakes of the systems around a replica, to try a replica by hand: an engine whose runs sleep and return their body, a
+// catalog that accepts every report, an index if the settings have one, and a router that sends requests of each class in turn and prints
+// the replies. The addresses, classes and tenants come from the replica's configuration. It is not a benchmark.
 package main
 
 import (
@@ -20,20 +19,20 @@
 )
 
 func main() {
-	config := flag.String("config", "examples/config.json", "configuration of the replica")
-	ask := flag.Int("ask", 5, "how many requests to send, 0 for none")
-	work := flag.Duration("work", 200*time.Millisecond, "how long a run takes")
+	configPath := flag.String("config", "examples/config.json", "configuration of the replica")
+	count := flag.Int("ask", 5, "how many requests to send, 0 for none")
+	runTime := flag.Duration("work", 200*time.Millisecond, "how long a run takes")
 	flag.Parse()
-	site, err := settings.Load(*config)
+	site, err := settings.Load(*configPath)
 	if err != nil {
 		log.Fatal(err)
 	}
 	engine := listen(site.Engine)
-	calls := site.Policy.Dependency == policy.SharedDependency
-	go func() { log.Fatal(playEngine(engine, *work, calls)) }()
-	if calls {
+	callIndex := site.Policy.Dependency == policy.SharedDependency
+	go func() { log.Fatal(serveEngine(engine, *runTime, callIndex)) }()
+	if callIndex {
 		index := listen(site.Index)
-		go func() { log.Fatal(playIndex(index)) }()
+		go func() { log.Fatal(serveIndex(index)) }()
 	}
 	go func() {
 		log.Fatal(http.ListenAndServe(site.Directory, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -41,8 +40,8 @@
 		})))
 	}()
 	log.Printf("engine at %s, catalog at %s", site.Engine, site.Directory)
-	if *ask > 0 {
-		if err := playRouter(site.Listen, requests(site, *ask)); err != nil {
+	if *count > 0 {
+		if err := sendRequests(site.Listen, makeRequests(site, *count)); err != nil {
 			log.Fatal(err)
 		}
 		return
@@ -50,6 +49,7 @@
 	select {}
 }
 
+// listen listens on a TCP address and exits if that fails.
 func listen(addr string) net.Listener {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -58,24 +58,25 @@
 	return ln
 }
 
-// request is one as the toy's router sends it.
+// request is a request that the fake router sends.
 type request struct {
 	fields [][2]string
 	body   string
 }
 
-// requests are so many, of the site's classes and tenants in turn.
-func requests(site *settings.Replica, n int) (list []request) {
+// makeRequests returns n requests that go through the site's classes and tenants in turn. Requests of keyed classes have a random
+// idempotency key.
+func makeRequests(site *settings.Replica, n int) (list []request) {
 	classes := site.Policy.Classes
 	for i := range n {
-		k := classes[i%len(classes)]
-		q := request{body: fmt.Sprint("body ", i+1), fields: [][2]string{{"verb", k.Name}, {"txn", fmt.Sprintf("%016x", rand.Uint64())},
-			{"door", strconv.FormatInt(time.Now().UnixMilli(), 10)}, {"lb", "1"}, {"limit", strconv.FormatInt(k.Deadline.Milliseconds(), 10)},
+		class := classes[i%len(classes)]
+		q := request{body: fmt.Sprint("body ", i+1), fields: [][2]string{{"verb", class.Name}, {"txn", fmt.Sprintf("%016x", rand.Uint64())},
+			{"door", strconv.FormatInt(time.Now().UnixMilli(), 10)}, {"lb", "1"}, {"limit", strconv.FormatInt(class.Deadline.Milliseconds(), 10)},
 			{"ram", "24.5"}, {"standing", "0.5"}}}
 		if len(site.Tenants) > 0 {
 			q.fields = append(q.fields, [2]string{"team", site.Tenants[i%len(site.Tenants)]})
 		}
-		if k.Semantics == policy.Keyed {
+		if class.Semantics == policy.Keyed {
 			q.fields = append(q.fields, [2]string{"unique", fmt.Sprintf("%032x", rand.Uint64())})
 		}
 		list = append(list, q)
@@ -83,8 +84,8 @@
 	return list
 }
 
-// playRouter sends requests over one connection and prints the answers as they come.
-func playRouter(addr string, list []request) error {
+// sendRequests is a fake router that sends the requests over one connection and prints each reply when it arrives.
+func sendRequests(addr string, list []request) error {
 	conn, err := dial(addr)
 	if err != nil {
 		return err
@@ -101,34 +102,34 @@
 		}
 	}
 	var in []byte
-	for got, buf := 0, make([]byte, 4096); got < len(list); {
+	for replies, buf := 0, make([]byte, 4096); replies < len(list); {
 		payload, rest, err := thrift.Frame(in)
 		if err != nil {
 			return err
 		}
 		if payload == nil {
-			k, err := conn.Read(buf)
+			n, err := conn.Read(buf)
 			if err != nil {
 				return err
 			}
-			in = append(in, buf[:k]...)
+			in = append(in, buf[:n]...)
 			continue
 		}
 		in = rest
-		got++
+		replies++
 		r := thrift.NewReader(payload)
 		h := r.Header()
-		_, kind := r.Field() // 0 served, 1 refused, 2 failed
-		log.Printf("answer to %d (%s): %s", h.Seq, list[h.Seq-1].fields[0][1], map[int16]string{0: "served", 1: "refused", 2: "failed"}[kind])
+		_, outcome := r.Field() // id of the result's field: 0 served, 1 rejected, 2 failed
+		log.Printf("reply to request %d (%s): %s", h.Seq, list[h.Seq-1].fields[0][1], map[int16]string{0: "served", 1: "refused", 2: "failed"}[outcome])
 	}
 	return nil
 }
 
-// dial waits for the replica to come up.
+// dial connects to the replica, with retries while it starts: at most 51 attempts, 200 ms apart.
 func dial(addr string) (net.Conn, error) {
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		conn, err := net.DialTimeout("tcp", addr, time.Second)
-		if err == nil || try == 50 {
+		if err == nil || attempt == 50 {
 			return conn, err
 		}
 		time.Sleep(200 * time.Millisecond)
