--- a/internal/standin/router/router.go
+++ b/internal/standin/router/router.go
@@ -102,8 +102,8 @@
 	ended    bool
 }
 
-// closeCrossing is the time before the close of a connection within which a request that was written without a reply counts as crossing
-// the close.
+// closeCrossing is an interval before the close of a connection: an unanswered request that was written within it counts as crossing the
+// close and is sent again.
 const closeCrossing = 50 * time.Millisecond
 
 // call is an open request.
@@ -111,7 +111,7 @@
 	request          Request
 	started, written time.Time
 	done             func(Outcome)
-	resent           bool // it crossed a close before and is not resent again
+	resent           bool // the request crossed a close before and is not sent again
 }
 
 // Send sends a request and calls done once with its outcome, from the goroutine that reads the connection, or before Send returns if
@@ -169,8 +169,8 @@
 }
 
 // send writes a request. It returns false, and does nothing, if the connection takes no more requests.
-func (c *conn) send(r *Router, l *call) bool {
-	q := &l.request
+func (c *conn) send(r *Router, pending *call) bool {
+	q := &pending.request
 	fields := [][2]string{{"verb", q.Class}, {"txn", q.Txn}, {"door", strconv.FormatInt(q.arrivedAt().UnixMilli(), 10)}, {"lb", strconv.Itoa(r.Number)},
 		{"team", q.Tenant}, {"limit", strconv.FormatInt(q.Limit.Milliseconds(), 10)}, {"ram", "9"}, {"standing", strconv.FormatFloat(q.rank(), 'f', 4, 64)}}
 	for name, value := range map[string]string{"unique": q.Unique, "item": q.Item} {
@@ -187,8 +187,8 @@
 		return false
 	}
 	c.seq++
-	l.written = time.Now()
-	c.open[c.seq] = l
+	pending.written = time.Now()
+	c.open[c.seq] = pending
 	_, err := c.Write(thrift.AppendFrame(nil, func(b []byte) []byte {
 		b = thrift.AppendHeader(b, thrift.Header{Type: thrift.Call, Name: "serve", Seq: c.seq})
 		b = thrift.AppendStringMap(thrift.AppendField(b, thrift.Map, 1), fields)
@@ -218,12 +218,12 @@
 	unanswered := c.open
 	c.open, c.draining, c.ended = map[int32]*call{}, true, true
 	c.mu.Unlock()
-	for _, l := range unanswered {
-		if !l.resent && time.Since(l.written) < closeCrossing {
-			r.send(l.request, l.started, l.done, true)
+	for _, pending := range unanswered {
+		if !pending.resent && time.Since(pending.written) < closeCrossing {
+			r.send(pending.request, pending.started, pending.done, true)
 			continue
 		}
-		l.done(Outcome{End: Lost, Took: time.Since(l.started)})
+		pending.done(Outcome{End: Lost, Took: time.Since(pending.started)})
 	}
 }
 
@@ -244,16 +244,16 @@
 	}
 	out := readResult(rd, h)
 	c.mu.Lock()
-	l := c.open[h.Seq]
+	pending := c.open[h.Seq]
 	delete(c.open, h.Seq)
 	drained := c.draining && len(c.open) == 0
 	c.mu.Unlock()
-	if l == nil {
+	if pending == nil {
 		r.Twice(h.Seq)
 		return !drained
 	}
-	out.Took = time.Since(l.started)
-	l.done(out)
+	out.Took = time.Since(pending.started)
+	pending.done(out)
 	return !drained
 }
 
