--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock provides a monotonic clock that is set from the system's wall clock once, the boot-time clock and the wall clock.
+// Package clock provides three clocks: System, a monotonic clock that is set once from the wall clock; Boot, the time since the machine
+// was booted; and Wall, the wall clock. In trial builds the last two can be falsified.
 package clock
 
 import "time"
--- a/internal/standin/resource/resource.go
+++ b/internal/standin/resource/resource.go
@@ -1,7 +1,7 @@
 // Package resource is a fake of the outside systems that a fleet acts upon. It holds named things on which boxes carry out effects,
 // and records the token, the begin and the end of each effect by its own clock. A thing either checks tokens or accepts every
-// effect. A thing that checks tokens rejects an effect whose token is older than one it has seen, and fences, that is ends, the
-// effects of older tokens when an effect with a newer token begins.
+// effect. A thing that checks tokens rejects an effect whose token is older than one it has seen. When an effect with a newer token
+// begins on it, it fences (ends) the effects of older tokens.
 package resource
 
 import (
