--- a/internal/lab/rig/fault_test.go
+++ b/internal/lab/rig/fault_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-func TestASchedulePrintsAndReadsTheSame(t *testing.T) {
+func TestSchedulePrintParseRoundTrip(t *testing.T) {
 	s := Draw(rand.New(rand.NewPCG(1, 2)), Kinds, 60, 7, time.Minute)
 	if again := Draw(rand.New(rand.NewPCG(1, 2)), Kinds, 60, 7, time.Minute); !reflect.DeepEqual(s, again) {
-		t.Error("a seed does not repeat")
+		t.Error("the same seed gave two different schedules")
 	}
 	seen := map[Kind]int{}
 	for _, f := range s {
@@ -21,31 +21,31 @@
 	}
 	for _, k := range Kinds {
 		if seen[k] < 2 {
-			t.Errorf("%s comes %d times in 60", k, seen[k])
+			t.Errorf("%s was drawn %d times in 60 faults, want at least 2", k, seen[k])
 		}
 	}
-	back, err := Parse("# a comment\n" + s.String())
-	if err != nil || !reflect.DeepEqual(back, s) {
-		t.Errorf("%v\n%v", err, back)
+	parsed, err := Parse("# a comment\n" + s.String())
+	if err != nil || !reflect.DeepEqual(parsed, s) {
+		t.Errorf("parsed schedule differs from the printed one: %v\n%v", err, parsed)
 	}
 	for _, bad := range []string{"1s kill 1 2", "1s nothing 1 2 3s", "x kill 1 2 3s", "1s kill a 2 3s"} {
 		if _, err := Parse(bad); err == nil {
-			t.Errorf("%q is read", bad)
+			t.Errorf("%q was parsed, want an error", bad)
 		}
 	}
 }
 
-func TestAFailingScheduleIsMadeSmaller(t *testing.T) {
+func TestShrinkKeepsNeededFaults(t *testing.T) {
 	s := Draw(rand.New(rand.NewPCG(3, 4)), Kinds, 40, 5, time.Minute)
-	need := []Fault{s[7], s[23]}
-	got := Shrink(s, func(s Schedule) bool { return slices.Contains(s, need[0]) && slices.Contains(s, need[1]) })
-	if !reflect.DeepEqual(got, Schedule(need)) {
-		t.Errorf("%v", got)
+	needed := []Fault{s[7], s[23]}
+	got := Shrink(s, func(s Schedule) bool { return slices.Contains(s, needed[0]) && slices.Contains(s, needed[1]) })
+	if !reflect.DeepEqual(got, Schedule(needed)) {
+		t.Errorf("shrunk to %v, want %v", got, needed)
 	}
 }
 
-// TestARelayDoesWhatItsScriptSays, a direction at a time.
-func TestARelayDoesWhatItsScriptSays(t *testing.T) {
+// TestRelayAppliesFlows checks each setting of Flow, and that a setting for one direction does not affect the other.
+func TestRelayAppliesFlows(t *testing.T) {
 	n := NewNet()
 	defer n.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,7 +81,7 @@
 	read(o, "there")
 	n.Set(0, 1, func(f *Flow) { f.Cut = true })
 	io.WriteString(c, "lost")
-	io.WriteString(o, "back") // the other direction goes on
+	io.WriteString(o, "back") // the other direction is not affected
 	read(c, "back")
 	for n.Lost() < len("lost") {
 		time.Sleep(time.Millisecond)
@@ -89,23 +89,23 @@
 	n.Set(0, 1, func(f *Flow) { *f = Flow{Hold: true} })
 	io.WriteString(c, "held")
 	n.Set(0, 1, func(f *Flow) { f.Hold = false })
-	read(o, "held") // and nothing of what was lost
+	read(o, "held") // and none of the dropped bytes
 	n.Set(1, 0, func(f *Flow) { f.Delay = 50 * time.Millisecond })
 	began := time.Now()
 	io.WriteString(o, "late")
 	if read(c, "late"); time.Since(began) < 50*time.Millisecond {
-		t.Error("not delayed")
+		t.Error("the bytes arrived without the delay of 50 ms")
 	}
 	n.Set(0, 1, func(f *Flow) { f.Break = true })
 	io.WriteString(c, "frame!")
 	read(o, "fra")
 	if k, err := o.Read(make([]byte, 1)); err == nil {
-		t.Errorf("%d bytes after the break", k)
+		t.Errorf("read %d bytes after the connection was broken", k)
 	}
 	n.Set(0, 1, func(f *Flow) { *f = Flow{Refuse: true} })
 	if c, err = net.Dial("tcp", addr); err == nil {
 		if _, err = c.Read(make([]byte, 1)); err == nil {
-			t.Error("not refused")
+			t.Error("the connection was not rejected")
 		}
 	}
 }
--- a/internal/lab/rig/load.go
+++ b/internal/lab/rig/load.go
@@ -12,30 +12,30 @@
 	"cairnlane/internal/standin/router"
 )
 
-// Load has routers send requests to replicas without pause, a third of them keyed and some of those several times over, and
-// counts what the rules forbid.
+// Load sends requests from routers to replicas until it is stopped and counts violations of the invariants. A third of the requests
+// are keyed (all of them if the settings have no safe class), and some of those are sent several times.
 type Load struct {
 	Seed    uint64
 	Routers []*router.Router
-	Limit   time.Duration // of a request
-	Pause   time.Duration // between two requests of a router, on average
-	Spread  bool          // repeats go over other routers; else a router stands for a replica of its own
-	Traffic Traffic       // what the requests are
-	// Excused tells whether what a router had open from then until now is lost with a process that was killed or stopped.
+	Limit   time.Duration // the time limit of a request
+	Pause   time.Duration // the mean time between two requests of a router
+	Spread  bool          // retries go through other routers; otherwise each router belongs to one replica
+	Traffic Traffic       // the tenant and the classes of the requests
+	// Excused reports whether the router's replica was killed or stopped after began, so that requests open since then may be lost.
 	Excused func(router int, began time.Time) bool
 	Engines func() []*engine.Engine
 
 	Tally
-	txns   atomic.Uint64
-	bodies sync.Map        // of keyed requests: *keyed
-	slots  []chan struct{} // by router: a replica that stands still holds up no other one's requests
-	stop   atomic.Bool
-	wait   sync.WaitGroup
-	mu     sync.Mutex
-	notes  []string
+	lastID        atomic.Uint64   // the source of transaction ids, idempotency keys and numbers of bodies
+	keyedRequests sync.Map        // body to *keyedRequest
+	slots         []chan struct{} // by router, so that a stalled replica does not block requests to the others
+	stop          atomic.Bool
+	senders       sync.WaitGroup
+	mu            sync.Mutex
+	notes         []string
 }
 
-// Tally is what came of a load.
+// Tally counts the outcomes of a load.
 type Tally struct {
 	Requests, Killed             int64
 	Served, Refused, Failed      int64
@@ -44,32 +44,32 @@
 	Repeats, RepeatsServed       int64
 }
 
-// answerRest is the slack of the rules on sockets.
-const answerRest = 110 * time.Millisecond
+// answerSlack is how much later than its limit a request may be answered, to allow for the delay on sockets.
+const answerSlack = 110 * time.Millisecond
 
-const openMost = 48 // requests at a time, of a router or, if spread, of four
+const maxOpen = 48 // open requests of a router or, with Spread, of four routers together
 
-// Begin starts it.
+// Begin starts the load.
 func (l *Load) Begin() {
-	shared := make(chan struct{}, openMost*max(1, len(l.Routers)/4))
+	shared := make(chan struct{}, maxOpen*max(1, len(l.Routers)/4))
 	for i, r := range l.Routers {
 		slots := shared
 		if !l.Spread {
-			slots = make(chan struct{}, openMost)
+			slots = make(chan struct{}, maxOpen)
 		}
 		l.slots = append(l.slots, slots)
 		r.Number = i
 		r.Twice = func(seq int32) {
 			atomic.AddInt64(&l.EndedTwice, 1)
-			l.Note("an answer to call %d that nobody waits for", seq)
+			l.Note("call %d was answered although no request waits for it", seq)
 		}
 	}
 	for i := range l.Routers {
-		l.wait.Go(func() { l.send(i) })
+		l.senders.Go(func() { l.sendRequests(i) })
 	}
 }
 
-// Note keeps what a reader of the figures should know.
+// Note records a message for the reader of the figures. It keeps the first 20 messages.
 func (l *Load) Note(format string, a ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,149 +78,149 @@
 	}
 }
 
-// Notes are those that were kept.
+// Notes returns the recorded messages.
 func (l *Load) Notes() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.notes
 }
 
-// End stops it, waits until every request has ended and counts the runs of every keyed one.
+// End stops the load, waits for the outcome of every request and checks that no keyed request ran more than once.
 func (l *Load) End() {
 	if l.stop.Swap(true) {
 		return
 	}
-	l.wait.Wait()
+	l.senders.Wait()
 	for _, r := range l.Routers {
 		r.Close()
 	}
-	l.bodies.Range(func(body, whole any) bool {
+	l.keyedRequests.Range(func(body, value any) bool {
 		var runs []engine.Run
 		for _, e := range l.Engines() {
 			runs = append(runs, e.Runs(body.(string))...)
 		}
-		if k := whole.(*keyed); len(runs) > 1 && !k.lost.Load() {
+		if k := value.(*keyedRequest); len(runs) > 1 && !k.lost.Load() {
 			l.DoubleRuns++
-			l.Note("%s ran %d times: %s", body, len(runs), k.story(runs))
+			l.Note("%s ran %d times: %s", body, len(runs), k.describe(runs))
 		}
 		return true
 	})
 }
 
-func (l *Load) send(i int) {
-	src := rand.New(rand.NewPCG(l.Seed, uint64(10+i)))
-	var open sync.WaitGroup
-	for saves := 0; !l.stop.Load(); {
-		q := router.Request{Class: l.Traffic.Safe, Tenant: l.Traffic.Tenant, Limit: l.Limit}
-		tries, repeats := 1, time.Duration(0)
-		if third := src.IntN(3) == 0; len(l.Traffic.Keyed) > 0 && (third || q.Class == "") {
-			class := l.Traffic.Keyed[saves%len(l.Traffic.Keyed)]
-			saves++
-			q.Class, q.Unique, repeats = class.Name, fmt.Sprintf("%032x", l.txns.Add(1)), class.Window/2
-			if src.IntN(2) == 0 {
-				tries += 1 + src.IntN(2)
+func (l *Load) sendRequests(i int) {
+	random := rand.New(rand.NewPCG(l.Seed, uint64(10+i)))
+	var outstanding sync.WaitGroup
+	for keyedSent := 0; !l.stop.Load(); {
+		request := router.Request{Class: l.Traffic.Safe, Tenant: l.Traffic.Tenant, Limit: l.Limit}
+		attempts, retryWindow := 1, time.Duration(0)
+		if third := random.IntN(3) == 0; len(l.Traffic.Keyed) > 0 && (third || request.Class == "") {
+			class := l.Traffic.Keyed[keyedSent%len(l.Traffic.Keyed)]
+			keyedSent++
+			request.Class, request.Unique, retryWindow = class.Name, fmt.Sprintf("%032x", l.lastID.Add(1)), class.Window/2
+			if random.IntN(2) == 0 {
+				attempts += 1 + random.IntN(2)
 			}
 		}
-		q.Body = fmt.Sprintf("body %d of router %d", l.txns.Add(1), i)
-		if q.Unique != "" {
-			l.bodies.Store(q.Body, new(keyed))
+		request.Body = fmt.Sprintf("body %d of router %d", l.lastID.Add(1), i)
+		if request.Unique != "" {
+			l.keyedRequests.Store(request.Body, new(keyedRequest))
 		}
-		first := time.Now()
-		for n := range tries {
-			q.Retry = n > 0
-			to, step := i, n*(1+src.IntN(3))
+		firstAt := time.Now()
+		for n := range attempts {
+			request.Retry = n > 0
+			to, step := i, n*(1+random.IntN(3))
 			if l.Spread {
 				to = (i + step) % len(l.Routers)
 			}
-			l.try(to, q, first, repeats, &open)
-			if n+1 < tries && src.IntN(2) == 0 {
-				time.Sleep(time.Duration(src.IntN(40)) * time.Millisecond)
+			l.attempt(to, request, firstAt, retryWindow, &outstanding)
+			if n+1 < attempts && random.IntN(2) == 0 {
+				time.Sleep(time.Duration(random.IntN(40)) * time.Millisecond)
 			}
 		}
-		time.Sleep(time.Duration(src.ExpFloat64() * float64(l.Pause)))
+		time.Sleep(time.Duration(random.ExpFloat64() * float64(l.Pause)))
 	}
-	open.Wait()
+	outstanding.Wait()
 }
 
-// try sends one try. A further one of a key that had to wait for longer than repeats since the first is not sent: the replica may not have
-// the key any more.
-func (l *Load) try(to int, q router.Request, first time.Time, repeats time.Duration, open *sync.WaitGroup) {
-	q.Txn = fmt.Sprintf("%016x", l.txns.Add(1))
+// attempt sends one attempt of a request. A retry that had to wait until more than retryWindow after the first attempt is not sent,
+// because the replica may have deleted the key.
+func (l *Load) attempt(to int, request router.Request, firstAt time.Time, retryWindow time.Duration, outstanding *sync.WaitGroup) {
+	request.Txn = fmt.Sprintf("%016x", l.lastID.Add(1))
 	l.slots[to] <- struct{}{}
-	if q.Retry && time.Since(first) > repeats {
+	if request.Retry && time.Since(firstAt) > retryWindow {
 		<-l.slots[to]
 		return
 	}
-	open.Add(1)
+	outstanding.Add(1)
 	atomic.AddInt64(&l.Requests, 1)
-	if q.Retry {
+	if request.Retry {
 		atomic.AddInt64(&l.Repeats, 1)
 	}
 	began := time.Now()
-	var ends atomic.Int64
-	l.Routers[to].Send(q, func(o router.Outcome) {
-		if ends.Add(1) > 1 {
+	var outcomes atomic.Int64
+	l.Routers[to].Send(request, func(outcome router.Outcome) {
+		if outcomes.Add(1) > 1 {
 			atomic.AddInt64(&l.EndedTwice, 1)
 			return
 		}
-		l.judge(to, q, o, began, first)
+		l.recordOutcome(to, request, outcome, began, firstAt)
 		<-l.slots[to]
-		open.Done()
+		outstanding.Done()
 	})
 }
 
-// keyed is what became of a keyed request, over all of its tries.
-type keyed struct {
-	lost  atomic.Bool // with a process that was killed or stopped
-	mu    sync.Mutex
-	tries []string
+// keyedRequest records the outcomes of all attempts of a keyed request.
+type keyedRequest struct {
+	lost     atomic.Bool // its key may be lost because a process was killed or stopped
+	mu       sync.Mutex
+	attempts []string
 }
 
-const storyTime = "05.000"
+const clockLayout = "05.000"
 
-func (l *Load) keyed(q router.Request) *keyed {
-	k, _ := l.bodies.Load(q.Body)
-	return k.(*keyed)
+func (l *Load) keyedRequestOf(request router.Request) *keyedRequest {
+	k, _ := l.keyedRequests.Load(request.Body)
+	return k.(*keyedRequest)
 }
 
-func (k *keyed) try(s string) {
+func (k *keyedRequest) addAttempt(s string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.tries = append(k.tries, s)
+	k.attempts = append(k.attempts, s)
 }
 
-func (k *keyed) story(runs []engine.Run) string {
+func (k *keyedRequest) describe(runs []engine.Run) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s := strings.Join(k.tries, "; ")
+	s := strings.Join(k.attempts, "; ")
 	for _, r := range runs {
-		s += fmt.Sprintf("; run %s at %s", r.ID, r.At.Format(storyTime))
+		s += fmt.Sprintf("; run %s at %s", r.ID, r.At.Format(clockLayout))
 	}
 	return s
 }
 
-// judge counts the outcome of a try. What was open when a process was killed is counted apart.
-func (l *Load) judge(to int, q router.Request, o router.Outcome, began, first time.Time) {
+// recordOutcome counts the outcome of an attempt. Attempts that were open when their replica was killed are counted separately.
+func (l *Load) recordOutcome(to int, request router.Request, outcome router.Outcome, began, firstAt time.Time) {
 	excused := l.Excused(to, began)
-	if q.Unique != "" && !l.Spread && l.Excused(to, first) {
-		l.keyed(q).lost.Store(true) // the keys were lost with the process, between its tries perhaps
+	if request.Unique != "" && !l.Spread && l.Excused(to, firstAt) {
+		l.keyedRequestOf(request).lost.Store(true) // the process may have been killed between two attempts, and its keys are lost then
 	}
-	if q.Unique != "" {
-		l.keyed(q).try(fmt.Sprintf("try %s from %s to %s: %v", q.Txn, began.Format(storyTime), time.Now().Format(storyTime), o.End))
+	if request.Unique != "" {
+		l.keyedRequestOf(request).addAttempt(fmt.Sprintf("try %s from %s to %s: %v", request.Txn, began.Format(clockLayout), time.Now().Format(clockLayout), outcome.End))
 	}
-	if o.Took > q.Limit+answerRest && !excused {
+	if outcome.Took > request.Limit+answerSlack && !excused {
 		atomic.AddInt64(&l.Late, 1)
-		l.Note("%s %s answered after %v", q.Class, q.Txn, o.Took)
+		l.Note("%s %s answered after %v", request.Class, request.Txn, outcome.Took)
 	}
-	switch o.End {
+	switch outcome.End {
 	case router.Served:
 		atomic.AddInt64(&l.Served, 1)
-		if q.Retry {
+		if request.Retry {
 			atomic.AddInt64(&l.RepeatsServed, 1)
 		}
-		if o.Body != "did "+q.Body {
+		if outcome.Body != "did "+request.Body {
 			atomic.AddInt64(&l.Wrong, 1)
-			l.Note("%s got %q", q.Body, o.Body)
+			l.Note("request %q was answered with %q", request.Body, outcome.Body)
 		}
 	case router.Refused:
 		atomic.AddInt64(&l.Refused, 1)
@@ -230,12 +230,12 @@
 		switch {
 		case excused:
 			atomic.AddInt64(&l.Killed, 1)
-		case o.End == router.TurnedBack:
+		case outcome.End == router.TurnedBack:
 			atomic.AddInt64(&l.TurnedBack, 1)
-			l.Note("%s was turned back", q.Txn)
+			l.Note("%s was not sent: the connection was refused", request.Txn)
 		default:
 			atomic.AddInt64(&l.Lost, 1)
-			l.Note("%s %s was lost after %v", q.Class, q.Txn, o.Took)
+			l.Note("%s %s was lost after %v", request.Class, request.Txn, outcome.Took)
 		}
 	}
 }
--- a/internal/lab/rig/load_test.go
+++ b/internal/lab/rig/load_test.go
@@ -12,10 +12,11 @@
 	"cairnlane/internal/standin/router"
 )
 
-// TestAStandingReplicaHoldsUpNoOther: a replica that reads and never answers takes all requests that its router may have open, and the
-// others' go on. Else a key's next try would come after the time for which it is kept, and run again by right.
-func TestAStandingReplicaHoldsUpNoOther(t *testing.T) {
-	still, err := net.Listen("tcp", "127.0.0.1:0")
+// TestStalledReplicaDoesNotBlockOthers checks that requests to other replicas go on while one replica reads requests and never answers,
+// which uses up all requests that its router may have open. Were the others blocked, a retry could be sent after its key had expired
+// and would rightly run a second time, which the load would report as a fault.
+func TestStalledReplicaDoesNotBlockOthers(t *testing.T) {
+	stalled, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +24,7 @@
 	var conns []net.Conn
 	go func() {
 		for {
-			c, err := still.Accept()
+			c, err := stalled.Accept()
 			if err != nil {
 				return
 			}
@@ -33,24 +34,24 @@
 			go io.Copy(io.Discard, c)
 		}
 	}()
-	gone, err := FreeAddr() // each request is turned back at once
+	unused, err := FreeAddr() // connections to it are refused at once
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := &Load{Seed: 1, Limit: time.Second, Pause: 100 * time.Microsecond, Excused: func(int, time.Time) bool { return true }, Engines: func() []*engine.Engine { return nil },
-		Traffic: Traffic{Tenant: "a", Safe: "read", Keyed: []KeyedClass{{"write", 9600 * time.Millisecond}}}, Routers: []*router.Router{{Addr: still.Addr().String()}, {Addr: gone}}}
+		Traffic: Traffic{Tenant: "a", Safe: "read", Keyed: []KeyedClass{{"write", 9600 * time.Millisecond}}}, Routers: []*router.Router{{Addr: stalled.Addr().String()}, {Addr: unused}}}
 	l.Begin()
-	const enough = 20 * openMost
+	const enough = 20 * maxOpen
 	for end := time.Now().Add(20 * time.Second); atomic.LoadInt64(&l.Requests) < enough && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if n := atomic.LoadInt64(&l.Requests); n < enough {
-		t.Errorf("%d requests were begun; the one that stands still holds all up", n)
+		t.Errorf("%d requests were started, want %d: the stalled replica blocks the other", n, enough)
 	}
 	l.stop.Store(true)
-	still.Close()
+	stalled.Close()
 	ended := make(chan struct{})
-	go func() { l.wait.Wait(); close(ended) }()
+	go func() { l.senders.Wait(); close(ended) }()
 	for {
 		mu.Lock()
 		for _, c := range conns {
@@ -65,8 +66,8 @@
 	}
 }
 
-// TestSitesSideBySideGetPortsOfTheirOwn: what was found free for one is not given to another before it listens.
-func TestSitesSideBySideGetPortsOfTheirOwn(t *testing.T) {
+// TestFreeAddrsDoNotRepeat checks that an address that was returned to one site is not returned to another before the first listens.
+func TestFreeAddrsDoNotRepeat(t *testing.T) {
 	seen := map[string]bool{}
 	for range 60 {
 		list, err := FreeAddrs(48)
@@ -75,7 +76,7 @@
 		}
 		for _, a := range list {
 			if seen[a] {
-				t.Fatalf("%s is given twice", a)
+				t.Fatalf("address %s was returned twice", a)
 			}
 			seen[a] = true
 		}
--- a/internal/lab/rig/play.go
+++ b/internal/lab/rig/play.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Traps are how faults find the moment between a permit's check and its effect; a stand-in has one.
+// Traps lets faults of kind StopAct stop a box between a permit's check and its effect. The fake resource implements it.
 type Traps interface {
-	// Stop has stop called for a box that is about to act, before it does, and for the next one until stop says that it did.
+	// Stop has stop called with each box that is about to act, before its effect begins, until stop returns true.
 	Stop(stop func(box string) bool)
 }
 
-// Played are the faults that were carried out, by kind.
+// Played counts the injected faults by kind.
 type Played map[Kind]int
 
-// Sum is how many they were.
+// Sum returns the number of injected faults.
 func (p Played) Sum() (n int) {
 	for _, k := range p {
 		n += k
@@ -26,8 +26,8 @@
 	return n
 }
 
-// Play carries out a schedule and heals everything at its end. A fault that cannot be, because another one is under way at the
-// box or a majority of voters would lose its disks, is carried out as a lesser one or left out.
+// Play injects the faults of a schedule and restores all boxes and links at its end. A fault is skipped if another one is active at
+// the box, and it is replaced by Kill if a majority of voters could lose their disks.
 func (s *Site) Play(sched Schedule, traps Traps) (Played, error) {
 	played := Played{}
 	var mu sync.Mutex
@@ -37,7 +37,7 @@
 	for _, f := range sched {
 		time.Sleep(time.Until(began.Add(f.At)))
 		wait.Go(func() {
-			kind, err := s.carryOut(f, traps)
+			kind, err := s.inject(f, traps)
 			if err != nil {
 				errs <- fmt.Errorf("%v: %w", f, err)
 			}
@@ -51,8 +51,8 @@
 	wait.Wait()
 	s.Net.Heal()
 	for _, b := range s.Boxes {
-		b.stop(false)
-		b.fill(false)
+		b.setStopped(false)
+		b.setDiskFull(false)
 	}
 	select {
 	case err := <-errs:
@@ -62,11 +62,11 @@
 	}
 }
 
-// fill makes a box's disk be full, or not; a trial build.
-func (b *Box) fill(on bool) error {
+// setDiskFull makes a box's writes fail as on a full disk, or ends that. It needs a trial build.
+func (b *Box) setDiskFull(on bool) error {
 	var errs []error
 	for _, dir := range []string{"fleet", "audit"} {
-		at := filepath.Join(b.state(), dir, "full")
+		at := filepath.Join(b.stateDir(), dir, "full")
 		if on {
 			errs = append(errs, os.WriteFile(at, nil, 0o600))
 		} else if err := os.Remove(at); !errors.Is(err, os.ErrNotExist) {
@@ -76,14 +76,14 @@
 	return errors.Join(errs...)
 }
 
-// lose takes a box's state away. It is kept aside for whoever judges what was done.
-func (b *Box) lose() error {
-	return os.Rename(b.state(), filepath.Join(b.dir, fmt.Sprintf("lost-%d", time.Now().UnixNano())))
+// moveStateAside moves a box's state directory away. It is kept so that its audit can still be evaluated.
+func (b *Box) moveStateAside() error {
+	return os.Rename(b.stateDir(), filepath.Join(b.dir, fmt.Sprintf("lost-%d", time.Now().UnixNano())))
 }
 
-// Audits lists the folders of audits that a box has and had: the present one first, then those that it lost and those of twins.
+// Audits lists the audit directories of a box: the current one first, then those of lost state directories and of twins.
 func (b *Box) Audits() (list []string) {
-	list = []string{filepath.Join(b.state(), "audit")}
+	list = []string{filepath.Join(b.stateDir(), "audit")}
 	for _, pattern := range []string{"lost-*/audit", "twin-*/state/audit"} {
 		more, _ := filepath.Glob(filepath.Join(b.dir, pattern))
 		list = append(list, more...)
@@ -91,46 +91,47 @@
 	return list
 }
 
-// take reserves a box for a fault; false means that another one is under way at it.
-func (b *Box) take() bool {
+// reserve marks a box as having an active fault. It returns false if another fault is active at it.
+func (b *Box) reserve() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.busy {
+	if b.faultActive {
 		return false
 	}
-	b.busy = true
+	b.faultActive = true
 	return true
 }
 
-func (b *Box) done() {
+func (b *Box) unreserve() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.busy = false
+	b.faultActive = false
 }
 
-// mayLose tells whether a box may lose its disk: it does not vote, or all other voters have theirs.
-func (s *Site) mayLose(b *Box) bool {
+// mayLoseDisk reports whether a box may lose its disk: it is no voter, or all other voters answer and still have their disks.
+// A voter that may lose its disk is marked as having lost it.
+func (s *Site) mayLoseDisk(b *Box) bool {
 	votes := false
 	for _, v := range s.cfg.Voters {
-		o := s.Boxes[v]
-		if o == b {
+		voter := s.Boxes[v]
+		if voter == b {
 			votes = true
 			continue
 		}
-		st, err := o.Status()
-		o.mu.Lock()
-		if err == nil && (st.Role == "voter" || st.Role == "leader") && !o.losing {
-			o.cold = false
+		status, err := voter.Status()
+		voter.mu.Lock()
+		if err == nil && (status.Role == "voter" || status.Role == "leader") && !voter.awaitingStart {
+			voter.diskLost = false
 		}
-		cold := o.cold
-		o.mu.Unlock()
-		if cold || err != nil || len(st.Voters) != len(s.cfg.Voters) {
+		lost := voter.diskLost
+		voter.mu.Unlock()
+		if lost || err != nil || len(status.Voters) != len(s.cfg.Voters) {
 			return !s.isVoter(b)
 		}
 	}
 	if votes {
 		b.mu.Lock()
-		b.cold, b.losing = true, true
+		b.diskLost, b.awaitingStart = true, true
 		b.mu.Unlock()
 	}
 	return true
@@ -145,16 +146,16 @@
 	return false
 }
 
-// lossy guards that only one voter at a time is found to be allowed to lose its disk.
-var lossy sync.Mutex
+// diskLossMu serializes calls of mayLoseDisk, so that two voters are not allowed to lose their disks at the same time.
+var diskLossMu sync.Mutex
 
-// carryOut plays one fault from its begin to its end and tells what it was played as; "" when it was left out.
-func (s *Site) carryOut(f Fault, traps Traps) (Kind, error) {
-	b, o := s.Boxes[f.Box%len(s.Boxes)], s.Boxes[f.Other%len(s.Boxes)]
+// inject injects one fault and waits until it is over. It returns the kind that was injected, or "" if the fault was skipped.
+func (s *Site) inject(f Fault, traps Traps) (Kind, error) {
+	b, other := s.Boxes[f.Box%len(s.Boxes)], s.Boxes[f.Other%len(s.Boxes)]
 	n := len(s.Boxes)
 	both := func(change func(*Flow)) {
-		s.Net.Set(b.Index, o.Index, change)
-		s.Net.Set(o.Index, b.Index, change)
+		s.Net.Set(b.Index, other.Index, change)
+		s.Net.Set(other.Index, b.Index, change)
 	}
 	all := func(out, in bool, change func(*Flow)) {
 		for i := range n {
@@ -177,29 +178,29 @@
 			b = l
 		}
 	}
-	switch kind { // faults of a process
+	switch kind { // faults of a box's process or disk
 	case Kill, Empty, OldCopy, Stop, Leader, StopLead, Full, Twin, Wall:
-		if !b.take() {
+		if !b.reserve() {
 			return "", nil
 		}
-		defer b.done()
+		defer b.unreserve()
 	}
-	if kind == Empty || kind == OldCopy || kind == Twin { // a twin may take its box's vote, and goes again
-		lossy.Lock()
-		if !s.mayLose(b) {
+	if kind == Empty || kind == OldCopy || kind == Twin { // a twin may take over its box's vote, and is killed at the end
+		diskLossMu.Lock()
+		if !s.mayLoseDisk(b) {
 			kind = Kill
 		}
-		lossy.Unlock()
+		diskLossMu.Unlock()
 	}
-	if kind != StopAct {
-		s.happened(b.Index, "%s for %v", kind, f.For)
-		defer s.happened(b.Index, "%s is over", kind)
+	if kind != StopAct { // package audits parses the two texts below
+		s.record(b.Index, "%s for %v", kind, f.For)
+		defer s.record(b.Index, "%s is over", kind)
 	}
 	switch kind {
 	case Stop, StopLead:
-		b.stop(true)
+		b.setStopped(true)
 		time.Sleep(f.For)
-		b.stop(false)
+		b.setStopped(false)
 	case StopAct:
 		if traps == nil {
 			return "", nil
@@ -207,15 +208,15 @@
 		over := make(chan bool, 1)
 		traps.Stop(func(box string) bool {
 			for _, t := range s.Boxes {
-				if t.Name == box && t.take() {
-					// Long enough for another box to have got the slot and acted.
+				if t.Name == box && t.reserve() {
+					// Long enough for another box to be granted the slot and to act.
 					span := s.cfg.Terms.Term*3/2 + time.Second + f.For/4
-					s.happened(t.Index, "stopped in an act for %v", span)
-					t.stop(true)
+					s.record(t.Index, "stopped in an act for %v", span)
+					t.setStopped(true)
 					go func() {
 						time.Sleep(span)
-						t.stop(false)
-						t.done()
+						t.setStopped(false)
+						t.unreserve()
 						over <- true
 					}()
 					return true
@@ -235,39 +236,39 @@
 	case Empty:
 		b.Kill()
 		time.Sleep(f.For)
-		if err := b.lose(); err != nil {
+		if err := b.moveStateAside(); err != nil {
 			return kind, err
 		}
 		return kind, b.Start()
 	case OldCopy:
 		old := filepath.Join(b.dir, fmt.Sprintf("old-%d", time.Now().UnixNano()))
-		b.stop(true)
-		err := copyDir(b.state(), old)
-		b.stop(false)
+		b.setStopped(true)
+		err := copyDir(b.stateDir(), old)
+		b.setStopped(false)
 		if err != nil {
 			return kind, err
 		}
 		time.Sleep(f.For)
 		b.Kill()
-		if err := b.lose(); err != nil {
+		if err := b.moveStateAside(); err != nil {
 			return kind, err
 		}
-		if err := copyDir(old, b.state()); err != nil {
+		if err := copyDir(old, b.stateDir()); err != nil {
 			return kind, err
 		}
 		return kind, b.Start()
 	case Full:
-		if err := b.fill(true); err != nil {
+		if err := b.setDiskFull(true); err != nil {
 			return kind, err
 		}
 		time.Sleep(f.For)
-		return kind, b.fill(false)
+		return kind, b.setDiskFull(false)
 	case Twin:
-		return kind, s.twin(b, f.For)
+		return kind, s.runTwin(b, f.For)
 	case OneWay:
-		s.Net.Set(b.Index, o.Index, cut)
+		s.Net.Set(b.Index, other.Index, cut)
 		time.Sleep(f.For)
-		s.Net.Set(b.Index, o.Index, heal)
+		s.Net.Set(b.Index, other.Index, heal)
 	case Deaf, Mute, Isolate:
 		all(kind != Deaf, kind != Mute, cut)
 		time.Sleep(f.For)
@@ -311,26 +312,26 @@
 			all(true, true, heal)
 			time.Sleep(each)
 		}
-	case Wall: // nobody starts it anew in between: what it counts from then on would be off for good
-		if err := replaceFile(b.wall(), fmt.Sprint(time.Duration(o.Index-b.Index)*time.Hour)); err != nil {
+	case Wall: // the box stays reserved, because a restart now would leave its clock off for good
+		if err := replaceFile(b.wallOffsetFile(), fmt.Sprint(time.Duration(other.Index-b.Index)*time.Hour)); err != nil {
 			return kind, err
 		}
 		time.Sleep(f.For)
-		return kind, os.Remove(b.wall())
+		return kind, os.Remove(b.wallOffsetFile())
 	case Key:
-		if !s.keying.TryLock() {
+		if !s.keyChangeMu.TryLock() {
 			return "", nil
 		}
-		defer s.keying.Unlock()
+		defer s.keyChangeMu.Unlock()
 		return kind, s.changeKey(f.For)
 	case Cold, All:
-		return kind, s.together(kind, f)
+		return kind, s.killMany(kind, f)
 	}
 	return kind, nil
 }
 
-// changeKey changes the fleet's key as the operators' page has it: both keys on all boxes, then the new one alone. After each
-// box its links are cut, so that it dials and is dialed by boxes that stand at another step.
+// changeKey rotates the fleet's key as documented for operators: first all boxes get both keys, then the new key alone. After each box
+// its connections are broken, so that boxes at different steps have to connect to each other.
 func (s *Site) changeKey(span time.Duration) error {
 	old := s.key
 	s.key = newKey()
@@ -339,10 +340,10 @@
 			if err := replaceFile(b.keyFile(), keys); err != nil {
 				return err
 			}
-			for _, o := range s.Boxes {
-				if o != b {
-					s.Net.Set(b.Index, o.Index, func(f *Flow) { f.Break = true })
-					s.Net.Set(o.Index, b.Index, func(f *Flow) { f.Break = true })
+			for _, other := range s.Boxes {
+				if other != b {
+					s.Net.Set(b.Index, other.Index, func(f *Flow) { f.Break = true })
+					s.Net.Set(other.Index, b.Index, func(f *Flow) { f.Break = true })
 				}
 			}
 			time.Sleep(span / time.Duration(2*len(s.Boxes)))
@@ -351,7 +352,7 @@
 	return nil
 }
 
-// replaceFile puts a file with a text in the place of what was there, never half.
+// replaceFile replaces a file atomically by one with the given text.
 func replaceFile(path, text string) error {
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		return err
@@ -359,32 +360,33 @@
 	return os.Rename(path+".new", path)
 }
 
-// together kills many at once. In Cold all that may lose their disks do, a majority of voters is left alone.
-func (s *Site) together(kind Kind, f Fault) error {
+// killMany kills all boxes at once and restarts them. With Cold it kills only those that may lose their disks and restarts these with
+// empty state; a majority of voters keeps running.
+func (s *Site) killMany(kind Kind, f Fault) error {
 	var wait sync.WaitGroup
 	errs := make(chan error, len(s.Boxes))
-	spared := 0
+	kept := 0
 	for _, b := range s.Boxes {
 		empty := false
 		if kind == Cold {
-			lossy.Lock()
-			empty = s.mayLose(b)
-			lossy.Unlock()
+			diskLossMu.Lock()
+			empty = s.mayLoseDisk(b)
+			diskLossMu.Unlock()
 			if !empty {
-				spared++
+				kept++
 				continue
 			}
 		}
-		if !b.take() {
+		if !b.reserve() {
 			continue
 		}
 		wait.Go(func() {
-			defer b.done()
+			defer b.unreserve()
 			b.Kill()
-			// They come back in an order of its own, and all within the span.
+			// The boxes restart in an order that depends on f.Other, all within f.For.
 			time.Sleep(f.For * time.Duration((b.Index*7+f.Other)%len(s.Boxes)) / time.Duration(len(s.Boxes)))
 			if empty {
-				if err := b.lose(); err != nil {
+				if err := b.moveStateAside(); err != nil {
 					errs <- err
 					return
 				}
@@ -403,20 +405,20 @@
 	}
 }
 
-// twin starts a copy of a box's folder beside it, under the same name. The later one is the box then, and the first one is told
-// so; at the end the twin is killed and the first one started anew, as an operator would.
-func (s *Site) twin(b *Box, span time.Duration) error {
+// runTwin runs a second process from a copy of a box's state, under the same name. The fleet takes the later process for the box and
+// notifies the first. At the end the twin is killed and the first one restarted, as an operator would do.
+func (s *Site) runTwin(b *Box, span time.Duration) error {
 	dir := filepath.Join(b.dir, fmt.Sprintf("twin-%d", time.Now().UnixNano()))
 	addrs, err := FreeAddrs(2)
 	if err != nil {
 		return err
 	}
-	if err := b.configure(dir, addrs[0], addrs[1]); err != nil {
+	if err := b.writeConfig(dir, addrs[0], addrs[1]); err != nil {
 		return err
 	}
-	b.stop(true)
-	err = copyDir(b.state(), filepath.Join(dir, "state"))
-	b.stop(false)
+	b.setStopped(true)
+	err = copyDir(b.stateDir(), filepath.Join(dir, "state"))
+	b.setStopped(false)
 	if err != nil {
 		return err
 	}
@@ -437,25 +439,25 @@
 	return b.Start()
 }
 
-// Harm kills a box and starts it anew after a span, or stops it for so long. It does not wait, and does nothing, with false, while
-// another fault is under way at the box.
+// Harm kills a box and restarts it after a span, or stops it with SIGSTOP for that span. It returns at once. While another fault is
+// active at the box, it does nothing and returns false.
 func (b *Box) Harm(kill bool, span time.Duration) bool {
-	if !b.take() {
+	if !b.reserve() {
 		return false
 	}
-	b.site.happened(b.Index, "harmed for %v, killed: %v", span, kill)
+	b.site.record(b.Index, "out of service for %v, killed: %v", span, kill)
 	if !kill {
-		b.stop(true)
+		b.setStopped(true)
 	} else {
 		b.Kill()
 	}
-	b.site.harms.Go(func() {
-		defer b.done()
+	b.site.outages.Go(func() {
+		defer b.unreserve()
 		time.Sleep(span)
 		if !kill {
-			b.stop(false)
+			b.setStopped(false)
 		} else if err := b.Start(); err != nil {
-			b.site.happened(b.Index, "it does not start: %v", err)
+			b.site.record(b.Index, "restart failed: %v", err)
 		}
 	})
 	return true
--- a/internal/lab/rig/process.go
+++ b/internal/lab/rig/process.go
@@ -1,6 +1,6 @@
-// Package rig starts several real processes of the program on loopback and injects faults into them and between them. Whatever
-// starts a second process of the program does it through this package. It judges by its own clock and by what the stand-ins
-// count, never by what the program says of itself.
+// Package rig starts several real processes of the program on loopback and injects faults into them and into the connections between
+// them. All code that runs further processes of the program starts them through this package. Results are evaluated by the rig's own
+// clock and by the counts of the fakes, not by what the program reports about itself.
 package rig
 
 import (
@@ -14,10 +14,10 @@
 	"syscall"
 )
 
-// outputKept is how much of the end of what a process prints is kept, in bytes.
-const outputKept = 64 << 10
+// maxOutput is how many of the last bytes of a process's output are kept.
+const maxOutput = 64 << 10
 
-// Process is one process, from its start to its end.
+// Process is a child process.
 type Process struct {
 	cmd   *exec.Cmd
 	out   output
@@ -25,7 +25,7 @@
 	err   error
 }
 
-// output keeps the end of what a process prints.
+// output keeps the last bytes of a process's output.
 type output struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -34,14 +34,14 @@
 func (o *output) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.buf.Len() > outputKept {
-		o.buf.Next(outputKept / 2)
+	if o.buf.Len() > maxOutput {
+		o.buf.Next(maxOutput / 2)
 	}
 	return o.buf.Write(p)
 }
 
-// Start starts a command. left is called once, when the process has ended; it may be nil. The process ends with the rig's.
-func Start(cmd *exec.Cmd, left func(*Process)) (*Process, error) {
+// Start starts a command. If onExit is not nil, it is called once, when the process has exited.
+func Start(cmd *exec.Cmd, onExit func(*Process)) (*Process, error) {
 	p := &Process{cmd: cmd, ended: make(chan struct{})}
 	cmd.Stderr = &p.out
 	if cmd.SysProcAttr == nil {
@@ -52,31 +52,31 @@
 	}
 	go func() {
 		p.err = cmd.Wait()
-		if left != nil {
-			left(p)
+		if onExit != nil {
+			onExit(p)
 		}
 		close(p.ended)
 	}()
 	return p, nil
 }
 
-// Log is the end of what it has printed.
+// Log returns the last part of the process's output on standard error.
 func (p *Process) Log() string {
 	p.out.mu.Lock()
 	defer p.out.mu.Unlock()
 	return p.out.buf.String()
 }
 
-// Ended closes when the process has ended; Err then tells how.
+// Ended returns a channel that is closed when the process has exited; Err returns the result then.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Err is how the process has ended, once it has.
+// Err returns the result of waiting for the process. It is valid once Ended is closed.
 func (p *Process) Err() error { return p.err }
 
-// Pid is the process's number.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal. One that has ended gets none.
+// Signal sends a signal. It returns os.ErrProcessDone if the process has exited.
 func (p *Process) Signal(s syscall.Signal) error {
 	select {
 	case <-p.ended:
@@ -86,14 +86,14 @@
 	}
 }
 
-// Kill ends it at once and waits for its end.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
 	<-p.ended
 }
 
-// TempDir makes a folder for a site: in memory where the system has such a place, so that a trial does not depend on how
-// busy the machine's disk is, and short, as the paths of sockets in it have a bound. The caller removes it.
+// TempDir creates a directory for a site. It uses /dev/shm if possible, so that a trial does not depend on how busy the machine's disk
+// is. The path is short because the paths of Unix sockets are limited. The caller removes the directory.
 func TempDir() (string, error) {
 	if dir, err := os.MkdirTemp("/dev/shm", "fl"); err == nil {
 		return dir, nil
@@ -101,14 +101,14 @@
 	return os.MkdirTemp("", "fl")
 }
 
-// Ports that are taken for listeners lie below those that the system gives to connections that go out: one of these would
-// else take a port between the time at which it was found free and the time at which a process listens.
+// Ports of listeners lie below the system's range of ephemeral ports. Otherwise an outgoing connection could take a port after it was
+// found free and before a process listens on it.
 const (
-	portLeast = 10240
-	portMost  = 32000
+	minPort = 10240
+	maxPort = 32000
 )
 
-// FreeAddr finds an address on loopback that nobody listens at.
+// FreeAddr returns a loopback address on which no process listens.
 func FreeAddr() (string, error) {
 	list, err := FreeAddrs(1)
 	if err != nil {
@@ -117,33 +117,33 @@
 	return list[0], nil
 }
 
-// given are the ports that were found for others: sites that are prepared side by side must not get each other's before they listen.
+// assignedPorts holds the ports that were returned before, so that sites that are prepared concurrently do not get the same ones.
 var (
-	givenMu sync.Mutex
-	given   = map[int]bool{}
+	assignedMu    sync.Mutex
+	assignedPorts = map[int]bool{}
 )
 
-// FreeAddrs finds so many at once, all different, and different from all that it has found before as long as there are such.
-func FreeAddrs(n int) (list []string, err error) {
-	givenMu.Lock()
-	defer givenMu.Unlock()
-	if len(given)+n > (portMost-portLeast)/2 {
-		clear(given)
+// FreeAddrs returns count different loopback addresses. It does not repeat an earlier address until half of the range was returned.
+func FreeAddrs(count int) (list []string, err error) {
+	assignedMu.Lock()
+	defer assignedMu.Unlock()
+	if len(assignedPorts)+count > (maxPort-minPort)/2 {
+		clear(assignedPorts)
 	}
-	for tries := 0; len(list) < n; tries++ {
-		port := portLeast + rand.IntN(portMost-portLeast)
-		if given[port] {
+	for attempts := 0; len(list) < count; attempts++ {
+		port := minPort + rand.IntN(maxPort-minPort)
+		if assignedPorts[port] {
 			continue
 		}
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
-			if tries > 50*n {
-				return nil, fmt.Errorf("rig: no free port is found: %w", err)
+			if attempts > 50*count {
+				return nil, fmt.Errorf("rig: no free port found in %d attempts: %w", attempts, err)
 			}
 			continue
 		}
 		defer ln.Close()
-		given[port] = true
+		assignedPorts[port] = true
 		list = append(list, ln.Addr().String())
 	}
 	return list, nil
--- a/internal/lab/rig/relay.go
+++ b/internal/lab/rig/relay.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Flow is what happens to the bytes of one direction between two boxes.
+// Flow describes how the bytes of one direction between two boxes are handled.
 type Flow struct {
-	Cut    bool          // they are lost: what has come so far is thrown away, and the connection stays open
-	Hold   bool          // they wait
-	Delay  time.Duration // they come so much later
-	Rate   int           // bytes a second; 0 is as fast as it goes
-	Refuse bool          // connections in this direction are closed at once
-	Break  bool          // the next piece is cut in its middle and the connection closed
+	Cut    bool          // bytes are read and dropped, and the connection stays open
+	Hold   bool          // bytes wait until this is reset
+	Delay  time.Duration // added latency
+	Rate   int           // bytes a second; 0 for no limit
+	Refuse bool          // new connections in this direction are closed at once
+	Break  bool          // only half of the next chunk is forwarded, then the connection is closed; resets itself
 }
 
-// Net is all relays between boxes: one for each direction in which a box may call another. A process reaches a peer only
-// through its relay, and what is scripted for a direction holds for the bytes that go in it, whoever has called.
+// Net holds the relays between boxes, one for each direction in which a box may connect to another. A process reaches a peer only
+// through its relay. The Flow of a direction applies to all bytes in that direction, whichever box opened the connection.
 type Net struct {
-	mu     sync.Mutex
-	flows  map[[2]int]Flow
-	wake   chan struct{} // closed at each change
-	relays []*relay
-	closed bool
-	lost   int // bytes
+	mu           sync.Mutex
+	flows        map[[2]int]Flow
+	changed      chan struct{} // closed and replaced whenever flows changes
+	relays       []*relay
+	closed       bool
+	droppedBytes int // bytes
 }
 
-// Lost is how many bytes were thrown away.
+// Lost returns how many bytes were dropped.
 func (n *Net) Lost() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.lost
+	return n.droppedBytes
 }
 
 type relay struct {
@@ -41,10 +41,10 @@
 	target   func() string
 }
 
-// NewNet returns a net without relays.
-func NewNet() *Net { return &Net{flows: map[[2]int]Flow{}, wake: make(chan struct{})} }
+// NewNet returns a Net without relays.
+func NewNet() *Net { return &Net{flows: map[[2]int]Flow{}, changed: make(chan struct{})} }
 
-// Relay opens the way from a box to another one, whose own address target tells.
+// Relay starts the relay from a box to another one and returns its address. The function target returns the other box's own address.
 func (n *Net) Relay(from, to int, target func() string) (addr string, err error) {
 	r := &relay{net: n, from: from, to: to, target: target}
 	if r.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -57,33 +57,33 @@
 	return r.ln.Addr().String(), nil
 }
 
-// Set scripts a direction.
+// Set changes the Flow of a direction.
 func (n *Net) Set(from, to int, change func(*Flow)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f := n.flows[[2]int{from, to}]
 	change(&f)
 	n.flows[[2]int{from, to}] = f
-	close(n.wake)
-	n.wake = make(chan struct{})
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
 func (n *Net) flow(from, to int) (Flow, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.flows[[2]int{from, to}], n.wake
+	return n.flows[[2]int{from, to}], n.changed
 }
 
-// Heal ends all that is scripted.
+// Heal resets the flows of all directions.
 func (n *Net) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.flows)
-	close(n.wake)
-	n.wake = make(chan struct{})
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// Close ends all relays.
+// Close closes the listeners of all relays and resets all flows.
 func (n *Net) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -101,44 +101,44 @@
 		if err != nil {
 			return
 		}
-		go r.carry(c)
+		go r.forward(c)
 	}
 }
 
-func (r *relay) carry(c net.Conn) {
-	defer c.Close()
+func (r *relay) forward(caller net.Conn) {
+	defer caller.Close()
 	if f, _ := r.net.flow(r.from, r.to); f.Refuse {
 		return
 	}
-	o, err := net.DialTimeout("tcp", r.target(), time.Second)
+	target, err := net.DialTimeout("tcp", r.target(), time.Second)
 	if err != nil {
 		return
 	}
-	defer o.Close()
+	defer target.Close()
 	var both sync.WaitGroup
-	both.Go(func() { r.net.pump(c, o, r.from, r.to); c.Close(); o.Close() })
-	both.Go(func() { r.net.pump(o, c, r.to, r.from); c.Close(); o.Close() })
+	both.Go(func() { r.net.copyDirection(caller, target, r.from, r.to); caller.Close(); target.Close() })
+	both.Go(func() { r.net.copyDirection(target, caller, r.to, r.from); caller.Close(); target.Close() })
 	both.Wait()
 }
 
-// piece is what was read at a time.
-type piece struct {
+// chunk is the result of one read.
+type chunk struct {
 	data []byte
 	at   time.Time
 }
 
-// pump carries one direction. Reading goes on while pieces wait for their time, up to a bound.
-func (n *Net) pump(from, to net.Conn, a, b int) {
-	pieces := make(chan piece, 64)
+// copyDirection copies the bytes of one direction. It reads on while chunks are delayed, up to the capacity of the channel.
+func (n *Net) copyDirection(from, to net.Conn, a, b int) {
+	chunks := make(chan chunk, 64)
 	ended := make(chan struct{})
 	go func() {
-		defer close(pieces)
+		defer close(chunks)
 		for {
 			buf := make([]byte, 32<<10)
-			k, err := from.Read(buf)
-			if k > 0 {
+			size, err := from.Read(buf)
+			if size > 0 {
 				select {
-				case pieces <- piece{buf[:k], time.Now()}:
+				case chunks <- chunk{buf[:size], time.Now()}:
 				case <-ended:
 					return
 				}
@@ -149,31 +149,31 @@
 		}
 	}()
 	defer close(ended)
-	for p := range pieces {
-		f, wake := n.flow(a, b)
+	for c := range chunks {
+		f, changed := n.flow(a, b)
 		for f.Hold {
-			<-wake
-			f, wake = n.flow(a, b)
+			<-changed
+			f, changed = n.flow(a, b)
 		}
 		if f.Delay > 0 {
-			time.Sleep(time.Until(p.at.Add(f.Delay)))
+			time.Sleep(time.Until(c.at.Add(f.Delay)))
 			f, _ = n.flow(a, b)
 		}
 		switch {
 		case f.Cut:
 			n.mu.Lock()
-			n.lost += len(p.data)
+			n.droppedBytes += len(c.data)
 			n.mu.Unlock()
 			continue
 		case f.Break:
 			n.Set(a, b, func(f *Flow) { f.Break = false })
-			to.Write(p.data[:len(p.data)/2])
+			to.Write(c.data[:len(c.data)/2])
 			return
 		}
 		if f.Rate > 0 {
-			time.Sleep(time.Duration(len(p.data)) * time.Second / time.Duration(f.Rate))
+			time.Sleep(time.Duration(len(c.data)) * time.Second / time.Duration(f.Rate))
 		}
-		if _, err := to.Write(p.data); err != nil {
+		if _, err := to.Write(c.data); err != nil {
 			return
 		}
 	}
--- a/internal/lab/rig/site.go
+++ b/internal/lab/rig/site.go
@@ -26,83 +26,83 @@
 	"cairnlane/internal/standin/router"
 )
 
-// SiteConfig is what a site of several boxes is started with.
+// SiteConfig configures a site of several boxes.
 type SiteConfig struct {
 	Seed     uint64
-	Dir      string // short: the paths of sockets in it have a bound
+	Dir      string // a short path, because the paths of Unix sockets are limited
 	Boxes    int
 	Voters   []int
 	Terms    lease.Terms
 	Election time.Duration
-	Example  string                        // the settings, as in examples/config.json
-	Serve    func(config string) *exec.Cmd // starts the program with a box's configuration
-	Env      func(box int) []string        // beside the system's; may be nil
-	Clocks   bool                          // run clocks fast and slow within the drift; a trial build
-	Sparse   bool                          // boxes that do not vote know the voters alone
+	Example  string                        // the path of a settings file such as examples/config.json
+	Serve    func(config string) *exec.Cmd // returns the command that runs the program with a box's configuration
+	Env      func(box int) []string        // variables in addition to the environment of this process; may be nil
+	Clocks   bool                          // run the boxes' clocks fast and slow within the drift; needs a trial build
+	Sparse   bool                          // boxes that are not voters have only the voters as peers
 	Load     bool                          // routers send requests to all boxes
-	// Shape changes the settings of a box before they are written, and Engine gives it another engine than the usual one; both may be nil.
+	// Shape changes the settings of a box before they are written. Engine returns the fake engine of a box in place of the default. Both may be nil.
 	Shape  func(box int, site map[string]any)
 	Engine func(box int) *engine.Engine
-	Extra  string // of a box's configuration, before the fleet's block
+	Extra  string // text that is inserted into each box's configuration before its fleet block
 }
 
-// Site is a fleet of real processes, each with its folder, stand-in engine and control socket. They reach each other through
-// relays alone.
+// Site is a fleet of real processes, each with its own directory, fake engine and control socket. They reach each other only through
+// relays.
 type Site struct {
-	cfg     SiteConfig
-	Net     *Net
-	Boxes   []*Box
-	Load    *Load
-	traffic Traffic
-	index   *index.Index // nil where runs call none
-	catalog *catalog.Catalog
-	began   time.Time
-	key     string     // a line of a key file
-	keying  sync.Mutex // one change of the key at a time
-	harms   sync.WaitGroup
+	cfg         SiteConfig
+	Net         *Net
+	Boxes       []*Box
+	Load        *Load
+	traffic     Traffic
+	index       *index.Index // nil if runs do not call the index
+	catalog     *catalog.Catalog
+	began       time.Time
+	key         string     // one line of a key file
+	keyChangeMu sync.Mutex // serializes changes of the key
+	outages     sync.WaitGroup
 
 	mu      sync.Mutex
 	history []Happening
 }
 
-// Happening is what the rig did, by its own clock.
+// Happening is something that the rig did, with the time since the site was created.
 type Happening struct {
 	At   time.Duration
 	Box  int
 	What string
 }
 
-// Box is one box of a site.
+// Box is one box of a site, with its process.
 type Box struct {
-	Name   string
-	Index  int
-	site   *Site
-	dir    string
-	listen string // of requests
-	fleet  string // where it hears peers
-	rate   float64
-	engine *engine.Address
-	core   *engine.Engine
-
-	mu      sync.Mutex // guards what follows
-	proc    *Process
-	starts  int
-	stopped bool
-	outages []span // killed or stopped
-	cold    bool   // it loses its disk or has lost it, and does not vote under a new identity yet
-	losing  bool   // and it was not started anew yet
-	busy    bool   // a fault is under way at it
+	Name        string
+	Index       int
+	site        *Site
+	dir         string
+	requestAddr string // where it listens for requests
+	fleetAddr   string // where it listens for peers
+	clockRate   float64
+	engineAddr  *engine.Address
+	fakeEngine  *engine.Engine
+
+	mu            sync.Mutex // guards the fields below
+	proc          *Process
+	starts        int
+	stopped       bool
+	outages       []outage // times at which it was killed or stopped
+	diskLost      bool     // it is about to lose or has lost its disk, and is not yet a voter under a new identity
+	awaitingStart bool     // diskLost was set, and the box has not been started since
+	faultActive   bool     // a fault is active at the box
 }
 
-type span struct{ from, to time.Time } // to is zero while it lasts
+type outage struct{ from, to time.Time } // to is zero until the outage ends
 
-// CallTakes is how long the index needs for a call in a trial.
+// CallTakes is how long the fake index takes for a call in a trial.
 const CallTakes = 4 * time.Millisecond
 
-// deadline is the longest of the classes' in a site.
+// deadline is the deadline of all classes in a site, unless Shape changes it.
 const deadline = 800 * time.Millisecond
 
-// NewSite prepares a site; Start starts its boxes.
+// NewSite starts the fakes of a site and writes the configurations of its boxes. Start starts the boxes.
 func NewSite(cfg SiteConfig) (*Site, error) {
 	s := &Site{cfg: cfg, Net: NewNet(), began: time.Now(), key: newKey()}
 	var err error
@@ -121,109 +121,109 @@
 	if err != nil {
 		return nil, err
 	}
-	src := mrand.New(mrand.NewPCG(cfg.Seed, 77))
+	random := mrand.New(mrand.NewPCG(cfg.Seed, 77))
 	for i := range cfg.Boxes {
-		b := &Box{Name: fmt.Sprintf("n%d", i), Index: i, site: s, dir: filepath.Join(cfg.Dir, fmt.Sprint(i)), listen: addrs[2*i], fleet: addrs[2*i+1], rate: 1}
+		b := &Box{Name: fmt.Sprintf("n%d", i), Index: i, site: s, dir: filepath.Join(cfg.Dir, fmt.Sprint(i)), requestAddr: addrs[2*i], fleetAddr: addrs[2*i+1], clockRate: 1}
 		if cfg.Clocks {
-			b.rate = 1 + cfg.Terms.Drift*[]float64{-1, 1, 0.5, -0.5, 0}[src.IntN(5)]
+			b.clockRate = 1 + cfg.Terms.Drift*[]float64{-1, 1, 0.5, -0.5, 0}[random.IntN(5)]
 		}
-		work := mrand.New(mrand.NewPCG(cfg.Seed, uint64(1000+i)))
+		runTimes := mrand.New(mrand.NewPCG(cfg.Seed, uint64(1000+i)))
 		var mu sync.Mutex
-		b.core = engine.New(func(string) time.Duration {
+		b.fakeEngine = engine.New(func(string) time.Duration {
 			mu.Lock()
 			defer mu.Unlock()
-			return time.Duration(3+work.ExpFloat64()*10) * time.Millisecond
+			return time.Duration(3+runTimes.ExpFloat64()*10) * time.Millisecond
 		})
 		if cfg.Engine != nil {
-			b.core = cfg.Engine(i)
+			b.fakeEngine = cfg.Engine(i)
 		}
-		b.core.Calls(s.traffic.Calls)
-		if b.engine, err = b.core.Listen(); err != nil {
+		b.fakeEngine.Calls(s.traffic.Calls)
+		if b.engineAddr, err = b.fakeEngine.Listen(); err != nil {
 			return nil, err
 		}
 		s.Boxes = append(s.Boxes, b)
 	}
 	for _, b := range s.Boxes {
-		if err := b.configure(b.dir, b.listen, b.fleet); err != nil {
+		if err := b.writeConfig(b.dir, b.requestAddr, b.fleetAddr); err != nil {
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-// configure writes a box's configuration into a folder.
-func (b *Box) configure(dir, listen, fleetAddr string) error {
-	s := b.site
+// writeConfig writes a box's configuration into a directory.
+func (b *Box) writeConfig(dir, listen, fleetAddr string) error {
+	owner := b.site
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	raw, err := os.ReadFile(s.cfg.Example)
+	raw, err := os.ReadFile(owner.cfg.Example)
 	if err != nil {
 		return err
 	}
-	var c map[string]any
-	if err := json.Unmarshal(raw, &c); err != nil {
+	var site map[string]any
+	if err := json.Unmarshal(raw, &site); err != nil {
 		return err
 	}
-	c["name"], c["listen"], c["engine"], c["directory"] = b.Name, listen, b.engine.String(), s.catalog.String()
-	if s.index != nil {
-		c["index"] = s.index.String()
+	site["name"], site["listen"], site["engine"], site["directory"] = b.Name, listen, b.engineAddr.String(), owner.catalog.String()
+	if owner.index != nil {
+		site["index"] = owner.index.String()
 	}
-	c["stop_ms"] = 1000
-	c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 96, "sockets": 512}
-	set := c["settings"].(map[string]any)
-	for _, l := range set["lanes"].([]any) {
-		lane := l.(map[string]any)
+	site["stop_ms"] = 1000
+	site["limits"] = map[string]any{"cores": 1.0, "memory_mb": 96, "sockets": 512}
+	settings := site["settings"].(map[string]any)
+	for _, entry := range settings["lanes"].([]any) {
+		lane := entry.(map[string]any)
 		lane["deadline"], lane["aim"] = deadline.Microseconds(), deadline.Microseconds()/2
 	}
-	set["guarantees"].(map[string]any)["drain-grace"] = 100_000
-	if s.cfg.Shape != nil {
-		s.cfg.Shape(b.Index, c)
+	settings["guarantees"].(map[string]any)["drain-grace"] = 100_000
+	if owner.cfg.Shape != nil {
+		owner.cfg.Shape(b.Index, site)
 	}
-	if raw, err = json.Marshal(c); err != nil {
+	if raw, err = json.Marshal(site); err != nil {
 		return err
 	}
 	var hcl strings.Builder
-	fmt.Fprintf(&hcl, "replica = \"site.json\"\nstate = \"state\"\n%s\nfleet {\n listen = %q\n key_file = %q\n election_ms = %d\n", s.cfg.Extra, fleetAddr, b.keyFile(), s.cfg.Election.Milliseconds())
-	for _, o := range s.Boxes {
-		if s.cfg.Sparse && o != b && !s.isVoter(b) && !s.isVoter(o) {
+	fmt.Fprintf(&hcl, "replica = \"site.json\"\nstate = \"state\"\n%s\nfleet {\n listen = %q\n key_file = %q\n election_ms = %d\n", owner.cfg.Extra, fleetAddr, b.keyFile(), owner.cfg.Election.Milliseconds())
+	for _, peer := range owner.Boxes {
+		if owner.cfg.Sparse && peer != b && !owner.isVoter(b) && !owner.isVoter(peer) {
 			continue
 		}
-		at := o.fleet
-		if o != b {
-			if at, err = s.Net.Relay(b.Index, o.Index, func() string { return o.fleet }); err != nil {
+		address := peer.fleetAddr
+		if peer != b {
+			if address, err = owner.Net.Relay(b.Index, peer.Index, func() string { return peer.fleetAddr }); err != nil {
 				return err
 			}
 		}
-		fmt.Fprintf(&hcl, " peer %q {\n  address = %q\n }\n", o.Name, at)
+		fmt.Fprintf(&hcl, " peer %q {\n  address = %q\n }\n", peer.Name, address)
 	}
 	hcl.WriteString("}\n")
-	if _, err := os.Stat(b.keyFile()); err != nil { // a twin has that of its box
-		if err := replaceFile(b.keyFile(), s.key); err != nil {
+	if _, err := os.Stat(b.keyFile()); err != nil { // a twin uses the key file of its box
+		if err := replaceFile(b.keyFile(), owner.key); err != nil {
 			return err
 		}
 	}
 	return errors.Join(os.WriteFile(filepath.Join(dir, "site.json"), raw, 0o600), os.WriteFile(filepath.Join(dir, "a.hcl"), []byte(hcl.String()), 0o600))
 }
 
-// happened notes what the rig does.
-func (s *Site) happened(box int, format string, args ...any) {
+// record adds an entry to the history.
+func (s *Site) record(box int, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = append(s.history, Happening{time.Since(s.began), box, fmt.Sprintf(format, args...)})
 }
 
-// At is when something happened, by the machine's clock.
+// At returns the time of an entry of the history.
 func (s *Site) At(h Happening) time.Time { return s.began.Add(h.At) }
 
-// History is what the rig did so far.
+// History returns what the rig has done so far.
 func (s *Site) History() []Happening {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Happening(nil), s.history...)
 }
 
-// Start starts all boxes, begins the fleet at the first voter and waits until all are in.
+// Start starts all boxes, initializes the fleet at the first voter, waits until all boxes have joined and starts the load if there is one.
 func (s *Site) Start() error {
 	for _, b := range s.Boxes {
 		if err := b.Start(); err != nil {
@@ -235,8 +235,8 @@
 	for _, v := range s.cfg.Voters {
 		names = append(names, s.Boxes[v].Name)
 	}
-	if err := until(20*time.Second, func() error { return first.Control().Fleet().Init(s.cfg.Terms, names) }); err != nil {
-		return fmt.Errorf("rig: the fleet cannot be begun: %w\n%s", err, first.Log())
+	if err := retryUntil(20*time.Second, func() error { return first.Control().Fleet().Init(s.cfg.Terms, names) }); err != nil {
+		return fmt.Errorf("rig: the fleet could not be initialized: %w\n%s", err, first.Log())
 	}
 	if err := s.Settle(30 * time.Second); err != nil {
 		return err
@@ -244,59 +244,59 @@
 	if s.cfg.Load {
 		s.Load = &Load{Seed: s.cfg.Seed, Traffic: s.traffic, Limit: deadline * 3 / 4, Pause: 20 * time.Millisecond, Excused: s.excused, Engines: func() (list []*engine.Engine) {
 			for _, b := range s.Boxes {
-				list = append(list, b.core)
+				list = append(list, b.fakeEngine)
 			}
 			return list
 		}}
 		for _, b := range s.Boxes {
-			s.Load.Routers = append(s.Load.Routers, &router.Router{Addr: b.listen})
+			s.Load.Routers = append(s.Load.Routers, &router.Router{Addr: b.requestAddr})
 		}
 		s.Load.Begin()
 	}
 	return nil
 }
 
-// until tries something again until it gives no error or the time is over.
-func until(most time.Duration, try func() error) error {
+// retryUntil repeats attempt until it succeeds or the timeout has passed.
+func retryUntil(timeout time.Duration, attempt func() error) error {
 	var err error
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if err = try(); err == nil {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		if err = attempt(); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-// Settle waits until all boxes are in, agree, and all that are to vote do.
-func (s *Site) Settle(most time.Duration) error {
-	s.harms.Wait()
-	err := until(most, func() error {
+// Settle waits until all boxes have joined the fleet and agree, and all configured voters vote.
+func (s *Site) Settle(timeout time.Duration) error {
+	s.outages.Wait()
+	err := retryUntil(timeout, func() error {
 		for _, b := range s.Boxes {
-			st, err := b.Status()
+			status, err := b.Status()
 			if err != nil {
 				return fmt.Errorf("%s: %w", b.Name, err)
 			}
-			if st.Phase != "in" || !st.Agrees || len(st.Voters) != len(s.cfg.Voters) {
-				return fmt.Errorf("%s: phase %s, agrees %v, voters %v: %s", b.Name, st.Phase, st.Agrees, st.Voters, st.Reason)
+			if status.Phase != "in" || !status.Agrees || len(status.Voters) != len(s.cfg.Voters) {
+				return fmt.Errorf("%s: phase %s, agrees %v, voters %v: %s", b.Name, status.Phase, status.Agrees, status.Voters, status.Reason)
 			}
 			for _, v := range s.cfg.Voters {
-				if b.Index == v && st.Role != "voter" && st.Role != "leader" {
-					return fmt.Errorf("%s: its role is %s", b.Name, st.Role)
+				if b.Index == v && status.Role != "voter" && status.Role != "leader" {
+					return fmt.Errorf("%s: its role is %s", b.Name, status.Role)
 				}
 			}
 			b.mu.Lock()
-			b.cold = b.losing
+			b.diskLost = b.awaitingStart
 			b.mu.Unlock()
 		}
 		return nil
 	})
 	if err != nil {
-		return fmt.Errorf("rig: the fleet does not come to rest: %w", err)
+		return fmt.Errorf("rig: the fleet did not settle within %v: %w", timeout, err)
 	}
 	return nil
 }
 
-// Close ends all.
+// Close stops the load, kills all boxes and closes the relays and the fakes.
 func (s *Site) Close() {
 	if s.Load != nil {
 		s.Load.End()
@@ -308,7 +308,7 @@
 		if p != nil {
 			p.Kill()
 		}
-		b.engine.Close()
+		b.engineAddr.Close()
 	}
 	s.Net.Close()
 	s.catalog.Close()
@@ -317,23 +317,24 @@
 	}
 }
 
-// excused tells whether a box was killed or stopped at some time since.
+// excused reports whether a box was killed or stopped since a time.
 func (s *Site) excused(router int, since time.Time) bool {
 	b := s.Boxes[router]
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, o := range b.outages {
-		// A moment more: a process that has just come back has much to catch up on.
-		if o.to.IsZero() || o.to.Add(outageRest).After(since) {
+		// Requests shortly after the outage are excused too, because the process has a backlog to work off.
+		if o.to.IsZero() || o.to.Add(recoveryTime).After(since) {
 			return true
 		}
 	}
 	return false
 }
 
-const outageRest = 300 * time.Millisecond
+// recoveryTime is how long after an outage failures of requests are still excused.
+const recoveryTime = 300 * time.Millisecond
 
-// Out tells whether a box was killed or stopped at some time between two.
+// Out reports whether the box was killed or stopped at some time between from and to.
 func (b *Box) Out(from, to time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -345,10 +346,10 @@
 	return false
 }
 
-// down and up keep the times at which the box is not there; b.mu is held.
-func (b *Box) down() { b.outages = append(b.outages, span{from: time.Now()}) }
+// beginOutage and endOutages record when the box is out of service. The caller holds b.mu.
+func (b *Box) beginOutage() { b.outages = append(b.outages, outage{from: time.Now()}) }
 
-func (b *Box) up() {
+func (b *Box) endOutages() {
 	for i := range b.outages {
 		if b.outages[i].to.IsZero() {
 			b.outages[i].to = time.Now()
@@ -356,7 +357,7 @@
 	}
 }
 
-// Start starts the box's process and waits until it takes clients.
+// Start starts the box's process and waits until it accepts clients.
 func (b *Box) Start() error {
 	cmd := b.site.cfg.Serve(filepath.Join(b.dir, "a.hcl"))
 	if cmd.Env == nil {
@@ -365,9 +366,9 @@
 	if b.site.cfg.Env != nil {
 		cmd.Env = append(cmd.Env, b.site.cfg.Env(b.Index)...)
 	}
-	cmd.Env = append(cmd.Env, "CAIRNLANE_TRIAL_WALL="+b.wall())
-	if b.rate != 1 {
-		cmd.Env = append(cmd.Env, fmt.Sprintf("CAIRNLANE_TRIAL_CLOCK_RATE=%v", b.rate))
+	cmd.Env = append(cmd.Env, "CAIRNLANE_TRIAL_WALL="+b.wallOffsetFile())
+	if b.clockRate != 1 {
+		cmd.Env = append(cmd.Env, fmt.Sprintf("CAIRNLANE_TRIAL_CLOCK_RATE=%v", b.clockRate))
 	}
 	p, err := Start(cmd, nil)
 	if err != nil {
@@ -377,43 +378,43 @@
 	b.proc, b.stopped = p, false
 	b.starts++
 	b.mu.Unlock()
-	err = until(10*time.Second, func() error {
+	err = retryUntil(10*time.Second, func() error {
 		select {
 		case <-p.Ended():
-			return fmt.Errorf("it has ended: %v", p.Err())
+			return fmt.Errorf("the process has exited: %v", p.Err())
 		default:
 		}
 		_, err := b.Control().Ask("check")
 		return err
 	})
 	if err != nil {
-		return fmt.Errorf("rig: %s does not take clients: %w\n%s", b.Name, err, p.Log())
+		return fmt.Errorf("rig: %s does not accept clients: %w\n%s", b.Name, err, p.Log())
 	}
 	b.mu.Lock()
-	b.losing = false
-	b.up()
+	b.awaitingStart = false
+	b.endOutages()
 	b.mu.Unlock()
 	return nil
 }
 
-// Addr is where the box takes requests, Engine where its engine listens.
-func (b *Box) Addr() string            { return b.listen }
-func (b *Box) Engine() *engine.Address { return b.engine }
+// Addr is where the box listens for requests, and Engine where its fake engine listens.
+func (b *Box) Addr() string            { return b.requestAddr }
+func (b *Box) Engine() *engine.Address { return b.engineAddr }
 
-// Began tells whether the box's engine has begun a run under an id; Born says when the engine came up.
-func (b *Box) Began(id string) bool { return b.core.Began(id) }
-func (b *Box) Born(at time.Time)    { b.core.Born(at) }
+// Began reports whether the box's engine has started a run with an id. Born sets the time at which the engine reports to have started.
+func (b *Box) Began(id string) bool { return b.fakeEngine.Began(id) }
+func (b *Box) Born(at time.Time)    { b.fakeEngine.Born(at) }
 
-// Catalog is the stand-in to which all boxes report.
+// Catalog returns the fake catalog to which all boxes report.
 func (s *Site) Catalog() *catalog.Catalog { return s.catalog }
 
-// Configure writes the box's configuration anew, as its shape is now; the next start takes it.
-func (b *Box) Configure() error { return b.configure(b.dir, b.listen, b.fleet) }
+// Configure rewrites the box's configuration with the current result of Shape. It takes effect at the next start.
+func (b *Box) Configure() error { return b.writeConfig(b.dir, b.requestAddr, b.fleetAddr) }
 
-// Kill ends the box's process at once.
+// Kill sends SIGKILL to the box's process and waits until it has exited.
 func (b *Box) Kill() {
 	b.mu.Lock()
-	b.down()
+	b.beginOutage()
 	p := b.proc
 	b.mu.Unlock()
 	if p != nil {
@@ -421,8 +422,8 @@
 	}
 }
 
-// Signal stops or continues the box's process.
-func (b *Box) stop(on bool) {
+// setStopped stops the box's process with SIGSTOP or continues it with SIGCONT.
+func (b *Box) setStopped(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.stopped == on || b.proc == nil {
@@ -430,15 +431,15 @@
 	}
 	b.stopped = on
 	if on {
-		b.down()
+		b.beginOutage()
 		b.proc.Signal(syscall.SIGSTOP)
 		return
 	}
 	b.proc.Signal(syscall.SIGCONT)
-	b.up()
+	b.endOutages()
 }
 
-// Log is the end of what the box's process has printed.
+// Log returns the last part of the output of the box's process.
 func (b *Box) Log() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -448,7 +449,7 @@
 	return b.proc.Log()
 }
 
-// Pid is the number of the box's process.
+// Pid returns the id of the box's process, or 0 if there is none.
 func (b *Box) Pid() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -458,16 +459,16 @@
 	return b.proc.Pid()
 }
 
-// Socket is the box's control socket.
+// Socket returns the path of the box's control socket.
 func (b *Box) Socket() string { return filepath.Join(b.dir, "state", "control.sock") }
 
-// Control asks the box's process.
+// Control returns a client of the box's control socket.
 func (b *Box) Control() *control.Client { return control.NewClient(b.Socket()) }
 
-// askTime bounds a question to a box that may be stopped.
-const askTime = 500 * time.Millisecond
+// statusTimeout bounds a status request, because the box may be stopped.
+const statusTimeout = 500 * time.Millisecond
 
-// Status asks how the box stands to its fleet. One that does not answer within a moment gives an error.
+// Status returns the box's view of its fleet. It gives an error if the box does not answer within statusTimeout.
 func (b *Box) Status() (fleet.Status, error) {
 	type answer struct {
 		s   fleet.Status
@@ -481,12 +482,12 @@
 	select {
 	case a := <-c:
 		return a.s, a.err
-	case <-time.After(askTime):
-		return fleet.Status{}, errors.New("no answer")
+	case <-time.After(statusTimeout):
+		return fleet.Status{}, fmt.Errorf("no status from %s within %v", b.Name, statusTimeout)
 	}
 }
 
-// Leader finds who leads.
+// Leader returns the box that leads, or nil if none is found.
 func (s *Site) Leader() *Box {
 	for _, b := range s.Boxes {
 		b.mu.Lock()
@@ -499,21 +500,21 @@
 	return nil
 }
 
-// newKey makes a line of a key file.
+// newKey returns a line of a key file with a random key.
 func newKey() string {
 	key := make([]byte, 32)
 	rand.Read(key)
 	return base64.StdEncoding.EncodeToString(key) + "\n"
 }
 
-// keyFile and wall are the box's key of the fleet and, while it lasts, the jump of its time of day.
-func (b *Box) keyFile() string { return filepath.Join(b.dir, "fleet.key") }
-func (b *Box) wall() string    { return filepath.Join(b.dir, "wall") }
+// keyFile holds the fleet's key. wallOffsetFile holds the offset of the box's wall clock while a fault of kind Wall is active.
+func (b *Box) keyFile() string        { return filepath.Join(b.dir, "fleet.key") }
+func (b *Box) wallOffsetFile() string { return filepath.Join(b.dir, "wall") }
 
-// state is the folder with what outlives a restart.
-func (b *Box) state() string { return filepath.Join(b.dir, "state") }
+// stateDir is the directory of the state that survives a restart.
+func (b *Box) stateDir() string { return filepath.Join(b.dir, "state") }
 
-// copyDir copies the regular files of a folder.
+// copyDir copies the directories and regular files below a directory.
 func copyDir(from, to string) error {
 	return filepath.WalkDir(from, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
--- a/internal/lab/rig/traffic.go
+++ b/internal/lab/rig/traffic.go
@@ -9,40 +9,40 @@
 	"cairnlane/policy"
 )
 
-// Traffic is what the requests of a load are: a tenant and classes of a site's settings.
+// Traffic is the tenant and the classes that a load uses, taken from a site's settings.
 type Traffic struct {
 	Tenant string
-	Safe   string // a class whose requests may run again; empty where all are keyed
+	Safe   string // a class whose requests may run more than once; empty if all classes are keyed
 	Keyed  []KeyedClass
-	Calls  bool // runs call the index that all replicas share
+	Calls  bool // runs call the index, which all replicas share
 }
 
-// KeyedClass is a class of which a request with the same key runs once within a window. The rules have a replica keep the key for as long.
+// KeyedClass is a class whose requests with the same idempotency key run once within Window. A replica must store the key that long.
 type KeyedClass struct {
 	Name   string
 	Window time.Duration
 }
 
-// ErrNoTraffic marks settings of which no load can be made.
-var ErrNoTraffic = errors.New("rig: no traffic")
+// ErrNoTraffic is returned for settings without a class that a load can use.
+var ErrNoTraffic = errors.New("rig: no class usable for a load")
 
-// TrafficOf takes it from a replica's configuration: the first tenant, the first safe class and all keyed ones.
+// TrafficOf reads a replica's configuration file and selects the first tenant, the first safe class and all keyed classes.
 func TrafficOf(config string) (t Traffic, err error) {
 	s, err := settings.Read(config)
 	if err != nil {
 		return t, err
 	}
-	c := s.Policy(0)
-	t.Calls = c.Dependency == policy.SharedDependency
-	if len(c.Tenants) > 0 {
-		t.Tenant = c.Tenants[0].Name
+	cfg := s.Policy(0)
+	t.Calls = cfg.Dependency == policy.SharedDependency
+	if len(cfg.Tenants) > 0 {
+		t.Tenant = cfg.Tenants[0].Name
 	}
-	for _, k := range c.Classes {
+	for _, class := range cfg.Classes {
 		switch {
-		case k.Semantics == policy.Keyed:
-			t.Keyed = append(t.Keyed, KeyedClass{k.Name, k.DedupWindow})
-		case k.Semantics == policy.Safe && t.Safe == "":
-			t.Safe = k.Name
+		case class.Semantics == policy.Keyed:
+			t.Keyed = append(t.Keyed, KeyedClass{class.Name, class.DedupWindow})
+		case class.Semantics == policy.Safe && t.Safe == "":
+			t.Safe = class.Name
 		}
 	}
 	if t.Safe == "" && len(t.Keyed) == 0 {
--- a/internal/lab/rig/traffic_test.go
+++ b/internal/lab/rig/traffic_test.go
@@ -14,8 +14,8 @@
 	images   = "../../../examples/images/config.json"
 )
 
-// TestALoadIsOfItsSite: tenant and classes are found by what the settings say of them, wherever they stand in their lists.
-func TestALoadIsOfItsSite(t *testing.T) {
+// TestTrafficFromSettings checks that the tenant and the classes are selected by their properties, not by their place in the lists.
+func TestTrafficFromSettings(t *testing.T) {
 	const allKeyed = `{"settings":{"lanes":[{"name":"b","semantics":"idempotency_key","dedup-window":3000000}]}}`
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(allKeyed), 0o600); err != nil {
@@ -27,13 +27,13 @@
 		path:     {Keyed: []KeyedClass{{"b", 3 * time.Second}}},
 	} {
 		if got, err := TrafficOf(config); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %+v, %v", config, got, err)
+			t.Errorf("%s: got %+v, %v; want %+v", config, got, err, want)
 		}
 	}
 	if err := os.WriteFile(path, []byte(`{"settings":{"lanes":[{"name":"c","semantics":"non_idempotent"}]}}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := TrafficOf(path); !errors.Is(err, ErrNoTraffic) {
-		t.Errorf("no class of which a load can be made: %v", err)
+		t.Errorf("settings without a usable class: got error %v, want %v", err, ErrNoTraffic)
 	}
 }
--- a/internal/lab/rigtest/rigtest.go
+++ b/internal/lab/rigtest/rigtest.go
@@ -1,4 +1,4 @@
-// Package rigtest lets a test's own binary be the boxes of a site, so that short forms of trials need no other program.
+// Package rigtest lets a test binary also run as the boxes of a site, so that the short forms of trials need no other program.
 package rigtest
 
 import (
@@ -11,11 +11,11 @@
 	"cairnlane/internal/lab/actor"
 )
 
-const serveEnv = "CAIRNLANE_TEST_SERVE"
+const serveVariable = "CAIRNLANE_TEST_SERVE"
 
-// Main runs the tests, or is a box's process when a trial has started this binary again.
+// Main runs the tests, or runs a box if this process was started with the command of Serve.
 func Main(m *testing.M) {
-	path := os.Getenv(serveEnv)
+	path := os.Getenv(serveVariable)
 	if path == "" {
 		os.Exit(m.Run())
 	}
@@ -26,9 +26,9 @@
 	os.Exit(1)
 }
 
-// Serve starts this binary as a box with a configuration.
+// Serve returns the command that runs this binary as a box with the configuration at path.
 func Serve(path string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), serveEnv+"="+path)
+	cmd.Env = append(os.Environ(), serveVariable+"="+path)
 	return cmd
 }
