--- a/internal/lab/audits/audits_test.go
+++ b/internal/lab/audits/audits_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) { rigtest.Main(m) }
 
-// TestTheAuditsAnswerWhatWasSeen is the short form of `make audit`: it judges rules and counts, not times.
-func TestTheAuditsAnswerWhatWasSeen(t *testing.T) {
+// TestAuditsMatchObservations is the short form of `make audit`: it checks invariants and counts, not times.
+func TestAuditsMatchObservations(t *testing.T) {
 	dir, err := rig.TempDir()
 	if err != nil {
 		t.Fatal(err)
@@ -41,14 +41,14 @@
 		t.Fatal(err)
 	}
 	if missed := f.Missed(); len(missed) > 0 {
-		t.Errorf("missed %s\n%s", strings.Join(missed, ", "), strings.Join(f.Notes, "\n"))
+		t.Errorf("missed bounds: %s\n%s", strings.Join(missed, ", "), strings.Join(f.Notes, "\n"))
 	}
 	t.Log(f)
 }
 
-// TestAWantedEndThatDoesNotComeIsCounted, when no faults decide on it.
-func TestAWantedEndThatDoesNotComeIsCounted(t *testing.T) {
-	late, done := errors.New("it goes on"), map[uint64]rollout.Rollout{1: {To: 7, Phase: rollout.Done}}
+// TestUnwantedEndIsCountedWithoutFaults checks that a rollout that does not end as its script wants is counted, unless faults are injected.
+func TestUnwantedEndIsCountedWithoutFaults(t *testing.T) {
+	late, done := errors.New("the rollout goes on"), map[uint64]rollout.Rollout{1: {To: 7, Phase: rollout.Done}}
 	for name, x := range map[string]struct {
 		want      string
 		faults    int
@@ -56,33 +56,33 @@
 		late      error
 		unsettled int
 	}{
-		"as wanted":                  {"done", 0, done, nil, 0},
-		"another end":                {"returned", 0, done, nil, 1},
-		"another end under faults":   {"returned", 3, done, nil, 0},
-		"none in time":               {"done", 0, nil, late, 1},
-		"none in time, none wanted":  {"", 0, nil, late, 0},
-		"none in time, under faults": {"done", 3, nil, late, 0},
+		"the wanted end":               {"done", 0, done, nil, 0},
+		"another end":                  {"returned", 0, done, nil, 1},
+		"another end under faults":     {"returned", 3, done, nil, 0},
+		"no end in time":               {"done", 0, nil, late, 1},
+		"no end in time, none wanted":  {"", 0, nil, late, 0},
+		"no end in time, under faults": {"done", 3, nil, late, 0},
 	} {
-		tr := &trial{cfg: Config{Faults: x.faults, Progress: io.Discard}, fig: &Figures{}, ends: x.ends}
-		tr.ended(Script{Name: name, Want: x.want}, 7, x.late)
-		if tr.fig.Unsettled != x.unsettled || len(tr.fig.Notes) != x.unsettled {
-			t.Errorf("%s: %d unsettled, not %d; %v", name, tr.fig.Unsettled, x.unsettled, tr.fig.Notes)
+		tr := &trial{cfg: Config{Faults: x.faults, Progress: io.Discard}, figures: &Figures{}, finished: x.ends}
+		tr.checkEnd(Script{Name: name, Want: x.want}, 7, x.late)
+		if tr.figures.Unsettled != x.unsettled || len(tr.figures.Notes) != x.unsettled {
+			t.Errorf("%s: got %d unsettled, want %d; notes %v", name, tr.figures.Unsettled, x.unsettled, tr.figures.Notes)
 		}
 	}
 }
 
-// TestABoundThatIsMissedIsSaid: the figures are of use only if they can be bad.
-func TestABoundThatIsMissedIsSaid(t *testing.T) {
+// TestMissedInFullReportsEachBound checks that each bound can be missed: bad figures must be reported as such.
+func TestMissedInFullReportsEachBound(t *testing.T) {
 	good := Figures{Acts: 100, Answers: 100, Tampered: 5, TamperedFound: 5, Done: 3, Processes: 9, Rollouts: 8, Returned: 1, Superseded: 1, Conductors: 1, Stragglers: 1, ShutOut: 1}
 	if list := good.MissedInFull(); len(list) > 0 {
-		t.Errorf("good figures miss %v", list)
+		t.Errorf("figures within all bounds are reported as missing %v", list)
 	}
 	for name, change := range map[string]func(*Figures){"acts below": func(f *Figures) { f.ActsBelowFloor = 1 }, "mixed": func(f *Figures) { f.Mixed = 1 }, "steps": func(f *Figures) { f.StepsTwice = 1 },
 		"wrongly": func(f *Figures) { f.WronglyShutOut = 1 }, "answers": func(f *Figures) { f.AnswersWrong = 1 }, "tampered": func(f *Figures) { f.TamperedFound = 4 }, "gaps": func(f *Figures) { f.Gaps = 1 },
 		"not settled": func(f *Figures) { f.Unsettled = 1 }, "double": func(f *Figures) { f.DoubleRuns = 1 }, "too little": func(f *Figures) { f.Rollouts = 3 }} {
 		f := good
 		if change(&f); !strings.Contains(strings.Join(f.MissedInFull(), " "), name) {
-			t.Errorf("%s: missed %v", name, f.MissedInFull())
+			t.Errorf("bound %q is not among the missed ones: %v", name, f.MissedInFull())
 		}
 	}
 }
--- a/internal/lab/audits/cost.go
+++ b/internal/lab/audits/cost.go
@@ -18,31 +18,31 @@
 	"cairnlane/internal/state/audit"
 )
 
-// Costs are what the audit costs and how fast it answers.
+// Costs are the measured costs of the audit and the times of its answers.
 type Costs struct {
 	Boxes, Entries        int
-	Pass, Answer, Scan    time.Duration // one pass; the slowest answer after it; one answer without the pass
-	EffectOff, EffectOn   time.Duration // of the best of several rounds each
+	Pass, Answer, Scan    time.Duration // building the index; the slowest answer from it; one answer without it
+	EffectOff, EffectOn   time.Duration // an effect without and with an audit, each the best of several rounds
 	BringUp               [3]time.Duration
-	BytesWithout, BytesOn float64 // of a voter's ledger, a box and hour, at 300 boxes
+	BytesWithout, BytesOn float64 // size of a voter's ledger per box and hour, in a fleet of 300 boxes
 }
 
-// Missed are the numbers of configurations that a box has missed when it is brought up.
+// Missed lists how many configurations a box has missed before the time to bring it up to date is measured.
 var Missed = [3]int{1, 10, 100}
 
-// Cost measures.
+// Cost measures the costs of the audit, with an index over boxes times entries and effects in dir.
 func Cost(dir string, boxes, entries int) (*Costs, error) {
 	c := &Costs{Boxes: boxes, Entries: boxes * entries}
-	c.index(boxes, entries)
+	c.measureIndex(boxes, entries)
 	for i, n := range Missed {
 		c.BringUp[i] = fleetsim.BringUp(n)
 	}
 	c.BytesWithout, c.BytesOn = fleetsim.AuditBytes(300, time.Minute)
-	return c, c.effects(dir)
+	return c, c.measureEffects(dir)
 }
 
-// index measures questions about so many boxes.
-func (c *Costs) index(boxes, entries int) {
+// measureIndex measures how long it takes to index and query the audits of the given number of boxes.
+func (c *Costs) measureIndex(boxes, entries int) {
 	var books []*audit.Book
 	for i := range boxes {
 		b := &audit.Book{Box: fmt.Sprintf("box%04d", i)}
@@ -71,24 +71,24 @@
 	c.Scan = timed(func() { audit.ScanVersion(books, 5) })
 }
 
-// effects measures an effect that does nothing, with an audit and without, in turn.
-func (c *Costs) effects(dir string) error {
-	const rounds, each = 5, 4000
+// measureEffects measures an effect that does nothing, alternately with and without an audit.
+func (c *Costs) measureEffects(dir string) error {
+	const rounds, effectsPerRound = 5, 4000
 	times := map[bool][]time.Duration{}
 	for i := range 2 * rounds {
-		on := i%2 == 1
-		d, err := effect(filepath.Join(dir, fmt.Sprint(i)), on, each)
+		withAudit := i%2 == 1
+		d, err := timeEffects(filepath.Join(dir, fmt.Sprint(i)), withAudit, effectsPerRound)
 		if err != nil {
 			return err
 		}
-		times[on] = append(times[on], d/each)
+		times[withAudit] = append(times[withAudit], d/effectsPerRound)
 	}
 	c.EffectOff, c.EffectOn = slices.Min(times[false]), slices.Min(times[true])
 	return nil
 }
 
-// effect makes effects on a fleet of one box.
-func effect(dir string, on bool, n int) (time.Duration, error) {
+// timeEffects measures how long n effects take on a fleet of one box.
+func timeEffects(dir string, withAudit bool, n int) (time.Duration, error) {
 	key := filepath.Join(dir, "fleet.key")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return 0, err
@@ -98,7 +98,7 @@
 	}
 	cfg := fleet.Config{Name: "a", Listen: "127.0.0.1:0", Peers: map[string]string{"a": ""}, KeyFile: key, Dir: filepath.Join(dir, "fleet"), Build: "cost",
 		Timing: ledger.Timing{Heartbeat: 20 * time.Millisecond, Election: 100 * time.Millisecond, Poll: 100 * time.Millisecond, BatchDelay: time.Millisecond}, Now: clock.Boot, Logf: func(string, ...any) {}}
-	if on {
+	if withAudit {
 		log, _, err := audit.Open(filepath.Join(dir, "audit"), "a", audit.DefaultLimits, func() time.Duration { return time.Duration(clock.Wall().UnixNano()) })
 		if err != nil {
 			return 0, err
@@ -129,21 +129,21 @@
 	return time.Since(began), nil
 }
 
-// String is the line of figures.
+// String returns the line of figures.
 func (c *Costs) String() string {
 	return fmt.Sprintf("figures: boxes=%d entries=%d pass_ms=%d answer_max_ms=%d scan_ms=%d effect_off_us=%.1f effect_on_us=%.1f bring_up_1_ms=%d bring_up_10_ms=%d bring_up_100_ms=%d ledger_bytes_box_hour_off=%.0f ledger_bytes_box_hour_on=%.0f",
 		c.Boxes, c.Entries, c.Pass.Milliseconds(), c.Answer.Milliseconds(), c.Scan.Milliseconds(), float64(c.EffectOff.Nanoseconds())/1000, float64(c.EffectOn.Nanoseconds())/1000,
 		c.BringUp[0].Milliseconds(), c.BringUp[1].Milliseconds(), c.BringUp[2].Milliseconds(), c.BytesWithout, c.BytesOn)
 }
 
-// MissedBounds lists the bounds that were missed.
+// MissedBounds lists the missed bounds.
 func (c *Costs) MissedBounds() (list []string) {
 	if c.Answer > time.Second {
 		list = append(list, fmt.Sprintf("an answer took %v", c.Answer))
 	}
 	for i, d := range c.BringUp {
 		if d == 0 {
-			list = append(list, fmt.Sprintf("a box that missed %d was not brought up", Missed[i]))
+			list = append(list, fmt.Sprintf("a box that missed %d configurations was not brought up to date", Missed[i]))
 		}
 	}
 	return list
--- a/internal/lab/audits/judge.go
+++ b/internal/lab/audits/judge.go
@@ -18,7 +18,7 @@
 
 type fleetRollouts = fleet.Rollouts
 
-// Figures are what a trial came to.
+// Figures are the results of a trial.
 type Figures struct {
 	rig.Tally
 	Processes, Rollouts, Done, Returned, Superseded int
@@ -31,29 +31,29 @@
 	Took                                            time.Duration
 	Schedule                                        rig.Schedule
 	Notes                                           []string
-	behind                                          map[string]string
+	stragglerBoxes                                  map[string]string
 }
 
-// judge compares everything once all is over.
-func (t *trial) judge() error {
-	f := t.fig
+// evaluate compares the audits with the observations and fills in the figures. It runs after the load and the faults have ended.
+func (t *trial) evaluate() error {
+	figures := t.figures
 	effects := t.res.Effects()
-	for _, x := range t.ends {
-		f.Rollouts++
-		switch x.Phase {
+	for _, roll := range t.finished {
+		figures.Rollouts++
+		switch roll.Phase {
 		case rollout.Done:
-			f.Done++
+			figures.Done++
 		case rollout.RolledBack:
-			f.Returned++
+			figures.Returned++
 		case rollout.Superseded:
-			f.Superseded++
+			figures.Superseded++
 		}
 	}
-	if f.Unsettled == 0 {
-		f.BroughtUp = f.Stragglers // all are level now
+	if figures.Unsettled == 0 {
+		figures.BroughtUp = figures.Stragglers // all boxes have the last version now
 	}
-	t.belowFloor(effects)
-	// The boxes' books: the present one of each, and those that it lost.
+	t.countActsBelowLowest(effects)
+	// The audit of each box: the current one first, then those of state directories that it lost and of twins.
 	books := map[string][]*audit.Book{}
 	var all []*audit.Book
 	for _, b := range t.site.Boxes {
@@ -63,28 +63,29 @@
 				if i == 0 {
 					return err
 				}
-				continue // a twin that never wrote
+				continue // a twin that wrote no audit
 			}
 			books[b.Name] = append(books[b.Name], book)
 			all = append(all, book)
 		}
 	}
-	f.Gaps = t.fullActs(effects, books)
-	marks, err := t.marks()
+	figures.Gaps = t.countActsOnFullDisk(effects, books)
+	heads, err := t.auditHeads()
 	if err != nil {
 		return err
 	}
-	x := audit.NewIndex(all, marks)
-	t.compareVersions(effects, x, all)
-	t.compareEffects(effects, x)
-	t.compareSamples(books, marks)
-	t.mixed(all)
-	t.verify(books, marks)
-	return t.tamper(marks)
+	index := audit.NewIndex(all, heads)
+	t.compareVersions(effects, index, all)
+	t.compareEffects(effects, index)
+	t.compareSamples(books, heads)
+	t.countMixed(all)
+	t.verifyChains(books, heads)
+	return t.tamper(heads)
 }
 
-// fullActs counts the boxes that acted while their disk took nothing, by the stand-in, and finds those of them whose audit says so.
-func (t *trial) fullActs(effects []resource.Effect, books map[string][]*audit.Book) (n int) {
+// countActsOnFullDisk returns how many boxes acted while their disk was full, as the fake resource saw it, and counts those of them
+// whose audit records a gap.
+func (t *trial) countActsOnFullDisk(effects []resource.Effect, books map[string][]*audit.Book) (n int) {
 	since := map[int]time.Time{}
 	full := map[string]bool{}
 	for _, h := range t.site.History() {
@@ -92,7 +93,7 @@
 		case strings.HasPrefix(h.What, "full for"):
 			since[h.Box] = at
 		case h.What == "full is over":
-			from, to := since[h.Box].Sub(t.from)+50*time.Millisecond, at.Sub(t.from)-50*time.Millisecond
+			from, to := since[h.Box].Sub(t.clockStart)+50*time.Millisecond, at.Sub(t.clockStart)-50*time.Millisecond
 			for _, e := range effects {
 				if e.Box == t.site.Boxes[h.Box].Name && e.Begin > from && e.Called > from && e.Begin < to && e.Begin != 0 {
 					full[e.Box] = true
@@ -103,16 +104,16 @@
 	for box := range full {
 		found := 0
 		for _, b := range books[box] {
-			found += gaps(b)
+			found += countGaps(b)
 		}
 		if found > 0 {
-			t.fig.GapsFound++
+			t.figures.GapsFound++
 		}
 	}
 	return len(full)
 }
 
-func gaps(b *audit.Book) (n int) {
+func countGaps(b *audit.Book) (n int) {
 	for _, e := range b.Entries {
 		if e.Kind == audit.Gap {
 			n++
@@ -121,83 +122,83 @@
 	return n
 }
 
-// marks are the ledger's, as whoever answers has them.
-func (t *trial) marks() (map[string][]audit.Mark, error) {
-	out := map[string][]audit.Mark{}
-	told, err := t.site.Boxes[0].Control().Fleet().Marks()
+// auditHeads returns the audit heads in the ledger by box, as the first box reports them.
+func (t *trial) auditHeads() (map[string][]audit.Mark, error) {
+	heads := map[string][]audit.Mark{}
+	reported, err := t.site.Boxes[0].Control().Fleet().Marks()
 	if err != nil {
 		return nil, err
 	}
-	for box, list := range told {
-		for _, m := range list {
-			mark, err := fleet.DecodeAuditHead(m)
+	for box, list := range reported {
+		for _, encoded := range list {
+			head, err := fleet.DecodeAuditHead(encoded)
 			if err != nil {
 				return nil, err
 			}
-			out[box] = append(out[box], mark)
+			heads[box] = append(heads[box], head)
 		}
 	}
-	return out, nil
+	return heads, nil
 }
 
-// belowFloor finds effects on a version that was allowed no more: of a box that could know it, as no box may act for longer than a
-// lease without hearing of the ledger. The rig's own clock says when it was first seen to be allowed no more.
-func (t *trial) belowFloor(effects []resource.Effect) {
-	rest := time.Duration(float64(t.cfg.Terms.Term)*(1+t.cfg.Terms.Drift)) + 100*time.Millisecond
-	seen := map[string]uint64{} // lowest by thing
+// countActsBelowLowest counts effects under a version below the lowest allowed one that the box should have known. A box may not act for
+// longer than a lease's term without contact to the ledger, so it must know a lowest version that the rig saw longer ago than that.
+func (t *trial) countActsBelowLowest(effects []resource.Effect) {
+	allowance := time.Duration(float64(t.cfg.Terms.Term)*(1+t.cfg.Terms.Drift)) + 100*time.Millisecond
+	seen := map[string]uint64{} // the lowest version that each thing has received
 	for _, e := range effects {
 		if e.Low {
-			t.fig.LowRefused++
+			t.figures.LowRefused++
 		}
 		if e.Begin == 0 {
 			continue
 		}
-		t.fig.Acts++
+		t.figures.Acts++
 		if e.Version < e.Lowest {
-			t.fig.ActsBelowFloor++
-			t.note("%s acted on %s as %d and knew that %d is the lowest", e.Box, e.Thing, e.Version, e.Lowest)
+			t.figures.ActsBelowFloor++
+			t.note("%s acted on %s under version %d although it knew that %d is the lowest allowed", e.Box, e.Thing, e.Version, e.Lowest)
 		}
 		if actor.Compares(e.Thing) {
 			if e.Version < seen[e.Thing] {
-				t.fig.ActsBelowFloor++
-				t.note("%s acted on %s as %d after the thing had heard that %d is the lowest", e.Box, e.Thing, e.Version, seen[e.Thing])
+				t.figures.ActsBelowFloor++
+				t.note("%s acted on %s under version %d after the resource had been told that %d is the lowest allowed", e.Box, e.Thing, e.Version, seen[e.Thing])
 			}
 			seen[e.Thing] = max(seen[e.Thing], e.Lowest)
 		}
-		if e.Trap || t.out(e) {
-			continue // it was stopped between the check and the effect: what is left where nothing is compared
+		if e.Trap || t.wasOut(e) {
+			continue // it was stopped between check and effect, which only things that compare tokens guard against
 		}
-		for lowest, at := range t.rises {
-			if e.Version < lowest && e.Called > at+rest {
-				t.fig.ActsBelowFloor++
-				t.note("%s acted on %s as %d, %v after %d was seen to be the lowest", e.Box, e.Thing, e.Version, e.Called-at, lowest)
+		for lowest, at := range t.lowestSeenAt {
+			if e.Version < lowest && e.Called > at+allowance {
+				t.figures.ActsBelowFloor++
+				t.note("%s acted on %s under version %d, %v after %d was seen as the lowest allowed", e.Box, e.Thing, e.Version, e.Called-at, lowest)
 			}
 		}
 	}
 }
 
-// out tells whether an effect's process was stopped or killed about its begin.
-func (t *trial) out(e resource.Effect) bool {
+// wasOut reports whether the box of an effect was stopped or killed between one second before its announcement and its begin.
+func (t *trial) wasOut(e resource.Effect) bool {
 	for _, b := range t.site.Boxes {
 		if b.Name == e.Box {
-			return b.Out(t.from.Add(e.Called-time.Second), t.from.Add(e.Begin))
+			return b.Out(t.clockStart.Add(e.Called-time.Second), t.clockStart.Add(e.Begin))
 		}
 	}
 	return false
 }
 
-func (t *trial) answer(right bool, format string, a ...any) {
-	t.fig.Answers++
-	if !right {
-		t.fig.AnswersWrong++
-		t.note("a wrong answer: "+format, a...)
+func (t *trial) countAnswer(correct bool, format string, a ...any) {
+	t.figures.Answers++
+	if !correct {
+		t.figures.AnswersWrong++
+		t.note("wrong answer: "+format, a...)
 	}
 }
 
-// compareVersions: who acted on each number, by the stand-in and by the audits.
-func (t *trial) compareVersions(effects []resource.Effect, x *audit.Index, all []*audit.Book) {
-	saw, told := map[uint64]map[string]bool{}, map[uint64]map[string]bool{}
-	set := func(m map[uint64]map[string]bool, n uint64, box string) {
+// compareVersions checks which boxes acted under each version: the boxes that the fake resource saw must be in the audits.
+func (t *trial) compareVersions(effects []resource.Effect, index *audit.Index, all []*audit.Book) {
+	observed, recorded := map[uint64]map[string]bool{}, map[uint64]map[string]bool{}
+	add := func(m map[uint64]map[string]bool, n uint64, box string) {
 		if m[n] == nil {
 			m[n] = map[string]bool{}
 		}
@@ -205,37 +206,37 @@
 	}
 	for _, e := range effects {
 		if e.Begin != 0 {
-			set(saw, e.Version, e.Box)
+			add(observed, e.Version, e.Box)
 		}
 	}
-	top := uint64(0)
-	for n := range saw {
-		top = max(top, n)
+	newest := uint64(0)
+	for n := range observed {
+		newest = max(newest, n)
 	}
-	for n := range top + 1 {
-		for _, r := range x.Version(n, 0) {
+	for n := range newest + 1 {
+		for _, r := range index.Version(n, 0) {
 			if r.Effects > 0 {
-				set(told, n, r.Box)
+				add(recorded, n, r.Box)
 			}
 		}
-		for box := range saw[n] {
-			t.answer(told[n][box] || t.lostEntries(box), "%s acted on %d, and its audit has no effect on it", box, n)
+		for box := range observed[n] {
+			t.countAnswer(recorded[n][box] || t.mayLackEntries(box), "%s acted under version %d, and its audit has no effect under it", box, n)
 		}
-		// The audit says more than was seen only of effects that were not made, or that the thing refused.
-		scan := 0
+		// An audit may hold more effects than were seen, because some were not made or were rejected by the resource.
+		scanned := 0
 		for _, r := range audit.ScanVersion(all, n) {
-			scan += r.Effects
+			scanned += r.Effects
 		}
-		sum := 0
-		for _, r := range x.Version(n, 0) {
-			sum += r.Effects
+		indexed := 0
+		for _, r := range index.Version(n, 0) {
+			indexed += r.Effects
 		}
-		t.answer(scan == sum, "the index has %d effects on %d, and a scan %d", sum, n, scan)
+		t.countAnswer(scanned == indexed, "the index has %d effects under version %d, and a scan finds %d", indexed, n, scanned)
 	}
 }
 
-// lostEntries tells whether a box's disk refused entries, or lost them with a twin that was killed at once.
-func (t *trial) lostEntries(box string) bool {
+// mayLackEntries reports whether a box's audit may lack entries because its disk was full for a time.
+func (t *trial) mayLackEntries(box string) bool {
 	for _, h := range t.site.History() {
 		if h.What == "full is over" && t.site.Boxes[h.Box].Name == box {
 			return true
@@ -244,36 +245,36 @@
 	return false
 }
 
-// compareEffects: each effect that the stand-in took, by its token, box and version.
-func (t *trial) compareEffects(effects []resource.Effect, x *audit.Index) {
+// compareEffects checks that each effect that the fake resource accepted is in the audits, by token, box and version.
+func (t *trial) compareEffects(effects []resource.Effect, index *audit.Index) {
 	things := map[string]bool{}
 	for _, e := range effects {
 		things[e.Thing] = true
 	}
 	for thing := range things {
-		told := map[string]int{}
-		for _, a := range x.Effects(thing) {
-			told[fmt.Sprint(a.Box, a.Token, a.Under)]++
+		recorded := map[string]int{}
+		for _, a := range index.Effects(thing) {
+			recorded[fmt.Sprint(a.Box, a.Token, a.Under)]++
 		}
-		seen := map[string]int{}
+		observed := map[string]int{}
 		for _, e := range effects {
 			if e.Thing == thing && e.Begin != 0 {
-				seen[fmt.Sprint(e.Box, e.Token, e.Version)]++
+				observed[fmt.Sprint(e.Box, e.Token, e.Version)]++
 			}
 		}
-		bad := ""
+		missing := ""
 		for _, e := range effects {
 			key := fmt.Sprint(e.Box, e.Token, e.Version)
-			if e.Thing == thing && e.Begin != 0 && told[key] < seen[key] && !t.lostEntries(e.Box) {
-				bad = fmt.Sprintf("%s under token %d as %d: %d effects were seen, and %d stand in the audit", e.Box, e.Token, e.Version, seen[key], told[key])
+			if e.Thing == thing && e.Begin != 0 && recorded[key] < observed[key] && !t.mayLackEntries(e.Box) {
+				missing = fmt.Sprintf("%s with token %d under version %d: the resource saw %d effects, and the audit has %d", e.Box, e.Token, e.Version, observed[key], recorded[key])
 			}
 		}
-		t.answer(bad == "", "effects on %s: %s", thing, bad)
+		t.countAnswer(missing == "", "effects on %s: %s", thing, missing)
 	}
 }
 
-// compareSamples: what a box had in force when its ledger stood at an index, and when it changed.
-func (t *trial) compareSamples(books map[string][]*audit.Book, marks map[string][]audit.Mark) {
+// compareSamples checks which version each box had in force at an index of the ledger, and when it changed to it.
+func (t *trial) compareSamples(books map[string][]*audit.Book, heads map[string][]audit.Mark) {
 	jumped := map[int]bool{}
 	for _, h := range t.site.History() {
 		if strings.HasPrefix(h.What, "wall for") {
@@ -281,90 +282,90 @@
 		}
 	}
 	for _, b := range t.site.Boxes {
-		if len(books[b.Name]) != 1 { // it lost its disk or was there twice: its indexes go back
+		if len(books[b.Name]) != 1 { // the box lost its disk or had a twin, so its indexes are not monotonic
 			continue
 		}
-		x := audit.NewIndex(books[b.Name], marks)
-		runs := x.Runs(b.Name)
+		index := audit.NewIndex(books[b.Name], heads)
+		runs := index.Runs(b.Name)
 		known := uint64(0)
 		for i, s := range t.samples[b.Index] {
-			again := s.index < known // it goes through its ledger anew
+			replaying := s.index < known // the box replays its ledger
 			known = max(known, s.index)
-			if i%10 == 0 && !again && !slices.ContainsFunc(runs, func(r audit.Run) bool { return r.From == s.index }) {
-				who := x.AtIndex(s.index)
-				if len(who) == 1 {
-					t.answer(who[0].Version.Fleet == s.inForce, "%s had %d in force at index %d, and its audit says %d", b.Name, s.inForce, s.index, who[0].Version.Fleet)
+			if i%10 == 0 && !replaying && !slices.ContainsFunc(runs, func(r audit.Run) bool { return r.From == s.index }) {
+				answers := index.AtIndex(s.index)
+				if len(answers) == 1 {
+					t.countAnswer(answers[0].Version.Fleet == s.inForce, "%s had version %d in force at index %d, and its audit says %d", b.Name, s.inForce, s.index, answers[0].Version.Fleet)
 				}
 			}
 			if i == 0 || jumped[b.Index] || t.samples[b.Index][i-1].inForce == s.inForce {
 				continue
 			}
-			was := t.samples[b.Index][i-1]
+			previous := t.samples[b.Index][i-1]
 			best := time.Hour
 			for _, r := range runs {
 				if r.Version.Fleet != s.inForce {
 					continue
 				}
-				at := r.FromAt - time.Duration(t.from.UnixNano()) // the same machine's clock, which nobody has set
-				best = min(best, max(was.asked-at, at-s.at, 0))
+				at := r.FromAt - time.Duration(t.clockStart.UnixNano()) // both come from this machine's clock, which was not set
+				best = min(best, max(previous.requestedAt-at, at-s.answeredAt, 0))
 			}
-			t.fig.WorstError = max(t.fig.WorstError, best)
-			t.answer(best < 2*time.Second, "%s changed to %d at %v, and its audit is %v off", b.Name, s.inForce, s.at, best)
+			t.figures.WorstError = max(t.figures.WorstError, best)
+			t.countAnswer(best < 2*time.Second, "%s changed to version %d at %v, and its audit is off by %v", b.Name, s.inForce, s.answeredAt, best)
 		}
 	}
 }
 
-// mixed counts effects that an audit has under another number than the one that its box had in force by the same chain.
-func (t *trial) mixed(all []*audit.Book) {
+// countMixed counts effects that an audit records under another version than the one that its box had in force by the same chain.
+func (t *trial) countMixed(all []*audit.Book) {
 	for _, b := range all {
-		now, chain, lost := uint64(0), "", false
+		inForce, chain, unknown := uint64(0), "", false
 		for _, e := range b.Entries {
 			if e.Chain != chain {
-				chain, now, lost = e.Chain, 0, true // until the chain says
+				chain, inForce, unknown = e.Chain, 0, true // unknown until the chain has an entry with the version
 			}
 			switch {
 			case e.Kind == audit.Version && e.Build != nil:
-				now, lost = e.Build.Fleet, false
+				inForce, unknown = e.Build.Fleet, false
 			case e.Kind == audit.Gap:
-				lost = true // what it changed to may be among what was lost
-			case e.Kind == audit.Effect && e.Under != now && !lost:
-				t.fig.Mixed++
-				t.note("%s: effect %d under %d while %d is in force", b.Box, e.N, e.Under, now)
+				unknown = true // a change of the version may be among the entries that are missing
+			case e.Kind == audit.Effect && e.Under != inForce && !unknown:
+				t.figures.Mixed++
+				t.note("%s: effect %d under version %d while %d is in force", b.Box, e.N, e.Under, inForce)
 			}
 		}
 	}
 }
 
-// verify checks the books against the ledger. One that was put back from an old copy is not whole, and all others are.
-func (t *trial) verify(books map[string][]*audit.Book, marks map[string][]audit.Mark) {
+// verifyChains checks the audits against the heads in the ledger. The audits of all boxes whose disk was not replaced must be complete.
+func (t *trial) verifyChains(books map[string][]*audit.Book, heads map[string][]audit.Mark) {
 	for _, b := range t.site.Boxes {
-		old := false
+		diskReplaced := false
 		for _, h := range t.site.History() {
-			// A disk that was lost takes its chain with it, which the ledger knows.
+			// With the disk its chain was lost, which the heads in the ledger show.
 			if h.Box == b.Index && (strings.HasPrefix(h.What, "old-copy for") || strings.HasPrefix(h.What, "empty for") || strings.HasPrefix(h.What, "twin for")) {
-				old = true
+				diskReplaced = true
 			}
 		}
-		if old {
+		if diskReplaced {
 			continue
 		}
 		book := books[b.Name][0]
-		book.Against(marks[b.Name])
-		t.answer(len(book.Faults) == 0, "%s: its audit is whole, and %v is said", b.Name, book.Faults)
+		book.Against(heads[b.Name])
+		t.countAnswer(len(book.Faults) == 0, "%s: its audit is complete, and the check reports %v", b.Name, book.Faults)
 	}
 }
 
-// tamper alters copies of audits in ways that leave their owner's traces out, and counts what the marks find.
-func (t *trial) tamper(marks map[string][]audit.Mark) error {
-	ways := []func(dir string, names []string) error{
-		func(dir string, names []string) error { // a byte in the middle
-			return edit(dir, names[len(names)/2], func(raw []byte) []byte { raw[len(raw)/2] ^= 1; return raw })
+// tamper alters copies of audits in several ways and counts how many alterations the heads in the ledger reveal.
+func (t *trial) tamper(heads map[string][]audit.Mark) error {
+	methods := []func(dir string, names []string) error{
+		func(dir string, names []string) error { // flips a bit in the middle
+			return editFile(dir, names[len(names)/2], func(raw []byte) []byte { raw[len(raw)/2] ^= 1; return raw })
 		},
-		func(dir string, names []string) error { // the end, as far as the ledger knows of
-			return edit(dir, names[len(names)-1], func(raw []byte) []byte { return raw[:len(raw)/3] })
+		func(dir string, names []string) error { // truncates the last segment, including entries that a head covers
+			return editFile(dir, names[len(names)-1], func(raw []byte) []byte { return raw[:len(raw)/3] })
 		},
 		func(dir string, names []string) error { return os.Remove(filepath.Join(dir, names[0])) },
-		func(dir string, names []string) error { // the whole of it
+		func(dir string, names []string) error { // removes all segments
 			for _, n := range names {
 				if err := os.Remove(filepath.Join(dir, n)); err != nil {
 					return err
@@ -372,13 +373,13 @@
 			}
 			return nil
 		},
-		func(dir string, names []string) error { // a folder of last week: all but the first segment is gone
+		func(dir string, names []string) error { // leaves only half of the first segment, as an old backup would
 			for _, n := range names[1:] {
 				if err := os.Remove(filepath.Join(dir, n)); err != nil {
 					return err
 				}
 			}
-			return edit(dir, names[0], func(raw []byte) []byte { return raw[:len(raw)/2] })
+			return editFile(dir, names[0], func(raw []byte) []byte { return raw[:len(raw)/2] })
 		},
 	}
 	for i, b := range t.site.Boxes {
@@ -397,26 +398,26 @@
 		if err != nil {
 			return err
 		}
-		before.Against(marks[b.Name])
-		if err := ways[i%len(ways)](dir, names); err != nil {
+		before.Against(heads[b.Name])
+		if err := methods[i%len(methods)](dir, names); err != nil {
 			return err
 		}
 		after, err := audit.Read(dir)
 		if err != nil {
 			return err
 		}
-		after.Against(marks[b.Name])
-		t.fig.Tampered++
+		after.Against(heads[b.Name])
+		t.figures.Tampered++
 		if len(after.Faults) > len(before.Faults) {
-			t.fig.TamperedFound++
+			t.figures.TamperedFound++
 		} else {
-			t.note("%s: way %d of tampering is not found: %v", b.Name, i%len(ways), after.Faults)
+			t.note("%s: alteration %d was not detected: %v", b.Name, i%len(methods), after.Faults)
 		}
 	}
 	return nil
 }
 
-func edit(dir, name string, change func([]byte) []byte) error {
+func editFile(dir, name string, change func([]byte) []byte) error {
 	path := filepath.Join(dir, name)
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -425,36 +426,36 @@
 	return os.WriteFile(path, change(raw), 0o600)
 }
 
-// String is the line of figures.
+// String returns the line of figures.
 func (f *Figures) String() string {
 	return fmt.Sprintf("figures: processes=%d rollouts=%d done=%d returned=%d superseded=%d faults=%d kinds=%d conductors_hit=%d acts=%d acts_below_floor=%d low_refused=%d mixed_requests=%d steps_twice=%d stragglers=%d brought_up=%d shut_out=%d wrongly_shut_out=%d answers=%d answers_wrong=%d gaps=%d gaps_found=%d tampered=%d tampered_found=%d worst_error_ms=%d unsettled=%d requests=%d served=%d killed=%d lost=%d ended_twice=%d double_runs=%d wrong=%d seconds=%.0f",
 		f.Processes, f.Rollouts, f.Done, f.Returned, f.Superseded, f.Faults, f.Kinds, f.Conductors, f.Acts, f.ActsBelowFloor, f.LowRefused, f.Mixed, f.StepsTwice, f.Stragglers, f.BroughtUp, f.ShutOut, f.WronglyShutOut,
 		f.Answers, f.AnswersWrong, f.Gaps, f.GapsFound, f.Tampered, f.TamperedFound, f.WorstError.Milliseconds(), f.Unsettled, f.Requests, f.Served, f.Killed, f.Lost, f.EndedTwice, f.DoubleRuns, f.Wrong, f.Took.Seconds())
 }
 
-// Missed lists the bounds that were missed.
+// Missed lists the missed bounds.
 func (f *Figures) Missed() (list []string) {
 	for _, c := range []struct {
 		name string
 		n    int64
-	}{{"acts below the floor", int64(f.ActsBelowFloor)}, {"mixed", int64(f.Mixed)}, {"steps twice", int64(f.StepsTwice)}, {"wrongly shut out", int64(f.WronglyShutOut)},
-		{"answers wrong", int64(f.AnswersWrong)}, {"tampered and not found", int64(f.Tampered - f.TamperedFound)}, {"not settled", int64(f.Unsettled)}, {"gaps not found", int64(f.Gaps - f.GapsFound)},
+	}{{"acts below the lowest version", int64(f.ActsBelowFloor)}, {"mixed", int64(f.Mixed)}, {"steps repeated", int64(f.StepsTwice)}, {"wrongly shut out", int64(f.WronglyShutOut)},
+		{"answers wrong", int64(f.AnswersWrong)}, {"tampered copies not detected", int64(f.Tampered - f.TamperedFound)}, {"not settled", int64(f.Unsettled)}, {"gaps not recorded", int64(f.Gaps - f.GapsFound)},
 		{"lost", f.Lost}, {"ended twice", f.EndedTwice}, {"double runs", f.DoubleRuns}, {"wrong results", f.Wrong}} {
 		if c.n > 0 {
 			list = append(list, fmt.Sprintf("%s: %d", c.name, c.n))
 		}
 	}
 	if f.Acts < 20 || f.Answers < 10 || f.Tampered == 0 || f.Done == 0 {
-		list = append(list, "too little was shown")
+		list = append(list, fmt.Sprintf("too little to judge: %d acts, %d answers, %d tampered copies, %d rollouts done", f.Acts, f.Answers, f.Tampered, f.Done))
 	}
 	return list
 }
 
-// MissedInFull are those of a trial in full.
+// MissedInFull lists the missed bounds of a full trial.
 func (f *Figures) MissedInFull() []string {
 	list := f.Missed()
 	if f.Processes < 9 || f.Rollouts < 8 || f.Returned == 0 || f.Superseded == 0 || f.Conductors == 0 || f.Stragglers == 0 || f.ShutOut == 0 {
-		list = append(list, "too little of roll-outs was shown")
+		list = append(list, "too little to judge rollouts")
 	}
 	return list
 }
