--- a/internal/lab/leases/check.go
+++ b/internal/lab/leases/check.go
@@ -12,12 +12,12 @@
 	"cairnlane/internal/standin/resource"
 )
 
-// judge checks the stand-in's notes.
-func (f *Figures) judge(site *rig.Site, res *resource.Resource) {
+// evaluate checks the history that the fake resource recorded.
+func (f *Figures) evaluate(site *rig.Site, res *resource.Resource) {
 	effects, now := res.Effects(), res.Now()
 	began := time.Now().Add(-now)
 	f.check(effects, res.Notes(), now, func(e resource.Effect) bool {
-		// What was left unguarded: the process was stopped between the check and the end of its effect.
+		// The lease cannot prevent an overlap if the process was stopped between the permit's check and the end of its effect.
 		for _, b := range site.Boxes {
 			if b.Name == e.Box && e.Thing != commandThing {
 				end := e.End
@@ -31,7 +31,7 @@
 	})
 }
 
-// check counts what the histories show. stopped tells whether the process of an effect was stopped while it was under way.
+// check counts violations in the histories. The function stopped reports whether the process of an effect was stopped during it.
 func (f *Figures) check(effects []resource.Effect, notes []resource.Note, now time.Duration, stopped func(resource.Effect) bool) {
 	byThing := map[string][]resource.Effect{}
 	for _, e := range effects {
@@ -45,14 +45,14 @@
 	}
 	f.Linearizable = true
 	for thing, list := range byThing {
-		f.overlaps(thing, list, stopped)
+		f.countOverlaps(thing, list, stopped)
 		if actor.Compares(thing) {
-			f.stale(list)
+			f.countStale(list)
 			f.Linearizable = f.Linearizable && Register(list, now)
 		}
 	}
 	f.Linearizable = f.Linearizable && Sequence(notes, now)
-	f.back(notes)
+	f.countTokenRegressions(notes)
 }
 
 func btoi(b bool) int {
@@ -62,18 +62,19 @@
 	return 0
 }
 
-// overlaps counts the moments at which more tokens act on a thing than it has slots: a plain sweep over begins and ends.
-func (f *Figures) overlaps(thing string, list []resource.Effect, stopped func(resource.Effect) bool) {
-	var taken []resource.Effect
+// countOverlaps counts the effects at whose begin more tokens act on a thing than it has slots, in a sweep over begins and ends. It also
+// counts takeovers, that is, effects of another box than the one before.
+func (f *Figures) countOverlaps(thing string, list []resource.Effect, stopped func(resource.Effect) bool) {
+	var accepted []resource.Effect
 	for _, e := range list {
 		if e.Begin != 0 {
-			taken = append(taken, e)
+			accepted = append(accepted, e)
 		}
 	}
-	slices.SortFunc(taken, func(a, b resource.Effect) int { return cmp.Compare(a.Begin, b.Begin) })
+	slices.SortFunc(accepted, func(a, b resource.Effect) int { return cmp.Compare(a.Begin, b.Begin) })
 	var open []resource.Effect
 	last := ""
-	for _, e := range taken {
+	for _, e := range accepted {
 		open = slices.DeleteFunc(open, func(o resource.Effect) bool { return o.End <= e.Begin })
 		tokens, excused := map[uint64]bool{e.Token: true}, stopped(e)
 		for _, o := range open {
@@ -86,7 +87,7 @@
 			f.Unguarded++
 		default:
 			f.Overlaps++
-			f.note("%s: %d act at once at %v, %s under %d and %v", thing, len(tokens), e.Begin, e.Box, e.Token, open)
+			f.note("%s: %d tokens act at the same time at %v, %s with token %d and %v", thing, len(tokens), e.Begin, e.Box, e.Token, open)
 		}
 		open = append(open, e)
 		if last != "" && last != e.Box {
@@ -96,8 +97,8 @@
 	}
 }
 
-// stale counts effects that a thing took although it had taken one with a newer token before.
-func (f *Figures) stale(list []resource.Effect) {
+// countStale counts effects that a thing accepted although it had accepted one with a newer token before.
+func (f *Figures) countStale(list []resource.Effect) {
 	sorted := slices.Clone(list)
 	slices.SortFunc(sorted, func(a, b resource.Effect) int { return cmp.Compare(a.Begin, b.Begin) })
 	newest := uint64(0)
@@ -107,28 +108,28 @@
 		}
 		if e.Token < newest {
 			f.StaleAccepted++
-			f.note("%s was taken from %s under %d after %d", e.Thing, e.Box, e.Token, newest)
+			f.note("%s accepted an effect of %s with token %d after token %d", e.Thing, e.Box, e.Token, newest)
 		}
 		newest = max(newest, e.Token)
 	}
 }
 
-// grants pairs each grant with the question before it.
+// grants pairs each grant with the request before it of the same process and task.
 func grants(notes []resource.Note) (list []grant) {
-	type who struct {
+	type requester struct {
 		task string
 		pid  int
 	}
-	asked := map[who]time.Duration{}
+	requestedAt := map[requester]time.Duration{}
 	for _, n := range notes {
-		k := who{n.Task, n.Pid}
+		k := requester{n.Task, n.Pid}
 		switch n.What {
 		case "asked":
-			asked[k] = n.At
+			requestedAt[k] = n.At
 		case "granted":
-			if at, ok := asked[k]; ok {
+			if at, ok := requestedAt[k]; ok {
 				list = append(list, grant{n.Task, n.Token, at, n.At, n.Pid})
-				delete(asked, k)
+				delete(requestedAt, k)
 			}
 		}
 	}
@@ -136,42 +137,42 @@
 }
 
 type grant struct {
-	task        string
-	token       uint64
-	asked, told time.Duration
-	pid         int
+	task                    string
+	token                   uint64
+	requestedAt, answeredAt time.Duration
+	pid                     int
 }
 
-// back counts grants with a token that is not above that of one that was told before they were asked for.
-func (f *Figures) back(notes []resource.Note) {
+// countTokenRegressions counts grants whose token is not higher than that of a grant that was answered before they were requested.
+func (f *Figures) countTokenRegressions(notes []resource.Note) {
 	list := grants(notes)
 	for i, g := range list {
 		for _, o := range list[:i] {
-			if o.task == g.task && o.told < g.asked && o.token >= g.token {
+			if o.task == g.task && o.answeredAt < g.requestedAt && o.token >= g.token {
 				f.TokensBack++
-				f.note("%s: token %d was given after %d", g.task, g.token, o.token)
+				f.note("%s: token %d was granted after %d", g.task, g.token, o.token)
 				break
 			}
 		}
 	}
 }
 
-// checkTime bounds a check of a history.
-const checkTime = 20 * time.Second
+// checkTimeout bounds the time of one linearizability check.
+const checkTimeout = 20 * time.Second
 
-// Register tells whether the effects on a thing that compares tokens are linearizable: as if each had happened at one moment
-// between its announcement and its end, with a register of the newest token that takes no smaller one.
+// Register reports whether the effects on a thing that compares tokens are linearizable. The model is a register that holds the newest
+// token and accepts no lower one; each effect takes place at one moment between its announcement and its end.
 func Register(list []resource.Effect, now time.Duration) bool {
 	type output struct{ known, taken bool }
 	model := porcupine.Model{
 		Init: func() any { return uint64(0) },
 		Step: func(state, input, out any) (bool, any) {
 			newest, token, o := state.(uint64), input.(uint64), out.(output)
-			fits := token >= newest
+			acceptable := token >= newest
 			switch {
-			case o.known && o.taken != fits:
+			case o.known && o.taken != acceptable:
 				return false, newest
-			case fits && o.taken:
+			case acceptable && o.taken:
 				return true, token
 			}
 			return true, newest
@@ -184,15 +185,15 @@
 			end = now
 		}
 		if e.Begin == 0 && !e.Stale {
-			continue // announced and never begun
+			continue // announced, but neither begun nor rejected
 		}
 		ops = append(ops, porcupine.Operation{ClientId: i, Input: e.Token, Call: int64(e.Called), Output: output{true, e.Begin != 0}, Return: int64(end)})
 	}
-	return porcupine.CheckOperationsTimeout(model, ops, checkTime) == porcupine.Ok
+	return porcupine.CheckOperationsTimeout(model, ops, checkTimeout) == porcupine.Ok
 }
 
-// Sequence tells whether grants are linearizable as those of a sequencer: each as if it had happened at one moment between the
-// question and the answer, with a token above all before it on the task.
+// Sequence reports whether the grants are linearizable. The model is a sequencer per task whose tokens increase; each grant takes place
+// at one moment between its request and its answer.
 func Sequence(notes []resource.Note, now time.Duration) bool {
 	model := porcupine.Model{
 		Partition: func(history []porcupine.Operation) (parts [][]porcupine.Operation) {
@@ -213,7 +214,7 @@
 	}
 	var ops []porcupine.Operation
 	for i, g := range grants(notes) {
-		ops = append(ops, porcupine.Operation{ClientId: i, Input: g.task, Call: int64(g.asked), Output: g.token, Return: int64(g.told)})
+		ops = append(ops, porcupine.Operation{ClientId: i, Input: g.task, Call: int64(g.requestedAt), Output: g.token, Return: int64(g.answeredAt)})
 	}
-	return porcupine.CheckOperationsTimeout(model, ops, checkTime) == porcupine.Ok
+	return porcupine.CheckOperationsTimeout(model, ops, checkTimeout) == porcupine.Ok
 }
--- a/internal/lab/leases/crowd.go
+++ b/internal/lab/leases/crowd.go
@@ -15,19 +15,20 @@
 	"cairnlane/internal/lab/rig"
 )
 
-// CrowdFigures are those of many processes on one machine.
+// CrowdFigures are the figures of a fleet of many processes on one machine.
 type CrowdFigures struct {
 	Processes                 int
 	AllIn                     time.Duration
-	MessagesBox, BytesBox     float64 // a second
-	MessagesVoter, BytesVoter float64 // of the busiest voter
+	MessagesBox, BytesBox     float64 // sent a second, on average per box
+	MessagesVoter, BytesVoter float64 // sent a second, by the busiest voter
 	Renewals                  float64 // a second
-	MemoryMedian, MemoryMax   int64   // resident, in KB
+	MemoryMedian, MemoryMax   int64   // resident memory in KB
 	AgreeAfterLoss            time.Duration
 	Lost                      int
 }
 
-// Crowd starts a fleet of many boxes that ask for nothing, measures its talk, and kills its leader.
+// Crowd starts a fleet of many boxes that request no leases, measures its messages over a span, kills the leader and measures how
+// soon a box is granted a lease after that.
 func Crowd(cfg Config, span time.Duration) (*CrowdFigures, error) {
 	if cfg.Progress == nil {
 		cfg.Progress = io.Discard
@@ -43,7 +44,7 @@
 		return nil, err
 	}
 	f.AllIn = time.Since(began)
-	fmt.Fprintf(cfg.Progress, "%d boxes are in after %v\n", cfg.Boxes, f.AllIn.Round(time.Millisecond))
+	fmt.Fprintf(cfg.Progress, "%d boxes have joined the fleet after %v\n", cfg.Boxes, f.AllIn.Round(time.Millisecond))
 	time.Sleep(cfg.Terms.RenewInterval())
 	type box struct {
 		messages, bytes int64
@@ -64,7 +65,7 @@
 		}
 		return list, nil
 	}
-	at := time.Now()
+	firstAt := time.Now()
 	first, err := read()
 	if err != nil {
 		return nil, err
@@ -74,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	seconds := time.Since(at).Seconds()
+	seconds := time.Since(firstAt).Seconds()
 	for i := range first {
 		m, b := float64(second[i].messages-first[i].messages)/seconds, float64(second[i].bytes-first[i].bytes)/seconds
 		f.MessagesBox, f.BytesBox = f.MessagesBox+m/float64(cfg.Boxes), f.BytesBox+b/float64(cfg.Boxes)
@@ -88,33 +89,33 @@
 	f.Renewals = float64(second[0].commands-first[0].commands) / seconds
 	var sizes []int64
 	for _, b := range site.Boxes {
-		sizes = append(sizes, resident(b.Pid()))
+		sizes = append(sizes, residentKB(b.Pid()))
 	}
 	slices.Sort(sizes)
 	f.MemoryMedian, f.MemoryMax = sizes[len(sizes)/2], sizes[len(sizes)-1]
 	leader := site.Leader()
 	if leader == nil {
-		return nil, errors.New("nobody leads")
+		return nil, errors.New("no box leads the fleet")
 	}
-	lost := time.Now()
+	killedAt := time.Now()
 	leader.Kill()
 	last := site.Boxes[len(site.Boxes)-1].Control().Fleet()
 	id, err := last.Begin(lease.Request{Task: "after the loss", Slots: 1})
 	if err != nil {
 		return nil, err
 	}
-	for time.Since(lost) < time.Minute {
+	for time.Since(killedAt) < time.Minute {
 		var s fleet.RunStatus
 		if s, err = last.Poll(id, 100*time.Millisecond); err != nil || s.Left > 0 {
 			break
 		}
 	}
-	f.AgreeAfterLoss = time.Since(lost)
+	f.AgreeAfterLoss = time.Since(killedAt)
 	return f, err
 }
 
-// resident is a process's memory in KB.
-func resident(pid int) int64 {
+// residentKB returns a process's resident memory in KB, or 0 if it cannot be read.
+func residentKB(pid int) int64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
--- a/internal/lab/leases/leases.go
+++ b/internal/lab/leases/leases.go
@@ -1,5 +1,5 @@
-// Package leases plays a fleet of real processes that act under leases on a stand-in, with faults in and between them, and
-// checks from the stand-in's own notes that never more act at once than may.
+// Package leases runs a fleet of real processes that act on a fake resource under leases, injects faults into the processes and their
+// connections, and checks in the history of the fake that no more boxes act at the same time than a task has slots.
 package leases
 
 import (
@@ -19,18 +19,18 @@
 	"cairnlane/internal/standin/resource"
 )
 
-// Config is what a trial is played with.
+// Config configures a trial.
 type Config struct {
 	Seed     uint64
 	Boxes    int
 	Faults   int
-	Span     time.Duration // over which the faults come
+	Span     time.Duration // the time over which the faults are spread
 	Kinds    []rig.Kind
-	Schedule rig.Schedule // instead of a drawn one
-	Clean    int          // holders killed with no other fault about, to measure how soon another one acts
-	Clocks   bool         // run clocks fast and slow; needs a trial build
+	Schedule rig.Schedule // faults to inject in place of random ones
+	Clean    int          // how many holders are killed with no other fault active, to measure how soon another box acts
+	Clocks   bool         // run the boxes' clocks fast and slow; needs a trial build
 	Serve    func(config string) *exec.Cmd
-	Ctl      string // cairnctl, for commands that run as the one holder; "" for none
+	Ctl      string // path of cairnctl, which runs commands under a lease; "" for no commands
 	Example  string
 	Dir      string
 	Terms    lease.Terms
@@ -38,10 +38,10 @@
 	Progress io.Writer
 }
 
-// commandThing is acted upon by commands of cairnctl.
+// commandThing is the task of the commands that run through cairnctl, and the thing on which they act.
 const commandThing = "command"
 
-// Figures are what a trial came to.
+// Figures are the results of a trial.
 type Figures struct {
 	rig.Tally
 	Seed                        uint64
@@ -59,10 +59,10 @@
 	Notes                       []string
 }
 
-// vacancyRest is what a takeover may take beside the term.
-const vacancyRest = 2 * time.Second
+// takeoverAllowance is how long a takeover may take in addition to the term.
+const takeoverAllowance = 2 * time.Second
 
-// Run plays a trial.
+// Run runs a trial.
 func Run(cfg Config) (*Figures, error) {
 	if cfg.Progress == nil {
 		cfg.Progress = io.Discard
@@ -85,26 +85,26 @@
 	if err := site.Start(); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(cfg.Progress, "%d boxes are in\n", cfg.Boxes)
+	fmt.Fprintf(cfg.Progress, "%d boxes have joined the fleet\n", cfg.Boxes)
 	commands := newCommands(cfg, site, res)
 	defer commands.close()
-	src := rand.New(rand.NewPCG(cfg.Seed, 3))
-	sched := cfg.Schedule
-	if sched == nil {
-		sched = rig.Draw(src, cfg.Kinds, cfg.Faults, cfg.Boxes, cfg.Span)
+	random := rand.New(rand.NewPCG(cfg.Seed, 3))
+	schedule := cfg.Schedule
+	if schedule == nil {
+		schedule = rig.Draw(random, cfg.Kinds, cfg.Faults, cfg.Boxes, cfg.Span)
 	}
-	f := &Figures{Seed: cfg.Seed, Processes: cfg.Boxes, Schedule: sched, VacancyBound: cfg.Terms.Term + vacancyRest}
-	if f.Played, err = site.Play(sched, actor.Traps{Resource: res}); err != nil {
+	f := &Figures{Seed: cfg.Seed, Processes: cfg.Boxes, Schedule: schedule, VacancyBound: cfg.Terms.Term + takeoverAllowance}
+	if f.Played, err = site.Play(schedule, actor.Traps{Resource: res}); err != nil {
 		return nil, err
 	}
 	f.Faults, f.Kinds = f.Played.Sum(), len(f.Played)
 	fmt.Fprintf(cfg.Progress, "%d faults of %d kinds, %d effects\n", f.Faults, f.Kinds, len(res.Effects()))
 	if err := site.Settle(time.Minute); err != nil {
 		f.note("%v", err)
-		f.DigestsDiffer++ // a fleet that does not agree again has failed
+		f.DigestsDiffer++ // the fleet must agree again once the faults are over
 	}
 	for range cfg.Clean {
-		if err := f.clean(cfg, site, res); err != nil {
+		if err := f.measureTakeover(cfg, site, res); err != nil {
 			return nil, err
 		}
 	}
@@ -112,18 +112,18 @@
 		f.note("%v", err)
 		f.DigestsDiffer++
 	}
-	f.digests(site)
+	f.compareDigests(site)
 	commands.close()
-	f.Commands = commands.done
+	f.Commands = commands.succeeded
 	site.Load.End()
 	f.Tally = site.Load.Tally
 	f.Notes = append(f.Notes, site.Load.Notes()...)
-	if f.DoubleRuns > 0 { // when what was done to boxes, to be held against the times above
+	if f.DoubleRuns > 0 { // adds the times of the faults, to compare them with those of the runs
 		for _, h := range site.History() {
 			f.Notes = append(f.Notes, fmt.Sprintf("%s n%d %s", site.At(h).Format("05.000"), h.Box, h.What))
 		}
 	}
-	f.judge(site, res)
+	f.evaluate(site, res)
 	f.Took = time.Since(began)
 	return f, nil
 }
@@ -134,8 +134,8 @@
 	}
 }
 
-// clean kills the holder of a thing and measures how soon another box acts on it.
-func (f *Figures) clean(cfg Config, site *rig.Site, res *resource.Resource) error {
+// measureTakeover kills the box that acts on a thing, measures how soon another box acts on it, and restarts the first box.
+func (f *Figures) measureTakeover(cfg Config, site *rig.Site, res *resource.Resource) error {
 	thing := []string{"checked-a", "checked-b", "plain"}[f.Vacancies%3]
 	var holder *rig.Box
 	for end := time.Now().Add(20 * time.Second); holder == nil && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -154,13 +154,13 @@
 		}
 	}
 	if holder == nil {
-		return fmt.Errorf("nobody acts on %s", thing)
+		return fmt.Errorf("no box acts on %s", thing)
 	}
 	at := res.Now()
 	holder.Kill()
 	for end := time.Now().Add(f.VacancyBound + 20*time.Second); ; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("nobody acts on %s after %s was killed", thing, holder.Name)
+			return fmt.Errorf("no box acts on %s after %s was killed", thing, holder.Name)
 		}
 		list := res.Effects()
 		if i := slices.IndexFunc(list, func(e resource.Effect) bool { return e.Thing == thing && e.Begin > at && e.Box != holder.Name }); i >= 0 {
@@ -175,8 +175,8 @@
 	return site.Settle(20 * time.Second)
 }
 
-// digests compares what boxes have agreed on, wherever two stand at the same entry.
-func (f *Figures) digests(site *rig.Site) {
+// compareDigests compares the digests of the replicated state of boxes that have applied the same index.
+func (f *Figures) compareDigests(site *rig.Site) {
 	seen := map[uint64]string{}
 	for range 20 {
 		for _, b := range site.Boxes {
@@ -190,32 +190,32 @@
 			}
 			if d, ok := seen[st.Index]; ok && d != st.Digest {
 				f.DigestsDiffer++
-				f.note("%s has another state at %d", b.Name, st.Index)
+				f.note("%s has a different state at index %d", b.Name, st.Index)
 			}
 			seen[st.Index] = st.Digest
 		}
 	}
 }
 
-// commands run as the one holder of a task, through cairnctl, at each box again and again.
+// commands runs commands under a lease, through cairnctl, repeatedly at each box.
 type commands struct {
-	stop chan struct{}
-	once sync.Once
-	wait sync.WaitGroup
-	mu   sync.Mutex
-	done int
-	live map[*exec.Cmd]bool
+	stop      chan struct{}
+	once      sync.Once
+	wait      sync.WaitGroup
+	mu        sync.Mutex
+	succeeded int
+	running   map[*exec.Cmd]bool
 }
 
 func newCommands(cfg Config, site *rig.Site, res *resource.Resource) *commands {
-	c := &commands{stop: make(chan struct{}), live: map[*exec.Cmd]bool{}}
+	c := &commands{stop: make(chan struct{}), running: map[*exec.Cmd]bool{}}
 	if cfg.Ctl == "" {
 		return c
 	}
 	for _, b := range site.Boxes {
 		c.wait.Go(func() { c.loop(cfg, b, res) })
 	}
-	c.wait.Go(func() { c.stopParents(cfg) })
+	c.wait.Go(func() { c.stopParentCommands(cfg) })
 	return c
 }
 
@@ -240,16 +240,16 @@
 		}
 		err := cmd.Start()
 		if err == nil {
-			c.live[cmd] = true
+			c.running[cmd] = true
 		}
 		c.mu.Unlock()
 		if err == nil {
 			err = cmd.Wait()
 		}
 		c.mu.Lock()
-		delete(c.live, cmd)
+		delete(c.running, cmd)
 		if err == nil {
-			c.done++
+			c.succeeded++
 		}
 		c.mu.Unlock()
 		select {
@@ -259,13 +259,13 @@
 	}
 }
 
-// close ends what still runs. A command's group ends with its cairnctl, or by its box's desk.
+// close interrupts the running commands and waits. A command's process group is ended by its cairnctl or by its box's process supervisor.
 func (c *commands) close() {
 	c.once.Do(func() {
 		close(c.stop)
 		c.mu.Lock()
-		for cmd := range c.live {
-			cont(cmd)
+		for cmd := range c.running {
+			resume(cmd)
 			cmd.Process.Signal(os.Interrupt)
 		}
 		c.mu.Unlock()
@@ -273,7 +273,7 @@
 	c.wait.Wait()
 }
 
-// String is the line of figures.
+// String returns the line of figures.
 func (f *Figures) String() string {
 	lin := 0
 	if f.Linearizable {
@@ -284,7 +284,7 @@
 		f.VacancyMax.Milliseconds(), f.VacancyBound.Milliseconds(), f.Vacancies, f.Requests, f.Served, f.Refused, f.Failed, f.Killed, f.Lost, f.EndedTwice, f.DoubleRuns, f.Wrong, f.Took.Seconds())
 }
 
-// Missed lists the bounds that were missed, apart from those of time.
+// Missed lists the missed bounds other than those on times.
 func (f *Figures) Missed() (list []string) {
 	for _, c := range []struct {
 		name string
@@ -304,14 +304,14 @@
 	return list
 }
 
-// MissedInFull are those of a trial in full.
+// MissedInFull lists the missed bounds of a full trial.
 func (f *Figures) MissedInFull() []string {
 	list := f.Missed()
 	if f.Processes < 7 || f.Faults < 60 {
-		list = append(list, fmt.Sprintf("%d processes and %d faults; 7 and 60 are wanted", f.Processes, f.Faults))
+		list = append(list, fmt.Sprintf("%d processes and %d faults, want at least 7 and 60", f.Processes, f.Faults))
 	}
 	if f.StaleTried == 0 {
-		list = append(list, "no stale holder tried to act: the faults do not bite")
+		list = append(list, "no stale holder tried to act, so the faults had no effect")
 	}
 	if f.VacancyMax > f.VacancyBound {
 		list = append(list, fmt.Sprintf("a task was vacant for %v", f.VacancyMax))
--- a/internal/lab/leases/leases_test.go
+++ b/internal/lab/leases/leases_test.go
@@ -14,8 +14,8 @@
 
 func TestMain(m *testing.M) { rigtest.Main(m) }
 
-// TestTwoHoldersNeverActAtOnce is the short form of `make leases`: it judges rules and counts, not times.
-func TestTwoHoldersNeverActAtOnce(t *testing.T) {
+// TestHoldersNeverExceedSlots is the short form of `make leases`: it checks invariants and counts, not times.
+func TestHoldersNeverExceedSlots(t *testing.T) {
 	dir, err := rig.TempDir()
 	if err != nil {
 		t.Fatal(err)
@@ -40,13 +40,13 @@
 		t.Fatal(err)
 	}
 	if missed := f.Missed(); len(missed) > 0 {
-		t.Errorf("missed %s\n%s", strings.Join(missed, ", "), strings.Join(f.Notes, "\n"))
+		t.Errorf("missed bounds: %s\n%s", strings.Join(missed, ", "), strings.Join(f.Notes, "\n"))
 	}
 	t.Log(f, f.Played)
 }
 
-// TestTheCheckersBite gives them histories with one thing wrong in each.
-func TestTheCheckersBite(t *testing.T) {
+// TestCheckFindsEachViolation runs the check on histories that each contain one violation, and on one that contains none.
+func TestCheckFindsEachViolation(t *testing.T) {
 	ms := time.Millisecond
 	eff := func(thing string, token uint64, box string, called, begin, end time.Duration) resource.Effect {
 		return resource.Effect{Thing: thing, Ticket: resource.Ticket{Token: token}, Box: box, Called: called * ms, Begin: begin * ms, End: end * ms}
@@ -60,20 +60,20 @@
 		notes   []resource.Note
 		bad     func(*Figures) bool
 	}{
-		"nothing wrong": {[]resource.Effect{eff("plain", 1, "a", 1, 2, 5), eff("plain", 2, "b", 6, 7, 9), eff("double", 1, "a", 1, 2, 9), eff("double", 2, "b", 2, 3, 9), eff("checked", 2, "b", 1, 2, 3), stale(eff("checked", 1, "a", 4, 0, 5))},
-			[]resource.Note{note("asked", 0, 1, 1), note("granted", 5, 1, 2), note("asked", 0, 2, 1), note("granted", 4, 2, 3)}, func(f *Figures) bool { return len(f.Missed()) != 1 }}, // too few effects is the one
-		"two on one":          {[]resource.Effect{eff("plain", 1, "a", 1, 2, 5), eff("plain", 2, "b", 3, 4, 9)}, nil, func(f *Figures) bool { return f.Overlaps == 0 }},
-		"an end that is open": {[]resource.Effect{eff("plain", 1, "a", 1, 2, 0), eff("plain", 2, "b", 30, 40, 90)}, nil, func(f *Figures) bool { return f.Overlaps == 0 }},
-		"three on two":        {[]resource.Effect{eff("double", 1, "a", 1, 2, 9), eff("double", 2, "b", 3, 4, 9), eff("double", 3, "c", 4, 5, 9)}, nil, func(f *Figures) bool { return f.Overlaps == 0 }},
-		"an older token":      {[]resource.Effect{eff("checked", 2, "a", 1, 2, 3), eff("checked", 1, "b", 4, 5, 6)}, nil, func(f *Figures) bool { return f.StaleAccepted == 0 || f.Linearizable }},
-		"a newer one refused": {[]resource.Effect{eff("checked", 1, "a", 1, 2, 3), stale(eff("checked", 2, "b", 4, 0, 5)), eff("checked", 3, "c", 7, 8, 9)}, nil, func(f *Figures) bool { return f.Linearizable }},
-		"a token twice":       {nil, []resource.Note{note("asked", 0, 1, 1), note("granted", 5, 1, 2), note("asked", 0, 2, 3), note("granted", 5, 2, 4)}, func(f *Figures) bool { return f.TokensBack == 0 || f.Linearizable }},
-		"a token back":        {nil, []resource.Note{note("asked", 0, 1, 1), note("granted", 5, 1, 2), note("asked", 0, 2, 3), note("granted", 4, 2, 4)}, func(f *Figures) bool { return f.TokensBack == 0 || f.Linearizable }},
+		"no violation": {[]resource.Effect{eff("plain", 1, "a", 1, 2, 5), eff("plain", 2, "b", 6, 7, 9), eff("double", 1, "a", 1, 2, 9), eff("double", 2, "b", 2, 3, 9), eff("checked", 2, "b", 1, 2, 3), stale(eff("checked", 1, "a", 4, 0, 5))},
+			[]resource.Note{note("asked", 0, 1, 1), note("granted", 5, 1, 2), note("asked", 0, 2, 1), note("granted", 4, 2, 3)}, func(f *Figures) bool { return len(f.Missed()) != 1 }}, // only the number of effects is too low
+		"two tokens on one slot":             {[]resource.Effect{eff("plain", 1, "a", 1, 2, 5), eff("plain", 2, "b", 3, 4, 9)}, nil, func(f *Figures) bool { return f.Overlaps == 0 }},
+		"an effect without end":              {[]resource.Effect{eff("plain", 1, "a", 1, 2, 0), eff("plain", 2, "b", 30, 40, 90)}, nil, func(f *Figures) bool { return f.Overlaps == 0 }},
+		"three tokens on two slots":          {[]resource.Effect{eff("double", 1, "a", 1, 2, 9), eff("double", 2, "b", 3, 4, 9), eff("double", 3, "c", 4, 5, 9)}, nil, func(f *Figures) bool { return f.Overlaps == 0 }},
+		"an older token accepted":            {[]resource.Effect{eff("checked", 2, "a", 1, 2, 3), eff("checked", 1, "b", 4, 5, 6)}, nil, func(f *Figures) bool { return f.StaleAccepted == 0 || f.Linearizable }},
+		"a newer token rejected":             {[]resource.Effect{eff("checked", 1, "a", 1, 2, 3), stale(eff("checked", 2, "b", 4, 0, 5)), eff("checked", 3, "c", 7, 8, 9)}, nil, func(f *Figures) bool { return f.Linearizable }},
+		"a token granted twice":              {nil, []resource.Note{note("asked", 0, 1, 1), note("granted", 5, 1, 2), note("asked", 0, 2, 3), note("granted", 5, 2, 4)}, func(f *Figures) bool { return f.TokensBack == 0 || f.Linearizable }},
+		"a token granted after a higher one": {nil, []resource.Note{note("asked", 0, 1, 1), note("granted", 5, 1, 2), note("asked", 0, 2, 3), note("granted", 4, 2, 4)}, func(f *Figures) bool { return f.TokensBack == 0 || f.Linearizable }},
 	} {
 		f := new(Figures)
 		f.check(c.effects, c.notes, 100*ms, func(resource.Effect) bool { return false })
 		if c.bad(f) {
-			t.Errorf("%s: %s %v", name, f, f.Notes)
+			t.Errorf("%s: unexpected result of the check: %s, notes %v", name, f, f.Notes)
 		}
 	}
 }
--- a/internal/lab/leases/signal.go
+++ b/internal/lab/leases/signal.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-func cont(cmd *exec.Cmd) { cmd.Process.Signal(syscall.SIGCONT) }
+func resume(cmd *exec.Cmd) { cmd.Process.Signal(syscall.SIGCONT) }
 
-// stopParents stops one cairnctl after the other for longer than a lease, and not the command that it runs: the box's desk alone
-// is left to end that one.
-func (c *commands) stopParents(cfg Config) {
-	src := rand.New(rand.NewPCG(cfg.Seed, 9))
+// stopParentCommands stops one cairnctl after the other with SIGSTOP for longer than a lease's term. The command that the cairnctl runs
+// is not stopped, so only the box's process supervisor can end it.
+func (c *commands) stopParentCommands(cfg Config) {
+	random := rand.New(rand.NewPCG(cfg.Seed, 9))
 	for {
 		select {
 		case <-c.stop:
 			return
-		case <-time.After(2*time.Second + time.Duration(src.IntN(3000))*time.Millisecond):
+		case <-time.After(2*time.Second + time.Duration(random.IntN(3000))*time.Millisecond):
 		}
 		c.mu.Lock()
-		var one *exec.Cmd
-		n := src.IntN(len(c.live) + 1)
-		for cmd := range c.live {
+		var parent *exec.Cmd
+		n := random.IntN(len(c.running) + 1)
+		for cmd := range c.running {
 			if n--; n <= 0 {
-				one = cmd
+				parent = cmd
 				break
 			}
 		}
 		c.mu.Unlock()
-		if one == nil {
+		if parent == nil {
 			continue
 		}
-		one.Process.Signal(syscall.SIGSTOP)
+		parent.Process.Signal(syscall.SIGSTOP)
 		select {
 		case <-c.stop:
 		case <-time.After(cfg.Terms.Term + time.Second):
 		}
-		cont(one)
+		resume(parent)
 	}
 }
