--- a/internal/lab/members/members.go
+++ b/internal/lab/members/members.go
@@ -1,5 +1,5 @@
-// Package members weighs two ways of knowing who is there: gossip by hashicorp/memberlist, over a transport of ours, and the
-// sessions that the ledger holds anyway. It is a measurement and no part of the program.
+// Package members compares two ways to track which boxes of a fleet are alive: gossip with hashicorp/memberlist over an in-process
+// transport, and the sessions that the ledger holds. It is a measurement and not part of the program.
 package members
 
 import (
@@ -17,26 +17,26 @@
 	"cairnlane/internal/lab/fleetsim"
 )
 
-// Figures are those of one way at one size.
+// Figures are the measurements of one way at one fleet size.
 type Figures struct {
 	Way          string
 	Names        int
-	MessagesBox  float64 // a second
-	BytesBox     float64
-	FirstNotices time.Duration // after a death: the first box
-	AllNotice    time.Duration // and the last
-	FalseAlarms  int           // boxes that were taken for dead by some other, with a fifth of the boxes slow
+	MessagesBox  float64       // sent messages a second and box
+	BytesBox     float64       // sent bytes a second and box
+	FirstNotices time.Duration // from a box's death until the first other box notices it
+	AllNotice    time.Duration // and until the last one notices it
+	FalseAlarms  int           // live boxes that some box took for dead while a fifth of the boxes was slow
 }
 
 func (f Figures) String() string {
 	return fmt.Sprintf("way=%s names=%d messages_box=%.1f bytes_box=%.0f first_notices_ms=%d all_notice_ms=%d false_alarms=%d", f.Way, f.Names, f.MessagesBox, f.BytesBox, f.FirstNotices.Milliseconds(), f.AllNotice.Milliseconds(), f.FalseAlarms)
 }
 
-// slowBy is by how much what a slow box says comes late.
-const slowBy = 700 * time.Millisecond
+// slowDelay is the delay of all packets from a slow box.
+const slowDelay = 700 * time.Millisecond
 
-// network carries memberlist's packets and streams between the names of a measurement. What a box has no room for is lost, as on
-// a network; nobody waits for a box that is dead.
+// network carries memberlist's packets and streams between the boxes of a measurement. A packet is dropped if the receiver's queue is
+// full or the receiver is dead.
 type network struct {
 	mu              sync.Mutex
 	boxes           map[string]*box // by address
@@ -52,18 +52,18 @@
 	slow, dead atomic.Bool
 }
 
-// packetsMost is how many packets wait for a box.
-const packetsMost = 1024
+// maxQueued is how many packets, and how many streams, may be queued for a box.
+const maxQueued = 1024
 
-func (n *network) box(i int) *box {
-	b := &box{net: n, addr: fmt.Sprintf("127.0.0.1:%d", i+1), packets: make(chan *memberlist.Packet, packetsMost), streams: make(chan net.Conn, packetsMost)}
+func (n *network) addBox(i int) *box {
+	b := &box{net: n, addr: fmt.Sprintf("127.0.0.1:%d", i+1), packets: make(chan *memberlist.Packet, maxQueued), streams: make(chan net.Conn, maxQueued)}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.boxes[b.addr] = b
 	return b
 }
 
-func (n *network) find(addr string) *box {
+func (n *network) liveBox(addr string) *box {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if b := n.boxes[addr]; b != nil && !b.dead.Load() {
@@ -86,18 +86,18 @@
 	b.net.bytes.Add(int64(len(p)))
 	from, _ := net.ResolveUDPAddr("udp", b.addr)
 	data := append([]byte(nil), p...)
-	carry := func() {
-		if o := b.net.find(addr); o != nil {
+	deliver := func() {
+		if receiver := b.net.liveBox(addr); receiver != nil {
 			select {
-			case o.packets <- &memberlist.Packet{Buf: data, From: from, Timestamp: time.Now()}:
+			case receiver.packets <- &memberlist.Packet{Buf: data, From: from, Timestamp: time.Now()}:
 			default:
 			}
 		}
 	}
 	if b.slow.Load() {
-		time.AfterFunc(slowBy, carry)
+		time.AfterFunc(slowDelay, deliver)
 	} else {
-		carry()
+		deliver()
 	}
 	return now, nil
 }
@@ -107,51 +107,51 @@
 func (b *box) Shutdown() error                     { return nil }
 
 func (b *box) DialTimeout(addr string, _ time.Duration) (net.Conn, error) {
-	o := b.net.find(addr)
-	if o == nil || b.dead.Load() {
+	peer := b.net.liveBox(addr)
+	if peer == nil || b.dead.Load() {
 		return nil, io.ErrClosedPipe
 	}
-	mine, theirs := net.Pipe()
+	local, remote := net.Pipe()
 	select {
-	case o.streams <- theirs:
-		return mine, nil
+	case peer.streams <- remote:
+		return local, nil
 	default:
 		return nil, io.ErrClosedPipe
 	}
 }
 
-// watch counts who was taken for dead, and when each box noticed a death.
-type watch struct {
-	mu      sync.Mutex
-	gone    map[string]bool // taken for dead by somebody
-	victim  string
-	killed  time.Time
-	notices []time.Duration
+// deathWatch records which boxes were taken for dead, and when each box noticed the death of the victim.
+type deathWatch struct {
+	mu        sync.Mutex
+	suspected map[string]bool // boxes that some box took for dead
+	victim    string
+	killed    time.Time
+	notices   []time.Duration
 }
 
-type seen struct{ *watch }
+type eventDelegate struct{ *deathWatch }
 
-func (s seen) NotifyJoin(*memberlist.Node)   {}
-func (s seen) NotifyUpdate(*memberlist.Node) {}
-func (s seen) NotifyLeave(n *memberlist.Node) {
+func (s eventDelegate) NotifyJoin(*memberlist.Node)   {}
+func (s eventDelegate) NotifyUpdate(*memberlist.Node) {}
+func (s eventDelegate) NotifyLeave(n *memberlist.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n.Name == s.victim {
 		s.notices = append(s.notices, time.Since(s.killed))
 		return
 	}
-	s.gone[n.Name] = true
+	s.suspected[n.Name] = true
 }
 
-// Gossip measures memberlist with its settings for a local network.
+// Gossip measures memberlist with its default settings for a local network.
 func Gossip(names int, span time.Duration) (f Figures, err error) {
 	f = Figures{Way: "memberlist", Names: names}
-	wire := &network{boxes: map[string]*box{}}
-	w := &watch{gone: map[string]bool{}}
+	transport := &network{boxes: map[string]*box{}}
+	watch := &deathWatch{suspected: map[string]bool{}}
 	var boxes []*box
-	var list []*memberlist.Memberlist
+	var members []*memberlist.Memberlist
 	defer func() {
-		for i, m := range list {
+		for i, m := range members {
 			boxes[i].dead.Store(true)
 			m.Shutdown()
 		}
@@ -159,62 +159,62 @@
 	for i := range names {
 		cfg := memberlist.DefaultLANConfig()
 		cfg.Name = fmt.Sprintf("n%d", i)
-		boxes = append(boxes, wire.box(i))
+		boxes = append(boxes, transport.addBox(i))
 		cfg.Transport = boxes[i]
-		cfg.Events = seen{w}
+		cfg.Events = eventDelegate{watch}
 		cfg.Logger = log.New(io.Discard, "", 0)
 		m, err := memberlist.Create(cfg)
 		if err != nil {
 			return f, err
 		}
-		list = append(list, m)
+		members = append(members, m)
 		if i > 0 {
-			if _, err := m.Join([]string{list[0].LocalNode().Address()}); err != nil {
+			if _, err := m.Join([]string{members[0].LocalNode().Address()}); err != nil {
 				return f, err
 			}
 		}
 	}
 	time.Sleep(5 * time.Second)
-	wire.messages.Store(0)
-	wire.bytes.Store(0)
+	transport.messages.Store(0)
+	transport.bytes.Store(0)
 	time.Sleep(span)
-	f.MessagesBox, f.BytesBox = float64(wire.messages.Load())/span.Seconds()/float64(names), float64(wire.bytes.Load())/span.Seconds()/float64(names)
-	w.mu.Lock()
-	w.victim, w.killed, w.notices = fmt.Sprintf("n%d", names-1), time.Now(), nil
-	w.mu.Unlock()
+	f.MessagesBox, f.BytesBox = float64(transport.messages.Load())/span.Seconds()/float64(names), float64(transport.bytes.Load())/span.Seconds()/float64(names)
+	watch.mu.Lock()
+	watch.victim, watch.killed, watch.notices = fmt.Sprintf("n%d", names-1), time.Now(), nil
+	watch.mu.Unlock()
 	boxes[names-1].dead.Store(true)
-	list[names-1].Shutdown()
+	members[names-1].Shutdown()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		w.mu.Lock()
-		n := len(w.notices)
+		watch.mu.Lock()
+		n := len(watch.notices)
 		if n > 0 && f.FirstNotices == 0 {
-			f.FirstNotices = w.notices[0]
+			f.FirstNotices = watch.notices[0]
 		}
 		if n >= names-1 {
-			f.AllNotice = w.notices[n-1]
-			w.mu.Unlock()
+			f.AllNotice = watch.notices[n-1]
+			watch.mu.Unlock()
 			break
 		}
-		w.mu.Unlock()
+		watch.mu.Unlock()
 	}
-	w.mu.Lock()
-	clear(w.gone)
-	w.mu.Unlock()
+	watch.mu.Lock()
+	clear(watch.suspected)
+	watch.mu.Unlock()
 	for i := range names / 5 {
 		boxes[i].slow.Store(true)
 	}
 	time.Sleep(2 * span)
-	w.mu.Lock()
-	f.FalseAlarms = len(w.gone)
-	w.mu.Unlock()
+	watch.mu.Lock()
+	f.FalseAlarms = len(watch.suspected)
+	watch.mu.Unlock()
 	return f, nil
 }
 
-// Sessions measures those of the ledger, in virtual time, with the term at which leases run.
+// Sessions measures the ledger's sessions in virtual time, with the given term of leases.
 func Sessions(names int, term time.Duration) Figures {
-	s := fleetsim.Members(names, term, slowBy)
+	s := fleetsim.Members(names, term, slowDelay)
 	return Figures{Way: "sessions", Names: names, MessagesBox: s.MessagesBox, BytesBox: s.BytesBox, FirstNotices: s.FirstNotices, AllNotice: s.AllNotice, FalseAlarms: s.FalseAlarms}
 }
 
-// Terms are the leases' usual ones.
+// Terms are the default terms of leases.
 var Terms = lease.Terms{Term: 10 * time.Second, Drift: 0.01}
--- a/internal/lab/members/members_test.go
+++ b/internal/lab/members/members_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestTheSessionsNoticeADeath is the short form of `cairnctl trial members`, in virtual time.
-func TestTheSessionsNoticeADeath(t *testing.T) {
+// TestSessionsNoticeDeath is the short form of `cairnctl trial members`, in virtual time.
+func TestSessionsNoticeDeath(t *testing.T) {
 	f := Sessions(8, 2*time.Second)
 	if f.MessagesBox == 0 || f.FirstNotices < time.Second || f.AllNotice > 4*time.Second || f.FalseAlarms > 0 {
-		t.Errorf("%v", f)
+		t.Errorf("a bound is missed: %v", f)
 	}
 	t.Log(f)
 }
