--- a/internal/lab/actor/actor.go
+++ b/internal/lab/actor/actor.go
@@ -1,4 +1,4 @@
-// Package actor has a box of a trial act under leases, upon a stand-in. It is part of the program in trial builds alone.
+// Package actor lets a box act on a fake resource under leases during a trial. The program contains it only in trial builds.
 package actor
 
 import (
@@ -16,7 +16,7 @@
 	"cairnlane/internal/standin/resource"
 )
 
-// Slots is how many boxes may act on a thing at a time, by its name: "double-..." has two.
+// Slots returns how many boxes may act on a thing at the same time: two if its name begins with "double", otherwise one.
 func Slots(thing string) int {
 	if strings.HasPrefix(thing, "double") {
 		return 2
@@ -24,23 +24,23 @@
 	return 1
 }
 
-// Compares tells whether a thing compares tokens, by its name.
+// Compares reports whether a thing compares tokens, which it does if its name begins with "checked".
 func Compares(thing string) bool { return strings.HasPrefix(thing, "checked") }
 
-// Config is how a box acts.
+// Config configures how a box acts.
 type Config struct {
 	Box      string
-	Resource string // address
+	Resource string // address of the fake resource
 	Things   []string
 	Seed     uint64
 }
 
 const (
-	callRoom = 250 * time.Millisecond // what a call to the stand-in may take beside the effect itself
-	waitMost = 30 * time.Second
+	callAllowance  = 250 * time.Millisecond // how long a call to the fake resource may take in addition to the effect itself
+	acquireTimeout = 30 * time.Second
 )
 
-// Run acts until ctx ends.
+// Run acts on all things concurrently until ctx ends.
 func Run(ctx context.Context, f *fleet.Fleet, cfg Config) {
 	var wait sync.WaitGroup
 	for i, thing := range cfg.Things {
@@ -51,49 +51,49 @@
 }
 
 type actor struct {
-	f     *fleet.Fleet
-	cfg   Config
-	thing string
-	rand  *rand.Rand
-	c     *resource.Client
+	f      *fleet.Fleet
+	cfg    Config
+	thing  string
+	rand   *rand.Rand
+	client *resource.Client
 }
 
-func (a *actor) pause(ctx context.Context, most time.Duration) bool {
+func (a *actor) pause(ctx context.Context, maxPause time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(time.Duration(a.rand.Int64N(int64(most)))):
+	case <-time.After(time.Duration(a.rand.Int64N(int64(maxPause)))):
 		return true
 	}
 }
 
 func (a *actor) run(ctx context.Context) {
 	defer func() {
-		if a.c != nil {
-			a.c.Close()
+		if a.client != nil {
+			a.client.Close()
 		}
 	}()
 	for a.pause(ctx, 200*time.Millisecond) {
-		if a.c == nil {
+		if a.client == nil {
 			var err error
-			if a.c, err = resource.Dial(a.cfg.Resource); err != nil {
-				a.c = nil
+			if a.client, err = resource.Dial(a.cfg.Resource); err != nil {
+				a.client = nil
 				continue
 			}
 		}
-		if a.turn(ctx) != nil {
-			a.c.Close()
-			a.c = nil
+		if a.holdOnce(ctx) != nil {
+			a.client.Close()
+			a.client = nil
 		}
 	}
 }
 
-// turn gets the slot once, acts some times and gives it back.
-func (a *actor) turn(ctx context.Context) error {
-	if err := a.c.Note("asked", a.thing, 0, a.cfg.Box, os.Getpid()); err != nil {
+// holdOnce acquires the slot, acts a random number of times and releases it. It returns an error only if the fake resource fails.
+func (a *actor) holdOnce(ctx context.Context) error {
+	if err := a.client.Note("asked", a.thing, 0, a.cfg.Box, os.Getpid()); err != nil {
 		return err
 	}
-	wait, cancel := context.WithTimeout(ctx, waitMost)
+	wait, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	t, err := a.f.Acquire(wait, lease.Request{Task: a.thing, Slots: Slots(a.thing), Priority: a.rand.IntN(2)})
 	if err != nil {
@@ -102,22 +102,22 @@
 	defer t.Release()
 	first := true
 	for range 1 + a.rand.IntN(12) {
-		takes := time.Duration(5+a.rand.IntN(60)) * time.Millisecond
-		var lost error
-		err := t.Act(takes+callRoom, func(p fleet.Permit) error {
+		duration := time.Duration(5+a.rand.IntN(60)) * time.Millisecond
+		var resourceErr error
+		err := t.Act(duration+callAllowance, func(p fleet.Permit) error {
 			if first {
-				if lost = a.c.Note("granted", a.thing, p.Token, a.cfg.Box, os.Getpid()); lost != nil {
-					return lost
+				if resourceErr = a.client.Note("granted", a.thing, p.Token, a.cfg.Box, os.Getpid()); resourceErr != nil {
+					return resourceErr
 				}
 				first = false
 			}
-			_, lost = a.c.Act(a.thing, resource.Ticket{Token: p.Token, Version: p.Version, Lowest: p.Lowest}, a.cfg.Box, os.Getpid(), func() { time.Sleep(takes) })
-			return lost
+			_, resourceErr = a.client.Act(a.thing, resource.Ticket{Token: p.Token, Version: p.Version, Lowest: p.Lowest}, a.cfg.Box, os.Getpid(), func() { time.Sleep(duration) })
+			return resourceErr
 		})
-		if lost != nil {
-			return lost
+		if resourceErr != nil {
+			return resourceErr
 		}
-		if ask, _, _ := t.Status(); err != nil && ask.State.Final() || ask.StopRequested {
+		if status, _, _ := t.Status(); err != nil && status.State.Final() || status.StopRequested {
 			return nil
 		}
 		if !a.pause(ctx, 40*time.Millisecond) {
@@ -127,15 +127,15 @@
 	return nil
 }
 
-// Command acts upon a thing again and again, as a command that runs under a lease: with the token in its environment, and
-// without asking anybody whether it may.
+// Command acts on a thing repeatedly for a span, as a command that runs under a lease does: with the token from its environment and
+// without checking a permit.
 func Command(addr, thing, box string, span time.Duration) error {
 	var ticket resource.Ticket
 	var err error
 	if ticket.Token, err = strconv.ParseUint(os.Getenv("CAIRNLANE_TOKEN"), 10, 64); err != nil {
-		return fmt.Errorf("CAIRNLANE_TOKEN: %w", err)
+		return fmt.Errorf("invalid CAIRNLANE_TOKEN: %w", err)
 	}
-	ticket.Version, _ = strconv.ParseUint(os.Getenv("CAIRNLANE_VERSION"), 10, 64) // none before the first configuration
+	ticket.Version, _ = strconv.ParseUint(os.Getenv("CAIRNLANE_VERSION"), 10, 64) // not set before the first configuration
 	ticket.Lowest, _ = strconv.ParseUint(os.Getenv("CAIRNLANE_LOWEST"), 10, 64)
 	c, err := resource.Dial(addr)
 	if err != nil {
--- a/internal/lab/actor/part.go
+++ b/internal/lab/actor/part.go
@@ -11,14 +11,14 @@
 	"cairnlane/internal/front"
 )
 
-// The environment of a box that acts in a trial.
+// Environment variables that make a box act in a trial.
 const (
 	EnvResource = "CAIRNLANE_TRIAL_RESOURCE"
 	EnvThings   = "CAIRNLANE_TRIAL_THINGS"
 	EnvSeed     = "CAIRNLANE_TRIAL_SEED"
 )
 
-// Part has a box act as its environment says. It implements daemon.Part and is started after the fleet.
+// Part runs the actor of a box as its environment variables say. It implements daemon.Part and is started after the fleet.
 type Part struct {
 	Box   string
 	Fleet func() *fleet.Fleet
--- a/internal/lab/actor/trial.go
+++ b/internal/lab/actor/trial.go
@@ -7,15 +7,15 @@
 	"cairnlane/internal/standin/resource"
 )
 
-// Things are what is acted upon: two that compare tokens, one that does not, and one that two may act on at a time.
+// Things lists the things on which boxes act: two that compare tokens, one that does not, and one with two slots.
 var Things = []string{"checked-a", "checked-b", "plain", "double"}
 
-// Env is the environment of a box that acts on a stand-in in a trial.
+// Env returns the environment variables that make a box act on a fake resource.
 func Env(res *resource.Resource, seed uint64, box int) []string {
 	return []string{EnvResource + "=" + res.String(), EnvThings + "=" + strings.Join(Things, ","), fmt.Sprintf("%s=%d", EnvSeed, seed*100+uint64(box))}
 }
 
-// Traps find the moment between check and effect by the stand-in, at things that compare tokens.
+// Traps stops boxes between a permit's check and its effect, through the fake resource, at things that compare tokens.
 type Traps struct{ Resource *resource.Resource }
 
 // Stop implements rig.Traps.
