--- a/internal/lab/audits/cost.go
+++ b/internal/lab/audits/cost.go
@@ -58,17 +58,17 @@
 		}
 		books = append(books, b)
 	}
-	timed := func(do func()) time.Duration {
+	measure := func(do func()) time.Duration {
 		began := time.Now()
 		do()
 		return time.Since(began)
 	}
-	var x *audit.Index
-	c.Pass = timed(func() { x = audit.NewIndex(books, nil) })
-	for _, q := range []func(){func() { x.Version(5, 100) }, func() { x.Effects("task7") }, func() { x.AtIndex(uint64(entries * 5)) }, func() { x.AtTime(time.Hour, time.Minute) }, func() { x.Box("box0500") }} {
-		c.Answer = max(c.Answer, timed(q))
+	var index *audit.Index
+	c.Pass = measure(func() { index = audit.NewIndex(books, nil) })
+	for _, query := range []func(){func() { index.Version(5, 100) }, func() { index.Effects("task7") }, func() { index.AtIndex(uint64(entries * 5)) }, func() { index.AtTime(time.Hour, time.Minute) }, func() { index.Box("box0500") }} {
+		c.Answer = max(c.Answer, measure(query))
 	}
-	c.Scan = timed(func() { audit.ScanVersion(books, 5) })
+	c.Scan = measure(func() { audit.ScanVersion(books, 5) })
 }
 
 // measureEffects measures an effect that does nothing, alternately with and without an audit.
--- a/internal/lab/audits/judge.go
+++ b/internal/lab/audits/judge.go
@@ -287,10 +287,10 @@
 		}
 		index := audit.NewIndex(books[b.Name], heads)
 		runs := index.Runs(b.Name)
-		known := uint64(0)
+		highestIndex := uint64(0)
 		for i, s := range t.samples[b.Index] {
-			replaying := s.index < known // the box replays its ledger
-			known = max(known, s.index)
+			replaying := s.index < highestIndex // the box replays its ledger
+			highestIndex = max(highestIndex, s.index)
 			if i%10 == 0 && !replaying && !slices.ContainsFunc(runs, func(r audit.Run) bool { return r.From == s.index }) {
 				answers := index.AtIndex(s.index)
 				if len(answers) == 1 {
@@ -301,16 +301,16 @@
 				continue
 			}
 			previous := t.samples[b.Index][i-1]
-			best := time.Hour
+			smallestError := time.Hour
 			for _, r := range runs {
 				if r.Version.Fleet != s.inForce {
 					continue
 				}
 				at := r.FromAt - time.Duration(t.clockStart.UnixNano()) // both come from this machine's clock, which was not set
-				best = min(best, max(previous.requestedAt-at, at-s.answeredAt, 0))
+				smallestError = min(smallestError, max(previous.requestedAt-at, at-s.answeredAt, 0))
 			}
-			t.figures.WorstError = max(t.figures.WorstError, best)
-			t.countAnswer(best < 2*time.Second, "%s changed to version %d at %v, and its audit is off by %v", b.Name, s.inForce, s.answeredAt, best)
+			t.figures.WorstError = max(t.figures.WorstError, smallestError)
+			t.countAnswer(smallestError < 2*time.Second, "%s changed to version %d at %v, and its audit is off by %v", b.Name, s.inForce, s.answeredAt, smallestError)
 		}
 	}
 }
--- a/internal/lab/leases/check.go
+++ b/internal/lab/leases/check.go
@@ -73,13 +73,13 @@
 	}
 	slices.SortFunc(accepted, func(a, b resource.Effect) int { return cmp.Compare(a.Begin, b.Begin) })
 	var open []resource.Effect
-	last := ""
+	lastBox := ""
 	for _, e := range accepted {
-		open = slices.DeleteFunc(open, func(o resource.Effect) bool { return o.End <= e.Begin })
+		open = slices.DeleteFunc(open, func(other resource.Effect) bool { return other.End <= e.Begin })
 		tokens, excused := map[uint64]bool{e.Token: true}, stopped(e)
-		for _, o := range open {
-			tokens[o.Token] = true
-			excused = excused || o.Token != e.Token && stopped(o)
+		for _, other := range open {
+			tokens[other.Token] = true
+			excused = excused || other.Token != e.Token && stopped(other)
 		}
 		switch {
 		case len(tokens) <= actor.Slots(thing):
@@ -90,10 +90,10 @@
 			f.note("%s: %d tokens act at the same time at %v, %s with token %d and %v", thing, len(tokens), e.Begin, e.Box, e.Token, open)
 		}
 		open = append(open, e)
-		if last != "" && last != e.Box {
+		if lastBox != "" && lastBox != e.Box {
 			f.Takeovers++
 		}
-		last = e.Box
+		lastBox = e.Box
 	}
 }
 
@@ -147,10 +147,10 @@
 func (f *Figures) countTokenRegressions(notes []resource.Note) {
 	list := grants(notes)
 	for i, g := range list {
-		for _, o := range list[:i] {
-			if o.task == g.task && o.answeredAt < g.requestedAt && o.token >= g.token {
+		for _, earlier := range list[:i] {
+			if earlier.task == g.task && earlier.answeredAt < g.requestedAt && earlier.token >= g.token {
 				f.TokensBack++
-				f.note("%s: token %d was granted after %d", g.task, g.token, o.token)
+				f.note("%s: token %d was granted after %d", g.task, g.token, earlier.token)
 				break
 			}
 		}
--- a/internal/lab/leases/leases.go
+++ b/internal/lab/leases/leases.go
@@ -289,7 +289,7 @@
 	for _, c := range []struct {
 		name string
 		n    int64
-	}{{"overlaps", int64(f.Overlaps)}, {"stale accepted", int64(f.StaleAccepted)}, {"tokens back", int64(f.TokensBack)}, {"digests differ", int64(f.DigestsDiffer)},
+	}{{"overlaps", int64(f.Overlaps)}, {"stale tokens accepted", int64(f.StaleAccepted)}, {"tokens not increasing", int64(f.TokensBack)}, {"digests differ", int64(f.DigestsDiffer)},
 		{"lost", f.Lost}, {"ended twice", f.EndedTwice}, {"double runs", f.DoubleRuns}, {"wrong results", f.Wrong}} {
 		if c.n > 0 {
 			list = append(list, fmt.Sprintf("%s: %d", c.name, c.n))
--- a/internal/lab/rig/fault_test.go
+++ b/internal/lab/rig/fault_test.go
@@ -46,65 +46,65 @@
 
 // TestRelayAppliesFlows checks each setting of Flow, and that a setting for one direction does not affect the other.
 func TestRelayAppliesFlows(t *testing.T) {
-	n := NewNet()
-	defer n.Close()
+	network := NewNet()
+	defer network.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	addr, err := n.Relay(0, 1, func() string { return ln.Addr().String() })
+	addr, err := network.Relay(0, 1, func() string { return ln.Addr().String() })
 	if err != nil {
 		t.Fatal(err)
 	}
-	open := func() (net.Conn, net.Conn) {
-		c, err := net.Dial("tcp", addr)
+	connect := func() (net.Conn, net.Conn) {
+		caller, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		o, err := ln.Accept()
+		target, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c, o
+		return caller, target
 	}
-	read := func(c net.Conn, want string) {
+	read := func(conn net.Conn, want string) {
 		t.Helper()
 		buf := make([]byte, len(want))
-		c.SetReadDeadline(time.Now().Add(10 * time.Second))
-		if _, err := io.ReadFull(c, buf); err != nil || string(buf) != want {
-			t.Fatalf("%q, %v; want %q", buf, err, want)
+		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+		if _, err := io.ReadFull(conn, buf); err != nil || string(buf) != want {
+			t.Fatalf("read %q, %v; want %q", buf, err, want)
 		}
 	}
-	c, o := open()
-	io.WriteString(c, "there")
-	read(o, "there")
-	n.Set(0, 1, func(f *Flow) { f.Cut = true })
-	io.WriteString(c, "lost")
-	io.WriteString(o, "back") // the other direction is not affected
-	read(c, "back")
-	for n.Lost() < len("lost") {
+	caller, target := connect()
+	io.WriteString(caller, "there")
+	read(target, "there")
+	network.Set(0, 1, func(f *Flow) { f.Cut = true })
+	io.WriteString(caller, "lost")
+	io.WriteString(target, "back") // the other direction is not affected
+	read(caller, "back")
+	for network.Lost() < len("lost") {
 		time.Sleep(time.Millisecond)
 	}
-	n.Set(0, 1, func(f *Flow) { *f = Flow{Hold: true} })
-	io.WriteString(c, "held")
-	n.Set(0, 1, func(f *Flow) { f.Hold = false })
-	read(o, "held") // and none of the dropped bytes
-	n.Set(1, 0, func(f *Flow) { f.Delay = 50 * time.Millisecond })
+	network.Set(0, 1, func(f *Flow) { *f = Flow{Hold: true} })
+	io.WriteString(caller, "held")
+	network.Set(0, 1, func(f *Flow) { f.Hold = false })
+	read(target, "held") // and none of the dropped bytes
+	network.Set(1, 0, func(f *Flow) { f.Delay = 50 * time.Millisecond })
 	began := time.Now()
-	io.WriteString(o, "late")
-	if read(c, "late"); time.Since(began) < 50*time.Millisecond {
+	io.WriteString(target, "late")
+	if read(caller, "late"); time.Since(began) < 50*time.Millisecond {
 		t.Error("the bytes arrived without the delay of 50 ms")
 	}
-	n.Set(0, 1, func(f *Flow) { f.Break = true })
-	io.WriteString(c, "frame!")
-	read(o, "fra")
-	if k, err := o.Read(make([]byte, 1)); err == nil {
-		t.Errorf("read %d bytes after the connection was broken", k)
+	network.Set(0, 1, func(f *Flow) { f.Break = true })
+	io.WriteString(caller, "frame!")
+	read(target, "fra")
+	if size, err := target.Read(make([]byte, 1)); err == nil {
+		t.Errorf("read %d bytes after the connection was broken", size)
 	}
-	n.Set(0, 1, func(f *Flow) { *f = Flow{Refuse: true} })
-	if c, err = net.Dial("tcp", addr); err == nil {
-		if _, err = c.Read(make([]byte, 1)); err == nil {
+	network.Set(0, 1, func(f *Flow) { *f = Flow{Refuse: true} })
+	if caller, err = net.Dial("tcp", addr); err == nil {
+		if _, err = caller.Read(make([]byte, 1)); err == nil {
 			t.Error("the connection was not rejected")
 		}
 	}
--- a/internal/lab/rig/relay.go
+++ b/internal/lab/rig/relay.go
@@ -128,7 +128,7 @@
 }
 
 // copyDirection copies the bytes of one direction. It reads on while chunks are delayed, up to the capacity of the channel.
-func (n *Net) copyDirection(from, to net.Conn, a, b int) {
+func (n *Net) copyDirection(from, to net.Conn, fromBox, toBox int) {
 	chunks := make(chan chunk, 64)
 	ended := make(chan struct{})
 	go func() {
@@ -150,14 +150,14 @@
 	}()
 	defer close(ended)
 	for c := range chunks {
-		f, changed := n.flow(a, b)
+		f, changed := n.flow(fromBox, toBox)
 		for f.Hold {
 			<-changed
-			f, changed = n.flow(a, b)
+			f, changed = n.flow(fromBox, toBox)
 		}
 		if f.Delay > 0 {
 			time.Sleep(time.Until(c.at.Add(f.Delay)))
-			f, _ = n.flow(a, b)
+			f, _ = n.flow(fromBox, toBox)
 		}
 		switch {
 		case f.Cut:
@@ -166,7 +166,7 @@
 			n.mu.Unlock()
 			continue
 		case f.Break:
-			n.Set(a, b, func(f *Flow) { f.Break = false })
+			n.Set(fromBox, toBox, func(f *Flow) { f.Break = false })
 			to.Write(c.data[:len(c.data)/2])
 			return
 		}
