--- a/internal/decide/renewal/classify.go
+++ b/internal/decide/renewal/classify.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// Trouble is a failed step, as the authority or the connection to it told it.
+// Trouble describes a failed step of an order: the authority's response, a connection error or a local error.
 type Trouble struct {
-	Kind       string // the problem's type without its prefix, RFC 8555 section 6.7; empty if there was no answer
-	Status     int    // of HTTP; 0 if there was no answer
+	Kind       string // problem type without its prefix, RFC 8555 section 6.7; empty without a response
+	Status     int    // HTTP status; 0 without a response
 	RetryAfter time.Duration
-	Rubbish    bool // what was issued must not be used
-	Local      bool // it failed here: a disk that is full, a port that is taken
-	InARow     int  // failures before this one
+	Rubbish    bool // the issued certificate must not be used
+	Local      bool // the failure is local, for example a full disk or a port in use
+	InARow     int  // consecutive failures before this one
 }
 
-// problemPrefix stands before the type of a problem.
+// problemPrefix is the common prefix of ACME problem types.
 const problemPrefix = "urn:ietf:params:acme:error:"
 
-// ShortKind takes the prefix off the type of a problem.
+// ShortKind returns a problem type without its common prefix.
 func ShortKind(kind string) string { return strings.TrimPrefix(kind, problemPrefix) }
 
-// validationsTried is how many failed validations in a row are taken for a passing fault. After that, somebody has
-// to see to the name service or the way to our port.
-const validationsTried = 3
+// validationAttempts is the number of consecutive failed validations at which the failure no longer counts as
+// transient: an operator then has to check DNS or the route to the challenge port.
+const validationAttempts = 3
 
-// Classify sorts a failed step. What is not known is taken for transient: it is tried again within the budget.
-func Classify(t Trouble) Answer {
-	a := Answer{Class: Transient, RetryAfter: max(t.RetryAfter, 0)}
+// Classify returns the class of a failed step. Unknown problems count as transient and are retried within the budget.
+func Classify(failure Trouble) Answer {
+	answer := Answer{Class: Transient, RetryAfter: max(failure.RetryAfter, 0)}
 	switch {
-	case t.Rubbish:
-		a.Class = Hopeless
-		return a
-	case t.Local:
-		return a
+	case failure.Rubbish:
+		answer.Class = Hopeless
+		return answer
+	case failure.Local:
+		return answer
 	}
-	switch t.Kind {
+	switch failure.Kind {
 	case "rateLimited":
-		a.Class = Limited
+		answer.Class = Limited
 	case "caa", "rejectedIdentifier", "unsupportedIdentifier", "unauthorized", "badCSR", "badSignatureAlgorithm", "badPublicKey":
-		a.Class = Hopeless // another authority may see it otherwise
+		answer.Class = Hopeless // another authority may accept the order
 	case "externalAccountRequired", "userActionRequired", "invalidContact", "unsupportedContact":
-		a.Class = Hopeless
-		if t.InARow > 0 { // tried elsewhere too, or again here
-			a.Class = Person
+		answer.Class = Hopeless
+		if failure.InARow > 0 { // an earlier attempt, here or at another authority, failed as well
+			answer.Class = Person
 		}
 	case "dns", "connection", "tls", "incorrectResponse", "validation":
-		if t.InARow+1 >= validationsTried {
-			a.Class = Person
+		if failure.InARow+1 >= validationAttempts {
+			answer.Class = Person
 		}
 	case "malformed", "accountDoesNotExist", "badNonce", "orderNotReady", "serverInternal", "alreadyReplaced", "conflict", "":
-		if t.Status == 429 {
-			a.Class = Limited
+		if failure.Status == 429 {
+			answer.Class = Limited
 		}
 	}
-	return a
+	return answer
 }
--- a/internal/decide/renewal/classify_test.go
+++ b/internal/decide/renewal/classify_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-func TestAnswersAreSorted(t *testing.T) {
-	for _, k := range []struct {
-		t    Trouble
-		want Class
+func TestClassifyFailures(t *testing.T) {
+	for _, testCase := range []struct {
+		failure Trouble
+		want    Class
 	}{
 		{Trouble{}, Transient},
 		{Trouble{Status: 503, RetryAfter: time.Hour}, Transient},
@@ -25,14 +25,14 @@
 		{Trouble{Kind: "connection", InARow: 9}, Person},
 		{Trouble{Kind: "something new", Status: 400}, Transient},
 	} {
-		if got := Classify(k.t); got.Class != k.want || got.RetryAfter != k.t.RetryAfter {
-			t.Errorf("%+v is %v", k.t, got)
+		if got := Classify(testCase.failure); got.Class != testCase.want || got.RetryAfter != testCase.failure.RetryAfter {
+			t.Errorf("%+v is classified as %v, want class %v", testCase.failure, got, testCase.want)
 		}
 	}
 	if ShortKind("urn:ietf:params:acme:error:caa") != "caa" || ShortKind("about:blank") != "about:blank" {
-		t.Error("the type of a problem is cut wrongly")
+		t.Error("ShortKind does not remove exactly the ACME prefix")
 	}
 	if got := Classify(Trouble{RetryAfter: -time.Hour}); got.RetryAfter != 0 {
-		t.Errorf("a time in the past: %v", got.RetryAfter)
+		t.Errorf("negative Retry-After: got %v, want 0", got.RetryAfter)
 	}
 }
--- a/internal/decide/renewal/renewal.go
+++ b/internal/decide/renewal/renewal.go
@@ -1,6 +1,6 @@
-// Package renewal decides when a certificate is renewed, at which authority, and what is done when that fails.
-// It does no I/O and reads no clock: a Plan takes the time and what has happened, and Next says what is to be
-// done and when. One Plan keeps one certificate.
+// Package renewal decides when a certificate is renewed, at which authority, and how failures are handled.
+// It does no I/O and reads no clock: callers report the current time and events to a Plan, and Next returns the
+// next action and its time. One Plan manages one certificate.
 //
 // Terms are those of RFC 8555 (ACME) and RFC 9773 (ARI, the renewal window that an authority suggests).
 package renewal
@@ -10,369 +10,373 @@
 	"time"
 )
 
-// Held is the certificate in use.
+// Held describes the certificate in use.
 type Held struct {
 	Serial     string
 	NotBefore  time.Time
 	NotAfter   time.Time
-	Stopgap    bool // self-signed until the first one comes; it is replaced at once
-	FromSecond bool // it came from an authority that is not the first
+	Stopgap    bool // self-signed placeholder; it is due for replacement at once
+	FromSecond bool // issued by an authority other than the first
 }
 
-// Lifetime is how long it is good for in all.
+// Lifetime returns the certificate's total validity period.
 func (h Held) Lifetime() time.Duration { return h.NotAfter.Sub(h.NotBefore) }
 
-// Class sorts the failed attempts.
+// Class is the kind of a failed attempt. It decides when and where the next attempt is made.
 type Class uint8
 
-// The classes.
+// The failure classes.
 const (
-	Transient Class = iota // down, slow, an error of the server: the same again later
-	Limited                // a rate limit: not before its Retry-After
-	Hopeless               // this authority will not issue this: another one may
-	Person                 // the same at any authority until somebody changes something
-	classes
+	Transient Class = iota // unreachable, slow or a server error: retry after a backoff
+	Limited                // rate limit: no order before its Retry-After
+	Hopeless               // this authority does not issue the certificate, another one may
+	Person                 // every authority fails until an operator changes something
+	classCount
 )
 
-var classNames = [classes]string{"transient", "limited", "hopeless at this authority", "needs a person"}
+var classNames = [classCount]string{"transient", "limited", "rejected by this authority", "needs an operator"}
 
-// String names the class.
+// String returns the name of the class.
 func (c Class) String() string { return classNames[c] }
 
-// Answer is how an attempt failed.
+// Answer is the classified result of a failed attempt.
 type Answer struct {
 	Class      Class
-	RetryAfter time.Duration // 0 if the authority did not say
+	RetryAfter time.Duration // 0 if the authority sent none
 }
 
-// Budget bounds the orders that are begun at one authority, whatever happens.
+// Budget limits the orders that are started at one authority.
 type Budget struct {
 	Hour int // in any 60 minutes
 	Week int // in any 168 hours
 }
 
-// DefaultBudget stays under what public authorities allow for one set of names: five failed validations an hour,
-// five certificates a week. Weekly is above five as most attempts of a bad week issue none.
+// DefaultBudget stays below the limits of public authorities for one set of names: five failed validations an hour
+// and five certificates a week. Week is above five because an order that fails issues no certificate.
 var DefaultBudget = Budget{Hour: 4, Week: 40}
 
-// Settings are what a Plan is told once.
+// Settings configure a Plan.
 type Settings struct {
-	Authorities int     // at least 1; the first is preferred
-	Budget      Budget  // at each authority
-	Place       float64 // 0 to under 1: the box's own place in a window, so that a fleet is spread over it
-	Jitter      func() float64
+	Authorities int            // at least 1; the first is preferred
+	Budget      Budget         // at each authority
+	Place       float64        // in [0, 1): the box's fixed offset in a renewal window, which spreads a fleet over it
+	Jitter      func() float64 // returns a number in [0, 1) that scales the backoff; nil for a constant 0.5
 }
 
-// Phase is where a Plan stands. The phases are exclusive.
+// Phase is the state of a Plan.
 type Phase uint8
 
 // The phases.
 const (
-	Settled  Phase = iota // the certificate is good and its time has not come
-	Due                   // its time has come: an order may be begun
-	Ordering              // an order is on its way
-	Waiting               // an attempt failed; the next one is not due yet
-	phases
+	Settled  Phase = iota // the certificate is valid and its renewal is not due
+	Due                   // the renewal is due: an order may be started
+	Ordering              // an order is in progress
+	Waiting               // an attempt failed; the retry is not due yet
+	phaseCount
 )
 
-var phaseNames = [phases]string{"settled", "due", "ordering", "waiting"}
+var phaseNames = [phaseCount]string{"settled", "due", "ordering", "waiting"}
 
-// String names the phase.
+// String returns the name of the phase.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Alarm is how worried the operators should be.
+// Alarm is the severity that is shown to operators.
 type Alarm uint8
 
-// The alarms, in rising order.
+// The alarms, in order of rising severity.
 const (
 	Calm     Alarm = iota
-	Notice         // renewing has failed, and there is plenty of time
-	Warning        // a third of the time in which it is renewed is over, or somebody has to act
-	Critical       // a tenth of the lifetime is left, or an hour
-	Expired        // it is not good any more
-	alarms
+	Notice         // a renewal has failed while at least 2/9 of the lifetime is left, or there is no certificate yet
+	Warning        // a renewal has failed and less than 2/9 of the lifetime is left, or an operator has to act
+	Critical       // less than a tenth of the lifetime or less than an hour is left
+	Expired        // the certificate is no longer valid
+	alarmCount
 )
 
-var alarmNames = [alarms]string{"calm", "notice", "warning", "critical", "expired"}
+var alarmNames = [alarmCount]string{"calm", "notice", "warning", "critical", "expired"}
 
-// String names the alarm.
+// String returns the name of the alarm.
 func (a Alarm) String() string { return alarmNames[a] }
 
-// Kind says what is to be done.
+// Kind is the kind of an Action.
 type Kind uint8
 
 // The kinds of actions.
 const (
-	Wait  Kind = iota // nothing until At
-	Ask               // ask the first authority for its window
-	Order             // begin an order, or go on with the one that is recorded
+	Wait  Kind = iota // do nothing until At
+	Ask               // request the suggested renewal window from the first authority
+	Order             // start an order, or resume the recorded one
 )
 
-// Action is the next step.
+// Action is the next step of a Plan.
 type Action struct {
 	Kind      Kind
-	At        time.Time // Wait: when to ask Next again, at the latest
-	Authority int       // Order, Ask: which one
-	Replaces  bool      // Order: name the present certificate as replaced
+	At        time.Time // Wait: latest time of the next call of Next
+	Authority int       // Order, Ask: index of the authority
+	Replaces  bool      // Order: name the current certificate in the order's replaces field
 }
 
 const (
-	askEvery   = 6 * time.Hour   // the window, unless the authority says when
-	askLeast   = time.Minute     // however soon it says
-	askMost    = 24 * time.Hour  // and however late: a mass revocation is learned of by it
-	firstPause = 2 * time.Minute // after the first failure; doubled for each further one
-	mostPause  = time.Hour       // between attempts
-	limitPause = time.Hour       // after a limit that did not say for how long
-	outTime    = 24 * time.Hour  // for which an authority that is hopeless is left out
-	handTime   = 6 * time.Hour   // between attempts that need a person: somebody may have acted
-	shortLife  = 10 * 24 * time.Hour
-	otherAfter = 3 // failures in a row at one authority until another one is tried, when time presses
+	windowAskInterval      = 6 * time.Hour       // between requests of the window, unless the authority sends a Retry-After
+	minWindowAskInterval   = time.Minute         // lower bound of the authority's Retry-After
+	maxWindowAskInterval   = 24 * time.Hour      // upper bound: a mass revocation is announced by a changed window
+	firstBackoff           = 2 * time.Minute     // after the first failure; doubled after each further one
+	maxBackoff             = time.Hour           // between attempts
+	defaultRateLimitDelay  = time.Hour           // after a rate limit without a Retry-After
+	exclusionTime          = 24 * time.Hour      // time for which an authority that rejected an order is excluded
+	operatorRetryInterval  = 6 * time.Hour       // between attempts that need an operator, who may have acted in between
+	shortLifetime          = 10 * 24 * time.Hour // up to this lifetime, a certificate is renewed when half of it is left, not a third
+	failuresBeforeFallback = 3                   // consecutive failures at one authority before another one is used, when the renewal is urgent
 )
 
-// Plan keeps one certificate. The zero value is not ready; New makes one.
+// Plan decides the renewal of one certificate. Create it with New; the zero value must not be used.
 type Plan struct {
-	set Settings
+	settings Settings
 
-	now  time.Time // of the last call
-	held Held
-	have bool
+	now            time.Time // time of the last call
+	current        Held
+	hasCertificate bool
 
-	window   Window
-	asked    time.Time // when the window was last asked for; zero if never
-	askAgain time.Time
+	window           Window
+	windowAskedAt    time.Time // time of the last window request; zero if none was made
+	windowAskAgainAt time.Time
 
-	phase    Phase
-	at       int       // the authority of the order on its way
-	next     time.Time // Waiting: not before
-	failures int       // in a row, since the last certificate
-	person   bool      // the last failure needs one
-	lastOf   Class
+	phase          Phase
+	orderAuthority int       // index of the authority of the order in progress
+	retryAt        time.Time // Waiting: earliest time of the next attempt
+	failures       int       // consecutive, since the last certificate
+	needsOperator  bool      // the last failure has class Person
+	lastClass      Class
 
-	places []place
+	authorities []authorityState
 }
 
-// Window is a span in which the authority would like the renewal to begin.
+// Window is the period in which the authority suggests to start the renewal.
 type Window struct{ Start, End time.Time }
 
-// place is what is remembered of one authority.
-type place struct {
-	begun    []time.Time // orders of the last week, oldest first; bounded by the budget
-	notUntil time.Time   // limited, or left out
-	out      bool        // left out as hopeless until then
-	row      int         // failures in a row
+// authorityState is the history of one authority.
+type authorityState struct {
+	orders        []time.Time // start times of the orders of the last week, oldest first; at most Budget.Week
+	blockedUntil  time.Time   // no order is started before this time
+	excluded      bool        // the authority rejected an order and is excluded until blockedUntil
+	failuresInRow int         // consecutive failures
 }
 
-// New makes a plan without a certificate: one is due at once.
+// New returns a plan without a certificate, so the first order is due at once.
 func New(now time.Time, s Settings) (*Plan, error) {
 	if s.Authorities < 1 {
-		return nil, fmt.Errorf("renewal: %d authorities, at least one is needed", s.Authorities)
+		return nil, fmt.Errorf("renewal: %d authorities configured, at least one is required", s.Authorities)
 	}
 	if s.Budget.Hour < 1 || s.Budget.Week < s.Budget.Hour {
-		return nil, fmt.Errorf("renewal: a budget of %d orders an hour and %d a week; at least one an hour, and no fewer a week",
+		return nil, fmt.Errorf("renewal: invalid budget of %d orders an hour and %d a week: the hourly budget must be at least 1 and at most the weekly one",
 			s.Budget.Hour, s.Budget.Week)
 	}
 	if s.Place < 0 || s.Place >= 1 {
-		return nil, fmt.Errorf("renewal: place %v is not from 0 to under 1", s.Place)
+		return nil, fmt.Errorf("renewal: place %v is out of range [0, 1)", s.Place)
 	}
 	if s.Jitter == nil {
 		s.Jitter = func() float64 { return 0.5 }
 	}
-	return &Plan{set: s, now: now, phase: Due, places: make([]place, s.Authorities)}, nil
+	return &Plan{settings: s, now: now, phase: Due, authorities: make([]authorityState, s.Authorities)}, nil
 }
 
-// Phase tells where the plan stands.
+// Phase returns the current phase.
 func (p *Plan) Phase() Phase { return p.phase }
 
-// Failures tells how many attempts in a row have failed.
+// Failures returns the number of consecutive failed attempts.
 func (p *Plan) Failures() int { return p.failures }
 
-// Held tells what is in use.
-func (p *Plan) Held() (Held, bool) { return p.held, p.have }
+// Held returns the certificate in use; the second result is false if there is none.
+func (p *Plan) Held() (Held, bool) { return p.current, p.hasCertificate }
 
-// Issued takes a certificate into use, at a start or after an order.
+// Issued reports a certificate that was installed, at the start of the process or after an order.
 func (p *Plan) Issued(now time.Time, h Held) {
-	p.clock(now)
+	p.advanceClock(now)
 	if p.phase == Ordering {
-		p.places[p.at].row = 0
+		p.authorities[p.orderAuthority].failuresInRow = 0
 	}
-	p.held, p.have = h, true
-	p.window, p.asked, p.askAgain = Window{}, time.Time{}, time.Time{}
-	p.phase, p.failures, p.person, p.next = Settled, 0, false, time.Time{}
+	p.current, p.hasCertificate = h, true
+	p.window, p.windowAskedAt, p.windowAskAgainAt = Window{}, time.Time{}, time.Time{}
+	p.phase, p.failures, p.needsOperator, p.retryAt = Settled, 0, false, time.Time{}
 }
 
-// Suggested takes the window that the authority suggests, and for how long it is good. A zero window, or one that
-// makes no sense, is as none.
-func (p *Plan) Suggested(now time.Time, w Window, again time.Duration) {
-	p.clock(now)
+// Suggested sets the window that the authority suggests and the time until the next request for it, 0 if the
+// authority sent none. A window that does not end after its start counts as none.
+func (p *Plan) Suggested(now time.Time, w Window, askAgainAfter time.Duration) {
+	p.advanceClock(now)
 	if !w.End.After(w.Start) {
 		w = Window{}
 	}
-	p.window, p.asked = w, now
-	if again == 0 {
-		again = askEvery
+	p.window, p.windowAskedAt = w, now
+	if askAgainAfter == 0 {
+		askAgainAfter = windowAskInterval
 	}
-	p.askAgain = now.Add(min(max(again, askLeast), askMost))
+	p.windowAskAgainAt = now.Add(min(max(askAgainAfter, minWindowAskInterval), maxWindowAskInterval))
 }
 
-// NotSuggested takes word that the window could not be had.
+// NotSuggested reports that the request for the window failed.
 func (p *Plan) NotSuggested(now time.Time) {
-	p.clock(now)
-	p.asked, p.askAgain = now, now.Add(askEvery)
+	p.advanceClock(now)
+	p.windowAskedAt, p.windowAskAgainAt = now, now.Add(windowAskInterval)
 }
 
-// Begun takes word that an order is begun, which counts against the budget. resumed says that it is one that was
-// begun before and counted then.
+// Begun reports the start of an order, which counts against the budget. A resumed order was counted when it was
+// first started and does not count again.
 func (p *Plan) Begun(now time.Time, authority int, resumed bool) {
-	p.clock(now)
-	p.phase, p.at = Ordering, authority
+	p.advanceClock(now)
+	p.phase, p.orderAuthority = Ordering, authority
 	if !resumed {
-		a := &p.places[authority]
-		a.begun = append(a.begun, now)
-		if extra := len(a.begun) - p.set.Budget.Week; extra > 0 {
-			a.begun = append(a.begun[:0], a.begun[extra:]...)
+		a := &p.authorities[authority]
+		a.orders = append(a.orders, now)
+		if extra := len(a.orders) - p.settings.Budget.Week; extra > 0 {
+			a.orders = append(a.orders[:0], a.orders[extra:]...)
 		}
 	}
 }
 
-// Remembers puts back an order that was begun before a restart, so that the budget outlives it.
+// Remembers restores an order that was started before a restart, so that it still counts against the budget.
 func (p *Plan) Remembers(authority int, begun time.Time) {
-	if authority < 0 || authority >= len(p.places) || begun.After(p.now) {
+	if authority < 0 || authority >= len(p.authorities) || begun.After(p.now) {
 		return
 	}
-	a := &p.places[authority]
-	a.begun = append(a.begun, begun)
+	a := &p.authorities[authority]
+	a.orders = append(a.orders, begun)
 }
 
-// Failed takes the end of an order without a certificate.
+// Failed reports that the order in progress ended without a certificate.
 func (p *Plan) Failed(now time.Time, a Answer) {
-	p.clock(now)
+	p.advanceClock(now)
 	if p.phase != Ordering {
 		return
 	}
-	at := &p.places[p.at]
-	at.row++
+	authority := &p.authorities[p.orderAuthority]
+	authority.failuresInRow++
 	p.failures++
-	p.lastOf, p.person = a.Class, a.Class == Person
-	pause := p.pause(at.row)
+	p.lastClass, p.needsOperator = a.Class, a.Class == Person
+	backoff := p.backoff(authority.failuresInRow)
 	switch a.Class {
 	case Limited:
 		wait := a.RetryAfter
 		if wait <= 0 {
-			wait = limitPause
+			wait = defaultRateLimitDelay
 		}
-		p.shut(at, now.Add(wait), false)
+		p.block(authority, now.Add(wait), false)
 	case Hopeless:
-		p.shut(at, now.Add(max(a.RetryAfter, outTime)), true)
+		p.block(authority, now.Add(max(a.RetryAfter, exclusionTime)), true)
 	case Person:
-		pause = handTime
-		p.shut(at, now.Add(a.RetryAfter), false)
+		backoff = operatorRetryInterval
+		p.block(authority, now.Add(a.RetryAfter), false)
 	default:
-		p.shut(at, now.Add(a.RetryAfter), false)
+		p.block(authority, now.Add(a.RetryAfter), false)
 	}
-	p.phase, p.next = Waiting, now.Add(pause)
-	if a.Class == Limited || a.Class == Hopeless { // another authority needs no pause
-		p.next = now
+	p.phase, p.retryAt = Waiting, now.Add(backoff)
+	if a.Class == Limited || a.Class == Hopeless { // this authority is blocked, and another one needs no backoff
+		p.retryAt = now
 	}
 }
 
-func (p *Plan) shut(a *place, until time.Time, out bool) {
-	if until.After(a.notUntil) {
-		a.notUntil = until
+// block allows no order at an authority before until.
+func (p *Plan) block(authority *authorityState, until time.Time, excluded bool) {
+	if until.After(authority.blockedUntil) {
+		authority.blockedUntil = until
 	}
-	a.out = out
+	authority.excluded = excluded
 }
 
-// pause is the time to the next attempt after so many failures in a row: doubled each time, with jitter, and
-// never more than a sixteenth of what is left.
-func (p *Plan) pause(row int) time.Duration {
-	d := firstPause << min(row-1, 10)
-	d = min(d, mostPause)
-	if left := p.left(p.now); p.have && left > 0 {
-		d = min(d, max(left/16, firstPause))
+// backoff returns the time to the next attempt after consecutive failures. It doubles with each failure up to
+// maxBackoff, is limited to a sixteenth of the remaining validity but not below firstBackoff, and is then scaled by
+// jitter to between half and all of it.
+func (p *Plan) backoff(failuresInRow int) time.Duration {
+	d := firstBackoff << min(failuresInRow-1, 10)
+	d = min(d, maxBackoff)
+	if left := p.remaining(p.now); p.hasCertificate && left > 0 {
+		d = min(d, max(left/16, firstBackoff))
 	}
-	return d/2 + time.Duration(p.set.Jitter()*float64(d)/2)
+	return d/2 + time.Duration(p.settings.Jitter()*float64(d)/2)
 }
 
-// clock takes the time. When it has stepped back, nothing that was to be waited for is waited for longer than
-// from now on anew, and orders that lie in the future count as begun now.
-func (p *Plan) clock(now time.Time) {
+// advanceClock sets the current time. If the clock stepped back, all stored times move back by the same amount, so
+// that no wait becomes longer and no recorded order lies in the future.
+func (p *Plan) advanceClock(now time.Time) {
 	if step := p.now.Sub(now); step > 0 {
-		for _, t := range []*time.Time{&p.next, &p.askAgain, &p.asked} {
+		for _, t := range []*time.Time{&p.retryAt, &p.windowAskAgainAt, &p.windowAskedAt} {
 			if !t.IsZero() {
 				*t = t.Add(-step)
 			}
 		}
-		for i := range p.places {
-			a := &p.places[i]
-			if !a.notUntil.IsZero() {
-				a.notUntil = a.notUntil.Add(-step)
+		for i := range p.authorities {
+			a := &p.authorities[i]
+			if !a.blockedUntil.IsZero() {
+				a.blockedUntil = a.blockedUntil.Add(-step)
 			}
-			for j := range a.begun {
-				a.begun[j] = a.begun[j].Add(-step)
+			for j := range a.orders {
+				a.orders[j] = a.orders[j].Add(-step)
 			}
 		}
 	}
 	p.now = now
 }
 
-// left is how long the certificate is still good.
-func (p *Plan) left(now time.Time) time.Duration {
-	if !p.have {
+// remaining returns the remaining validity of the certificate, 0 without one.
+func (p *Plan) remaining(now time.Time) time.Duration {
+	if !p.hasCertificate {
 		return 0
 	}
-	return p.held.NotAfter.Sub(now)
+	return p.current.NotAfter.Sub(now)
 }
 
-// DueAt is when the renewal is to begin. By itself it lies where a third of the lifetime is left, or a half of a
-// short one, less up to a twelfth for the box's place; a window of the authority comes before that, but never
-// later than a sixth of the lifetime before the end: an authority's slip must not cost the certificate.
+// DueAt returns the time at which the renewal starts. Without a window of the authority, this is when a third of the
+// lifetime is left (half of a short lifetime), up to a twelfth of the lifetime earlier depending on Settings.Place.
+// A window takes precedence, but the renewal starts at the latest when a sixth of the lifetime is left: a wrong
+// window must not let the certificate expire.
 func (p *Plan) DueAt() time.Time {
-	if !p.have || p.held.Stopgap {
+	if !p.hasCertificate || p.current.Stopgap {
 		return time.Time{}
 	}
-	life := p.held.Lifetime()
-	part := life / 3
-	if life <= shortLife {
-		part = life / 2
+	life := p.current.Lifetime()
+	beforeEnd := life / 3
+	if life <= shortLifetime {
+		beforeEnd = life / 2
 	}
-	at := p.held.NotAfter.Add(-part - time.Duration((1-p.set.Place)*float64(life/12)))
+	at := p.current.NotAfter.Add(-beforeEnd - time.Duration((1-p.settings.Place)*float64(life/12)))
 	if !p.window.End.IsZero() {
 		span := p.window.End.Sub(p.window.Start)
-		at = p.window.Start.Add(time.Duration(p.set.Place * float64(span)))
-		if last := p.held.NotAfter.Add(-life / 6); at.After(last) {
+		at = p.window.Start.Add(time.Duration(p.settings.Place * float64(span)))
+		if last := p.current.NotAfter.Add(-life / 6); at.After(last) {
 			at = last
 		}
 	}
 	return at
 }
 
-// presses tells whether time presses so that another authority is better than another try: with a sixth of the
-// lifetime left, or a third of a short one, which is then as long as two authorities may be left out one after the other.
-func (p *Plan) presses(now time.Time) bool {
-	part := p.held.Lifetime() / 6
-	if p.held.Lifetime() <= shortLife {
-		part *= 2
+// urgent reports whether another authority is preferred to a further attempt at the same one: less than a sixth of
+// the lifetime is left, or less than a third of a short one, which is the time for which two authorities may be
+// excluded one after the other.
+func (p *Plan) urgent(now time.Time) bool {
+	threshold := p.current.Lifetime() / 6
+	if p.current.Lifetime() <= shortLifetime {
+		threshold *= 2
 	}
-	return !p.have || p.held.Stopgap || p.left(now) < part
+	return !p.hasCertificate || p.current.Stopgap || p.remaining(now) < threshold
 }
 
-// Alarm tells how things stand.
+// Alarm returns the alarm at a time.
 func (p *Plan) Alarm(now time.Time) Alarm {
-	if !p.have {
+	if !p.hasCertificate {
 		if p.failures > 0 {
 			return Critical
 		}
 		return Notice
 	}
-	left, life := p.left(now), p.held.Lifetime()
+	left, life := p.remaining(now), p.current.Lifetime()
 	switch {
 	case left <= 0:
 		return Expired
-	case p.held.Stopgap:
+	case p.current.Stopgap:
 		return Warning
 	case left < life/10 || left < time.Hour:
 		return Critical
-	case p.person || p.failures > 0 && left < life*2/9:
+	case p.needsOperator || p.failures > 0 && left < life*2/9:
 		return Warning
 	case p.failures > 0:
 		return Notice
@@ -380,67 +384,69 @@
 	return Calm
 }
 
-// Next says what is to be done. It changes nothing but the phase, and may be asked at any time.
+// Next returns the next action. It may be called at any time: a call sets the clock and the phase and drops expired
+// entries, and starts nothing.
 func (p *Plan) Next(now time.Time) Action {
-	p.clock(now)
+	p.advanceClock(now)
 	due := p.DueAt()
 	if p.phase == Settled && !now.Before(due) {
 		p.phase = Due
 	}
-	if p.phase == Due && now.Before(due) { // a window was moved
+	if p.phase == Due && now.Before(due) { // the window has moved
 		p.phase = Settled
 	}
-	asks := p.have && !p.held.Stopgap && !p.held.FromSecond && p.left(now) > 0
+	asksWindow := p.hasCertificate && !p.current.Stopgap && !p.current.FromSecond && p.remaining(now) > 0
 	switch p.phase {
 	case Ordering:
-		return Action{Kind: Order, Authority: p.at, Replaces: p.replaces(p.at)}
+		return Action{Kind: Order, Authority: p.orderAuthority, Replaces: p.canReplace(p.orderAuthority)}
 	case Settled:
-		if asks && !now.Before(p.askAgain) {
+		if asksWindow && !now.Before(p.windowAskAgainAt) {
 			return Action{Kind: Ask}
 		}
 		at := due
-		if asks && p.askAgain.Before(at) {
-			at = p.askAgain
+		if asksWindow && p.windowAskAgainAt.Before(at) {
+			at = p.windowAskAgainAt
 		}
 		return Action{Kind: Wait, At: at}
 	case Waiting:
-		if now.Before(p.next) {
-			return Action{Kind: Wait, At: p.next}
+		if now.Before(p.retryAt) {
+			return Action{Kind: Wait, At: p.retryAt}
 		}
 	}
-	best, at := p.choose(now)
+	best, at := p.chooseAuthority(now)
 	if now.Before(at) {
 		return Action{Kind: Wait, At: at}
 	}
-	return Action{Kind: Order, Authority: best, Replaces: p.replaces(best)}
+	return Action{Kind: Order, Authority: best, Replaces: p.canReplace(best)}
 }
 
-// replaces tells whether the order can name what it replaces, which only the authority that issued it takes.
-func (p *Plan) replaces(authority int) bool {
-	return p.have && !p.held.Stopgap && !p.held.FromSecond && authority == 0
+// canReplace reports whether an order at an authority can name the certificate that it replaces. Only the authority
+// that issued the certificate accepts that.
+func (p *Plan) canReplace(authority int) bool {
+	return p.hasCertificate && !p.current.Stopgap && !p.current.FromSecond && authority == 0
 }
 
-// choose gives the authority for the next order and when it may be begun. The first is preferred; another one
-// takes its place when the first is left out, or when time presses and it has failed several times in a row or is
-// limited. All that is equal, the one that may be asked soonest is.
-func (p *Plan) choose(now time.Time) (best int, at time.Time) {
-	for i := range p.places {
-		a := &p.places[i]
-		if a.out && !now.Before(a.notUntil) {
-			a.out, a.row = false, 0
+// chooseAuthority returns the authority of the next order and the earliest time of that order. The first authority
+// is preferred. Another one is chosen if the first is excluded, or if the renewal is urgent and the first either has
+// failed failuresBeforeFallback times in a row and more often than the other, or accepts an order only later.
+func (p *Plan) chooseAuthority(now time.Time) (best int, at time.Time) {
+	for i := range p.authorities {
+		a := &p.authorities[i]
+		if a.excluded && !now.Before(a.blockedUntil) {
+			a.excluded, a.failuresInRow = false, 0
 		}
 	}
 	best = -1
-	for i := range p.places {
-		a, free := &p.places[i], p.free(i, now)
+	for i := range p.authorities {
+		a, free := &p.authorities[i], p.nextOrderTime(i, now)
 		switch {
 		case best < 0:
 			best, at = i, free
-		case p.places[best].out && !a.out:
+		case p.authorities[best].excluded && !a.excluded:
 			best, at = i, free
-		case a.out && !p.places[best].out:
-		case !p.presses(now):
-		case p.places[best].row >= otherAfter && a.row < p.places[best].row && !free.After(later(at, now)):
+		case a.excluded && !p.authorities[best].excluded:
+		case !p.urgent(now):
+		case p.authorities[best].failuresInRow >= failuresBeforeFallback && a.failuresInRow < p.authorities[best].failuresInRow && !free.After(latest(at, now)):
 			best, at = i, free
 		case free.Before(at) && at.After(now):
 			best, at = i, free
@@ -449,25 +455,25 @@
 	return best, at
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// free is when an order may be begun at an authority: within the budget and not before its Retry-After.
-func (p *Plan) free(i int, now time.Time) time.Time {
-	a := &p.places[i]
-	for len(a.begun) > 0 && !now.Before(a.begun[0].Add(week)) {
-		a.begun = a.begun[1:]
+// nextOrderTime returns the earliest time of an order at an authority: within the budget and not before blockedUntil.
+func (p *Plan) nextOrderTime(i int, now time.Time) time.Time {
+	authority := &p.authorities[i]
+	for len(authority.orders) > 0 && !now.Before(authority.orders[0].Add(week)) {
+		authority.orders = authority.orders[1:]
 	}
-	at := a.notUntil
-	if n := len(a.begun) - p.set.Budget.Week; n >= 0 {
-		at = later(at, a.begun[n].Add(week))
+	at := authority.blockedUntil
+	if n := len(authority.orders) - p.settings.Budget.Week; n >= 0 {
+		at = latest(at, authority.orders[n].Add(week))
 	}
-	if n := len(a.begun) - p.set.Budget.Hour; n >= 0 {
-		at = later(at, a.begun[n].Add(time.Hour))
+	if n := len(authority.orders) - p.settings.Budget.Hour; n >= 0 {
+		at = latest(at, authority.orders[n].Add(time.Hour))
 	}
 	return at
 }
--- a/internal/decide/renewal/renewal_test.go
+++ b/internal/decide/renewal/renewal_test.go
@@ -15,30 +15,30 @@
 
 const day = 24 * time.Hour
 
-// watch is what a plain observer writes down of a plan's orders, and what must hold of them.
-type watch struct {
-	plan     *Plan
-	budget   Budget
-	now      time.Time
-	begun    [][]time.Time
-	notUntil []time.Time
-	ordering bool
+// orderObserver records the orders of a plan independently of it and checks the budget and the blocked times.
+type orderObserver struct {
+	plan         *Plan
+	budget       Budget
+	now          time.Time
+	orders       [][]time.Time
+	blockedUntil []time.Time
+	orderPending bool
 }
 
-func newWatch(t fataler, s Settings) *watch {
+func newOrderObserver(t fatalReporter, s Settings) *orderObserver {
 	p, err := New(start, s)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	return &watch{plan: p, budget: s.Budget, now: start, begun: make([][]time.Time, s.Authorities), notUntil: make([]time.Time, s.Authorities)}
+	return &orderObserver{plan: p, budget: s.Budget, now: start, orders: make([][]time.Time, s.Authorities), blockedUntil: make([]time.Time, s.Authorities)}
 }
 
-type fataler interface{ Fatalf(string, ...any) }
+type fatalReporter interface{ Fatalf(string, ...any) }
 
-// begin checks an order that the plan wants against what was written down.
-func (w *watch) begin(t fataler, a Action) {
+// begin checks an order of the plan against the recorded ones and starts it.
+func (w *orderObserver) begin(t fatalReporter, a Action) {
 	hour, inWeek := 0, 0
-	for _, b := range w.begun[a.Authority] {
+	for _, b := range w.orders[a.Authority] {
 		if w.now.Before(b.Add(time.Hour)) {
 			hour++
 		}
@@ -47,73 +47,74 @@
 		}
 	}
 	if hour >= w.budget.Hour || inWeek >= w.budget.Week {
-		t.Fatalf("an order at %d with %d in the hour and %d in the week before, of %+v", a.Authority, hour, inWeek, w.budget)
+		t.Fatalf("order at authority %d after %d orders in the last hour and %d in the last week exceeds the budget %+v", a.Authority, hour, inWeek, w.budget)
 	}
-	if w.now.Before(w.notUntil[a.Authority]) {
-		t.Fatalf("an order at %d, %v before it may be asked again", a.Authority, w.notUntil[a.Authority].Sub(w.now))
+	if w.now.Before(w.blockedUntil[a.Authority]) {
+		t.Fatalf("order at authority %d is %v too early", a.Authority, w.blockedUntil[a.Authority].Sub(w.now))
 	}
-	w.begun[a.Authority] = append(w.begun[a.Authority], w.now)
+	w.orders[a.Authority] = append(w.orders[a.Authority], w.now)
 	w.plan.Begun(w.now, a.Authority, false)
-	w.ordering = true
+	w.orderPending = true
 }
 
-func (w *watch) fail(authority int, a Answer) {
+func (w *orderObserver) fail(authority int, a Answer) {
 	w.plan.Failed(w.now, a)
-	w.ordering = false
+	w.orderPending = false
 	until := w.now.Add(a.RetryAfter)
 	switch {
 	case a.Class == Limited && a.RetryAfter == 0:
-		until = w.now.Add(limitPause)
+		until = w.now.Add(defaultRateLimitDelay)
 	case a.Class == Hopeless:
-		until = w.now.Add(max(outTime, a.RetryAfter))
+		until = w.now.Add(max(exclusionTime, a.RetryAfter))
 	}
-	if until.After(w.notUntil[authority]) {
-		w.notUntil[authority] = until
+	if until.After(w.blockedUntil[authority]) {
+		w.blockedUntil[authority] = until
 	}
 }
 
-func (w *watch) issue(life time.Duration, authority int) {
+func (w *orderObserver) issue(life time.Duration, authority int) {
 	w.plan.Issued(w.now, Held{NotBefore: w.now, NotAfter: w.now.Add(life), FromSecond: authority > 0})
-	w.ordering = false
+	w.orderPending = false
 }
 
-// TestAnyCourseKeepsTheBudgetAndComesToAnOrder plays random answers, windows, lifetimes and waits.
-func TestAnyCourseKeepsTheBudgetAndComesToAnOrder(t *testing.T) {
+// TestRandomSequencesKeepBudgetAndReachAnOrder runs random sequences of failures, windows,
+// lifetimes and waits and checks the order budget, the due time and that the plan never waits forever.
+func TestRandomSequencesKeepBudgetAndReachAnOrder(t *testing.T) {
 	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		n := rapid.IntRange(1, 3).Draw(rt, "authorities")
-		w := newWatch(rt, Settings{Authorities: n, Budget: Budget{Hour: 2, Week: 12}, Place: rapid.Float64Range(0, 0.999).Draw(rt, "place")})
+		w := newOrderObserver(rt, Settings{Authorities: n, Budget: Budget{Hour: 2, Week: 12}, Place: rapid.Float64Range(0, 0.999).Draw(rt, "place")})
 		at, waits := 0, 0
 		return map[string]func(*rapid.T){
 			"wait": func(rt *rapid.T) {
 				w.now = w.now.Add(time.Duration(rapid.IntRange(0, 7200).Draw(rt, "s")) * time.Second)
 			},
-			"follow": func(rt *rapid.T) { // what the plan says, as its carrier does
+			"follow": func(rt *rapid.T) { // carries out the plan's next action, as its caller does
 				switch a := w.plan.Next(w.now); {
 				case a.Kind == Wait:
 					if waits++; a.At.Before(w.now) {
-						rt.Fatalf("told to wait until %v ago", w.now.Sub(a.At))
+						rt.Fatalf("the plan waits until a time %v in the past", w.now.Sub(a.At))
 					}
 					w.now = a.At
 				case a.Kind == Ask:
 					w.plan.NotSuggested(w.now)
-				case w.ordering && a.Authority != at:
-					rt.Fatalf("an order at %d goes on at %d", at, a.Authority)
-				case !w.ordering:
+				case w.orderPending && a.Authority != at:
+					rt.Fatalf("the order at authority %d continues at authority %d", at, a.Authority)
+				case !w.orderPending:
 					at, waits = a.Authority, 0
 					w.begin(rt, a)
 				}
 				if waits > 200 {
-					rt.Fatalf("waits 200 times on end in phase %v", w.plan.Phase())
+					rt.Fatalf("more than 200 waits without an order, phase %v", w.plan.Phase())
 				}
 			},
 			"fail": func(rt *rapid.T) {
-				if w.ordering {
+				if w.orderPending {
 					w.fail(at, Answer{Class: Class(rapid.IntRange(0, 3).Draw(rt, "class")),
 						RetryAfter: time.Duration(rapid.IntRange(0, 40).Draw(rt, "min")) * time.Minute})
 				}
 			},
 			"issue": func(rt *rapid.T) {
-				if w.ordering {
+				if w.orderPending {
 					w.issue(rapid.SampledFrom([]time.Duration{6 * day, 45 * day, 90 * day}).Draw(rt, "life"), at)
 				}
 			},
@@ -124,30 +125,30 @@
 			"": func(rt *rapid.T) {
 				due := w.plan.DueAt()
 				if h, ok := w.plan.Held(); ok && due.After(h.NotAfter.Add(-h.Lifetime()/6)) {
-					rt.Fatalf("due %v before the end of a lifetime of %v", h.NotAfter.Sub(due), h.Lifetime())
+					rt.Fatalf("renewal due %v before the end of a lifetime of %v, want at least a sixth of it", h.NotAfter.Sub(due), h.Lifetime())
 				}
-				if w.ordering != (w.plan.Phase() == Ordering) {
-					rt.Fatalf("an order is on its way: %v; phase %v", w.ordering, w.plan.Phase())
+				if w.orderPending != (w.plan.Phase() == Ordering) {
+					rt.Fatalf("order in progress: %v, but phase %v", w.orderPending, w.plan.Phase())
 				}
 			},
 		}
 	})
 }
 
-// TestEveryCourseOfFourAttemptsAtTwoAuthorities goes through all answers to up to four attempts, with a certificate
-// that is near its end and one that is not, and checks where each next attempt is made and how soon.
-func TestEveryCourseOfFourAttemptsAtTwoAuthorities(t *testing.T) {
+// TestAllSequencesOfFourFailuresAtTwoAuthorities goes through all outcomes of up to four attempts, with
+// certificates near and far from their expiry, and checks the authority and the time of each next attempt.
+func TestAllSequencesOfFourFailuresAtTwoAuthorities(t *testing.T) {
 	answers := []Answer{{Class: Transient}, {Class: Transient, RetryAfter: 2 * time.Hour}, {Class: Limited}, {Class: Limited, RetryAfter: 3 * time.Hour},
 		{Class: Hopeless}, {Class: Person}}
-	courses := 0
-	var play func(t *testing.T, left time.Duration, course []Answer)
-	play = func(t *testing.T, left time.Duration, course []Answer) {
-		courses++
-		w := newWatch(t, Settings{Authorities: 2, Budget: DefaultBudget})
+	played := 0
+	var play func(t *testing.T, left time.Duration, sequence []Answer)
+	play = func(t *testing.T, left time.Duration, sequence []Answer) {
+		played++
+		w := newOrderObserver(t, Settings{Authorities: 2, Budget: DefaultBudget})
 		w.plan.Issued(w.now, Held{NotBefore: w.now.Add(left - 90*day), NotAfter: w.now.Add(left)})
 		w.plan.NotSuggested(w.now)
-		said := func() (s []string) {
-			for _, a := range course {
+		describe := func() (s []string) {
+			for _, a := range sequence {
 				s = append(s, fmt.Sprintf("%v/%v", a.Class, a.RetryAfter))
 			}
 			return s
@@ -163,73 +164,73 @@
 					w.now = a.At
 				}
 				if a = w.plan.Next(w.now); hops > 20 {
-					t.Fatalf("%v: no order after %v", said(), w.now.Sub(began))
+					t.Fatalf("%v: no order after %v", describe(), w.now.Sub(began))
 				}
 			}
 			if i > 0 {
-				last := course[i-1]
-				most := max(mostPause, limitPause)
-				for _, a := range course[:i] { // what one authority asked for still holds when the other fails
-					most = max(most, a.RetryAfter)
+				last := sequence[i-1]
+				maxGap := max(maxBackoff, defaultRateLimitDelay)
+				for _, a := range sequence[:i] { // a Retry-After of one authority still applies when the other fails
+					maxGap = max(maxGap, a.RetryAfter)
 				}
 				switch {
 				case last.Class == Person:
-					most = max(handTime, most)
+					maxGap = max(operatorRetryInterval, maxGap)
 				case out[0].After(began) && out[1].After(began):
-					most = outTime
+					maxGap = exclusionTime
 				}
-				if gap := w.now.Sub(began); gap > most {
-					t.Fatalf("%v: the next attempt comes after %v, want %v at most", said(), gap, most)
+				if gap := w.now.Sub(began); gap > maxGap {
+					t.Fatalf("%v: the next attempt comes after %v, want at most %v", describe(), gap, maxGap)
 				}
 			}
 			if w.now.Before(out[a.Authority]) && !w.now.Before(out[1-a.Authority]) {
-				t.Fatalf("%v: attempt %d goes to %d, which is left out", said(), i, a.Authority)
+				t.Fatalf("%v: attempt %d goes to authority %d, which is excluded", describe(), i, a.Authority)
 			}
-			if a.Authority == 1 && !w.now.Before(out[0]) && !w.plan.presses(w.now) {
-				t.Fatalf("%v: the second authority is asked though the first is not left out and there is time", said())
+			if a.Authority == 1 && !w.now.Before(out[0]) && !w.plan.urgent(w.now) {
+				t.Fatalf("%v: order at the second authority although the first is not excluded and the renewal is not urgent", describe())
 			}
-			if i == len(course) {
+			if i == len(sequence) {
 				break
 			}
 			w.begin(t, a)
-			w.fail(a.Authority, course[i])
-			if course[i].Class == Hopeless {
-				out[a.Authority] = w.now.Add(outTime)
+			w.fail(a.Authority, sequence[i])
+			if sequence[i].Class == Hopeless {
+				out[a.Authority] = w.now.Add(exclusionTime)
 			}
 			if i > 0 && w.plan.Alarm(w.now) == Calm {
-				t.Fatalf("%v: no alarm", said())
+				t.Fatalf("%v: the alarm is calm after repeated failures", describe())
 			}
 		}
-		if len(course) < 4 {
+		if len(sequence) < 4 {
 			for _, a := range answers {
-				play(t, left, append(append([]Answer(nil), course...), a))
+				play(t, left, append(append([]Answer(nil), sequence...), a))
 			}
 		}
 	}
 	for _, left := range []time.Duration{25 * day, 5 * day, time.Hour, -day} {
 		play(t, left, nil)
 	}
-	if want := 4 * (1 + 6 + 36 + 216 + 1296); courses != want {
-		t.Errorf("%d courses, want %d", courses, want)
+	if want := 4 * (1 + 6 + 36 + 216 + 1296); played != want {
+		t.Errorf("played %d sequences, want %d", played, want)
 	}
 }
 
-func TestWhenARenewalIsDue(t *testing.T) {
+func TestRenewalDueTime(t *testing.T) {
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	for _, k := range []struct {
 		name   string
 		life   time.Duration
 		place  float64
 		window Window
-		want   time.Duration // after the certificate's begin
+		want   time.Duration // after the certificate's NotBefore
 	}{
-		{"90 days, last place", 90 * day, 0.999999, Window{}, 60 * day},
-		{"90 days, first place", 90 * day, 0, Window{}, 60*day - 90*day/12},
+		{"90 days, end of the spread", 90 * day, 0.999999, Window{}, 60 * day},
+		{"90 days, start of the spread", 90 * day, 0, Window{}, 60*day - 90*day/12},
 		{"45 days", 45 * day, 0.999999, Window{}, 30 * day},
 		{"6 days", 6 * day, 0.999999, Window{}, 3 * day},
 		{"a window", 90 * day, 0.5, Window{at(70 * day), at(72 * day)}, 71 * day},
-		{"a window at once", 90 * day, 0.5, Window{at(-2 * day), at(-day)}, -36 * time.Hour},
-		{"a window after the end", 90 * day, 0.5, Window{at(95 * day), at(96 * day)}, 75 * day},
+		{"a window in the past", 90 * day, 0.5, Window{at(-2 * day), at(-day)}, -36 * time.Hour},
+		{"a window after the expiry", 90 * day, 0.5, Window{at(95 * day), at(96 * day)}, 75 * day},
 		{"a window that ends before it starts", 90 * day, 0.999999, Window{at(72 * day), at(70 * day)}, 60 * day},
 	} {
 		p, err := New(start, Settings{Authorities: 1, Budget: DefaultBudget, Place: k.place})
@@ -244,8 +245,9 @@
 	}
 }
 
-// TestAFleetDoesNotComeAtOnce counts the orders of a thousand boxes whose certificates were issued in one minute.
-func TestAFleetDoesNotComeAtOnce(t *testing.T) {
+// TestFleetRenewalsAreSpreadOverHours counts the due renewals an hour of a thousand boxes whose certificates were
+// issued at the same time.
+func TestFleetRenewalsAreSpreadOverHours(t *testing.T) {
 	hours := map[int]int{}
 	for i := range 1000 {
 		p, _ := New(start, Settings{Authorities: 1, Budget: DefaultBudget, Place: float64(i*617%1000) / 1000})
@@ -255,44 +257,44 @@
 	}
 	for h, n := range hours {
 		if n > 8 {
-			t.Errorf("%d of 1000 boxes come in hour %d", n, h)
+			t.Errorf("%d of 1000 boxes renew in hour %d, want at most 8", n, h)
 		}
 	}
 }
 
-func TestAClockThatSteps(t *testing.T) {
-	w := newWatch(t, Settings{Authorities: 1, Budget: Budget{Hour: 1, Week: 5}})
+func TestClockStepsBackAndForth(t *testing.T) {
+	w := newOrderObserver(t, Settings{Authorities: 1, Budget: Budget{Hour: 1, Week: 5}})
 	w.issue(90*day, 0)
 	w.now = start.Add(70 * day)
 	w.begin(t, w.plan.Next(w.now))
 	w.fail(0, Answer{Class: Limited, RetryAfter: 2 * time.Hour})
 	if a := w.plan.Next(w.now); a.Kind != Wait || a.At.Sub(w.now) > 2*time.Hour {
-		t.Errorf("after the limit: %+v", a)
+		t.Errorf("after a rate limit of 2 h: %+v", a)
 	}
 	back := w.now.Add(-30 * day)
 	if a := w.plan.Next(back); a.Kind == Wait && a.At.Sub(back) > 20*day {
-		t.Errorf("a month back, the next step is %v off", a.At.Sub(back))
+		t.Errorf("clock 30 days back: the next step is %v away", a.At.Sub(back))
 	}
 	ahead := start.Add(100 * day)
 	if got := w.plan.Alarm(ahead); got != Expired {
-		t.Errorf("a month ahead, the alarm is %v", got)
+		t.Errorf("clock 30 days ahead: the alarm is %v", got)
 	}
 	if a := w.plan.Next(ahead); a.Kind != Order {
-		t.Errorf("a month ahead: %+v", a)
+		t.Errorf("clock 30 days ahead: %+v, want an order", a)
 	}
 	if a := w.plan.Next(w.now); a.Kind == Wait && a.At.Sub(w.now) > 2*time.Hour {
-		t.Errorf("back again, the next step is %v off", a.At.Sub(w.now))
+		t.Errorf("clock back at the right time: the next step is %v away", a.At.Sub(w.now))
 	}
 }
 
-func TestAlarmsRiseAsTheEndComes(t *testing.T) {
+func TestAlarmsRiseTowardExpiry(t *testing.T) {
 	p, _ := New(start, Settings{Authorities: 1, Budget: DefaultBudget})
 	if p.Alarm(start) != Notice {
-		t.Errorf("before the first: %v", p.Alarm(start))
+		t.Errorf("without a certificate: alarm %v, want notice", p.Alarm(start))
 	}
 	p.Issued(start, Held{NotBefore: start, NotAfter: start.Add(90 * day)})
 	var got []string
-	last := alarms
+	last := alarmCount
 	for d := time.Duration(0); d <= 90*day; d += time.Hour {
 		if d == 61*day {
 			p.Begun(start.Add(d), 0, false)
@@ -309,20 +311,20 @@
 	}
 }
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, s := range []Settings{{}, {Authorities: 1}, {Authorities: 1, Budget: Budget{Hour: 3, Week: 2}}, {Authorities: 1, Budget: DefaultBudget, Place: 1}} {
 		if _, err := New(start, s); err == nil {
-			t.Errorf("%+v is taken", s)
+			t.Errorf("invalid settings %+v are accepted", s)
 		}
 	}
 }
 
-// TestTheBudgetOutlivesARestart: what was begun before is put back.
-func TestTheBudgetOutlivesARestart(t *testing.T) {
+// TestBudgetSurvivesRestart restores orders from before the restart and checks that they count.
+func TestBudgetSurvivesRestart(t *testing.T) {
 	p, _ := New(start, Settings{Authorities: 1, Budget: Budget{Hour: 2, Week: 9}})
 	p.Remembers(0, start.Add(-10*time.Minute))
 	p.Remembers(0, start.Add(-5*time.Minute))
-	p.Remembers(0, start.Add(time.Hour)) // not yet
+	p.Remembers(0, start.Add(time.Hour)) // lies in the future and is ignored
 	p.Remembers(7, start)
 	if a := p.Next(start); a.Kind != Wait || !a.At.Equal(start.Add(50*time.Minute)) {
 		t.Errorf("next: %+v", a)
