--- a/internal/certs/answers.go
+++ b/internal/certs/answers.go
@@ -14,7 +14,7 @@
 	"cairnlane/internal/state/keystore"
 )
 
-// The challenges that are answered.
+// The supported challenge types of RFC 8555 and RFC 8737.
 const (
 	HTTP01    = "http-01"
 	TLSALPN01 = "tls-alpn-01"
@@ -22,50 +22,50 @@
 
 const challengePath = "/.well-known/acme-challenge/"
 
-// Answers holds the answers to challenges that are open, for whoever the authority asks: the HTTP listener for
-// http-01, the TLS front for tls-alpn-01.
+// Answers holds the responses to pending challenges. The HTTP listener serves those to http-01, the TLS listener
+// those to tls-alpn-01.
 type Answers struct {
 	mu    sync.Mutex
 	http  map[string]string           // key authorization by token
-	certs map[string]*tls.Certificate // by name, lower case
+	certs map[string]*tls.Certificate // by host name in lower case
 }
 
-// NewAnswers returns one without answers.
+// NewAnswers returns an empty Answers.
 func NewAnswers() *Answers {
 	return &Answers{http: map[string]string{}, certs: map[string]*tls.Certificate{}}
 }
 
-// present has a challenge answered until it is withdrawn.
-func (a *Answers) present(ans keystore.Answer) error {
-	if ans.Type == HTTP01 {
+// add serves the response to a challenge until it is removed.
+func (a *Answers) add(answer keystore.Answer) error {
+	if answer.Type == HTTP01 {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.http[ans.Token] = ans.Value
+		a.http[answer.Token] = answer.Value
 		return nil
 	}
-	cert, err := acmez.TLSALPN01ChallengeCert(acme.Challenge{Type: ans.Type, KeyAuthorization: ans.Value, Identifier: acme.Identifier{Type: "dns", Value: ans.Name}})
+	cert, err := acmez.TLSALPN01ChallengeCert(acme.Challenge{Type: answer.Type, KeyAuthorization: answer.Value, Identifier: acme.Identifier{Type: "dns", Value: answer.Name}})
 	if err != nil {
-		return fmt.Errorf("answer to %s: %w", ans.Type, err)
+		return fmt.Errorf("make the response to the %s challenge: %w", answer.Type, err)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.certs[strings.ToLower(ans.Name)] = cert
+	a.certs[strings.ToLower(answer.Name)] = cert
 	return nil
 }
 
-// withdraw has them answered no more.
-func (a *Answers) withdraw(list []keystore.Answer) {
+// remove stops serving the given challenge responses.
+func (a *Answers) remove(list []keystore.Answer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, ans := range list {
-		delete(a.http, ans.Token)
-		if ans.Type == TLSALPN01 {
-			delete(a.certs, strings.ToLower(ans.Name))
+	for _, answer := range list {
+		delete(a.http, answer.Token)
+		if answer.Type == TLSALPN01 {
+			delete(a.certs, strings.ToLower(answer.Name))
 		}
 	}
 }
 
-// ServeHTTP answers http-01, and nothing else.
+// ServeHTTP serves the responses to http-01 challenges and 404 for everything else.
 func (a *Answers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	token, ok := strings.CutPrefix(r.URL.Path, challengePath)
 	a.mu.Lock()
@@ -79,23 +79,24 @@
 	w.Write([]byte(auth))
 }
 
-// Set is the certificates of a listener.
+// Set selects the certificate for each handshake of a listener.
 type Set struct {
-	Answers *Answers
-	keepers []*Keeper
+	Answers  *Answers
+	managers []*Keeper
 }
 
-// NewSet returns the certificates of a listener. The first one is for clients that ask for no name or an unknown one.
+// NewSet returns a set of the keepers' certificates. Clients that send no server name or an unknown one get the first
+// certificate.
 func NewSet(answers *Answers, keepers ...*Keeper) *Set {
-	return &Set{Answers: answers, keepers: keepers}
+	return &Set{Answers: answers, managers: keepers}
 }
 
-// Keepers lists them.
-func (s *Set) Keepers() []*Keeper { return s.keepers }
+// Keepers returns the keepers of the set.
+func (s *Set) Keepers() []*Keeper { return s.managers }
 
-// Find gives the keeper of that name, or nil.
+// Find returns the keeper of the certificate with that name, or nil.
 func (s *Set) Find(name string) *Keeper {
-	for _, k := range s.keepers {
+	for _, k := range s.managers {
 		if k.cfg.Name == name {
 			return k
 		}
@@ -103,9 +104,10 @@
 	return nil
 }
 
-var errNoCertificate = errors.New("no certificate yet: the first one is still to be obtained, and self_signed is off")
+var errNoCertificate = errors.New("no certificate available: the first order has not completed, and self_signed is off")
 
-// GetCertificate is for tls.Config. It is called for each handshake and takes no lock that is held over I/O.
+// GetCertificate implements the callback of tls.Config. It is called for each handshake and takes no lock that is
+// held during I/O.
 func (s *Set) GetCertificate(h *tls.ClientHelloInfo) (*tls.Certificate, error) {
 	name := strings.ToLower(strings.TrimSuffix(h.ServerName, "."))
 	if len(h.SupportedProtos) == 1 && h.SupportedProtos[0] == acmez.ACMETLS1Protocol {
@@ -114,10 +116,10 @@
 		if cert := s.Answers.certs[name]; cert != nil {
 			return cert, nil
 		}
-		return nil, fmt.Errorf("no challenge is open for %q", name)
+		return nil, fmt.Errorf("no pending tls-alpn-01 challenge for %q", name)
 	}
 	var first *tls.Certificate
-	for _, k := range s.keepers {
+	for _, k := range s.managers {
 		cert := k.Current()
 		if cert == nil {
 			continue
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -30,29 +30,29 @@
 
 const day = 24 * time.Hour
 
-// world is a keeper with authorities and the listeners that they call back on.
-type world struct {
-	t     *testing.T
-	clock *testkit.Clock
-	first *authority.Authority
-	other *authority.Authority
-	root  string
-	cfg   Config
-	ans   *Answers
-	set   *Set
-	tls   net.Listener
-	plain string // where http-01 is answered
-	log   bytes.Buffer
+// harness runs keepers against two fake authorities, with the listeners that the authorities validate at.
+type harness struct {
+	t        *testing.T
+	clock    *testkit.Clock
+	first    *authority.Authority
+	other    *authority.Authority
+	root     string
+	cfg      Config
+	answers  *Answers
+	set      *Set
+	tls      net.Listener
+	httpAddr string // address of the listener for http-01
+	log      bytes.Buffer
 
-	mu    sync.Mutex
-	fault map[string]func(authority.Op) authority.Fault
-	moved func() (from, to time.Time)
+	mu     sync.Mutex
+	fault  map[string]func(authority.Op) authority.Fault
+	window func() (from, to time.Time)
 }
 
-func newWorld(t *testing.T, life time.Duration, challenge string) *world {
+func newHarness(t *testing.T, life time.Duration, challenge string) *harness {
 	t.Helper()
-	w := &world{t: t, clock: testkit.NewClock(), root: filepath.Join(t.TempDir(), "store"), ans: NewAnswers(), fault: map[string]func(authority.Op) authority.Fault{}}
-	w.set = NewSet(w.ans)
+	w := &harness{t: t, clock: testkit.NewClock(), root: filepath.Join(t.TempDir(), "store"), answers: NewAnswers(), fault: map[string]func(authority.Op) authority.Fault{}}
+	w.set = NewSet(w.answers)
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -61,8 +61,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go http.Serve(plain, w.ans)
-	w.plain = plain.Addr().String()
+	go http.Serve(plain, w.answers)
+	w.httpAddr = plain.Addr().String()
 	go func() {
 		for {
 			c, err := w.tls.Accept()
@@ -92,10 +92,10 @@
 			Window: func(cert *x509.Certificate) (time.Time, time.Time, bool) {
 				w.mu.Lock()
 				defer w.mu.Unlock()
-				if w.moved == nil {
+				if w.window == nil {
 					return time.Time{}, time.Time{}, false
 				}
-				from, to := w.moved()
+				from, to := w.window()
 				return from, to, true
 			}})
 		if err != nil {
@@ -106,7 +106,7 @@
 	}
 	w.first, w.other = start("first"), start("other")
 	w.cfg = Config{Name: "site", Names: []string{"site.example", "www.site.example"}, Challenge: challenge, Contact: []string{"mailto:ops@site.example"},
-		Authorities: []Authority{reach(w.first, "first"), reach(w.other, "other")}, Roots: w.first.Roots().Clone(), CallTime: 10 * time.Second,
+		Authorities: []Authority{authorityConfig(w.first, "first"), authorityConfig(w.other, "other")}, Roots: w.first.Roots().Clone(), CallTime: 10 * time.Second,
 		PollTime: 30 * time.Millisecond, PollEvery: 5 * time.Millisecond}
 	for _, c := range w.other.Certificates() {
 		w.cfg.Roots.AddCert(c)
@@ -114,18 +114,19 @@
 	return w
 }
 
-func reach(a *authority.Authority, name string) Authority {
+func authorityConfig(a *authority.Authority, name string) Authority {
 	return Authority{Name: name, Directory: a.URL(), HTTP: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: a.Roots()}}}
 }
 
-// play sets what goes wrong at an authority.
-func (w *world) play(name string, f func(authority.Op) authority.Fault) {
+// setFault sets the faults of an authority.
+func (w *harness) setFault(name string, f func(authority.Op) authority.Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault[name] = f
 }
 
-func on(op authority.Op, f authority.Fault) func(authority.Op) authority.Fault {
+// faultOn returns a fault function that injects a fault into one operation.
+func faultOn(op authority.Op, f authority.Fault) func(authority.Op) authority.Fault {
 	return func(o authority.Op) authority.Fault {
 		if o == op {
 			return f
@@ -134,54 +135,54 @@
 	}
 }
 
-// once plays a fault the first time only.
-func once(op authority.Op, f authority.Fault) func(authority.Op) authority.Fault {
-	played := false
+// faultOnce returns a fault function that injects a fault into the first call of an operation.
+func faultOnce(op authority.Op, f authority.Fault) func(authority.Op) authority.Fault {
+	injected := false
 	return func(o authority.Op) authority.Fault {
-		if o == op && !played {
-			played = true
+		if o == op && !injected {
+			injected = true
 			return f
 		}
 		return authority.Fault{}
 	}
 }
 
-// open starts a keeper on the store, as a process does.
-func (w *world) open(files faultfs.FS) (*Keeper, *keystore.Store) {
+// openKeeper opens the store and starts a keeper on it, as a new process does.
+func (w *harness) openKeeper(files faultfs.FS) (*Keeper, *keystore.Store) {
 	w.t.Helper()
 	store, err := keystore.Open(files, w.root)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	k, err := New(w.cfg, store, w.ans, w.clock.Unix, zerolog.New(&w.log))
+	k, err := New(w.cfg, store, w.answers, w.clock.Unix, zerolog.New(&w.log))
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.set.keepers = []*Keeper{k}
+	w.set.managers = []*Keeper{k}
 	w.t.Cleanup(func() { store.Close() })
 	return k, store
 }
 
-// until takes steps, moving the clock to each, until it is so; it fails after so many.
-func (w *world) until(k *Keeper, what string, so func() bool) {
+// stepUntil runs steps, advancing the clock to each, until the condition holds. It fails after 4000 steps.
+func (w *harness) stepUntil(k *Keeper, what string, condition func() bool) {
 	w.t.Helper()
 	for range 4000 {
-		if so() {
+		if condition() {
 			return
 		}
 		if at, now := k.Step(context.Background()), w.clock.Unix(); at.After(now) {
 			w.clock.Advance(at.Sub(now))
 		}
 	}
-	w.t.Fatalf("never comes to: %s\n%+v\n%s", what, k.Status(), w.log.String())
+	w.t.Fatalf("not reached within 4000 steps: %s\n%+v\n%s", what, k.Status(), w.log.String())
 }
 
-func (w *world) issued(k *Keeper, generation int) func() bool {
+func (w *harness) issued(k *Keeper, generation int) func() bool {
 	return func() bool { return k.Status().Generation >= generation }
 }
 
-// handshake takes the certificate that a client gets.
-func (w *world) handshake(name string, change func(*tls.Config)) (*x509.Certificate, error) {
+// handshake connects as a client and returns the server's certificate.
+func (w *harness) handshake(name string, change func(*tls.Config)) (*x509.Certificate, error) {
 	cfg := &tls.Config{ServerName: name, RootCAs: w.cfg.Roots, Time: w.clock.Unix}
 	if change != nil {
 		change(cfg)
@@ -194,44 +195,44 @@
 	return c.ConnectionState().PeerCertificates[0], nil
 }
 
-func TestACertificateIsObtainedAndRenewed(t *testing.T) {
+func TestObtainAndRenew(t *testing.T) {
 	for _, challenge := range []string{HTTP01, TLSALPN01} {
 		for _, life := range []time.Duration{6 * day, 45 * day, 90 * day} {
-			w := newWorld(t, life, challenge)
-			k, _ := w.open(faultfs.Disk{})
+			w := newHarness(t, life, challenge)
+			k, _ := w.openKeeper(faultfs.Disk{})
 			if _, err := w.handshake("site.example", nil); err == nil {
-				t.Error("a handshake without a certificate")
+				t.Error("handshake succeeded without a certificate")
 			}
 			for n := 1; n <= 3; n++ {
-				w.until(k, fmt.Sprintf("generation %d", n), w.issued(k, n))
+				w.stepUntil(k, fmt.Sprintf("generation %d", n), w.issued(k, n))
 				if _, err := w.handshake("www.site.example", nil); err != nil {
 					t.Errorf("%s, %v, generation %d: %v", challenge, life, n, err)
 				}
 			}
 			if got := w.first.Issued(); got != 3 || w.other.Calls("") != 0 {
-				t.Errorf("%s: %d were issued, want 3; %d calls to the second authority", challenge, got, w.other.Calls(""))
+				t.Errorf("%s: %d certificates issued, want 3; %d calls to the second authority, want 0", challenge, got, w.other.Calls(""))
 			}
 			if o, err := k.store.Order("site"); err != nil || o.Stage != keystore.Ended || len(o.Key) > 0 {
-				t.Errorf("the order is left at stage %d, %v", o.Stage, err)
+				t.Errorf("order at stage %d instead of ended, or its key is still stored; error %v", o.Stage, err)
 			}
 			if strings.Contains(w.log.String(), "PRIVATE") || !strings.Contains(w.log.String(), `"generation":3`) {
-				t.Errorf("the log: %s", w.log.String())
+				t.Errorf("the log contains a private key or lacks generation 3: %s", w.log.String())
 			}
 		}
 	}
 }
 
-// TestAKillAtAnyStepOfAnOrderGoesOnWithIt has the process die at every change of the store, in the middle of a
-// renewal, and another start: the old certificate serves, and one new one is issued.
-func TestAKillAtAnyStepOfAnOrderGoesOnWithIt(t *testing.T) {
+// TestOrderResumesAfterKillAtAnyStoreWrite kills the process at each change of the store during a renewal
+// and starts another one. The old certificate must stay in use and exactly one new certificate be issued.
+func TestOrderResumesAfterKillAtAnyStoreWrite(t *testing.T) {
 	kills := 0
 	for at := 0; ; at++ {
-		w := newWorld(t, 90*day, HTTP01)
-		k, store := w.open(faultfs.Disk{})
-		w.until(k, "the first", w.issued(k, 1))
+		w := newHarness(t, 90*day, HTTP01)
+		k, store := w.openKeeper(faultfs.Disk{})
+		w.stepUntil(k, "first certificate", w.issued(k, 1))
 		store.Close()
 		files := faultfs.NewFaulty()
-		k, store = w.open(files)
+		k, store = w.openKeeper(files)
 		at0 := files.Ops()
 		files.KillAt(at0+at, at%7*9)
 		w.clock.Advance(70 * day)
@@ -240,35 +241,36 @@
 		}
 		dead := files.Ops() > at0+at
 		if k.Current() == nil {
-			t.Fatalf("killed at change %d: nothing is served", at)
+			t.Fatalf("killed at change %d: no certificate in use", at)
 		}
 		store.Close()
-		k, _ = w.open(faultfs.Disk{})
-		w.until(k, "the second", w.issued(k, 2))
+		k, _ = w.openKeeper(faultfs.Disk{})
+		w.stepUntil(k, "second certificate", w.issued(k, 2))
 		if got := w.first.Issued(); got != 2 {
-			t.Errorf("killed at change %d: %d were issued, want 2", at, got)
+			t.Errorf("killed at change %d: %d certificates issued, want 2", at, got)
 		}
 		if cert, err := w.handshake("site.example", nil); err != nil || cert.NotAfter.Before(w.clock.Unix().Add(80*day)) {
-			t.Errorf("killed at change %d: %v", at, err)
+			t.Errorf("killed at change %d: the new certificate is not served: %v", at, err)
 		}
 		if kills++; !dead {
 			break
 		}
 	}
 	if kills < 12 {
-		t.Errorf("an order has only %d changes of the store", kills)
+		t.Errorf("an order has only %d store changes, want at least 12", kills)
 	}
 }
 
-// TestALostAnswerCostsNoSecondOrder has the answer to each kind of call lost after its effect.
-func TestALostAnswerCostsNoSecondOrder(t *testing.T) {
+// TestLostResponseCausesNoSecondOrder loses the response to each kind of call after the authority has
+// processed it.
+func TestLostResponseCausesNoSecondOrder(t *testing.T) {
 	for _, op := range []authority.Op{authority.OpAccount, authority.OpOrder, authority.OpLook, authority.OpChallenge, authority.OpFinalize, authority.OpFetch} {
-		w := newWorld(t, 90*day, HTTP01)
-		w.play("first", once(op, authority.Fault{Lost: true}))
-		k, _ := w.open(faultfs.Disk{})
-		w.until(k, "the first", w.issued(k, 1))
+		w := newHarness(t, 90*day, HTTP01)
+		w.setFault("first", faultOnce(op, authority.Fault{Lost: true}))
+		k, _ := w.openKeeper(faultfs.Disk{})
+		w.stepUntil(k, "first certificate", w.issued(k, 1))
 		if got := w.first.Issued() + w.other.Issued(); got != 1 {
-			t.Errorf("%s: %d were issued", op, got)
+			t.Errorf("%s: %d certificates issued, want 1", op, got)
 		}
 		if h := k.History(); len(h) != 2 || h[0].What != "failed" || h[1].What != "issued" {
 			t.Errorf("%s: history %+v", op, h)
@@ -276,191 +278,195 @@
 	}
 }
 
-// TestAFullDiskKeepsTheOldOneServing fails each write of a renewal for want of room.
-func TestAFullDiskKeepsTheOldOneServing(t *testing.T) {
+// TestFullDiskKeepsPreviousCertificateServing makes three consecutive writes of a renewal fail with a full
+// disk, starting at each of the first ten.
+func TestFullDiskKeepsPreviousCertificateServing(t *testing.T) {
 	for at := range 10 {
-		w := newWorld(t, 90*day, HTTP01)
+		w := newHarness(t, 90*day, HTTP01)
 		files := faultfs.NewFaulty()
-		k, _ := w.open(files)
-		w.until(k, "the first", w.issued(k, 1))
+		k, _ := w.openKeeper(files)
+		w.stepUntil(k, "first certificate", w.issued(k, 1))
 		for i := range 3 {
 			files.FullAt(files.Ops() + at + i)
 		}
 		w.clock.Advance(70 * day)
-		w.until(k, "the second", func() bool {
+		w.stepUntil(k, "second certificate", func() bool {
 			if _, err := w.handshake("site.example", nil); err != nil {
 				t.Fatalf("write %d: %v", at, err)
 			}
 			return k.Status().Generation >= 2
 		})
 		if got := w.first.Issued() + w.other.Issued(); got != 2 {
-			t.Errorf("write %d: %d were issued", at, got)
+			t.Errorf("write %d: %d certificates issued, want 2", at, got)
 		}
 	}
 }
 
-// TestRubbishIsKeptOut has an authority answer well and issue what must not be used.
-func TestRubbishIsKeptOut(t *testing.T) {
+// TestUnusableCertificatesAreRejected has an authority complete orders with unusable certificates. They must not
+// be installed, and the second authority must be used for one renewal.
+func TestUnusableCertificatesAreRejected(t *testing.T) {
 	for _, r := range []authority.Rubbish{authority.WrongName, authority.AlreadyOver, authority.OtherKey, authority.NoPEM} {
-		w := newWorld(t, 90*day, HTTP01)
-		k, _ := w.open(faultfs.Disk{})
-		w.until(k, "the first", w.issued(k, 1))
-		w.play("first", on(authority.OpFinalize, authority.Fault{Rubbish: r}))
+		w := newHarness(t, 90*day, HTTP01)
+		k, _ := w.openKeeper(faultfs.Disk{})
+		w.stepUntil(k, "first certificate", w.issued(k, 1))
+		w.setFault("first", faultOn(authority.OpFinalize, authority.Fault{Rubbish: r}))
 		w.clock.Advance(70 * day)
 		old := k.Current().Leaf.SerialNumber
-		w.until(k, "a failure", func() bool { return k.Status().Failures > 0 })
+		w.stepUntil(k, "failed order", func() bool { return k.Status().Failures > 0 })
 		if cert, err := w.handshake("site.example", nil); err != nil || cert.SerialNumber.Cmp(old) != 0 {
-			t.Errorf("%s: another one is served, or none: %v", r, err)
+			t.Errorf("%s: the previous certificate is no longer served: %v", r, err)
 		}
-		w.until(k, "one of the second authority", w.issued(k, 2))
+		w.stepUntil(k, "certificate of the second authority", w.issued(k, 2))
 		if _, err := w.handshake("site.example", nil); err != nil || w.other.Issued() != 1 {
-			t.Errorf("%s: %v, %d issued by the second authority", r, err, w.other.Issued())
+			t.Errorf("%s: %v, %d certificates issued by the second authority, want 1", r, err, w.other.Issued())
 		}
-		w.play("first", nil)
-		w.until(k, "the next", w.issued(k, 3))
+		w.setFault("first", nil)
+		w.stepUntil(k, "third certificate", w.issued(k, 3))
 		if w.other.Issued() != 1 {
-			t.Errorf("%s: the first authority is not gone back to", r)
+			t.Errorf("%s: the renewal after that does not return to the first authority", r)
 		}
 	}
-	w := newWorld(t, 90*day, HTTP01) // of two chains, the one that leads nowhere is passed over
+	w := newHarness(t, 90*day, HTTP01) // of two chains, the one without a trusted root is skipped
 	w.cfg.Roots = w.first.OtherRoots()
-	w.play("first", on(authority.OpFinalize, authority.Fault{Rubbish: authority.BrokenChain}))
-	k, _ := w.open(faultfs.Disk{})
-	w.until(k, "by the alternate chain", w.issued(k, 1))
+	w.setFault("first", faultOn(authority.OpFinalize, authority.Fault{Rubbish: authority.BrokenChain}))
+	k, _ := w.openKeeper(faultfs.Disk{})
+	w.stepUntil(k, "certificate with the alternate chain", w.issued(k, 1))
 }
 
-func TestAnAuthorityThatIsAwayForDays(t *testing.T) {
+func TestRenewalAfterLongAuthorityOutage(t *testing.T) {
 	for name, f := range map[string]func(authority.Op) authority.Fault{
-		"down":         func(authority.Op) authority.Fault { return authority.Fault{Down: true} },
-		"erring":       func(authority.Op) authority.Fault { return authority.Fault{Status: 503, RetryAfter: 20 * time.Minute} },
-		"limiting":     on(authority.OpOrder, authority.Fault{Status: 429, Problem: "rateLimited", RetryAfter: 30 * time.Hour}),
-		"bad nonces":   on(authority.OpFinalize, authority.Fault{BadNonce: true}),
-		"validating":   on(authority.OpChallenge, authority.Fault{Pending: 30 * time.Hour}),
-		"not willing":  on(authority.OpOrder, authority.Fault{Problem: "caa"}),
-		"issuing late": on(authority.OpFinalize, authority.Fault{Pending: 30 * time.Hour}),
+		"down":            func(authority.Op) authority.Fault { return authority.Fault{Down: true} },
+		"server errors":   func(authority.Op) authority.Fault { return authority.Fault{Status: 503, RetryAfter: 20 * time.Minute} },
+		"rate limit":      faultOn(authority.OpOrder, authority.Fault{Status: 429, Problem: "rateLimited", RetryAfter: 30 * time.Hour}),
+		"bad nonces":      faultOn(authority.OpFinalize, authority.Fault{BadNonce: true}),
+		"slow validation": faultOn(authority.OpChallenge, authority.Fault{Pending: 30 * time.Hour}),
+		"CAA rejection":   faultOn(authority.OpOrder, authority.Fault{Problem: "caa"}),
+		"slow issuance":   faultOn(authority.OpFinalize, authority.Fault{Pending: 30 * time.Hour}),
 	} {
-		w := newWorld(t, 6*day, HTTP01)
+		w := newHarness(t, 6*day, HTTP01)
 		w.cfg.Authorities = w.cfg.Authorities[:1]
-		k, _ := w.open(faultfs.Disk{})
-		w.until(k, "the first", w.issued(k, 1))
+		k, _ := w.openKeeper(faultfs.Disk{})
+		w.stepUntil(k, "first certificate", w.issued(k, 1))
 		before := w.first.Calls("")
-		w.play("first", f)
-		end := w.clock.Unix().Add(60 * time.Hour).Add(30 * time.Hour) // due after 60 to 66 hours; back 30 hours after that
-		w.until(k, name+": the time that it comes back", func() bool { return w.clock.Unix().After(end) || k.Status().Generation > 1 })
-		w.play("first", nil)
-		w.until(k, name+": the second", w.issued(k, 2))
+		w.setFault("first", f)
+		end := w.clock.Unix().Add(60 * time.Hour).Add(30 * time.Hour) // the renewal is due after 60 to 66 hours; the outage ends up to 30 hours later
+		w.stepUntil(k, name+": end of the outage", func() bool { return w.clock.Unix().After(end) || k.Status().Generation > 1 })
+		w.setFault("first", nil)
+		w.stepUntil(k, name+": second certificate", w.issued(k, 2))
 		if _, err := w.handshake("site.example", nil); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if left := k.Status().NotAfter.Sub(w.clock.Unix()); left < 5*day {
-			t.Errorf("%s: good for %v", name, left)
+			t.Errorf("%s: remaining validity %v, want at least 5 days", name, left)
 		}
 		if most := w.first.MostInAnHour(); most > 120 || w.first.Calls("")-before > 1200 {
-			t.Errorf("%s: %d calls in an hour, %d in all", name, most, w.first.Calls("")-before)
+			t.Errorf("%s: %d calls in an hour, %d in total", name, most, w.first.Calls("")-before)
 		}
 		if got := w.first.Issued(); got != 2 {
-			t.Errorf("%s: %d were issued", name, got)
+			t.Errorf("%s: %d certificates issued, want 2", name, got)
 		}
 	}
 }
 
-// TestWhatAnOrderReplacesIsACourtesy: refused, the order is asked for without it.
-func TestWhatAnOrderReplacesIsACourtesy(t *testing.T) {
-	w := newWorld(t, 90*day, HTTP01)
-	k, _ := w.open(faultfs.Disk{})
-	w.until(k, "the first", w.issued(k, 1))
-	w.play("first", on(authority.OpOrder, authority.Fault{Replace: true}))
-	w.until(k, "the second", w.issued(k, 2))
+// TestOrderIsRepeatedWithoutReplaces checks that an order whose replaces field is rejected is repeated without it.
+func TestOrderIsRepeatedWithoutReplaces(t *testing.T) {
+	w := newHarness(t, 90*day, HTTP01)
+	k, _ := w.openKeeper(faultfs.Disk{})
+	w.stepUntil(k, "first certificate", w.issued(k, 1))
+	w.setFault("first", faultOn(authority.OpOrder, authority.Fault{Replace: true}))
+	w.stepUntil(k, "second certificate", w.issued(k, 2))
 	if f := k.Status().Failures; f != 0 || w.other.Calls("") != 0 {
-		t.Errorf("%d failures", f)
+		t.Errorf("%d failures and %d calls to the second authority, want none", f, w.other.Calls(""))
 	}
 }
 
-// TestAMassRevocationIsLearnedOf: the authority moves its window into the past, and the next look renews.
-func TestAMassRevocationIsLearnedOf(t *testing.T) {
-	w := newWorld(t, 90*day, HTTP01)
-	k, _ := w.open(faultfs.Disk{})
-	w.until(k, "the first", w.issued(k, 1))
+// TestWindowInThePastRenewsWithinADay checks a mass revocation: the authority moves the window into the past, and
+// the next window request starts the renewal.
+func TestWindowInThePastRenewsWithinADay(t *testing.T) {
+	w := newHarness(t, 90*day, HTTP01)
+	k, _ := w.openKeeper(faultfs.Disk{})
+	w.stepUntil(k, "first certificate", w.issued(k, 1))
 	from := w.clock.Unix()
 	w.mu.Lock()
-	w.moved = func() (time.Time, time.Time) { return from.Add(-2 * day), from.Add(-day) }
+	w.window = func() (time.Time, time.Time) { return from.Add(-2 * day), from.Add(-day) }
 	w.mu.Unlock()
-	w.until(k, "the second", w.issued(k, 2))
+	w.stepUntil(k, "second certificate", w.issued(k, 2))
 	if took := w.clock.Unix().Sub(from); took > day {
-		t.Errorf("renewed after %v", took)
+		t.Errorf("renewed after %v, want at most a day", took)
 	}
 }
 
-func TestAStartWithoutAnAuthority(t *testing.T) {
-	w := newWorld(t, 90*day, HTTP01)
+func TestStartWhileAllAuthoritiesAreDown(t *testing.T) {
+	w := newHarness(t, 90*day, HTTP01)
 	down := func(authority.Op) authority.Fault { return authority.Fault{Down: true} }
-	w.play("first", down)
-	w.play("other", down)
-	k, store := w.open(faultfs.Disk{})
+	w.setFault("first", down)
+	w.setFault("other", down)
+	k, store := w.openKeeper(faultfs.Disk{})
 	k.Step(context.Background())
 	if _, err := w.set.GetCertificate(&tls.ClientHelloInfo{ServerName: "site.example"}); !errors.Is(err, errNoCertificate) || !strings.Contains(w.log.String(), "self_signed") {
 		t.Errorf("%v\n%s", err, w.log.String())
 	}
 	store.Close()
 	w.cfg.SelfSigned = true
-	k, _ = w.open(faultfs.Disk{})
+	k, _ = w.openKeeper(faultfs.Disk{})
 	cert, err := w.handshake("site.example", func(c *tls.Config) { c.InsecureSkipVerify = true })
 	if err != nil || cert.VerifyHostname("www.site.example") != nil || k.Status().Alarm != renewal.Warning.String() {
-		t.Errorf("one of our own: %v, alarm %s", err, k.Status().Alarm)
+		t.Errorf("self-signed placeholder: %v, alarm %s", err, k.Status().Alarm)
 	}
-	w.play("first", nil)
-	w.until(k, "the first", w.issued(k, 1))
+	w.setFault("first", nil)
+	w.stepUntil(k, "first certificate", w.issued(k, 1))
 	if _, err := w.handshake("site.example", nil); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestTwoOnOneStore: one renews, the other serves what it stores and takes over when it dies.
-func TestTwoOnOneStore(t *testing.T) {
-	w := newWorld(t, 90*day, HTTP01)
-	a, storeA := w.open(faultfs.Disk{})
-	b, _ := w.open(faultfs.Disk{})
-	w.until(a, "the first", w.issued(a, 1))
+// TestTwoProcessesShareOneStore checks that one process renews, and that the other serves the stored
+// certificates and takes over the renewal when the first has ended.
+func TestTwoProcessesShareOneStore(t *testing.T) {
+	w := newHarness(t, 90*day, HTTP01)
+	a, storeA := w.openKeeper(faultfs.Disk{})
+	b, _ := w.openKeeper(faultfs.Disk{})
+	w.stepUntil(a, "first certificate", w.issued(a, 1))
 	b.Step(context.Background())
 	if s := b.Status(); s.Generation != 1 || s.Leads || !a.Status().Leads {
-		t.Errorf("the second: %+v", s)
+		t.Errorf("status of the second process: %+v", s)
 	}
 	storeA.Close()
 	w.clock.Advance(70 * day)
-	w.until(b, "the second certificate", w.issued(b, 2))
+	w.stepUntil(b, "second certificate", w.issued(b, 2))
 	if got := w.first.Issued(); got != 2 || !b.Status().Leads {
-		t.Errorf("%d were issued; the second process renews: %v", got, b.Status().Leads)
+		t.Errorf("%d certificates issued, want 2; the second process renews: %v", got, b.Status().Leads)
 	}
 }
 
-func TestRevokingAndChangingTheAccountKey(t *testing.T) {
-	w := newWorld(t, 90*day, TLSALPN01)
-	k, store := w.open(faultfs.Disk{})
-	w.until(k, "the first", w.issued(k, 1))
+func TestRevokeAndChangeAccountKey(t *testing.T) {
+	w := newHarness(t, 90*day, TLSALPN01)
+	k, store := w.openKeeper(faultfs.Disk{})
+	w.stepUntil(k, "first certificate", w.issued(k, 1))
 	was, _ := store.Account("first")
-	w.play("first", once(authority.OpKey, authority.Fault{Lost: true}))
+	w.setFault("first", faultOnce(authority.OpKey, authority.Fault{Lost: true}))
 	if err := k.ChangeAccountKey(context.Background(), "first"); err == nil {
-		t.Error("the answer was lost, and it is not said")
+		t.Error("no error although the response to the key change was lost")
 	}
 	if err := k.ChangeAccountKey(context.Background(), "first"); err != nil {
-		t.Errorf("again: %v", err)
+		t.Errorf("second attempt of the key change: %v", err)
 	}
 	if now, _ := store.Account("first"); bytes.Equal(was.Key, now.Key) || len(now.Next) > 0 || now.URL != was.URL {
-		t.Error("the key is not another one, or the account is")
+		t.Error("the account key is unchanged, the change is still pending, or the account is a different one")
 	}
 	if err := k.Revoke(context.Background(), acme.ReasonKeyCompromise); err != nil {
 		t.Fatal(err)
 	}
-	w.until(k, "the second", w.issued(k, 2))
+	w.stepUntil(k, "second certificate", w.issued(k, 2))
 	if err := k.ChangeAccountKey(context.Background(), "nobody"); err == nil {
-		t.Error("an authority that is not configured")
+		t.Error("no error for an authority that is not configured")
 	}
 }
 
-func TestWhatClientsAskFor(t *testing.T) {
-	w := newWorld(t, 90*day, HTTP01)
-	k, _ := w.open(faultfs.Disk{})
-	w.until(k, "the first", w.issued(k, 1))
+func TestCertificateSelectionByClientHello(t *testing.T) {
+	w := newHarness(t, 90*day, HTTP01)
+	k, _ := w.openKeeper(faultfs.Disk{})
+	w.stepUntil(k, "first certificate", w.issued(k, 1))
 	for name, change := range map[string]func(*tls.Config){
 		"no name":      func(c *tls.Config) { c.ServerName, c.InsecureSkipVerify = "", true },
 		"unknown name": func(c *tls.Config) { c.ServerName, c.InsecureSkipVerify = "else.example", true },
@@ -471,41 +477,41 @@
 		}
 	}
 	for name, change := range map[string]func(*tls.Config){
-		"TLS 1.1 alone":       func(c *tls.Config) { c.MinVersion, c.MaxVersion = tls.VersionTLS10, tls.VersionTLS11 },
-		"a challenge of none": func(c *tls.Config) { c.NextProtos = []string{"acme-tls/1"} },
+		"TLS 1.1 only":         func(c *tls.Config) { c.MinVersion, c.MaxVersion = tls.VersionTLS10, tls.VersionTLS11 },
+		"no pending challenge": func(c *tls.Config) { c.NextProtos = []string{"acme-tls/1"} },
 	} {
 		if _, err := w.handshake("site.example", change); err == nil {
-			t.Errorf("%s: a certificate is served", name)
+			t.Errorf("%s: handshake succeeded", name)
 		}
 	}
 }
 
-// FuzzChain feeds what an authority may answer to what reads it.
+// FuzzChain feeds arbitrary authority responses to verifyChain, which must accept none of them without a root.
 func FuzzChain(f *testing.F) {
 	g, err := selfSigned([]string{"site.example"}, time.Unix(0, int64(testkit.Start)), 90*day)
 	if err != nil {
 		f.Fatal(err)
 	}
-	cert, err := pair(g)
+	cert, err := tlsCertificate(g)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: g.Chain[0]}))
 	f.Fuzz(func(t *testing.T, chain []byte) {
-		der, err := check(chain, []string{"site.example"}, cert.PrivateKey.(crypto.Signer), time.Unix(0, int64(testkit.Start)), x509.NewCertPool())
+		der, err := verifyChain(chain, []string{"site.example"}, cert.PrivateKey.(crypto.Signer), time.Unix(0, int64(testkit.Start)), x509.NewCertPool())
 		if err == nil {
-			t.Errorf("%d certificates that lead to no root are taken", len(der))
+			t.Errorf("a chain of %d certificates without a trusted root is accepted", len(der))
 		}
 	})
 }
 
-// TestAnAccountThatNeedsABinding: with the key the authority gave it is made, with another it is not, and no key nor
-// account secret is ever logged.
-func TestAnAccountThatNeedsABinding(t *testing.T) {
-	w := newWorld(t, 90*day, HTTP01)
+// TestExternalAccountBinding checks that an account is created only with the external account binding, and that no
+// private key and no binding key is logged.
+func TestExternalAccountBinding(t *testing.T) {
+	w := newHarness(t, 90*day, HTTP01)
 	mac := []byte("thirty-two bytes of a MAC key ..")
 	bound, err := authority.Start(authority.Config{Name: "bound", Now: w.clock.Unix, Lifetime: 90 * day, EAB: map[string][]byte{"kid": mac},
-		Resolve: func(string, int) string { return w.plain }})
+		Resolve: func(string, int) string { return w.httpAddr }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -513,16 +519,16 @@
 	for _, c := range bound.Certificates() {
 		w.cfg.Roots.AddCert(c)
 	}
-	w.cfg.Authorities = []Authority{reach(bound, "bound")}
-	k, store := w.open(faultfs.Disk{})
+	w.cfg.Authorities = []Authority{authorityConfig(bound, "bound")}
+	k, store := w.openKeeper(faultfs.Disk{})
 	k.Step(context.Background())
 	if s := k.Status(); s.Failures != 1 || !strings.Contains(s.Last, "externalAccountRequired") {
-		t.Errorf("without a binding: %+v", s)
+		t.Errorf("status without a binding: %+v", s)
 	}
 	store.Close()
 	w.cfg.Authorities[0].EAB = &acme.EAB{KeyID: "kid", MACKey: base64.RawURLEncoding.EncodeToString(mac)}
-	k, store = w.open(faultfs.Disk{})
-	w.until(k, "the first", w.issued(k, 1))
+	k, store = w.openKeeper(faultfs.Disk{})
+	w.stepUntil(k, "first certificate", w.issued(k, 1))
 	g, _, err := store.Generation("site")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/certs/check.go
+++ b/internal/certs/check.go
@@ -17,59 +17,61 @@
 	"cairnlane/internal/state/keystore"
 )
 
-// chainMost bounds a chain, in certificates.
-const chainMost = 10
+// maxChainLength is the maximum number of certificates in a chain.
+const maxChainLength = 10
 
-// least is how long a certificate must still be good for to be taken.
-const least = time.Hour
+// minRemainingValidity is the minimum remaining validity of an accepted certificate, and how far in the future its
+// validity may begin.
+const minRemainingValidity = time.Hour
 
-// check reads a chain and tells whether it may be used: for these names, with this key, now, and leading to a root.
-func check(chain []byte, names []string, key crypto.Signer, now time.Time, roots *x509.CertPool) ([][]byte, error) {
+// verifyChain parses a PEM chain and verifies it against the names, the key, the current time and the roots. It
+// returns the certificates in DER form.
+func verifyChain(chain []byte, names []string, key crypto.Signer, now time.Time, roots *x509.CertPool) ([][]byte, error) {
 	var der [][]byte
 	var certs []*x509.Certificate
 	for rest := chain; len(bytes.TrimSpace(rest)) > 0; {
 		var b *pem.Block
 		if b, rest = pem.Decode(rest); b == nil || b.Type != "CERTIFICATE" {
-			return nil, errors.New("what came is no chain of certificates")
+			return nil, errors.New("the response is not a PEM certificate chain")
 		}
 		c, err := x509.ParseCertificate(b.Bytes)
 		if err != nil {
 			return nil, fmt.Errorf("certificate %d of the chain: %w", len(certs)+1, err)
 		}
-		if der, certs = append(der, b.Bytes), append(certs, c); len(certs) > chainMost {
-			return nil, fmt.Errorf("a chain of over %d certificates", chainMost)
+		if der, certs = append(der, b.Bytes), append(certs, c); len(certs) > maxChainLength {
+			return nil, fmt.Errorf("the chain has more than %d certificates", maxChainLength)
 		}
 	}
 	if len(certs) == 0 {
-		return nil, errors.New("an empty chain")
+		return nil, errors.New("the certificate chain is empty")
 	}
 	leaf := certs[0]
 	if pub, ok := key.Public().(*ecdsa.PublicKey); !ok || !pub.Equal(leaf.PublicKey) {
-		return nil, errors.New("it is for another key")
+		return nil, errors.New("the certificate is for a different key")
 	}
-	if leaf.NotBefore.After(now.Add(least)) || leaf.NotAfter.Before(now.Add(least)) {
-		return nil, fmt.Errorf("it is good from %v to %v, and it is %v", leaf.NotBefore, leaf.NotAfter, now)
+	if leaf.NotBefore.After(now.Add(minRemainingValidity)) || leaf.NotAfter.Before(now.Add(minRemainingValidity)) {
+		return nil, fmt.Errorf("the certificate is valid from %v to %v, the current time is %v", leaf.NotBefore, leaf.NotAfter, now)
 	}
-	middle := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range certs[1:] {
-		middle.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	at := now
 	if at.Before(leaf.NotBefore) {
 		at = leaf.NotBefore
 	}
 	for _, name := range names {
-		if _, err := leaf.Verify(x509.VerifyOptions{DNSName: name, Roots: roots, Intermediates: middle, CurrentTime: at}); err != nil {
+		if _, err := leaf.Verify(x509.VerifyOptions{DNSName: name, Roots: roots, Intermediates: intermediates, CurrentTime: at}); err != nil {
 			return nil, err
 		}
 	}
 	return der, nil
 }
 
-// pair makes what a handshake needs of a stored certificate.
-func pair(g keystore.Generation) (*tls.Certificate, error) {
+// tlsCertificate converts a stored certificate and its key for use in handshakes.
+func tlsCertificate(g keystore.Generation) (*tls.Certificate, error) {
 	if len(g.Chain) == 0 {
-		return nil, errors.New("without a certificate")
+		return nil, errors.New("the stored chain is empty")
 	}
 	leaf, err := x509.ParseCertificate(g.Chain[0])
 	if err != nil {
@@ -80,12 +82,12 @@
 		return nil, err
 	}
 	if pub, ok := key.(crypto.Signer); !ok || !pub.Public().(interface{ Equal(crypto.PublicKey) bool }).Equal(leaf.PublicKey) {
-		return nil, errors.New("the key does not belong to the certificate")
+		return nil, errors.New("the key does not match the certificate")
 	}
 	return &tls.Certificate{Certificate: g.Chain, PrivateKey: key, Leaf: leaf}, nil
 }
 
-// selfSigned makes a certificate of our own.
+// selfSigned makes a self-signed certificate.
 func selfSigned(names []string, now time.Time, life time.Duration) (keystore.Generation, error) {
 	raw, err := newKey()
 	if err != nil {
--- a/internal/certs/client.go
+++ b/internal/certs/client.go
@@ -14,47 +14,47 @@
 	"cairnlane/internal/decide/renewal"
 )
 
-// client speaks with one authority. Attempts are repeated by the plan alone: the library's own repeats would go past
-// its budget, so the first call that fails in transport or with an error of the server ends the attempt.
+// client makes the ACME calls to one authority. Only the plan retries: retries of the library would exceed the
+// plan's budget, so the first call that fails in transport or with a server error cancels the attempt.
 type client struct {
-	acme *acme.Client
-	next http.RoundTripper
+	acme      *acme.Client
+	transport http.RoundTripper
 
-	mu     sync.Mutex
-	cancel context.CancelFunc // ends the attempt
-	after  time.Duration      // the last Retry-After that came with an error
-	status int                // and its status
-	calls  int
+	mu         sync.Mutex
+	cancel     context.CancelFunc // cancels the current attempt
+	retryAfter time.Duration      // Retry-After of the last error response
+	status     int                // HTTP status of the last error response, 0 if there was none
+	calls      int
 }
 
-func (k *Keeper) client(au Authority) *client {
+func (k *Keeper) client(authority Authority) *client {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c := k.clients[au.Name]
+	c := k.clients[authority.Name]
 	if c == nil {
-		c = &client{next: au.HTTP}
-		if c.next == nil {
-			c.next = http.DefaultTransport
+		c = &client{transport: authority.HTTP}
+		if c.transport == nil {
+			c.transport = http.DefaultTransport
 		}
-		c.acme = &acme.Client{Directory: au.Directory, HTTPClient: &http.Client{Transport: c, Timeout: k.cfg.CallTime}, UserAgent: "cairnlane",
+		c.acme = &acme.Client{Directory: authority.Directory, HTTPClient: &http.Client{Transport: c, Timeout: k.cfg.CallTime}, UserAgent: "cairnlane",
 			PollInterval: k.cfg.PollEvery, PollTimeout: k.cfg.PollTime}
-		k.clients[au.Name] = c
+		k.clients[authority.Name] = c
 	}
 	return c
 }
 
-// call begins an attempt.
-func (c *client) call(ctx context.Context, most time.Duration) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// beginAttempt resets the result of the last attempt and returns the context of a new one.
+func (c *client) beginAttempt(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cancel, c.after, c.status = cancel, 0, 0
+	c.cancel, c.retryAfter, c.status = cancel, 0, 0
 	return ctx, cancel
 }
 
 // RoundTrip implements http.RoundTripper.
 func (c *client) RoundTrip(r *http.Request) (*http.Response, error) {
-	resp, err := c.next.RoundTrip(r)
+	resp, err := c.transport.RoundTrip(r)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
@@ -62,27 +62,27 @@
 	case err != nil:
 		c.cancel()
 	case resp.StatusCode >= 400:
-		c.status, c.after = resp.StatusCode, retryAfter(resp)
-		if resp.StatusCode >= 500 || r.Method != http.MethodPost { // but not a bad nonce, which is no attempt
-			resp.Body = &ending{resp.Body, c.cancel}
+		c.status, c.retryAfter = resp.StatusCode, retryAfter(resp)
+		if resp.StatusCode >= 500 || r.Method != http.MethodPost { // a rejected nonce is a 400 to a POST, which the library repeats
+			resp.Body = &cancelOnClose{resp.Body, c.cancel}
 		}
 	}
 	return resp, err
 }
 
-// ending is a body that ends the attempt once it was read.
-type ending struct {
+// cancelOnClose is a response body that cancels the attempt when it is closed.
+type cancelOnClose struct {
 	io.ReadCloser
-	end context.CancelFunc
+	cancel context.CancelFunc
 }
 
 // Close implements io.Closer.
-func (e *ending) Close() error {
-	defer e.end()
+func (e *cancelOnClose) Close() error {
+	defer e.cancel()
 	return e.ReadCloser.Close()
 }
 
-// retryAfter reads the header in either of its forms, RFC 9110 section 10.2.3.
+// retryAfter returns the value of the Retry-After header in either of its forms, RFC 9110 section 10.2.3.
 func retryAfter(resp *http.Response) time.Duration {
 	h := resp.Header.Get("Retry-After")
 	if s, err := strconv.Atoi(h); err == nil {
@@ -96,19 +96,19 @@
 	return 0
 }
 
-// errRubbish is wrapped by what is said of a certificate that must not be used.
-var errRubbish = errors.New("the authority has issued what must not be used")
+// errUnusable is wrapped by errors about an issued certificate that must not be used.
+var errUnusable = errors.New("the authority issued an unusable certificate")
 
-// errLocal is wrapped by failures that are not the authority's.
-var errLocal = errors.New("it failed on this machine")
+// errLocal is wrapped by failures that the authority did not cause.
+var errLocal = errors.New("local failure")
 
-// errInvalid is wrapped when a validation has failed.
+// errInvalid is wrapped by errors about a failed validation.
 var errInvalid = errors.New("the authority could not validate a name")
 
-// trouble turns an error into what the plan sorts.
-func (c *client) trouble(err error, inARow int) renewal.Trouble {
+// failure converts an error to the form that renewal.Classify takes.
+func (c *client) failure(err error, inARow int) renewal.Trouble {
 	c.mu.Lock()
-	t := renewal.Trouble{Status: c.status, RetryAfter: c.after, InARow: inARow}
+	t := renewal.Trouble{Status: c.status, RetryAfter: c.retryAfter, InARow: inARow}
 	c.mu.Unlock()
 	var p acme.Problem
 	if errors.As(err, &p) {
@@ -120,6 +120,6 @@
 	if errors.Is(err, errInvalid) {
 		t.Kind = "validation"
 	}
-	t.Rubbish, t.Local = errors.Is(err, errRubbish), errors.Is(err, errLocal)
+	t.Rubbish, t.Local = errors.Is(err, errUnusable), errors.Is(err, errLocal)
 	return t
 }
--- a/internal/certs/keeper.go
+++ b/internal/certs/keeper.go
@@ -1,9 +1,9 @@
-// Package certs obtains and renews certificates through ACME and hands them to the TLS front. What is done when is
-// decided by renewal.Plan; this package carries it out and records each step in a keystore before it is taken.
+// Package certs obtains and renews certificates through ACME and provides them to the TLS listener. renewal.Plan
+// decides what is done and when; this package carries it out and records each step in a keystore beforehand.
 //
-// A Keeper keeps one certificate. Step takes the next step and says when the one after it is due; Run calls it for as
-// long as the program lives. A certificate that works is never taken down: it is replaced, in one pointer, by one that
-// was checked and stored first.
+// A Keeper manages one certificate. Step performs the next action and returns the time of the one after it; Run calls
+// it until the program ends. A working certificate stays in use until a new one has been verified and stored, and is
+// then replaced by one atomic pointer store.
 package certs
 
 import (
@@ -26,42 +26,43 @@
 	"cairnlane/internal/state/keystore"
 )
 
-// Authority is an ACME server to ask.
+// Authority is the configuration of an ACME server.
 type Authority struct {
 	Name      string
 	Directory string
-	EAB       *acme.EAB         // account binding, where it asks for one
-	HTTP      http.RoundTripper // how it is reached; nil for the usual way
+	EAB       *acme.EAB         // external account binding, if the authority requires one
+	HTTP      http.RoundTripper // nil for http.DefaultTransport
 }
 
-// Config is what a Keeper is told.
+// Config configures a Keeper.
 type Config struct {
-	Name        string   // of the certificate, and of its folder in the store
-	Names       []string // host names that it is for
+	Name        string   // name of the certificate and of its folder in the store
+	Names       []string // host names of the certificate
 	Authorities []Authority
 	Challenge   string // http-01 or tls-alpn-01
 	Contact     []string
-	SelfSigned  bool           // serve one of our own until the first one comes
-	Roots       *x509.CertPool // what issued chains must lead to; nil for the system's
+	SelfSigned  bool           // serve a self-signed placeholder until the first certificate is issued
+	Roots       *x509.CertPool // roots that issued chains are verified against; nil for the system's roots
 	Plan        renewal.Settings
-	CallTime    time.Duration // for one call to an authority
-	PollTime    time.Duration // for a validation, after which the order rests until the next attempt
-	PollEvery   time.Duration
+	CallTime    time.Duration // timeout of one call to an authority
+	PollTime    time.Duration // timeout of a validation, after which the order waits for the next attempt
+	PollEvery   time.Duration // interval of the queries for the state of a validation or an order
 }
 
 const (
-	defaultCallTime  = 30 * time.Second
-	defaultPollTime  = time.Minute
-	defaultPollEvery = time.Second
-	// followEvery is how often a keeper that does not renew looks for what another one has stored.
-	followEvery = time.Minute
-	// eventsMost bounds what is kept for the history.
-	eventsMost = 64
-	// stopgapLife is how long a certificate of our own is good for.
-	stopgapLife = 30 * 24 * time.Hour
+	defaultCallTimeout  = 30 * time.Second
+	defaultPollTimeout  = time.Minute
+	defaultPollInterval = time.Second
+	// followInterval is the interval in which a keeper that does not hold the store's lock reloads the certificate that
+	// another process stored.
+	followInterval = time.Minute
+	// maxEvents is the maximum number of events in the history.
+	maxEvents = 64
+	// placeholderLifetime is the lifetime of a self-signed placeholder certificate.
+	placeholderLifetime = 30 * 24 * time.Hour
 )
 
-// Keeper keeps one certificate.
+// Keeper obtains, renews and stores one certificate.
 type Keeper struct {
 	cfg     Config
 	store   *keystore.Store
@@ -70,30 +71,30 @@
 	log     zerolog.Logger
 	wake    chan struct{}
 
-	current atomic.Pointer[tls.Certificate] // taken anew for each handshake
+	current atomic.Pointer[tls.Certificate] // loaded for each handshake
 
-	stepping sync.Mutex // one step at a time; held over calls to an authority
+	stepMu sync.Mutex // allows one step at a time; held during calls to an authority
 
-	mu       sync.Mutex // guards what follows; never held over I/O
-	plan     *renewal.Plan
-	number   int    // of the generation in use
-	key      []byte // and its key
-	leads    bool   // this process renews
-	order    keystore.Order
-	clients  map[string]*client
-	lastText string
+	mu         sync.Mutex // guards the fields below; never held during I/O
+	plan       *renewal.Plan
+	generation int    // number of the stored certificate in use, 0 for a placeholder
+	key        []byte // private key of the certificate in use
+	renewsHere bool   // this process holds the store's lock and renews the certificate
+	order      keystore.Order
+	clients    map[string]*client
+	lastEvent  string
 }
 
-// New opens what the store holds and takes the newest whole certificate into use. Without one, and with SelfSigned,
-// it makes one of its own; without that there is nothing to serve until the first order is through.
+// New loads the newest intact certificate of the store. Without one it makes a self-signed placeholder if SelfSigned
+// is set; otherwise handshakes fail until the first order has completed.
 func New(cfg Config, store *keystore.Store, answers *Answers, now func() time.Time, log zerolog.Logger) (*Keeper, error) {
 	if len(cfg.Names) == 0 || cfg.Name == "" {
 		return nil, errors.New("certs: a certificate needs a name and at least one host name")
 	}
 	if cfg.Challenge != HTTP01 && cfg.Challenge != TLSALPN01 {
-		return nil, fmt.Errorf("certs: challenge %q; %s and %s are known", cfg.Challenge, HTTP01, TLSALPN01)
+		return nil, fmt.Errorf("certs: unknown challenge %q: supported are %s and %s", cfg.Challenge, HTTP01, TLSALPN01)
 	}
-	for d, def := range map[*time.Duration]time.Duration{&cfg.CallTime: defaultCallTime, &cfg.PollTime: defaultPollTime, &cfg.PollEvery: defaultPollEvery} {
+	for d, def := range map[*time.Duration]time.Duration{&cfg.CallTime: defaultCallTimeout, &cfg.PollTime: defaultPollTimeout, &cfg.PollEvery: defaultPollInterval} {
 		if *d <= 0 {
 			*d = def
 		}
@@ -112,85 +113,86 @@
 	if err != nil && !errors.Is(err, keystore.ErrNone) {
 		return nil, err
 	}
-	k.remember(order)
-	switch err := k.load(); {
+	k.restoreOrder(order)
+	switch err := k.loadNewest(); {
 	case err == nil:
 	case !errors.Is(err, keystore.ErrNone):
 		return nil, err
 	case cfg.SelfSigned:
-		if err := k.stopgap(); err != nil {
+		if err := k.installPlaceholder(); err != nil {
 			return nil, err
 		}
 	default:
-		k.log.Warn().Msg("no certificate yet: handshakes fail until the first one is obtained; self_signed = true serves one of our own until then")
+		k.log.Warn().Msg("no certificate available: handshakes fail until the first one is issued; self_signed = true serves a self-signed certificate until then")
 	}
 	return k, nil
 }
 
-// remember puts the record of orders back, so that the budget and the answers to open challenges outlive a restart.
-func (k *Keeper) remember(o keystore.Order) {
+// restoreOrder restores the recorded orders, so that the budget and the responses to pending challenges survive a
+// restart.
+func (k *Keeper) restoreOrder(o keystore.Order) {
 	k.order = o
 	for _, h := range o.History {
-		k.plan.Remembers(k.place(h.Authority), h.Begun)
+		k.plan.Remembers(k.authorityIndex(h.Authority), h.Begun)
 	}
 	for _, a := range o.Answers {
-		if err := k.answers.present(a); err != nil {
-			k.log.Error().Err(err).Msg("an open challenge is not answered")
+		if err := k.answers.add(a); err != nil {
+			k.log.Error().Err(err).Msg("cannot serve the response to a pending challenge")
 		}
 	}
 }
 
-// place is the place of an authority in the configuration, or -1.
-func (k *Keeper) place(name string) int {
+// authorityIndex returns the index of an authority in the configuration, or -1.
+func (k *Keeper) authorityIndex(name string) int {
 	return slices.IndexFunc(k.cfg.Authorities, func(a Authority) bool { return a.Name == name })
 }
 
-// load takes the newest certificate of the store into use, if it is another one than that in use.
-func (k *Keeper) load() error {
+// loadNewest installs the newest certificate of the store unless it is already in use.
+func (k *Keeper) loadNewest() error {
 	g, number, err := k.store.Generation(k.cfg.Name)
 	if err != nil {
 		return err
 	}
-	if number == k.number {
+	if number == k.generation {
 		return nil
 	}
-	cert, err := pair(g)
+	cert, err := tlsCertificate(g)
 	if err != nil {
 		return fmt.Errorf("certs: generation %d of %s: %w", number, k.cfg.Name, err)
 	}
-	k.use(cert, g, number)
+	k.install(cert, g, number)
 	return nil
 }
 
-// use takes a certificate into use: handshakes that begin from now on get it.
-func (k *Keeper) use(cert *tls.Certificate, g keystore.Generation, number int) {
+// install makes new handshakes use a certificate and reports it to the plan.
+func (k *Keeper) install(cert *tls.Certificate, g keystore.Generation, number int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.number, k.key = number, g.Key
+	k.generation, k.key = number, g.Key
 	k.plan.Issued(k.now(), renewal.Held{Serial: cert.Leaf.SerialNumber.String(), NotBefore: cert.Leaf.NotBefore, NotAfter: cert.Leaf.NotAfter,
-		Stopgap: g.Authority == "", FromSecond: k.place(g.Authority) != 0})
+		Stopgap: g.Authority == "", FromSecond: k.authorityIndex(g.Authority) != 0})
 	k.current.Store(cert)
 	k.log.Info().Int("generation", number).Str("authority", g.Authority).Time("not_after", cert.Leaf.NotAfter).Msg("certificate in use")
 }
 
-// stopgap makes a certificate of our own.
-func (k *Keeper) stopgap() error {
-	g, err := selfSigned(k.cfg.Names, k.now(), stopgapLife)
+// installPlaceholder makes and installs a self-signed certificate. It is not stored.
+func (k *Keeper) installPlaceholder() error {
+	g, err := selfSigned(k.cfg.Names, k.now(), placeholderLifetime)
 	if err != nil {
 		return err
 	}
-	cert, err := pair(g)
+	cert, err := tlsCertificate(g)
 	if err != nil {
 		return err
 	}
-	k.use(cert, g, 0)
+	k.install(cert, g, 0)
 	return nil
 }
 
-// Current is the certificate in use, or nil. It is safe to call from any handshake.
+// Current returns the certificate in use, or nil. It is safe for concurrent use.
 func (k *Keeper) Current() *tls.Certificate { return k.current.Load() }
 
-// Run takes steps until ctx ends.
+// Run calls Step whenever it is due until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	for {
 		at := k.Step(ctx)
@@ -206,12 +208,12 @@
 	}
 }
 
-// Step takes what is due now, and tells when to come again.
+// Step performs the action that is due now and returns the time of the next call.
 func (k *Keeper) Step(ctx context.Context) time.Time {
-	k.stepping.Lock()
-	defer k.stepping.Unlock()
-	if !k.lead() {
-		return k.now().Add(followEvery)
+	k.stepMu.Lock()
+	defer k.stepMu.Unlock()
+	if !k.acquireRenewal() {
+		return k.now().Add(followInterval)
 	}
 	k.mu.Lock()
 	a := k.plan.Next(k.now())
@@ -220,72 +222,73 @@
 	case renewal.Wait:
 		return a.At
 	case renewal.Ask:
-		k.ask(ctx, k.cfg.Authorities[a.Authority])
+		k.fetchWindow(ctx, k.cfg.Authorities[a.Authority])
 	case renewal.Order:
 		k.obtain(ctx, a)
 	}
 	return k.now()
 }
 
-// lead tells whether this process renews. One that does not takes over what the other stores, and the work when
-// the other dies.
-func (k *Keeper) lead() bool {
+// acquireRenewal reports whether this process renews the certificate. If it does not hold the store's lock yet, it
+// loads the certificate that the lock's holder stored and tries to lock the store, which succeeds once the holder has
+// ended.
+func (k *Keeper) acquireRenewal() bool {
 	k.mu.Lock()
-	leads := k.leads
+	leads := k.renewsHere
 	k.mu.Unlock()
 	if leads {
 		return true
 	}
 	err := k.store.Lock()
-	if lerr := k.load(); lerr != nil && !errors.Is(lerr, keystore.ErrNone) {
-		k.log.Error().Err(lerr).Msg("the store cannot be read; the certificate in use stays")
+	if lerr := k.loadNewest(); lerr != nil && !errors.Is(lerr, keystore.ErrNone) {
+		k.log.Error().Err(lerr).Msg("cannot read the certificate store; keeping the certificate in use")
 	}
 	if err != nil {
 		if !errors.Is(err, keystore.ErrLocked) {
-			k.log.Error().Err(err).Msg("the store cannot be locked; certificates are not renewed")
+			k.log.Error().Err(err).Msg("cannot lock the certificate store; certificates are not renewed")
 		}
 		return false
 	}
 	if o, err := k.store.Order(k.cfg.Name); err == nil {
 		k.mu.Lock()
-		k.remember(o)
+		k.restoreOrder(o)
 		k.mu.Unlock()
 	}
 	k.mu.Lock()
-	k.leads = true
+	k.renewsHere = true
 	k.mu.Unlock()
 	return true
 }
 
-// ask asks an authority when it would like the certificate to be renewed.
-func (k *Keeper) ask(ctx context.Context, au Authority) {
+// fetchWindow requests the suggested renewal window of the certificate from an authority, RFC 9773.
+func (k *Keeper) fetchWindow(ctx context.Context, authority Authority) {
 	cert := k.Current()
 	if cert == nil {
 		return
 	}
-	c := k.client(au)
-	ctx, done := c.call(ctx, k.cfg.CallTime)
+	c := k.client(authority)
+	ctx, done := c.beginAttempt(ctx, k.cfg.CallTime)
 	defer done()
 	info, err := c.acme.GetRenewalInfo(ctx, cert.Leaf)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err != nil {
-		k.log.Debug().Err(err).Msg("the authority suggests no window")
+		k.log.Debug().Err(err).Msg("cannot get the renewal window from the authority")
 		k.plan.NotSuggested(k.now())
 		return
 	}
-	again := time.Duration(0)
+	askAgainAfter := time.Duration(0)
 	if info.RetryAfter != nil {
-		again = time.Until(*info.RetryAfter) // the client counts from the system's clock
+		askAgainAfter = time.Until(*info.RetryAfter) // the ACME library computes it from the system clock
 	}
-	was := k.plan.DueAt()
-	k.plan.Suggested(k.now(), renewal.Window{Start: info.SuggestedWindow.Start, End: info.SuggestedWindow.End}, again)
-	if at := k.plan.DueAt(); at.Sub(was).Abs() > 24*time.Hour {
-		k.log.Info().Time("due", at).Str("explanation", info.ExplanationURL).Msg("the authority has moved the renewal")
+	previousDue := k.plan.DueAt()
+	k.plan.Suggested(k.now(), renewal.Window{Start: info.SuggestedWindow.Start, End: info.SuggestedWindow.End}, askAgainAfter)
+	if at := k.plan.DueAt(); at.Sub(previousDue).Abs() > 24*time.Hour {
+		k.log.Info().Time("due", at).Str("explanation", info.ExplanationURL).Msg("the authority changed the renewal window; the renewal time moved by more than a day")
 	}
 }
 
-// Status is how a certificate stands, for the operators.
+// Status is the state of a certificate that operators see.
 type Status struct {
 	Name       string    `json:"name"`
 	Names      []string  `json:"names"`
@@ -301,26 +304,26 @@
 	Last       string    `json:"last,omitempty"`
 }
 
-// Status tells how the certificate stands now.
+// Status returns the current state of the certificate.
 func (k *Keeper) Status() Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s := Status{Name: k.cfg.Name, Names: k.cfg.Names, Generation: k.number, Phase: k.plan.Phase().String(), Alarm: k.plan.Alarm(k.now()).String(),
-		Failures: k.plan.Failures(), Leads: k.leads, Due: k.plan.DueAt(), Last: k.lastText}
+	s := Status{Name: k.cfg.Name, Names: k.cfg.Names, Generation: k.generation, Phase: k.plan.Phase().String(), Alarm: k.plan.Alarm(k.now()).String(),
+		Failures: k.plan.Failures(), Leads: k.renewsHere, Due: k.plan.DueAt(), Last: k.lastEvent}
 	if h, ok := k.plan.Held(); ok {
 		s.NotBefore, s.NotAfter = h.NotBefore, h.NotAfter
 	}
 	return s
 }
 
-// History lists what has happened, oldest first.
+// History returns the recorded events, oldest first.
 func (k *Keeper) History() []keystore.Event {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.order.Events)
 }
 
-// Renew has the certificate renewed now, within the budget.
+// Renew starts a renewal now, within the order budget. It sets a suggested window in the past.
 func (k *Keeper) Renew() {
 	k.mu.Lock()
 	now := k.now()
@@ -332,42 +335,43 @@
 	}
 }
 
-// Revoke revokes the certificate in use at its authority, by its own key, and has it renewed.
+// Revoke revokes the newest stored certificate at its authority, signing the request with the certificate's own key, and
+// starts a renewal.
 func (k *Keeper) Revoke(ctx context.Context, reason int) error {
-	k.stepping.Lock()
-	defer k.stepping.Unlock()
+	k.stepMu.Lock()
+	defer k.stepMu.Unlock()
 	g, _, err := k.store.Generation(k.cfg.Name)
 	if err != nil {
 		return err
 	}
-	at := k.place(g.Authority)
+	at := k.authorityIndex(g.Authority)
 	if at < 0 {
-		return fmt.Errorf("certs: %s is from %q, which is not configured any more", k.cfg.Name, g.Authority)
+		return fmt.Errorf("certs: cannot revoke %s: its authority %q is no longer configured", k.cfg.Name, g.Authority)
 	}
-	cert, err := pair(g)
+	cert, err := tlsCertificate(g)
 	if err != nil {
 		return err
 	}
 	c := k.client(k.cfg.Authorities[at])
-	ctx, done := c.call(ctx, k.cfg.CallTime)
+	ctx, done := c.beginAttempt(ctx, k.cfg.CallTime)
 	defer done()
 	err = c.acme.RevokeCertificate(ctx, acme.Account{PrivateKey: cert.PrivateKey.(crypto.Signer)}, cert.Leaf, cert.PrivateKey.(crypto.Signer), reason)
 	var p acme.Problem
 	if err != nil && !(errors.As(err, &p) && renewal.ShortKind(p.Type) == "alreadyRevoked") {
 		return fmt.Errorf("certs: revoke %s at %s: %w", k.cfg.Name, g.Authority, err)
 	}
-	k.note("revoked", fmt.Sprintf("reason %d, serial %v", reason, cert.Leaf.SerialNumber))
+	k.addEvent("revoked", fmt.Sprintf("reason %d, serial %v", reason, cert.Leaf.SerialNumber))
 	k.Renew()
 	return nil
 }
 
-// note keeps an event for the history. It is stored with the next change of the order.
-func (k *Keeper) note(what, text string) {
+// addEvent appends an event to the history. It is stored with the next change of the order.
+func (k *Keeper) addEvent(what, text string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lastText = what + ": " + text
+	k.lastEvent = what + ": " + text
 	k.order.Events = append(k.order.Events, keystore.Event{At: k.now(), What: what, Text: text})
-	if extra := len(k.order.Events) - eventsMost; extra > 0 {
+	if extra := len(k.order.Events) - maxEvents; extra > 0 {
 		k.order.Events = append([]keystore.Event(nil), k.order.Events[extra:]...)
 	}
 }
