--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -1,5 +1,5 @@
-// Package appliance puts together what a box of a small site has beside the replica: certificates, the TLS front, and
-// the control socket.
+// Package appliance assembles what a box of a small site runs beside the replica: certificates, the TLS listener, the
+// control socket, the flight recorder and the box's part in its fleet.
 package appliance
 
 import (
@@ -32,21 +32,21 @@
 	"cairnlane/internal/state/keystore"
 )
 
-// Box is the appliance. It implements daemon.Part.
+// Box is the appliance: certificates, TLS listener and control socket. It implements daemon.Part.
 type Box struct {
-	cfg      *config.Appliance
-	log      zerolog.Logger
-	store    *keystore.Store
-	set      *certs.Set
-	tls      *front.TLS
-	http     net.Listener
-	ctl      *control.Server
-	stop     context.CancelFunc
-	fleet    *Fleet    // nil when the box is in none
-	recorder *recorder // nil: none
+	cfg               *config.Appliance
+	log               zerolog.Logger
+	store             *keystore.Store
+	certificates      *certs.Set
+	tlsListener       *front.TLS
+	challengeListener net.Listener
+	controlServer     *control.Server
+	cancel            context.CancelFunc
+	fleet             *Fleet    // nil if the box belongs to no fleet
+	recorder          *recorder // nil if the configuration does not enable it
 }
 
-// Parts are what the daemon is to start, in this order.
+// Parts returns the parts that the daemon starts, in this order.
 func (b *Box) Parts() []daemon.Part {
 	parts := []daemon.Part{b}
 	if b.recorder != nil {
@@ -58,10 +58,10 @@
 	return append(append(parts, b.fleet), b.trialParts()...)
 }
 
-// Fleet is the box's part in its fleet, nil when it is in none.
+// Fleet returns the box's part in its fleet, nil if it belongs to none.
 func (b *Box) Fleet() *Fleet { return b.fleet }
 
-// New opens what outlives a restart, and fails before anything is served if it cannot be used.
+// New opens the stored state of the box. It fails before anything is served if the state cannot be used.
 func New(cfg *config.Appliance, log zerolog.Logger) (*Box, error) {
 	b := &Box{cfg: cfg, log: log}
 	if cfg.Recorder {
@@ -80,21 +80,21 @@
 	answers := certs.NewAnswers()
 	var keepers []*certs.Keeper
 	for _, c := range cfg.TLS.Certificates {
-		k, err := b.keeper(c, answers)
+		k, err := b.newKeeper(c, answers)
 		if err != nil {
 			return nil, err
 		}
 		keepers = append(keepers, k)
 	}
-	b.set = certs.NewSet(answers, keepers...)
+	b.certificates = certs.NewSet(answers, keepers...)
 	return b, nil
 }
 
-// keeper makes the keeper of one certificate.
-func (b *Box) keeper(c config.Certificate, answers *certs.Answers) (*certs.Keeper, error) {
+// newKeeper returns the keeper of one configured certificate.
+func (b *Box) newKeeper(c config.Certificate, answers *certs.Answers) (*certs.Keeper, error) {
 	t := b.cfg.TLS
 	cfg := certs.Config{Name: c.Name, Names: c.Hosts, Challenge: t.Challenge, SelfSigned: t.SelfSigned,
-		Plan: renewal.Settings{Budget: budget(t), Place: Place(b.cfg.Site.Name, c.Name), Jitter: rand.Float64}}
+		Plan: renewal.Settings{Budget: orderBudget(t), Place: Place(b.cfg.Site.Name, c.Name), Jitter: rand.Float64}}
 	for _, mail := range t.Contact {
 		cfg.Contact = append(cfg.Contact, "mailto:"+mail)
 	}
@@ -127,7 +127,8 @@
 	return certs.New(cfg, b.store, answers, clock.Wall, b.log)
 }
 
-func budget(t *config.TLS) renewal.Budget {
+// orderBudget returns the configured order budget, with the defaults for limits that are not configured.
+func orderBudget(t *config.TLS) renewal.Budget {
 	d := renewal.DefaultBudget
 	if t.PerHour > 0 {
 		d.Hour = t.PerHour
@@ -139,40 +140,41 @@
 	return d
 }
 
-// Place is a box's own place in a renewal window: the same after each restart, and even over a fleet.
+// Place returns a box's offset in a renewal window, in [0, 1). It is the same after each restart and evenly
+// distributed over the boxes of a fleet.
 func Place(box, certificate string) float64 {
 	return float64(xxhash.Sum64String(box+"\x00"+certificate)>>11) / (1 << 53)
 }
 
 // Start implements daemon.Part.
 func (b *Box) Start(ctx context.Context, server *front.Server, set *counters.Set) error {
-	ctx, b.stop = context.WithCancel(ctx)
-	if b.set == nil {
+	ctx, b.cancel = context.WithCancel(ctx)
+	if b.certificates == nil {
 		return nil
 	}
 	var err error
 	if b.cfg.TLS.HTTPListen != "" {
-		if b.http, err = net.Listen("tcp", b.cfg.TLS.HTTPListen); err != nil {
-			return fmt.Errorf("listen for challenges: %w", err)
+		if b.challengeListener, err = net.Listen("tcp", b.cfg.TLS.HTTPListen); err != nil {
+			return fmt.Errorf("listen for http-01 challenges at %s: %w", b.cfg.TLS.HTTPListen, err)
 		}
-		hs := &http.Server{Handler: b.set.Answers, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, MaxHeaderBytes: 8 << 10}
-		go hs.Serve(b.http)
+		hs := &http.Server{Handler: b.certificates.Answers, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, MaxHeaderBytes: 8 << 10}
+		go hs.Serve(b.challengeListener)
 	}
-	if b.tls, err = server.ListenTLS(b.cfg.TLS.Listen, b.tlsConfig(), set); err != nil {
+	if b.tlsListener, err = server.ListenTLS(b.cfg.TLS.Listen, b.tlsConfig(), set); err != nil {
 		return err
 	}
-	go b.tls.Serve()
-	b.log.Info().Str("listen", b.tls.Addr()).Msg("TLS is served")
-	for _, k := range b.set.Keepers() {
+	go b.tlsListener.Serve()
+	b.log.Info().Str("listen", b.tlsListener.Addr()).Msg("TLS listener started")
+	for _, k := range b.certificates.Keepers() {
 		go k.Run(ctx)
 	}
 	return nil
 }
 
-// tlsConfig is one for the life of the process, so that tickets outlive a change of certificates. The protocol of the
-// challenge is offered to those alone who ask for nothing else: to others it would be a protocol that they do not know.
+// tlsConfig returns the one TLS configuration of the process, so that session tickets survive a renewal. The
+// acme-tls/1 protocol is offered only to clients that request nothing else, as other clients do not know it.
 func (b *Box) tlsConfig() *tls.Config {
-	base := &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: b.set.GetCertificate}
+	base := &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: b.certificates.GetCertificate}
 	challenge := base.Clone()
 	challenge.NextProtos = []string{"acme-tls/1"}
 	base.GetConfigForClient = func(h *tls.ClientHelloInfo) (*tls.Config, error) {
@@ -184,10 +186,10 @@
 	return base
 }
 
-// Started opens the control socket, once clients are taken.
+// Started opens the control socket. The daemon calls it once the replica accepts clients.
 func (b *Box) Started(r *daemon.Replica) {
 	if b.recorder != nil {
-		b.recorder.serves(r)
+		b.recorder.started(r)
 	}
 	if b.fleet != nil {
 		b.fleet.mu.Lock()
@@ -196,66 +198,66 @@
 		r.Pace(b.fleet.pacer, b.fleet.pacer.Reconnect)
 	}
 	var err error
-	if b.ctl, err = control.Listen(b.cfg.Control, &state{box: b, replica: r, since: clock.Wall()}); err != nil {
-		b.log.Error().Err(err).Msg("no control socket; cairnctl cannot reach this daemon")
+	if b.controlServer, err = control.Listen(b.cfg.Control, &controlHandler{box: b, replica: r, since: clock.Wall()}); err != nil {
+		b.log.Error().Err(err).Msg("cannot open the control socket; cairnctl cannot reach this daemon")
 		return
 	}
-	b.log.Info().Str("socket", b.cfg.Control).Msg("cairnctl may ask")
+	b.log.Info().Str("socket", b.cfg.Control).Msg("control socket opened")
 }
 
-// Leave implements daemon.Part. Certificates are kept until the end: handshakes of routers that come back for what
-// they are owed must not fail.
+// Leave implements daemon.Part. Certificates stay loaded during the drain: handshakes of routers that reconnect for
+// outstanding answers must not fail.
 func (b *Box) Leave() {
-	if b.tls != nil {
-		b.tls.Close()
+	if b.tlsListener != nil {
+		b.tlsListener.Close()
 	}
 }
 
 // Close implements daemon.Part.
 func (b *Box) Close() {
-	if b.stop != nil {
-		b.stop()
+	if b.cancel != nil {
+		b.cancel()
 	}
-	if b.http != nil {
-		b.http.Close()
+	if b.challengeListener != nil {
+		b.challengeListener.Close()
 	}
-	if b.ctl != nil {
-		b.ctl.Close()
+	if b.controlServer != nil {
+		b.controlServer.Close()
 	}
 	b.store.Close()
 }
 
-// state is what the control socket shows and does.
-type state struct {
+// controlHandler implements control.Daemon for the control socket.
+type controlHandler struct {
 	box     *Box
 	replica *daemon.Replica
 	since   time.Time
 }
 
 // Status implements control.Daemon.
-func (s *state) Status() control.Status {
+func (s *controlHandler) Status() control.Status {
 	values := s.replica.Counters.Values()
 	values["invariants_broken"] = assert.Failures()
 	out := control.Status{Name: s.replica.Name, Listen: s.replica.Addr, Since: s.since, Draining: s.replica.Leaving(), Counters: values}
-	if s.box.tls != nil {
-		out.TLS = s.box.tls.Addr()
+	if s.box.tlsListener != nil {
+		out.TLS = s.box.tlsListener.Addr()
 	}
 	return out
 }
 
 // Stop implements control.Daemon.
-func (s *state) Stop() { s.replica.Drain() }
+func (s *controlHandler) Stop() { s.replica.Drain() }
 
 // Operator implements control.Daemon.
-func (s *state) Operator() operator.Replica {
+func (s *controlHandler) Operator() operator.Replica {
 	if s.box.fleet != nil {
-		return keeper{s.replica.Operator(), s.box.fleet}
+		return fleetReplica{s.replica.Operator(), s.box.fleet}
 	}
 	return s.replica.Operator()
 }
 
 // Fleet implements control.Daemon.
-func (s *state) Fleet() control.Fleet {
+func (s *controlHandler) Fleet() control.Fleet {
 	if s.box.fleet == nil {
 		return nil
 	}
@@ -263,21 +265,21 @@
 }
 
 // Certificates implements control.Daemon.
-func (s *state) Certificates() (list []certs.Status) {
-	if s.box.set == nil {
+func (s *controlHandler) Certificates() (list []certs.Status) {
+	if s.box.certificates == nil {
 		return nil
 	}
-	for _, k := range s.box.set.Keepers() {
+	for _, k := range s.box.certificates.Keepers() {
 		list = append(list, k.Status())
 	}
 	return list
 }
 
-var errUnknown = errors.New("no certificate of that name is configured")
+var errUnknown = errors.New("no certificate with this name is configured")
 
-func (s *state) find(name string) (*certs.Keeper, error) {
-	if s.box.set != nil {
-		if k := s.box.set.Find(name); k != nil {
+func (s *controlHandler) find(name string) (*certs.Keeper, error) {
+	if s.box.certificates != nil {
+		if k := s.box.certificates.Find(name); k != nil {
 			return k, nil
 		}
 	}
@@ -285,7 +287,7 @@
 }
 
 // History implements control.Daemon.
-func (s *state) History(name string) ([]keystore.Event, error) {
+func (s *controlHandler) History(name string) ([]keystore.Event, error) {
 	k, err := s.find(name)
 	if err != nil {
 		return nil, err
@@ -294,7 +296,7 @@
 }
 
 // Renew implements control.Daemon.
-func (s *state) Renew(name string) error {
+func (s *controlHandler) Renew(name string) error {
 	k, err := s.find(name)
 	if err == nil {
 		k.Renew()
@@ -303,7 +305,7 @@
 }
 
 // Revoke implements control.Daemon.
-func (s *state) Revoke(ctx context.Context, name string, reason int) error {
+func (s *controlHandler) Revoke(ctx context.Context, name string, reason int) error {
 	k, err := s.find(name)
 	if err != nil {
 		return err
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -20,7 +20,7 @@
 	"cairnlane/internal/thrift"
 )
 
-// TestMain makes the test's own program the appliance when a test starts it so.
+// TestMain runs the appliance instead of the tests if the environment names a configuration.
 func TestMain(m *testing.M) {
 	path := os.Getenv("CAIRNLANE_TEST_SERVE")
 	if path == "" {
@@ -30,30 +30,30 @@
 	os.Exit(1)
 }
 
-// patience ends a test that hangs. Nothing is judged by it, and no connection is idle for too long before: on a busy
-// machine this test once took longer than routers may leave one idle, and its own connection was closed.
-const patience = 5 * time.Minute
+// testTimeout ends a test that hangs; no result depends on it. The fixture raises caller-idle as well: on a busy machine
+// the test can take longer than the default idle limit, and the replica would close the test's own connection.
+const testTimeout = 5 * time.Minute
 
-// box is a running appliance with an engine and an authority that are the test's.
-type box struct {
-	t    *testing.T
-	cmd  *exec.Cmd
-	ca   *authority.Authority
-	ctl  *control.Client
-	addr string // of TLS
-	dir  string
-	log  *bufio.Reader
+// testBox is a running appliance with a fake engine and a fake authority.
+type testBox struct {
+	t       *testing.T
+	cmd     *exec.Cmd
+	ca      *authority.Authority
+	control *control.Client
+	addr    string // address of the TLS listener
+	dir     string
+	log     *bufio.Reader
 }
 
-func start(t *testing.T, challenge string) *box {
+func startTestBox(t *testing.T, challenge string) *testBox {
 	t.Helper()
 	dir := t.TempDir()
-	b := &box{t: t, dir: dir}
+	b := &testBox{t: t, dir: dir}
 	var at atomic.Pointer[string]
 	known := make(chan struct{})
 	var err error
 	b.ca, err = authority.Start(authority.Config{Name: "test", Now: time.Now, Lifetime: 90 * 24 * time.Hour, Resolve: func(string, int) string {
-		<-known // the order may come before the test has read where TLS is served
+		<-known // the validation may start before the test has read the address of the TLS listener
 		return *at.Load()
 	}})
 	if err != nil {
@@ -71,7 +71,7 @@
 			if err != nil {
 				return
 			}
-			go serveEngine(c)
+			go serveFakeEngine(c)
 		}
 	}()
 	example, err := os.ReadFile("../../examples/config.json")
@@ -99,12 +99,12 @@
 	}
 	t.Cleanup(func() { b.cmd.Process.Kill() })
 	b.log = bufio.NewReader(out)
-	line := b.read("TLS is served")
+	line := b.waitForLog("TLS listener started")
 	b.addr, _, _ = strings.Cut(line[strings.Index(line, `"listen":"`)+len(`"listen":"`):], `"`)
 	at.Store(&b.addr)
 	close(known)
-	b.read("cairnctl may ask")
-	b.ctl = control.NewClient(filepath.Join(dir, "state", "control.sock"))
+	b.waitForLog("control socket opened")
+	b.control = control.NewClient(filepath.Join(dir, "state", "control.sock"))
 	go func() {
 		for {
 			if _, err := b.log.ReadString('\n'); err != nil {
@@ -115,8 +115,8 @@
 	return b
 }
 
-// serveEngine runs whatever it is told.
-func serveEngine(c net.Conn) {
+// serveFakeEngine completes each run at once.
+func serveFakeEngine(c net.Conn) {
 	r, n := bufio.NewReader(c), 0
 	for {
 		line, err := r.ReadString('\n')
@@ -138,7 +138,7 @@
 	}
 }
 
-func (b *box) read(word string) string {
+func (b *testBox) waitForLog(word string) string {
 	b.t.Helper()
 	all := ""
 	for {
@@ -153,36 +153,36 @@
 	}
 }
 
-// until waits for something that the daemon comes to by itself.
-func (b *box) until(what string, so func() bool) {
+// waitUntil waits until the condition holds and fails after testTimeout.
+func (b *testBox) waitUntil(what string, condition func() bool) {
 	b.t.Helper()
-	for end := time.Now().Add(patience); !so(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			b.t.Fatalf("never comes to: %s", what)
+			b.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-func (b *box) generation(n int) func() bool {
+func (b *testBox) generationReached(n int) func() bool {
 	return func() bool {
-		l, err := b.ctl.Certificates()
+		l, err := b.control.Certificates()
 		return err == nil && len(l) == 1 && l[0].Generation >= n
 	}
 }
 
-func (b *box) dial() *tls.Conn {
+func (b *testBox) dial() *tls.Conn {
 	b.t.Helper()
 	c, err := tls.Dial("tcp", b.addr, &tls.Config{ServerName: "box.site.example", RootCAs: b.ca.Roots()})
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	b.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-// ask sends a request and gives the names and numbers of the next n messages.
-func ask(t *testing.T, c net.Conn, seq int32, n int) string {
+// exchange sends a request unless seq is 0, and returns name, sequence number and field kind of the next n messages.
+func exchange(t *testing.T, c net.Conn, seq int32, n int) string {
 	t.Helper()
 	if seq > 0 {
 		fields := [][2]string{{"verb", "note-save"}, {"txn", fmt.Sprintf("%016x", seq)}, {"unique", fmt.Sprint(seq)}, {"door", fmt.Sprint(time.Now().UnixMilli())},
@@ -216,99 +216,101 @@
 	return strings.Join(got, ", ")
 }
 
-// TestABoxObtainsServesSwapsAndDrains goes through the life of an appliance, asked through its control socket.
-func TestABoxObtainsServesSwapsAndDrains(t *testing.T) {
-	b := start(t, "tls-alpn-01")
-	b.until("the first certificate", b.generation(1))
+// TestBoxObtainsServesRenewsAndDrains runs an appliance from its first certificate over a renewal and a revocation to
+// the drain, controlled through its control socket.
+func TestBoxObtainsServesRenewsAndDrains(t *testing.T) {
+	b := startTestBox(t, "tls-alpn-01")
+	b.waitUntil("first certificate", b.generationReached(1))
 	c := b.dial()
-	if got := ask(t, c, 1, 1); got != "serve 1 0" {
-		t.Fatalf("over TLS: %s", got)
+	if got := exchange(t, c, 1, 1); got != "serve 1 0" {
+		t.Fatalf("answer over TLS: %s", got)
 	}
 	if err := b.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.ctl.Renew("site"); err != nil {
+	if err := b.control.Renew("site"); err != nil {
 		t.Fatal(err)
 	}
-	b.until("the second", b.generation(2))
-	if got := ask(t, c, 2, 1); got != "serve 2 0" {
-		t.Errorf("on the connection from before the swap: %s", got)
+	b.waitUntil("second certificate", b.generationReached(2))
+	if got := exchange(t, c, 2, 1); got != "serve 2 0" {
+		t.Errorf("answer on the connection from before the renewal: %s", got)
 	}
-	if err := b.ctl.Revoke("site", 1); err != nil {
+	if err := b.control.Revoke("site", 1); err != nil {
 		t.Error(err)
 	}
-	b.until("the third", b.generation(3))
-	if h, err := b.ctl.History("site"); err != nil || len(h) != 4 || h[3].What != "issued" {
+	b.waitUntil("third certificate", b.generationReached(3))
+	if h, err := b.control.History("site"); err != nil || len(h) != 4 || h[3].What != "issued" {
 		t.Errorf("history %+v, %v", h, err)
 	}
-	for _, err := range []error{b.ctl.Renew("none"), b.ctl.Revoke("site", 7)} {
+	for _, err := range []error{b.control.Renew("none"), b.control.Revoke("site", 7)} {
 		if err == nil {
-			t.Error("what makes no sense is done")
+			t.Error("no error for an unknown certificate or an invalid revocation reason")
 		}
 	}
-	s, err := b.ctl.Status()
+	s, err := b.control.Status()
 	if err != nil || s.Draining || s.Counters["answers_served"] != 2 || s.Counters["tls_handshakes"] < 2 {
 		t.Errorf("status %+v, %v", s, err)
 	}
-	for _, call := range []string{"check", "drain-on", "check", "drain-off"} { // the calls of the platform's door
-		if _, err := b.ctl.Ask(call); err != nil {
+	for _, call := range []string{"check", "drain-on", "check", "drain-off"} { // the calls of the admin listener
+		if _, err := b.control.Ask(call); err != nil {
 			t.Errorf("%s: %v", call, err)
 		}
 	}
-	if text, err := b.ctl.Ask("vars"); err != nil || !strings.Contains(text, "edge_relay_in_progress 0") {
+	if text, err := b.control.Ask("vars"); err != nil || !strings.Contains(text, "edge_relay_in_progress 0") {
 		t.Errorf("vars: %q, %v", text, err)
 	}
-	if err := b.ctl.Stop(); err != nil {
+	if err := b.control.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	if got := ask(t, c, 0, 1); got != "goaway 0 0" {
-		t.Errorf("in the drain: %s", got)
+	if got := exchange(t, c, 0, 1); got != "goaway 0 0" {
+		t.Errorf("message in the drain: %s", got)
 	}
 	c.Close()
 	if err := b.cmd.Wait(); err != nil {
-		t.Errorf("the daemon ends with %v", err)
+		t.Errorf("the daemon exited with %v", err)
 	}
-	if _, err := b.ctl.Status(); err == nil || !strings.Contains(err.Error(), "no daemon answers") {
-		t.Errorf("after the end: %v", err)
+	if _, err := b.control.Status(); err == nil || !strings.Contains(err.Error(), "no daemon answers") {
+		t.Errorf("status after the daemon has exited: %v", err)
 	}
 }
 
-// TestTheControlSocketIsOursAlone checks its mode, and that a second daemon does not take it.
-func TestTheControlSocketIsOursAlone(t *testing.T) {
+// TestControlSocketModeAndExclusiveUse checks the mode of the socket, and that a second daemon cannot listen on
+// it while the first one does.
+func TestControlSocketModeAndExclusiveUse(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "control.sock")
-	s, err := control.Listen(path, &state{box: &Box{}})
+	s, err := control.Listen(path, &controlHandler{box: &Box{}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if i, err := os.Stat(path); err != nil || i.Mode().Perm() != 0o600 {
-		t.Errorf("mode %v, %v", i.Mode(), err)
+		t.Errorf("control socket has mode %v, want 0600; error %v", i.Mode(), err)
 	}
-	if _, err := control.Listen(path, &state{}); err == nil {
-		t.Error("a second daemon takes the socket")
+	if _, err := control.Listen(path, &controlHandler{}); err == nil {
+		t.Error("a second daemon can listen on the control socket")
 	}
 	if _, err := control.NewClient(path).History("x"); err == nil {
-		t.Error("a certificate that is not there has a history")
+		t.Error("no error for the history of an unknown certificate")
 	}
 	s.Close()
-	if s, err = control.Listen(path, &state{}); err != nil {
-		t.Errorf("after the first has gone: %v", err)
+	if s, err = control.Listen(path, &controlHandler{}); err != nil {
+		t.Errorf("listen after the first daemon has closed the socket: %v", err)
 	} else {
 		s.Close()
 	}
 }
 
-func TestBoxesHaveTheirOwnPlaces(t *testing.T) {
+func TestRenewalOffsetsAreStableAndSpread(t *testing.T) {
 	var tenth [10]int
 	for i := range 1000 {
-		p := Place(fmt.Sprint("box", i), "site")
-		if p != Place(fmt.Sprint("box", i), "site") || p < 0 || p >= 1 {
-			t.Fatalf("place %v", p)
+		offset := Place(fmt.Sprint("box", i), "site")
+		if offset != Place(fmt.Sprint("box", i), "site") || offset < 0 || offset >= 1 {
+			t.Fatalf("offset %v is not stable or not in [0, 1)", offset)
 		}
-		tenth[int(p*10)]++
+		tenth[int(offset*10)]++
 	}
 	for i, n := range tenth {
 		if n < 60 || n > 140 {
-			t.Errorf("%d of 1000 boxes in tenth %d", n, i)
+			t.Errorf("%d of 1000 boxes in tenth %d, want 60 to 140", n, i)
 		}
 	}
 }
--- a/internal/appliance/fleet.go
+++ b/internal/appliance/fleet.go
@@ -34,26 +34,26 @@
 	"cairnlane/internal/state/configs"
 )
 
-// Fleet is the box's part in its fleet. It implements daemon.Part and control.Fleet. Serving waits for none of it.
+// Fleet is the box's part in its fleet. It implements daemon.Part and control.Fleet. Serving requests never waits for it.
 type Fleet struct {
 	*fleet.Fleet
-	cfg   *config.Appliance
-	log   zerolog.Logger
-	desk  *fleet.ProcessSupervisor
-	stop  context.CancelFunc
-	audit *audit.Log
-	pacer *fleet.Pacer
-
-	mu      sync.Mutex
-	replica *daemon.Replica // once it serves
-	entered uint64          // the slot at the desk under which the box is out of service
-	gone    bool            // out of service, as it is shut out of the fleet
+	cfg        *config.Appliance
+	log        zerolog.Logger
+	supervisor *fleet.ProcessSupervisor
+	cancel     context.CancelFunc
+	audit      *audit.Log
+	pacer      *fleet.Pacer
+
+	mu                  sync.Mutex
+	replica             *daemon.Replica // nil until it accepts clients
+	maintenanceID       uint64          // run of the process supervisor under whose slot the box is out of service; 0 if none
+	drainedWhileShutOut bool            // drained because the box is shut out of the fleet
 }
 
-// MaintenanceTask is the task whose slots are boxes out of service.
+// MaintenanceTask is the task whose slots limit how many boxes are out of service at a time.
 const MaintenanceTask = "maintenance"
 
-// Build names the program's version, as its build information has it.
+// Build returns the program's version from its build information: the first 12 digits of the commit, if known.
 func Build() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -74,11 +74,11 @@
 	return name
 }
 
-// number is that of the build, which says what it understands: it is raised when the fleet's configuration gains something. A
-// build may be made with another one: -ldflags "-X cairnlane/internal/appliance.number=3".
+// number is the build number, which tells what the build understands: it is raised with each addition to the fleet's
+// configuration. A build can set another one with -ldflags "-X cairnlane/internal/appliance.number=3".
 var number = "2"
 
-// Number is the number of this build.
+// Number returns the build number, 1 if it cannot be parsed.
 func Number() uint64 {
 	n, err := strconv.ParseUint(number, 10, 32)
 	if err != nil {
@@ -87,7 +87,8 @@
 	return n
 }
 
-// checkNumbered reads a configuration of the fleet; n is 0 before it has a number.
+// checkNumbered validates a configuration of the fleet and returns the build number that it needs and its roll-out
+// rules. n is 0 before the configuration has a number.
 func (f *Fleet) checkNumbered(n uint64, body []byte) (uint64, rollout.Rules, error) {
 	name := "the configuration"
 	if n > 0 {
@@ -101,15 +102,15 @@
 		return 0, rollout.Rules{}, err
 	}
 	if n > 0 {
-		if err := trialRefuses(f.cfg.Site.Name, c.Values); err != nil {
+		if err := trialRejects(f.cfg.Site.Name, c.Values); err != nil {
 			return 0, rollout.Rules{}, fmt.Errorf("%s: %w", name, err)
 		}
 	}
 	return c.Needs, c.Rules(), nil
 }
 
-// timing is how fast the box talks, from the time without a leader after which another one is elected.
-func timing(c *config.Fleet) ledger.Timing {
+// ledgerTiming derives the ledger's intervals from the configured election timeout.
+func ledgerTiming(c *config.Fleet) ledger.Timing {
 	t := ledger.DefaultTiming
 	if c.ElectionMS > 0 {
 		t.Election = time.Duration(c.ElectionMS) * time.Millisecond
@@ -132,29 +133,30 @@
 		return err
 	}
 	if wrong != "" {
-		f.log.Error().Str("wrong", wrong).Msg("configurations of the fleet are damaged; they are fetched anew")
+		f.log.Error().Str("wrong", wrong).Msg("stored configurations of the fleet are corrupt; fetching them again")
 	}
 	served, refused, failed := set.Get("answers_served"), set.Get("answers_refused"), set.Get("answers_failed")
 	f.pacer = fleet.NewPacer(f.cfg.Site.Name, clock.Boot, engine.DefaultBackoff)
-	f.Fleet, err = fleet.Open(fleet.Config{Audit: f.audit, AuditBuild: f.acts(), BuildNumber: Number(), Configs: store, CheckConfig: f.checkNumbered,
-		Load: f.totals, Overload: f.overload, OnAdvice: f.advise, Pacer: f.pacer, MaxRetryDelay: f.cfg.Site.Policy.MaxHoldOff,
+	f.Fleet, err = fleet.Open(fleet.Config{Audit: f.audit, AuditBuild: f.auditBuild(), BuildNumber: Number(), Configs: store, CheckConfig: f.checkNumbered,
+		Load: f.loadTotals, Overload: f.overloadRules, OnAdvice: f.applyAdvice, Pacer: f.pacer, MaxRetryDelay: f.cfg.Site.Policy.MaxHoldOff,
 		Served: func() (good, bad uint64) { return uint64(served.Load()), uint64(refused.Load() + failed.Load()) },
 		Name:   f.cfg.Site.Name, Listen: c.Listen, Peers: c.Addresses(), KeyFile: c.KeyFile, Dir: filepath.Join(f.cfg.State, "fleet"),
-		Build: Build(), Timing: timing(c), Now: clock.Boot, Logf: func(format string, args ...any) { f.log.Warn().Msg("fleet: " + fmt.Sprintf(format, args...)) }}, set)
+		Build: Build(), Timing: ledgerTiming(c), Now: clock.Boot, Logf: func(format string, args ...any) { f.log.Warn().Msg("fleet: " + fmt.Sprintf(format, args...)) }}, set)
 	if err != nil {
 		return err
 	}
-	f.desk = fleet.NewProcessSupervisor(f.Fleet, fleet.SystemProcessGroups{})
-	f.log.Info().Str("listen", f.Addr()).Msg("peers of the fleet may call")
-	ctx, f.stop = context.WithCancel(ctx)
-	go f.giveBack(ctx)
+	f.supervisor = fleet.NewProcessSupervisor(f.Fleet, fleet.SystemProcessGroups{})
+	f.log.Info().Str("listen", f.Addr()).Msg("fleet listener started")
+	ctx, f.cancel = context.WithCancel(ctx)
+	go f.watchService(ctx)
 	return nil
 }
 
-// Running is the fleet once the part has been started.
+// Running returns the fleet, nil before the part has been started.
 func (f *Fleet) Running() *fleet.Fleet { return f.Fleet }
 
-// Leave implements daemon.Part. The fleet is left last: what is under way may still need its leases.
+// Leave implements daemon.Part. It does nothing: the box stays in the fleet until Close, as runs in progress may
+// still need its leases.
 func (f *Fleet) Leave() {}
 
 // Close implements daemon.Part.
@@ -162,15 +164,15 @@
 	if f.Fleet == nil {
 		return
 	}
-	f.stop()
-	f.desk.Close()
+	f.cancel()
+	f.supervisor.Close()
 	f.Fleet.Close()
 	f.audit.Close()
 }
 
-// acts is the version that this box acts as: the program, its settings and limits, its own configuration, and what it
-// understands of the fleet's messages.
-func (f *Fleet) acts() audit.Build {
+// auditBuild returns the versions that the audit log records for this box: the program, its settings, its own
+// configuration and the version of the ledger's messages.
+func (f *Fleet) auditBuild() audit.Build {
 	digest := func(path string) string {
 		raw, err := os.ReadFile(path)
 		if err != nil {
@@ -181,15 +183,16 @@
 	return audit.Build{Number: Number(), Program: Build(), Settings: digest(f.cfg.Replica), Config: digest(f.cfg.Path), Messages: ledger.Version}
 }
 
-// serving tells whether the replica takes clients and is to.
+// serving reports whether the replica accepts clients and is neither drained nor out of service for maintenance.
 func (f *Fleet) serving() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.replica != nil && f.entered == 0 && f.replica.Operator().Ready() == nil && !f.replica.Drained() && !f.replica.Leaving()
+	return f.replica != nil && f.maintenanceID == 0 && f.replica.Operator().Ready() == nil && !f.replica.Drained() && !f.replica.Leaving()
 }
 
-// giveBack gives a slot of maintenance back that an earlier process of this box held, as soon as this one serves.
-func (f *Fleet) giveBack(ctx context.Context) {
+// watchService releases a maintenance slot that an earlier process of this box held as soon as this one serves, and
+// drains the box while it is shut out.
+func (f *Fleet) watchService(ctx context.Context) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -198,70 +201,70 @@
 			return
 		case <-tick.C:
 		}
-		f.leaveIfOut()
+		f.drainWhileShutOut()
 		for _, t := range f.InheritedTasks() {
 			if ask, _, _ := t.Status(); ask.Task == MaintenanceTask && f.serving() {
-				f.log.Info().Uint64("token", ask.Token).Msg("back from maintenance; the slot is given back")
+				f.log.Info().Uint64("token", ask.Token).Msg("maintenance finished; releasing the slot")
 				t.Release()
 			}
 		}
 	}
 }
 
-// leaveIfOut takes the box out of service while it is shut out, if the fleet's configuration says so. How many may be shut out
-// at a time is bounded there.
-func (f *Fleet) leaveIfOut() {
+// drainWhileShutOut drains the replica while the box is shut out of the fleet, if the fleet's configuration requires
+// it. That configuration also limits how many boxes may be shut out at a time.
+func (f *Fleet) drainWhileShutOut() {
 	f.mu.Lock()
-	r, gone := f.replica, f.gone
+	r, gone := f.replica, f.drainedWhileShutOut
 	f.mu.Unlock()
 	out := f.LeavesServiceWhenShutOut()
 	if r == nil || out == gone || out && !f.serving() {
 		return
 	}
 	if err := r.Operator().Drain(out); err != nil {
-		f.log.Warn().Err(err).Bool("leave", out).Msg("shut out of the fleet, and service cannot be left or taken up")
+		f.log.Warn().Err(err).Bool("leave", out).Msg("cannot change the drain state after the box was shut out or let in again")
 		return
 	}
-	f.log.Warn().Bool("leave", out).Msg("service is left while the box is shut out of the fleet")
+	f.log.Warn().Bool("leave", out).Msg("drain state changed: the box drains while it is shut out of the fleet")
 	f.RecordAudit(audit.Drain, out, "shut out of the fleet")
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.gone = out
+	f.drainedWhileShutOut = out
 }
 
-// totals reads what the box has counted.
-func (f *Fleet) totals() (t view.Totals) {
-	if r := f.serves(); r != nil {
+// loadTotals returns the load counters of the box, zero before the replica accepts clients.
+func (f *Fleet) loadTotals() (t view.Totals) {
+	if r := f.startedReplica(); r != nil {
 		t = view.TotalsOf(r.Operator().Figures(), r.Level())
 	}
 	return t
 }
 
-// serves is the replica once clients are taken, nil before.
-func (f *Fleet) serves() *daemon.Replica {
+// startedReplica returns the replica, nil before it accepts clients.
+func (f *Fleet) startedReplica() *daemon.Replica {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.replica
 }
 
-// advise has the module go by what the fleet says.
-func (f *Fleet) advise(a *shed.Advice) {
-	if r := f.serves(); r != nil {
+// applyAdvice passes the fleet's advice to the replica.
+func (f *Fleet) applyAdvice(a *shed.Advice) {
+	if r := f.startedReplica(); r != nil {
 		r.Advise(a)
 	}
 }
 
-// overload reads what a configuration says of overload.
-func (f *Fleet) overload(n uint64, body []byte) *shed.Rules {
+// overloadRules returns the overload rules of a numbered configuration, nil if it has none.
+func (f *Fleet) overloadRules(n uint64, body []byte) *shed.Rules {
 	c, err := config.ParseNumbered(fmt.Sprintf("configuration %d", n), body)
 	if err != nil || c.Overload == nil {
-		return nil // it was checked before it came into force
+		return nil // an invalid configuration cannot be in force
 	}
 	classes := f.cfg.Site.Policy.Classes
 	return &shed.Rules{Version: n, Tries: c.Overload.Tries, Shares: c.Overload.Shares, Order: shed.SheddingOrder(len(classes), func(i int) float64 { return classes[i].Worth }, func(i int) time.Duration { return classes[i].Aim })}
 }
 
-// AuditFolder implements control.Fleet.
+// AuditFolder implements control.Fleet. It returns an absolute path if possible.
 func (f *Fleet) AuditFolder() string {
 	dir := filepath.Join(f.cfg.State, "audit")
 	if abs, err := filepath.Abs(dir); err == nil {
@@ -270,7 +273,7 @@
 	return dir
 }
 
-// Operated implements control.Fleet: the audit has who has said what.
+// Operated implements control.Fleet. It records an operator's command and its result in the audit log.
 func (f *Fleet) Operated(caller, what string, err error) {
 	if err != nil {
 		what += ": " + err.Error()
@@ -282,76 +285,76 @@
 // Begin implements control.Fleet.
 func (f *Fleet) Begin(r lease.Request) (uint64, error) {
 	if r.Task == MaintenanceTask {
-		return 0, fmt.Errorf("%q is taken by 'cairnctl drain on' and 'cairnctl stop'", MaintenanceTask)
+		return 0, fmt.Errorf("task %q is reserved for 'cairnctl drain on' and 'cairnctl stop'", MaintenanceTask)
 	}
-	return f.desk.Begin(r)
+	return f.supervisor.Begin(r)
 }
 
-// Poll, Command and End implement control.Fleet.
+// Poll implements control.Fleet.
 func (f *Fleet) Poll(id uint64, wait time.Duration) (fleet.RunStatus, error) {
-	return f.desk.Poll(id, wait)
+	return f.supervisor.Poll(id, wait)
 }
 
-// Command says which process group acts under a slot.
-func (f *Fleet) Command(id uint64, pgid int) error { return f.desk.Command(id, pgid) }
+// Command implements control.Fleet. It sets the process group that acts under a slot.
+func (f *Fleet) Command(id uint64, pgid int) error { return f.supervisor.Command(id, pgid) }
 
-// End gives a slot back.
-func (f *Fleet) End(id uint64) error { return f.desk.End(id) }
+// End implements control.Fleet. It releases a slot.
+func (f *Fleet) End(id uint64) error { return f.supervisor.End(id) }
 
-// Maintain implements control.Fleet.
+// Maintain implements control.Fleet. It requests a maintenance slot.
 func (f *Fleet) Maintain() (uint64, error) {
 	f.mu.Lock()
-	entered := f.entered
+	entered := f.maintenanceID
 	f.mu.Unlock()
 	if entered != 0 {
-		return 0, errors.New("this box is out of service already")
+		return 0, errors.New("this box is already out of service for maintenance")
 	}
-	return f.desk.Begin(lease.Request{Task: MaintenanceTask, Slots: f.cfg.Fleet.Maintenance, Sticky: true})
+	return f.supervisor.Begin(lease.Request{Task: MaintenanceTask, Slots: f.cfg.Fleet.Maintenance, Sticky: true})
 }
 
-// Enter implements control.Fleet: the box goes out of service, and keeps its slot until it is back.
+// Enter implements control.Fleet. It takes the box out of service and keeps the maintenance slot until it serves again.
 func (f *Fleet) Enter(id uint64, what string) error {
-	s, err := f.desk.Poll(id, 0)
+	s, err := f.supervisor.Poll(id, 0)
 	if err != nil {
 		return err
 	}
 	if s.Left <= 0 {
-		return fmt.Errorf("the slot is %s and may not be used now", s.StateName)
+		return fmt.Errorf("the maintenance slot is %s and cannot be used now", s.StateName)
 	}
 	f.mu.Lock()
 	r := f.replica
 	f.mu.Unlock()
 	if r == nil {
-		return errors.New("the replica does not serve yet")
+		return errors.New("the replica does not accept clients yet")
 	}
-	if err := f.desk.Keep(id); err != nil {
+	if err := f.supervisor.Keep(id); err != nil {
 		return err
 	}
 	if what == "stop" {
 		r.Drain()
 	} else if err = r.Operator().Drain(true); err != nil {
-		f.desk.End(id)
+		f.supervisor.End(id)
 		return err
 	}
 	f.RecordAudit(audit.Drain, true, fmt.Sprintf("%s under token %d", what, s.Token))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.entered = id
+	f.maintenanceID = id
 	return nil
 }
 
-// back gives the slot of maintenance back, once the box serves again.
-func (f *Fleet) back() {
+// releaseMaintenance releases the maintenance slot once the box serves again.
+func (f *Fleet) releaseMaintenance() {
 	f.mu.Lock()
-	id := f.entered
-	f.entered = 0
+	id := f.maintenanceID
+	f.maintenanceID = 0
 	f.mu.Unlock()
 	if id != 0 {
-		f.desk.End(id)
+		f.supervisor.End(id)
 	}
 }
 
-// ChangeVoters implements control.Fleet.
+// ChangeVoters implements control.Fleet. It adds, removes or replaces voters of the ledger.
 func (f *Fleet) ChangeVoters(how string, names []string) error {
 	return f.Voters(func(now []string) ([]string, error) {
 		next := slices.Clone(now)
@@ -360,15 +363,15 @@
 			switch {
 			case how == "remove" || how == "replace" && i == 0:
 				if !known {
-					return nil, fmt.Errorf("%q is no voter; they are %v", name, now)
+					return nil, fmt.Errorf("%q is not a voter; the voters are %v", name, now)
 				}
 				next = slices.DeleteFunc(next, func(n string) bool { return n == name })
 			case how != "add" && how != "replace":
-				return nil, fmt.Errorf("%q is none of add, remove, replace", how)
+				return nil, fmt.Errorf("unknown change %q: want add, remove or replace", how)
 			case known:
-				return nil, fmt.Errorf("%q is a voter already", name)
+				return nil, fmt.Errorf("%q is already a voter", name)
 			case f.cfg.Fleet.Addresses()[name] == "":
-				return nil, fmt.Errorf("%q is no box of this fleet's configuration", name)
+				return nil, fmt.Errorf("%q is not a box in this fleet's configuration", name)
 			default:
 				next = append(next, name)
 			}
@@ -377,18 +380,18 @@
 	})
 }
 
-// keeper is the replica's door in a fleet: what ends a drain gives the slot back.
-type keeper struct {
+// fleetReplica is the replica as operators control it in a fleet: the end of a drain also releases the maintenance slot.
+type fleetReplica struct {
 	operator.Replica
 	fleet *Fleet
 }
 
 // Drain implements operator.Replica.
-func (k keeper) Drain(on bool) error {
+func (k fleetReplica) Drain(on bool) error {
 	err := k.Replica.Drain(on)
 	k.fleet.RecordAudit(audit.Drain, on, fmt.Sprint("by an operator: ", err == nil))
 	if err == nil && !on {
-		k.fleet.back()
+		k.fleet.releaseMaintenance()
 	}
 	return err
 }
--- a/internal/appliance/parts_release.go
+++ b/internal/appliance/parts_release.go
@@ -4,7 +4,8 @@
 
 import "cairnlane/internal/daemon"
 
-// trialParts are none in a release build.
+// trialParts returns no parts in a release build.
 func (b *Box) trialParts() []daemon.Part { return nil }
 
-func trialRefuses(string, map[string]string) error { return nil }
+// trialRejects never rejects a configuration in a release build.
+func trialRejects(string, map[string]string) error { return nil }
--- a/internal/appliance/parts_trial.go
+++ b/internal/appliance/parts_trial.go
@@ -11,15 +11,15 @@
 	"cairnlane/internal/lab/actor"
 )
 
-// trialParts has a box of a trial act under leases, if its environment says so.
+// trialParts returns the part that acts under leases in a trial, if the environment enables it.
 func (b *Box) trialParts() []daemon.Part {
 	return []daemon.Part{&actor.Part{Box: b.cfg.Site.Name, Fleet: b.fleet.Running}}
 }
 
-// trialRefuses has boxes of a trial turn a configuration down that names them, or all.
-func trialRefuses(box string, values map[string]string) error {
+// trialRejects makes a box of a trial reject a configuration whose TRIAL_REFUSE value names the box, or all boxes.
+func trialRejects(box string, values map[string]string) error {
 	if list := strings.Split(values["TRIAL_REFUSE"], ","); slices.Contains(list, box) || slices.Contains(list, "all") {
-		return fmt.Errorf("values: %s is to turn it down", box)
+		return fmt.Errorf("values: TRIAL_REFUSE makes %s reject it", box)
 	}
 	return nil
 }
--- a/internal/appliance/recorder.go
+++ b/internal/appliance/recorder.go
@@ -20,21 +20,21 @@
 	"cairnlane/internal/state/records"
 )
 
-// recorder is the flight recorder of a box, off unless its configuration says so. It reads figures that are kept anyway, four times a
-// second, so a request pays nothing for it. It implements daemon.Part.
+// recorder is the flight recorder of a box. It is off unless the configuration enables it. It samples existing counters
+// once per flush interval, four times a second, so it adds no cost to a request. It implements daemon.Part.
 type recorder struct {
-	cfg  *config.Appliance
-	log  zerolog.Logger
-	rec  *records.Recorder
-	stop context.CancelFunc
-	over chan struct{}
+	cfg    *config.Appliance
+	log    zerolog.Logger
+	rec    *records.Recorder
+	cancel context.CancelFunc
+	done   chan struct{}
 
-	mu      sync.Mutex
-	replica *daemon.Replica
-	last    map[string]records.Tally // sums of each class, as they were told last
+	mu       sync.Mutex
+	replica  *daemon.Replica
+	lastSums map[string]records.Tally // counters of each class at the last tally
 }
 
-const tallyEach = 4 // gauges between two tallies
+const gaugesPerTally = 4 // number of gauges per tally
 
 // Start implements daemon.Part.
 func (r *recorder) Start(ctx context.Context, _ *front.Server, _ *counters.Set) error {
@@ -51,15 +51,15 @@
 	if r.rec, err = records.NewRecorder(records.Disk{}, dir, records.Head{Box: r.cfg.Site.Name, Incarnation: hex.EncodeToString(id[:]), Build: Build(), Started: now()}, records.DefaultLimits, now); err != nil {
 		return err
 	}
-	r.last = map[string]records.Tally{}
-	ctx, r.stop = context.WithCancel(ctx)
-	r.over = make(chan struct{})
+	r.lastSums = map[string]records.Tally{}
+	ctx, r.cancel = context.WithCancel(ctx)
+	r.done = make(chan struct{})
 	go r.run(ctx)
 	return nil
 }
 
-// serves says that clients are taken from now on.
-func (r *recorder) serves(replica *daemon.Replica) {
+// started reports that the replica accepts clients from now on.
+func (r *recorder) started(replica *daemon.Replica) {
 	r.mu.Lock()
 	r.replica = replica
 	r.mu.Unlock()
@@ -67,7 +67,7 @@
 }
 
 func (r *recorder) run(ctx context.Context) {
-	defer close(r.over)
+	defer close(r.done)
 	tick := time.NewTicker(records.DefaultLimits.Flush)
 	defer tick.Stop()
 	failed := false
@@ -77,16 +77,16 @@
 			return
 		case <-tick.C:
 		}
-		r.look(n%tallyEach == 0)
+		r.sample(n%gaugesPerTally == 0)
 		if err := r.rec.Flush(); err != nil != failed {
 			failed = err != nil
-			r.log.Warn().Err(err).Bool("failed", failed).Msg("recorder: what the disk refuses is dropped, and stands in the record as lost")
+			r.log.Warn().Err(err).Bool("failed", failed).Msg("recorder: the result of writing records changed; records that cannot be written are dropped and counted as lost")
 		}
 	}
 }
 
-// look adds how the box stands.
-func (r *recorder) look(tally bool) {
+// sample adds a gauge and, if tally is set, the changes of the class counters since the last tally.
+func (r *recorder) sample(tally bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.replica == nil {
@@ -99,10 +99,10 @@
 	}
 	var list []records.Tally
 	for _, c := range f.Classes {
-		was := r.last[c.Name]
+		was := r.lastSums[c.Name]
 		now := records.Tally{Class: c.Name, InAim: uint32(c.Served - c.Late), Over: uint32(c.Late), Early: uint32(c.Rejected), Failed: uint32(c.Failed),
-			Share: uint32(c.RejectedOverShare), Low: uint32(c.RejectedLowClass), Beyond: uint32(c.RejectedOverBudget)} // sums; differences are right when they wrap
-		r.last[c.Name] = now
+			Share: uint32(c.RejectedOverShare), Low: uint32(c.RejectedLowClass), Beyond: uint32(c.RejectedOverBudget)} // total counts; their differences are right even after they wrap
+		r.lastSums[c.Name] = now
 		t := records.Tally{Class: c.Name, InAim: now.InAim - was.InAim, Over: now.Over - was.Over, Early: now.Early - was.Early, Failed: now.Failed - was.Failed,
 			Share: now.Share - was.Share, Low: now.Low - was.Low, Beyond: now.Beyond - was.Beyond}
 		if t.Read = t.Answers(); t.Read > 0 {
@@ -122,9 +122,9 @@
 	if r.rec == nil {
 		return
 	}
-	r.stop()
-	<-r.over
-	r.look(true)
+	r.cancel()
+	<-r.done
+	r.sample(true)
 	r.rec.Add(records.Record{Kind: records.KindEnd})
 	r.rec.Flush()
 	r.rec.Close()
--- a/internal/appliance/recorder_test.go
+++ b/internal/appliance/recorder_test.go
@@ -8,10 +8,11 @@
 	"cairnlane/internal/state/records"
 )
 
-// TestARecorderTellsHowABoxStood: from the start over what was served to the end, whole and without holes.
-func TestARecorderTellsHowABoxStood(t *testing.T) {
-	b := start(t, "tls-alpn-01")
-	if err := b.ctl.Stop(); err != nil {
+// TestRecorderKeepsACompleteRecord runs a box from start to drain and checks that its record has all parts
+// without a gap.
+func TestRecorderKeepsACompleteRecord(t *testing.T) {
+	b := startTestBox(t, "tls-alpn-01")
+	if err := b.control.Stop(); err != nil {
 		t.Fatal(err)
 	}
 	b.cmd.Wait()
@@ -25,6 +26,6 @@
 		seen[r.Kind]++
 	}
 	if slices.ContainsFunc(list[0].Missing, func(m records.Missing) bool { return !m.Tail }) || seen[records.KindStart] != 1 || seen[records.KindDrain] != 1 || seen[records.KindEnd] != 1 || seen[records.KindGauge] == 0 {
-		t.Errorf("%v, missing %v", seen, list[0].Missing)
+		t.Errorf("records by kind %v, missing %v", seen, list[0].Missing)
 	}
 }
--- a/internal/appliance/serve.go
+++ b/internal/appliance/serve.go
@@ -8,8 +8,8 @@
 	"cairnlane/internal/logging"
 )
 
-// Serve runs the appliance with a configuration until it is told to leave or fails. The log goes to w. Tests add parts of
-// their own.
+// Serve runs the appliance with the configuration file at path until it has drained or fails. The log is written to w.
+// The functions in more return additional parts; tests use them.
 func Serve(path string, w io.Writer, more ...func(*Box) daemon.Part) error {
 	cfg, err := config.Load(path)
 	if err != nil {
@@ -24,11 +24,11 @@
 		return err
 	}
 	parts := box.Parts()
-	for _, make := range more {
-		parts = append(parts, make(box))
+	for _, newPart := range more {
+		parts = append(parts, newPart(box))
 	}
 	return daemon.Run(cfg.Replica, cfg.Site, box.Started, parts...)
 }
 
-// Name is the box's.
+// Name returns the box's name.
 func (b *Box) Name() string { return b.cfg.Site.Name }
