--- a/cmd/cairnlane/drain_test.go
+++ b/cmd/cairnlane/drain_test.go
@@ -18,32 +18,32 @@
 	"cairnlane/internal/thrift"
 )
 
-// program is a started replica whose engine and router are the test's.
-type program struct {
-	cmd    *exec.Cmd
-	path   string // of its configuration
-	log    *bufio.Reader
-	engine net.Listener
-	link   net.Conn
-	words  *bufio.Reader // what the engine reads
-	router net.Conn
+// process is a started replica process with a fake engine and a fake router.
+type process struct {
+	cmd         *exec.Cmd
+	path        string // path of its configuration
+	log         *bufio.Reader
+	engine      net.Listener
+	engineConn  net.Conn
+	engineInput *bufio.Reader // what the fake engine reads
+	routerConn  net.Conn
 }
 
-func start(t *testing.T) *program {
+func startServing(t *testing.T) *process {
 	t.Helper()
 	p, config := prepare(t)
 	if err := os.WriteFile(p.path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.begin(t)
-	p.serves(t)
+	p.start(t)
+	p.connect(t)
 	return p
 }
 
-// prepare makes all that a replica needs and gives its configuration, which stands nowhere yet.
-func prepare(t *testing.T) (p *program, config string) {
+// prepare makes all that a replica needs and returns its configuration, which it does not write to the file.
+func prepare(t *testing.T) (p *process, config string) {
 	t.Helper()
-	p = &program{path: filepath.Join(t.TempDir(), "config.json")}
+	p = &process{path: filepath.Join(t.TempDir(), "config.json")}
 	var err error
 	if p.engine, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -62,8 +62,8 @@
 	return p, config
 }
 
-// begin starts the program.
-func (p *program) begin(t *testing.T) {
+// start starts the process.
+func (p *process) start(t *testing.T) {
 	t.Helper()
 	p.cmd = exec.Command(os.Args[0])
 	p.cmd.Env = append(os.Environ(), "CAIRNLANE_TEST_RUN=1", "RELAY_CONFIG="+p.path)
@@ -81,20 +81,20 @@
 	p.log = bufio.NewReader(out)
 }
 
-// serves takes the program's link and connects a router to it.
-func (p *program) serves(t *testing.T) {
+// connect waits until the process serves, accepts its engine connection and connects a router.
+func (p *process) connect(t *testing.T) {
 	t.Helper()
-	line := p.read(t, p.log, " serves at ")
-	p.attach(t, 0)
+	line := p.waitForLine(t, p.log, " serves at ")
+	p.acceptEngineConn(t, 0)
 	var err error
-	if p.router, err = net.Dial("tcp", strings.Trim(line[strings.LastIndex(line, " ")+1:], `"}`)); err != nil {
+	if p.routerConn, err = net.Dial("tcp", strings.Trim(line[strings.LastIndex(line, " ")+1:], `"}`)); err != nil {
 		t.Fatal(err)
 	}
-	p.router.SetDeadline(time.Now().Add(20 * time.Second))
+	p.routerConn.SetDeadline(time.Now().Add(20 * time.Second))
 }
 
-// signal sends signals to the program.
-func (p *program) signal(t *testing.T, all ...os.Signal) {
+// signal sends signals to the process.
+func (p *process) signal(t *testing.T, all ...os.Signal) {
 	t.Helper()
 	for _, s := range all {
 		if err := p.cmd.Process.Signal(s); err != nil {
@@ -103,8 +103,8 @@
 	}
 }
 
-// pipe puts a pipe where the configuration is to stand, so that whoever reads it waits for the test.
-func (p *program) pipe(t *testing.T) {
+// makeConfigPipe replaces the configuration file with a named pipe, so that its reader waits for the test.
+func (p *process) makeConfigPipe(t *testing.T) {
 	t.Helper()
 	_ = os.Remove(p.path)
 	if err := unix.Mkfifo(p.path, 0o600); err != nil {
@@ -112,8 +112,8 @@
 	}
 }
 
-// reads waits until the program reads its configuration from the pipe; what is written is all of it.
-func (p *program) reads(t *testing.T) *os.File {
+// openConfigPipe waits until the process reads its configuration from the pipe and returns the writing end.
+func (p *process) openConfigPipe(t *testing.T) *os.File {
 	t.Helper()
 	f, err := os.OpenFile(p.path, os.O_WRONLY, 0)
 	if err != nil {
@@ -122,19 +122,20 @@
 	return f
 }
 
-// TestSignalsWhileTheConfigurationIsRead has SIGHUP and the notice to leave come before a replica knows what it is. Both
-// used to end it: a crash. The one has nothing to do then, the other is carried out as soon as it serves.
-func TestSignalsWhileTheConfigurationIsRead(t *testing.T) {
-	for _, leaves := range []bool{false, true} {
+// TestSignalsWhileConfigurationIsRead sends SIGHUP and the drain notice before a replica has read its configuration.
+// Without handlers installed before that, either signal kills the process. SIGHUP must have no effect then, and the drain
+// start as soon as the replica serves.
+func TestSignalsWhileConfigurationIsRead(t *testing.T) {
+	for _, drain := range []bool{false, true} {
 		p, config := prepare(t)
-		p.pipe(t)
-		p.begin(t)
-		f := p.reads(t)
+		p.makeConfigPipe(t)
+		p.start(t)
+		f := p.openConfigPipe(t)
 		p.signal(t, syscall.SIGHUP, syscall.SIGUSR1)
-		if leaves {
+		if drain {
 			p.signal(t, syscall.SIGTERM)
 		}
-		_ = os.Remove(p.path) // the pipe goes on; who reads anew finds the file
+		_ = os.Remove(p.path) // the open pipe stays usable; the next reload reads the file
 		if err := os.WriteFile(p.path, []byte(config), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -142,42 +143,42 @@
 			t.Fatal(err)
 		}
 		f.Close()
-		if leaves {
+		if drain {
 			io.Copy(io.Discard, p.log)
 		} else {
-			p.serves(t)
-			if run := p.ask(t, 1); run[1] == "" {
-				t.Fatal("no run")
+			p.connect(t)
+			if run := p.sendRequest(t, 1); run[1] == "" {
+				t.Fatal("the engine received no run")
 			}
-			p.router.Close()
+			p.routerConn.Close()
 			p.signal(t, syscall.SIGTERM)
 			io.Copy(io.Discard, p.log)
 		}
 		if err := p.cmd.Wait(); err != nil {
-			t.Errorf("leaves %v: exit %v", leaves, err)
+			t.Errorf("drain %v: exit %v", drain, err)
 		}
 	}
 }
 
-// TestTheNoticeToLeaveWaitsForNothing has it come while a new configuration is being read and other signals wait. It used to
-// wait for the file, and to be dropped when four signals waited already.
-func TestTheNoticeToLeaveWaitsForNothing(t *testing.T) {
-	p := start(t)
-	run := p.ask(t, 1)
+// TestDrainNoticeDoesNotWaitForReload sends the drain notice while a reload blocks on the configuration file and other
+// signals are pending. The notice must neither wait for the file nor be dropped because four signals are queued.
+func TestDrainNoticeDoesNotWaitForReload(t *testing.T) {
+	p := startServing(t)
+	run := p.sendRequest(t, 1)
 	config, err := os.ReadFile(p.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.pipe(t)
+	p.makeConfigPipe(t)
 	p.signal(t, syscall.SIGHUP)
-	f := p.reads(t)
+	f := p.openConfigPipe(t)
 	for range 3 {
 		p.signal(t, syscall.SIGHUP, syscall.SIGUSR1)
-		p.read(t, p.log, "counters: ")
+		p.waitForLine(t, p.log, "counters: ")
 	}
 	p.signal(t, syscall.SIGTERM)
-	if got := strings.Join(p.answers(t, 1), ", "); got != "goaway 0 0" {
-		t.Fatalf("on the notice to leave: %s", got)
+	if got := strings.Join(p.readMessages(t, 1), ", "); got != "goaway 0 0" {
+		t.Fatalf("after the drain notice: %s", got)
 	}
 	_ = os.Remove(p.path)
 	if err := os.WriteFile(p.path, []byte("{"), 0o600); err != nil {
@@ -187,17 +188,17 @@
 		t.Fatal(err)
 	}
 	f.Close()
-	p.read(t, p.log, "configuration read anew")
-	p.read(t, p.log, "the old settings stay in force") // what came meanwhile is one more reading
-	fmt.Fprintf(p.link, "DONE 1 %s fine 5 2\r\nok\r\n", run[1])
-	if got := strings.Join(p.answers(t, 1), ", "); got != "serve 1 0" {
-		t.Fatalf("in the drain: %s", got)
+	p.waitForLine(t, p.log, "configuration read anew")
+	p.waitForLine(t, p.log, "the old settings stay in force") // the signals received meanwhile cause one more reload
+	fmt.Fprintf(p.engineConn, "DONE 1 %s fine 5 2\r\nok\r\n", run[1])
+	if got := strings.Join(p.readMessages(t, 1), ", "); got != "serve 1 0" {
+		t.Fatalf("answer in the drain: %s", got)
 	}
-	p.ends(t, "answers_served=1", "configurations_reloaded=1", "configurations_turned_down=1")
+	p.expectExit(t, "answers_served=1", "configurations_reloaded=1", "configurations_turned_down=1")
 }
 
-// read passes over lines until one holds the word, and returns it.
-func (p *program) read(t *testing.T, r *bufio.Reader, word string) string {
+// waitForLine skips lines until one contains the word, and returns it.
+func (p *process) waitForLine(t *testing.T, r *bufio.Reader, word string) string {
 	t.Helper()
 	for {
 		line, err := r.ReadString('\n')
@@ -210,34 +211,34 @@
 	}
 }
 
-// attach takes the next link and tells, besides HELLO, what was missed.
-func (p *program) attach(t *testing.T, last int, missed ...string) {
+// acceptEngineConn accepts the next engine connection and sends HELLO and the given missed messages.
+func (p *process) acceptEngineConn(t *testing.T, last int, missed ...string) {
 	t.Helper()
 	var err error
-	if p.link, err = p.engine.Accept(); err != nil {
+	if p.engineConn, err = p.engine.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	p.link.SetDeadline(time.Now().Add(20 * time.Second))
-	p.words = bufio.NewReader(p.link)
-	p.read(t, p.words, fmt.Sprintf("ATTACH %d\r", last))
-	fmt.Fprintf(p.link, "HELLO running 0\r\n%sSTATS g1 0 0 0 0\r\n", strings.Join(missed, ""))
+	p.engineConn.SetDeadline(time.Now().Add(20 * time.Second))
+	p.engineInput = bufio.NewReader(p.engineConn)
+	p.waitForLine(t, p.engineInput, fmt.Sprintf("ATTACH %d\r", last))
+	fmt.Fprintf(p.engineConn, "HELLO running 0\r\n%sSTATS g1 0 0 0 0\r\n", strings.Join(missed, ""))
 }
 
-// ask sends a request and returns the words of its RUN.
-func (p *program) ask(t *testing.T, seq int32) []string {
+// sendRequest sends a request and returns the words of its RUN line.
+func (p *process) sendRequest(t *testing.T, seq int32) []string {
 	t.Helper()
 	fields := [][2]string{{"verb", "note-save"}, {"txn", fmt.Sprintf("%016x", seq)}, {"unique", fmt.Sprint(seq)},
 		{"door", fmt.Sprint(time.Now().UnixMilli())}, {"lb", "1"}, {"team", "hills-college"}, {"limit", "3000"}, {"ram", "9"}, {"standing", "0.5"}}
-	p.router.Write(thrift.AppendFrame(nil, func(b []byte) []byte {
+	p.routerConn.Write(thrift.AppendFrame(nil, func(b []byte) []byte {
 		b = thrift.AppendHeader(b, thrift.Header{Type: thrift.Call, Name: "serve", Seq: seq})
 		b = thrift.AppendStringMap(thrift.AppendField(b, thrift.Map, 1), fields)
 		return thrift.AppendStop(thrift.AppendString(thrift.AppendField(b, thrift.String, 2), "note"))
 	}))
-	return strings.Fields(p.read(t, p.words, "RUN "))
+	return strings.Fields(p.waitForLine(t, p.engineInput, "RUN "))
 }
 
-// answers reads what comes to the router until the connection ends or n messages are there.
-func (p *program) answers(t *testing.T, n int) (names []string) {
+// readMessages reads n messages at the router, fewer if the connection ends before.
+func (p *process) readMessages(t *testing.T, n int) (names []string) {
 	t.Helper()
 	var in []byte
 	for buf := make([]byte, 4096); len(names) < n; {
@@ -252,7 +253,7 @@
 			names, in = append(names, fmt.Sprintf("%s %d %d", h.Name, h.Seq, kind)), rest
 			continue
 		}
-		k, err := p.router.Read(buf)
+		k, err := p.routerConn.Read(buf)
 		if err != nil {
 			return names
 		}
@@ -261,46 +262,46 @@
 	return names
 }
 
-// TestALostLinkAndADrainLoseNothing has the link break under a run and the notice to leave come while
-// another run is on: both are answered, each once, and the program ends with 0 and its counters.
-func TestALostLinkAndADrainLoseNothing(t *testing.T) {
-	p := start(t)
-	run := p.ask(t, 1)
-	p.link.Close()
-	p.attach(t, 0, "DONE 1 "+run[1]+" fine 5 2\r\nok\r\n")
-	if got := strings.Join(p.answers(t, 1), ", "); got != "serve 1 0" {
-		t.Fatalf("after the break: %s", got)
-	}
-	run = p.ask(t, 2)
+// TestLostEngineConnectionAndDrainLoseNoRequest breaks the engine connection during a run and sends the drain
+// notice during another run. Both requests must be answered exactly once, and the process exit with code 0.
+func TestLostEngineConnectionAndDrainLoseNoRequest(t *testing.T) {
+	p := startServing(t)
+	run := p.sendRequest(t, 1)
+	p.engineConn.Close()
+	p.acceptEngineConn(t, 0, "DONE 1 "+run[1]+" fine 5 2\r\nok\r\n")
+	if got := strings.Join(p.readMessages(t, 1), ", "); got != "serve 1 0" {
+		t.Fatalf("answer after the lost connection: %s", got)
+	}
+	run = p.sendRequest(t, 2)
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if got := strings.Join(p.answers(t, 1), ", "); got != "goaway 0 0" {
-		t.Fatalf("on the notice to leave: %s", got)
+	if got := strings.Join(p.readMessages(t, 1), ", "); got != "goaway 0 0" {
+		t.Fatalf("after the drain notice: %s", got)
 	}
-	fmt.Fprintf(p.link, "DONE 2 %s fine 5 2\r\nok\r\n", run[1])
-	if got := strings.Join(p.answers(t, 1), ", "); got != "serve 2 0" {
-		t.Fatalf("in the drain: %s", got)
+	fmt.Fprintf(p.engineConn, "DONE 2 %s fine 5 2\r\nok\r\n", run[1])
+	if got := strings.Join(p.readMessages(t, 1), ", "); got != "serve 2 0" {
+		t.Fatalf("answer in the drain: %s", got)
 	}
-	p.ends(t, "answers_served=2", "engine_links_lost=1")
+	p.expectExit(t, "answers_served=2", "engine_links_lost=1")
 }
 
-// ends closes the router and checks that the program ends with 0 and these counters.
-func (p *program) ends(t *testing.T, words ...string) {
+// expectExit closes the router connection and checks that the process exits with code 0 and logs these counters.
+func (p *process) expectExit(t *testing.T, counterValues ...string) {
 	t.Helper()
-	p.router.Close()
-	counters := p.read(t, p.log, "counters: ")
+	p.routerConn.Close()
+	counters := p.waitForLine(t, p.log, "counters: ")
 	io.Copy(io.Discard, p.log)
 	err := p.cmd.Wait()
-	for _, word := range append(words, "invariants_broken=0") {
+	for _, word := range append(counterValues, "invariants_broken=0") {
 		if err != nil || !strings.Contains(counters, word) {
-			t.Errorf("exit %v, no %s in %s", err, word, counters)
+			t.Errorf("exit error %v, want counter %s in %s", err, word, counters)
 		}
 	}
 }
 
-// reload replaces the configuration and has the program read it anew, until it says so.
-func (p *program) reload(t *testing.T, config, says string) {
+// reload replaces the configuration file, sends SIGHUP and waits for the log text.
+func (p *process) reload(t *testing.T, config, logText string) {
 	t.Helper()
 	if err := os.WriteFile(p.path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
@@ -308,13 +309,14 @@
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	p.read(t, p.log, says)
+	p.waitForLine(t, p.log, logText)
 }
 
-// TestANewConfigurationMovesTheLink has SIGHUP, which used to end the program, come under a run, with a
-// bad file, and in a drain: the runs go on at the new engine, each answered once.
-func TestANewConfigurationMovesTheLink(t *testing.T) {
-	p := start(t)
+// TestReloadMovesEngineConnection sends SIGHUP during a run and during a drain, each time first with an invalid
+// configuration and then with a new engine address. The runs must continue at the new engine and be answered once.
+// Without its handler, SIGHUP kills the process.
+func TestReloadMovesEngineConnection(t *testing.T) {
+	p := startServing(t)
 	move := func(last int) {
 		t.Helper()
 		good, err := os.ReadFile(p.path)
@@ -330,68 +332,69 @@
 		old := p.engine
 		p.engine = next
 		p.reload(t, strings.ReplaceAll(string(good), old.Addr().String(), next.Addr().String()), "configuration read anew")
-		if _, err := io.Copy(io.Discard, p.words); err != nil { // our side ends
+		if _, err := io.Copy(io.Discard, p.engineInput); err != nil { // the process closes the old connection
 			t.Fatal(err)
 		}
-		p.link.Close()
-		p.attach(t, last)
+		p.engineConn.Close()
+		p.acceptEngineConn(t, last)
 	}
-	run := p.ask(t, 1)
+	run := p.sendRequest(t, 1)
 	move(0)
-	fmt.Fprintf(p.link, "DONE 1 %s fine 5 2\r\nok\r\n", run[1])
-	if got := strings.Join(p.answers(t, 1), ", "); got != "serve 1 0" {
-		t.Fatalf("after the move: %s", got)
+	fmt.Fprintf(p.engineConn, "DONE 1 %s fine 5 2\r\nok\r\n", run[1])
+	if got := strings.Join(p.readMessages(t, 1), ", "); got != "serve 1 0" {
+		t.Fatalf("answer after the move: %s", got)
 	}
-	run = p.ask(t, 2)
+	run = p.sendRequest(t, 2)
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if got := strings.Join(p.answers(t, 1), ", "); got != "goaway 0 0" {
-		t.Fatalf("on the notice to leave: %s", got)
+	if got := strings.Join(p.readMessages(t, 1), ", "); got != "goaway 0 0" {
+		t.Fatalf("after the drain notice: %s", got)
 	}
 	move(1)
-	fmt.Fprintf(p.link, "DONE 2 %s fine 5 2\r\nok\r\n", run[1])
-	if got := strings.Join(p.answers(t, 1), ", "); got != "serve 2 0" {
-		t.Fatalf("in the drain: %s", got)
+	fmt.Fprintf(p.engineConn, "DONE 2 %s fine 5 2\r\nok\r\n", run[1])
+	if got := strings.Join(p.readMessages(t, 1), ", "); got != "serve 2 0" {
+		t.Fatalf("answer in the drain: %s", got)
 	}
-	// The old engine has not said that it read them: they may not be written again, as a save could run twice.
-	p.ends(t, "answers_served=2", "configurations_reloaded=2", "configurations_turned_down=2", "runs_in_doubt=2", "engine_runs_sent=2")
+	// The old engine has not confirmed the runs: they must not be sent again, as a save could be executed twice.
+	p.expectExit(t, "answers_served=2", "configurations_reloaded=2", "configurations_turned_down=2", "runs_in_doubt=2", "engine_runs_sent=2")
 }
 
-// TestHalfARequestDoesNotTakeTheLastAnswer has a router leave half a request behind a whole one as the replica leaves, and
-// read its answer only after the program has ended: it is all there, and then the end, not a reset.
-func TestHalfARequestDoesNotTakeTheLastAnswer(t *testing.T) {
+// TestPartialRequestDoesNotLoseLastAnswer sends a partial request after a complete one before the drain, and reads the
+// answer only after the process has exited. The answer must be complete and followed by the end of the connection, not
+// by a reset.
+func TestPartialRequestDoesNotLoseLastAnswer(t *testing.T) {
 	p, config := prepare(t)
 	if err := os.WriteFile(p.path, []byte(strings.Replace(config, `"stop_ms": 3200`, `"stop_ms": 900`, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.begin(t)
-	p.serves(t)
-	run := p.ask(t, 1)
-	if _, err := p.router.Write([]byte{0, 0, 1, 0, 0x80, 1}); err != nil {
+	p.start(t)
+	p.connect(t)
+	run := p.sendRequest(t, 1)
+	if _, err := p.routerConn.Write([]byte{0, 0, 1, 0, 0x80, 1}); err != nil {
 		t.Fatal(err)
 	}
 	p.signal(t, syscall.SIGTERM)
-	if got := strings.Join(p.answers(t, 1), ", "); got != "goaway 0 0" {
-		t.Fatalf("on the notice to leave: %s", got)
+	if got := strings.Join(p.readMessages(t, 1), ", "); got != "goaway 0 0" {
+		t.Fatalf("after the drain notice: %s", got)
 	}
-	fmt.Fprintf(p.link, "DONE 1 %s fine 5 2\r\nok\r\n", run[1])
-	p.read(t, p.log, "connections_ended_exit=1")
+	fmt.Fprintf(p.engineConn, "DONE 1 %s fine 5 2\r\nok\r\n", run[1])
+	p.waitForLine(t, p.log, "connections_ended_exit=1")
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("exit %v", err)
 	}
-	if got := strings.Join(p.answers(t, 1), ", "); got != "serve 1 0" {
-		t.Errorf("the last answer: %s", got)
+	if got := strings.Join(p.readMessages(t, 1), ", "); got != "serve 1 0" {
+		t.Errorf("last answer: %s", got)
 	}
-	if _, err := p.router.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("then %v, want the end", err)
+	if _, err := p.routerConn.Read(make([]byte, 1)); err != io.EOF {
+		t.Errorf("read after the last answer: %v, want EOF", err)
 	}
 }
 
-// TestAnAddressThatIsStillTakenIsWaitedFor starts a replica while the process before it still has its address, whose end may be
-// late: it used to end with an error. It serves once the address is free, and goes if it is told to before.
-func TestAnAddressThatIsStillTakenIsWaitedFor(t *testing.T) {
-	for _, leaves := range []bool{false, true} {
+// TestStartWaitsForAddressInUse starts a replica while its predecessor, which may exit late, still has the address. The
+// replica must not exit with an error but serve once the address is free, and exit if it gets a drain notice before that.
+func TestStartWaitsForAddressInUse(t *testing.T) {
+	for _, drain := range []bool{false, true} {
 		old, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -400,21 +403,21 @@
 		if err := os.WriteFile(p.path, []byte(strings.Replace(config, "127.0.0.1:0", old.Addr().String(), 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		p.begin(t)
-		p.read(t, p.log, "address already in use: waiting for it")
-		if leaves {
+		p.start(t)
+		p.waitForLine(t, p.log, "address already in use: waiting for it")
+		if drain {
 			p.signal(t, syscall.SIGTERM)
 			io.Copy(io.Discard, p.log)
 			old.Close()
 		} else {
 			old.Close()
-			p.serves(t)
-			p.router.Close()
+			p.connect(t)
+			p.routerConn.Close()
 			p.signal(t, syscall.SIGTERM)
 			io.Copy(io.Discard, p.log)
 		}
 		if err := p.cmd.Wait(); err != nil {
-			t.Errorf("leaves %v: exit %v", leaves, err)
+			t.Errorf("drain %v: exit %v", drain, err)
 		}
 	}
 }
--- a/cmd/cairnlane/main.go
+++ b/cmd/cairnlane/main.go
@@ -1,8 +1,8 @@
-// Command cairnlane is one playback replica: it takes requests from routers, decides with the policy
-// module what to run, refuse or hold, and has the engine on the same machine do the work.
+// Command cairnlane is one replica: it receives requests from routers, decides with the policy module which to run,
+// reject or queue, and passes runs to the engine on the same machine.
 //
-// Without arguments it is the platform's replica. With arguments it is the appliance, which is a program of its own,
-// cairnsite, beside this one: its libraries would cost the replica memory that the platform does not give.
+// Without arguments it is the platform's replica. With arguments it executes the appliance, a separate program named
+// cairnsite in the same folder: the appliance's libraries need more memory than the platform gives a replica.
 package main
 
 import (
@@ -18,7 +18,7 @@
 func main() {
 	daemon.Catch()
 	if len(os.Args) > 1 {
-		fail(appliance(os.Args))
+		fail(execAppliance(os.Args))
 	}
 	logging.Start(os.Stderr, logging.Config{})
 	fail(daemon.Platform())
@@ -29,13 +29,13 @@
 	os.Exit(1)
 }
 
-// appliance becomes the program beside this one.
-func appliance(args []string) error {
+// execAppliance replaces the process with cairnsite, which must be in the same folder as this program.
+func execAppliance(args []string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	beside := filepath.Join(filepath.Dir(self), "cairnsite")
-	err = syscall.Exec(beside, append([]string{"cairnlane"}, args[1:]...), os.Environ())
-	return fmt.Errorf("%s is needed for %q and cannot be started: %w; `make build` makes both", beside, args[1], err)
+	appliancePath := filepath.Join(filepath.Dir(self), "cairnsite")
+	err = syscall.Exec(appliancePath, append([]string{"cairnlane"}, args[1:]...), os.Environ())
+	return fmt.Errorf("cannot start %s, which is needed for %q: %w; `make build` builds both programs", appliancePath, args[1], err)
 }
--- a/cmd/cairnlane/main_test.go
+++ b/cmd/cairnlane/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestMain runs the program itself when a test asks for it.
+// TestMain runs the program instead of the tests if the environment requests it.
 func TestMain(m *testing.M) {
 	if os.Getenv("CAIRNLANE_TEST_RUN") != "" {
 		main()
@@ -17,7 +17,7 @@
 	os.Exit(m.Run())
 }
 
-func TestBadConfigurationIsOnePlainMessage(t *testing.T) {
+func TestBadConfigurationGivesOneLineError(t *testing.T) {
 	for name, path := range map[string]string{"none": "", "missing": "no/such/file", "not JSON": "main.go"} {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "CAIRNLANE_TEST_RUN=1", "RELAY_CONFIG="+path)
