--- a/cmd/cairnctl/audit.go
+++ b/cmd/cairnctl/audit.go
@@ -15,8 +15,8 @@
 	"cairnlane/internal/state/audit"
 )
 
-// places are where audits stand.
-type places struct {
+// auditPlaces are the folders and sockets that audit logs are read from.
+type auditPlaces struct {
 	Places []string `arg:"" help:"Folders or sockets."`
 }
 
@@ -25,35 +25,35 @@
 	ClockError time.Duration `default:"1m" help:"By how much the boxes' clocks may have been off."`
 
 	Verify struct {
-		places `embed:""`
+		auditPlaces `embed:""`
 	} `cmd:"" help:"Check the chains, and against the ledger's marks; exit code 1 when something is not as it was written."`
 	List struct {
-		places `embed:""`
+		auditPlaces `embed:""`
 	} `cmd:"" help:"All entries, by the ledger's index as far as each box knew it."`
 	At struct {
-		When   string `arg:"" help:"A time as 2026-12-01T14:05:00Z, or an index of the ledger."`
-		places `embed:""`
+		When        string `arg:"" help:"A time as 2026-12-01T14:05:00Z, or an index of the ledger."`
+		auditPlaces `embed:""`
 	} `cmd:"" help:"Who acted as what."`
 	Version struct {
-		N      uint64 `arg:"" help:"Number of a configuration of the fleet."`
-		places `embed:""`
+		N           uint64 `arg:"" help:"Number of a configuration of the fleet."`
+		auditPlaces `embed:""`
 	} `cmd:"" help:"Who acted on it, from when to when, and whether a box did so that knew it to be allowed no more."`
 	Box struct {
-		Name   string `arg:"" help:"A box's."`
-		places `embed:""`
+		Name        string `arg:"" help:"A box's."`
+		auditPlaces `embed:""`
 	} `cmd:"" help:"What a box did."`
 	Effects struct {
-		Task   string `arg:"" help:"A task's name."`
-		places `embed:""`
+		Task        string `arg:"" help:"A task's name."`
+		auditPlaces `embed:""`
 	} `cmd:"" help:"What was done under a task's leases, in the order of their tokens."`
 	Page struct {
-		File   string `arg:"" help:"HTML file to write."`
-		places `embed:""`
+		File        string `arg:"" help:"HTML file to write."`
+		auditPlaces `embed:""`
 	} `cmd:"" help:"One page with a lane for each box."`
 }
 
-// books reads what stands at places.
-func books(places []string) (list []*audit.Book, err error) {
+// readAudits reads the audit logs in folders, or in the audit folders of the boxes behind sockets.
+func readAudits(places []string) (list []*audit.Book, err error) {
 	for _, p := range places {
 		info, err := os.Stat(p)
 		if err != nil {
@@ -73,45 +73,46 @@
 	return list, nil
 }
 
-// marksOf asks the box at the socket for the ledger's marks.
-func (o *options) marksOf(c control.FleetClient) (map[string][]audit.Mark, error) {
+// auditHeads returns the audit heads that the ledger holds, by box, from the box at the socket. With --offline there are
+// none.
+func (o *options) auditHeads(c control.FleetClient) (map[string][]audit.Mark, error) {
 	if o.Fleet.Audit.Offline {
 		return nil, nil
 	}
-	told, err := c.Marks()
+	encoded, err := c.Marks()
 	if err != nil {
-		return nil, fmt.Errorf("%w; --offline does without the ledger's marks, and does not find what was cut off", err)
+		return nil, fmt.Errorf("%w; --offline does not use the ledger's audit heads, but then truncated logs are not detected", err)
 	}
 	out := map[string][]audit.Mark{}
-	for box, list := range told {
+	for box, list := range encoded {
 		for _, m := range list {
-			mark, err := fleet.DecodeAuditHead(m)
+			head, err := fleet.DecodeAuditHead(m)
 			if err != nil {
-				return nil, fmt.Errorf("a mark of %s: %w", box, err)
+				return nil, fmt.Errorf("audit head of %s: %w", box, err)
 			}
-			out[box] = append(out[box], mark)
+			out[box] = append(out[box], head)
 		}
 	}
 	return out, nil
 }
 
-// audit answers from the audits of boxes.
+// audit runs a "fleet audit" command on the audit logs of boxes.
 func (o *options) audit(w io.Writer, name string, c control.FleetClient) error {
 	a := &o.Fleet.Audit
 	from := map[string][]string{"verify": a.Verify.Places, "list": a.List.Places, "at": a.At.Places, "version": a.Version.Places, "box": a.Box.Places,
 		"effects": a.Effects.Places, "page": a.Page.Places}[name]
-	list, err := books(from)
+	list, err := readAudits(from)
 	if err != nil {
 		return err
 	}
-	marks, err := o.marksOf(c)
+	heads, err := o.auditHeads(c)
 	if err != nil {
 		return err
 	}
 	if name == "verify" {
-		return o.verify(w, from, list, marks)
+		return o.verify(w, from, list, heads)
 	}
-	x := audit.NewIndex(list, marks)
+	x := audit.NewIndex(list, heads)
 	build := func(b audit.Build) string {
 		return fmt.Sprintf("%d\t%d\t%s\t%s\t%s", b.Fleet, b.Number, b.Program, b.Settings, b.Config)
 	}
@@ -123,11 +124,11 @@
 				entries = append(entries, x.Box(b)...)
 			}
 		}
-		// Within a box by number; entries of two boxes at one index have no order.
+		// The entries of one box keep their order by number; entries of two boxes at the same index have no order.
 		if name == "list" {
 			slices.SortStableFunc(entries, func(x, y audit.Entry) int { return cmp.Compare(x.Index, y.Index) })
 		} else if len(entries) == 0 {
-			return fmt.Errorf("nothing of a box %q is there; there are %v", a.Box.Name, x.Boxes())
+			return fmt.Errorf("no audit log of box %q; there are logs of %v", a.Box.Name, x.Boxes())
 		}
 		return o.show(w, entries, nil, func(t io.Writer) {
 			fmt.Fprintln(t, "INDEX\tBOX\tN\tKIND\tTASK\tTOKEN\tUNDER\tOK\tCLOCK\tTEXT")
@@ -139,7 +140,7 @@
 				if e.Kind == audit.Config {
 					text = fmt.Sprintf("configuration %d %s", e.Ref, e.Text)
 				}
-				fmt.Fprintf(t, "%d\t%s\t%d\t%s\t%s\t%d\t%d\t%v\t%s\t%q\n", e.Index, e.Box, e.N, e.Kind, e.Task, e.Token, e.Under, e.OK, clockOf(e.At), text)
+				fmt.Fprintf(t, "%d\t%s\t%d\t%s\t%s\t%d\t%d\t%v\t%s\t%q\n", e.Index, e.Box, e.N, e.Kind, e.Task, e.Token, e.Under, e.OK, formatClock(e.At), text)
 			}
 		})
 	case "at":
@@ -149,7 +150,7 @@
 		} else {
 			at, err := time.Parse(time.RFC3339, a.At.When)
 			if err != nil {
-				return fmt.Errorf("%q is no time as 2026-12-01T14:05:00Z and no index", a.At.When)
+				return fmt.Errorf("%q is neither a time such as 2026-12-01T14:05:00Z nor an index of the ledger", a.At.When)
 			}
 			who = x.AtTime(time.Duration(at.UnixNano()), a.ClockError)
 		}
@@ -180,11 +181,11 @@
 		if err := o.show(w, runs, nil, func(t io.Writer) {
 			fmt.Fprintln(t, "BOX\tFROM INDEX\tTO INDEX\tFROM\tTO\tEFFECTS\tLATE\tBUILD")
 			for _, r := range runs {
-				to, until := fmt.Sprint(r.To), clockOf(r.ToAt)
+				to, until := fmt.Sprint(r.To), formatClock(r.ToAt)
 				if !r.Until {
 					to, until = "-", "-"
 				}
-				fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%d\t%d\t%d\n", r.Box, r.From, to, clockOf(r.FromAt), until, r.Effects, r.Late, r.Version.Number)
+				fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%s\t%d\t%d\t%d\n", r.Box, r.From, to, formatClock(r.FromAt), until, r.Effects, r.Late, r.Version.Number)
 			}
 		}); err != nil {
 			return err
@@ -193,7 +194,7 @@
 			late += r.Late
 		}
 		if late > 0 {
-			return fmt.Errorf("%d effects were made on %d by boxes that knew it to be allowed no more", late, a.Version.N)
+			return fmt.Errorf("%d effects under configuration %d by boxes that knew that it was no longer allowed", late, a.Version.N)
 		}
 		return nil
 	case "effects":
@@ -205,13 +206,13 @@
 				if e.Tied {
 					order = "not known"
 				}
-				fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%d\t%s\t%s\t%q\n", e.Token, order, e.Box, e.Under, e.Index, clockOf(e.At), e.Outcome, e.Text)
+				fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%d\t%s\t%s\t%q\n", e.Token, order, e.Box, e.Under, e.Index, formatClock(e.At), e.Outcome, e.Text)
 			}
 		})
 	case "page":
 		var faults []audit.Fault
 		for _, b := range list {
-			b.Against(marks[b.Box])
+			b.Against(heads[b.Box])
 			faults = append(faults, b.Faults...)
 		}
 		f, err := os.Create(a.Page.File)
@@ -223,10 +224,11 @@
 	return fmt.Errorf("fleet audit %s is not known", name)
 }
 
-func clockOf(at time.Duration) string { return time.Unix(0, int64(at)).UTC().Format(time.RFC3339) }
+func formatClock(at time.Duration) string { return time.Unix(0, int64(at)).UTC().Format(time.RFC3339) }
 
-// verify checks the chains; an error says that something is wrong with one.
-func (o *options) verify(w io.Writer, places []string, list []*audit.Book, marks map[string][]audit.Mark) error {
+// verify checks the hash chains of audit logs, also against the ledger's audit heads, and prints a verdict
+// for each place. It returns an error if any fault is found.
+func (o *options) verify(w io.Writer, places []string, list []*audit.Book, heads map[string][]audit.Mark) error {
 	type verdict struct {
 		Place   string        `json:"place"`
 		Box     string        `json:"box"`
@@ -240,7 +242,7 @@
 	faults := 0
 	for i, b := range list {
 		v := verdict{Place: places[i], Box: b.Box, Entries: len(b.Entries), Lost: b.Lost}
-		v.Proven, v.Old = b.Against(marks[b.Box])
+		v.Proven, v.Old = b.Against(heads[b.Box])
 		v.Faults = b.Faults
 		faults += len(b.Faults)
 		verdicts = append(verdicts, v)
@@ -259,7 +261,7 @@
 		return err
 	}
 	if faults > 0 {
-		return fmt.Errorf("%d places are not as they were written", faults)
+		return fmt.Errorf("%d faults found: the audit logs are not as they were written", faults)
 	}
 	return nil
 }
--- a/cmd/cairnctl/fleet.go
+++ b/cmd/cairnctl/fleet.go
@@ -91,7 +91,7 @@
 	} `cmd:"" help:"Run a command as the one holder of a task. CAIRNLANE_TOKEN in its environment is the lease's token."`
 }
 
-// fleet carries out a command of the fleet.
+// fleet runs a "fleet" command.
 func (o *options) fleet(w io.Writer, name string, c control.FleetClient) error {
 	f := &o.Fleet
 	switch strings.Fields(name)[0] {
@@ -143,14 +143,14 @@
 		return c.Init(lease.Terms{Term: f.Init.Term, Drift: f.Init.Drift}, f.Init.Voters)
 	case "recover":
 		if !f.Recover.Yes {
-			return errors.New("if the lost voters come back there are two fleets for a while, and both may act; say --a-majority-is-lost-for-good if you know that they do not")
+			return errors.New("if the lost voters return, two fleets exist for a while and both may act; confirm with --a-majority-is-lost-for-good that they do not return")
 		}
 		return c.Recover()
 	case "voters":
 		return c.ChangeVoters(f.Voters.How, f.Voters.Names)
 	case "free":
 		if !f.Free.Yes {
-			return errors.New("if the box still acts, two may act at once; say --its-box-does-not-act if you know that it does not")
+			return errors.New("if the box still acts, two boxes may act at once; confirm with --its-box-does-not-act that it does not")
 		}
 		return c.Free(f.Free.Token)
 	case "stop":
@@ -161,7 +161,7 @@
 		return o.rollout(w, strings.Fields(name)[1], c)
 	case "load":
 		s, err := c.Load()
-		return o.show(w, s, err, func(t io.Writer) { showLoad(t, s) })
+		return o.show(w, s, err, func(t io.Writer) { printLoad(t, s) })
 	case "stragglers":
 		return o.stragglers(w, c)
 	case "lowest":
@@ -175,9 +175,9 @@
 			argv = argv[1:]
 		}
 		if len(argv) == 0 {
-			return errors.New("no command; say it after --, as in: cairnctl fleet run export -- /usr/local/bin/export")
+			return errors.New("no command given; append it after --, as in: cairnctl fleet run export -- /usr/local/bin/export")
 		}
-		env, err := environment(c)
+		env, err := leaseEnvironment(c)
 		if err != nil {
 			return err
 		}
@@ -190,23 +190,25 @@
 	return fmt.Errorf("fleet %s is not known", name)
 }
 
-// exitCode is an error that has been told already.
+// exitCode is an error whose message has already been printed; the process exits with this code.
 type exitCode int
 
 func (e exitCode) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
+// maintenancePoll is the longest time that one poll for the maintenance slot waits for a change.
 const maintenancePoll = 500 * time.Millisecond
 
-// maintain takes the box out of service under a slot of its fleet, and waits its turn. done is false when the box is in no fleet.
-func (o *options) maintain(c control.FleetClient, what string) (done bool, err error) {
+// enterMaintenance waits for a maintenance slot of the fleet and takes the box out of service under it. done is false if
+// the box is in no fleet.
+func (o *options) enterMaintenance(c control.FleetClient, what string) (done bool, err error) {
 	s, err := c.Status()
-	if err != nil && err.Error() == control.ErrNoFleet.Error() || err == nil && s.Fleet == "" { // in none, or in one that was not begun
+	if err != nil && err.Error() == control.ErrNoFleet.Error() || err == nil && s.Fleet == "" { // in no fleet, or in one that is not initialized
 		return false, nil
 	}
 	if err != nil {
 		return true, err
 	}
-	hint := fmt.Sprintf("; '--force' does it all the same, at the risk that more boxes are out of service than may be: cairnctl %s --force", map[string]string{"drain": "drain on", "stop": "stop"}[what])
+	hint := fmt.Sprintf("; '--force' does not wait for a slot, at the risk that more boxes are out of service than allowed: cairnctl %s --force", map[string]string{"drain": "drain on", "stop": "stop"}[what])
 	id, err := c.Maintain()
 	if err != nil {
 		return true, fmt.Errorf("%w%s", err, hint)
@@ -214,7 +216,7 @@
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
 	defer signal.Stop(signals)
-	told := -1
+	lastPlace := -1
 	for {
 		r, err := c.Poll(id, maintenancePoll)
 		if err != nil {
@@ -224,10 +226,10 @@
 			return true, c.Enter(id, what)
 		}
 		if r.StateName != lease.Requested.String() && r.StateName != lease.Uncertain.String() {
-			return true, fmt.Errorf("maintenance is %s %s%s", r.StateName, r.Why, hint)
+			return true, fmt.Errorf("request for the maintenance slot is %s %s%s", r.StateName, r.Why, hint)
 		}
-		if r.Place != told {
-			told = r.Place
+		if r.Place != lastPlace {
+			lastPlace = r.Place
 			if r.Place > 0 {
 				fmt.Fprintf(os.Stderr, "cairnctl: other boxes are out of service; place %d in the queue (--force does not wait)\n", r.Place)
 			} else {
@@ -237,14 +239,14 @@
 		select {
 		case <-signals:
 			c.End(id)
-			return true, errors.New("no longer waiting; nothing was changed")
+			return true, errors.New("interrupted while waiting for the maintenance slot; nothing was changed")
 		default:
 		}
 	}
 }
 
-// showLoad prints how the fleet is loaded and what it sheds, as a box knows it.
-func showLoad(t io.Writer, s fleet.LoadStatus) {
+// printLoad prints the load of the fleet and what it sheds, as far as a box knows it.
+func printLoad(t io.Writer, s fleet.LoadStatus) {
 	v := s.Fleet
 	fmt.Fprintf(t, "boxes heard\t%d of %d, %v ago\ncapacity\t%.0f a second, %.0f free elsewhere\nfirst tries\t%.0f a second\nfurther tries\t%.0f a second\nthis box\t%.0f of %.0f a second, %.0f served, %.0f refused\n",
 		v.Boxes, v.Known, v.Age.Round(time.Millisecond), v.Capacity, v.Free, v.First, v.Further, s.Own.First+s.Own.Further, s.Own.Capacity, s.Own.Running, s.Own.Refused)
--- a/cmd/cairnctl/main.go
+++ b/cmd/cairnctl/main.go
@@ -1,4 +1,4 @@
-// Command cairnctl is the operators' tool: it asks a running daemon, and starts stand-ins for trials.
+// Command cairnctl is the operators' tool: it controls a running daemon, starts fakes of outside systems and runs trials.
 package main
 
 import (
@@ -54,11 +54,11 @@
 	} `cmd:"" help:"Have the daemon finish its work and end. In a fleet it waits its turn."`
 	Fleet fleetOptions `cmd:"" help:"What several boxes agree on: who is there, who may act."`
 	Cert  struct {
-		Status  struct{} `cmd:"" help:"The certificates, their lifetimes and alarms."`
-		History named    `cmd:"" help:"What has happened to a certificate."`
-		Renew   named    `cmd:"" help:"Renew a certificate now, within the budget of orders."`
+		Status  struct{}       `cmd:"" help:"The certificates, their lifetimes and alarms."`
+		History certificateArg `cmd:"" help:"What has happened to a certificate."`
+		Renew   certificateArg `cmd:"" help:"Renew a certificate now, within the budget of orders."`
 		Revoke  struct {
-			named
+			certificateArg
 			Reason int `default:"0" help:"RFC 5280: 0 unspecified, 1 key compromise, 4 superseded, 5 cessation."`
 		} `cmd:"" help:"Revoke a certificate at its authority, and renew it."`
 	} `cmd:"" help:"Certificates."`
@@ -168,7 +168,7 @@
 	} `cmd:"" help:"Print shell completion."`
 }
 
-type named struct {
+type certificateArg struct {
 	Name string `arg:"" help:"The certificate's name in the configuration."`
 }
 
@@ -207,19 +207,19 @@
 			}
 		})
 	case "check":
-		return o.answer(w, o.ask(c, "check"))
+		return o.printYesNo(w, o.callOperator(c, "check"))
 	case "vars":
 		return o.vars(w, c)
 	case "drain <switch>":
 		if o.Drain.Switch == "on" && !o.Drain.Force && o.Door == "" {
-			if done, err := o.maintain(c.Fleet(), "drain"); done {
-				return o.answer(w, err)
+			if done, err := o.enterMaintenance(c.Fleet(), "drain"); done {
+				return o.printYesNo(w, err)
 			}
 		}
-		return o.answer(w, o.ask(c, "drain-"+o.Drain.Switch))
+		return o.printYesNo(w, o.callOperator(c, "drain-"+o.Drain.Switch))
 	case "stop":
 		if !o.Stop.Force {
-			if done, err := o.maintain(c.Fleet(), "stop"); done {
+			if done, err := o.enterMaintenance(c.Fleet(), "stop"); done {
 				return err
 			}
 		}
@@ -229,7 +229,7 @@
 		return o.show(w, l, err, func(t io.Writer) {
 			fmt.Fprintln(t, "NAME\tALARM\tPHASE\tNOT AFTER\tDUE\tGENERATION\tFAILURES\tLAST")
 			for _, s := range l {
-				fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", s.Name, s.Alarm, s.Phase, day(s.NotAfter), day(s.Due), s.Generation, s.Failures, s.Last)
+				fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", s.Name, s.Alarm, s.Phase, formatTime(s.NotAfter), formatTime(s.Due), s.Generation, s.Failures, s.Last)
 			}
 		})
 	case "cert history <name>":
@@ -263,11 +263,11 @@
 		if err != nil {
 			return err
 		}
-		return ended(w, f, nil, f.MissedBounds())
+		return printResult(w, f, nil, f.MissedBounds())
 	case "trial takeover":
 		return o.takeover(w)
 	case "trial crowd":
-		return o.crowd(w)
+		return o.largeFleet(w)
 	case "trial fleetsim":
 		return o.fleetsim(w)
 	case "trial overload":
@@ -295,7 +295,7 @@
 		if err != nil {
 			return err
 		}
-		return ended(w, prefixed{fmt.Sprintf("mutants=%d caught=%d alive=%d", len(all), caught, len(alive))}, nil, alive)
+		return printResult(w, figuresLine{fmt.Sprintf("mutants=%d caught=%d alive=%d", len(all), caught, len(alive))}, nil, alive)
 	case "trial act":
 		a := o.Trial.Act
 		return actor.Command(a.Resource, a.Thing, a.Box, a.For)
@@ -304,21 +304,21 @@
 	}
 }
 
-// doorTime is how long a replica may take to answer at its door.
-const doorTime = 2 * time.Second
+// operatorTimeout is the time limit of a call at a replica's admin listener.
+const operatorTimeout = 2 * time.Second
 
-// ask makes a call at the door, or at the daemon's socket, that has no more than yes for an answer.
-func (o *options) ask(c *control.Client, call string) error {
+// callOperator makes a call that returns no text, at the admin listener if one is given or else at the daemon's socket.
+func (o *options) callOperator(c *control.Client, call string) error {
 	if o.Door != "" {
-		_, err := operator.Ask(o.Door, call, doorTime)
+		_, err := operator.Ask(o.Door, call, operatorTimeout)
 		return err
 	}
 	_, err := c.Ask(call)
 	return err
 }
 
-// answer prints a yes. A no is printed as well where a program reads it, and is an error either way.
-func (o *options) answer(w io.Writer, err error) error {
+// printYesNo prints yes if err is nil. Otherwise it returns the error, and with JSON output prints it as well.
+func (o *options) printYesNo(w io.Writer, err error) error {
 	if o.Output == "json" {
 		out := struct {
 			Yes    bool   `json:"yes"`
@@ -335,12 +335,12 @@
 	return err
 }
 
-// vars prints the figures, sorted.
+// vars prints the replica's counters, sorted by name.
 func (o *options) vars(w io.Writer, c *control.Client) error {
 	var text string
 	var err error
 	if o.Door != "" {
-		text, err = operator.Ask(o.Door, "vars", doorTime)
+		text, err = operator.Ask(o.Door, "vars", operatorTimeout)
 	} else {
 		text, err = c.Ask("vars")
 	}
@@ -355,7 +355,7 @@
 	})
 }
 
-func day(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
@@ -377,7 +377,7 @@
 	return t.Flush()
 }
 
-// authority runs the stand-in until it is interrupted.
+// authority runs the fake ACME authority until the process is interrupted.
 func (o *options) authority(w io.Writer) error {
 	a := o.Standin.Authority
 	s, err := authority.Start(authority.Config{Name: "stand-in", Now: time.Now, Lifetime: a.Lifetime, Resolve: func(_ string, port int) string {
@@ -403,8 +403,9 @@
 	return nil
 }
 
-// ended prints the end of a trial: what was noted and, last, its line of figures. An error says which bounds were missed.
-func ended(w io.Writer, figures any, notes, missed []string) error {
+// printResult prints the notes of a trial and, last, its line of figures. It returns an error that lists the missed bounds,
+// if any.
+func printResult(w io.Writer, figures any, notes, missed []string) error {
 	for _, n := range notes {
 		fmt.Fprintln(w, n)
 	}
@@ -415,12 +416,12 @@
 	return nil
 }
 
-// prefixed prints figures that do not say so themselves.
-type prefixed struct{ figures any }
+// figuresLine prints figures with the prefix "figures: ", for figures whose own text lacks it.
+type figuresLine struct{ figures any }
 
-func (p prefixed) String() string { return fmt.Sprintf("figures: %v", p.figures) }
+func (p figuresLine) String() string { return fmt.Sprintf("figures: %v", p.figures) }
 
-// year plays a year of certificates; an error says which bounds were missed.
+// year runs the certificates trial and writes its table and chart. The error lists the missed bounds.
 func (o *options) year(w io.Writer) error {
 	t := o.Trial.Certificates
 	dir, err := os.MkdirTemp("", "year")
@@ -438,10 +439,10 @@
 	}
 	f.Table(w)
 	fmt.Fprintln(w, "written:", csv, svg)
-	return ended(w, f, nil, f.Missed())
+	return printResult(w, f, nil, f.Missed())
 }
 
-// replace plays replacements; an error says which bounds were missed.
+// replace runs the replace trial. The error lists the missed bounds.
 func (o *options) replace(w io.Writer) error {
 	t := o.Trial.Replace
 	dir, err := os.MkdirTemp("", "replace")
@@ -453,10 +454,11 @@
 	if err != nil {
 		return err
 	}
-	return ended(w, f, f.Notes, f.Missed())
+	return printResult(w, f, f.Notes, f.Missed())
 }
 
-// leases plays faults on a fleet; an error says which bounds were missed.
+// leases runs the leases trial. If bounds are missed it prints the schedule of faults and, with --shrink, a shorter one that
+// still misses bounds. The error lists the missed bounds.
 func (o *options) leases(w io.Writer) error {
 	t := o.Trial.Leases
 	self, err := os.Executable()
@@ -465,7 +467,7 @@
 	}
 	cfg := leases.Config{Seed: t.Seed, Boxes: t.Boxes, Faults: t.Faults, Span: t.Span, Kinds: rig.Kinds, Clean: t.Clean, Clocks: true, Ctl: self, Example: t.Site, Progress: w,
 		Terms: lease.Terms{Term: 2 * time.Second, Drift: 0.02}, Election: 400 * time.Millisecond,
-		Serve: serveBy(t.Program)}
+		Serve: serveCommand(t.Program)}
 	if t.Schedule != "" {
 		raw, err := os.ReadFile(t.Schedule)
 		if err != nil {
@@ -499,24 +501,24 @@
 		fmt.Fprintf(w, "the schedule:\n%s", f.Schedule)
 		if t.Shrink {
 			cfg.Progress, cfg.Clean = nil, 0
-			short := rig.Shrink(f.Schedule, func(s rig.Schedule) bool {
-				again := cfg
-				again.Schedule = s
-				f, err := play(again)
+			shrunk := rig.Shrink(f.Schedule, func(s rig.Schedule) bool {
+				repeat := cfg
+				repeat.Schedule = s
+				f, err := play(repeat)
 				return err != nil || len(f.Missed()) > 0
 			})
-			fmt.Fprintf(w, "what is left of it and still fails:\n%s", short)
+			fmt.Fprintf(w, "what is left of it and still fails:\n%s", shrunk)
 		}
 	}
-	return ended(w, f, nil, missed)
+	return printResult(w, f, nil, missed)
 }
 
-// serveBy starts a box with a program.
-func serveBy(program string) func(string) *exec.Cmd {
+// serveCommand returns a function that makes the command of a box with the given program and configuration path.
+func serveCommand(program string) func(string) *exec.Cmd {
 	return func(path string) *exec.Cmd { return exec.Command(program, "serve", "--config", path) }
 }
 
-// auditTrial rolls configurations out; an error says which bounds were missed.
+// auditTrial runs the audit trial. The error lists the missed bounds.
 func (o *options) auditTrial(w io.Writer) error {
 	t := o.Trial.Audit
 	dir, err := rig.TempDir()
@@ -529,9 +531,9 @@
 		Terms: lease.Terms{Term: 2 * time.Second, Drift: 0.02}, Election: 400 * time.Millisecond,
 		Serve: func(box int, config string) *exec.Cmd {
 			if box < boxes-old {
-				return serveBy(t.Later)(config)
+				return serveCommand(t.Later)(config)
 			}
-			return serveBy(t.Program)(config)
+			return serveCommand(t.Program)(config)
 		}})
 	if err != nil {
 		return err
@@ -540,10 +542,10 @@
 	if len(missed) > 0 {
 		fmt.Fprintf(w, "the schedule:\n%s", f.Schedule)
 	}
-	return ended(w, f, f.Notes, missed)
+	return printResult(w, f, f.Notes, missed)
 }
 
-// takeover kills holders; an error says which bounds were missed.
+// takeover runs the takeover trial. The error lists the missed bounds.
 func (o *options) takeover(w io.Writer) error {
 	t := o.Trial.Takeover
 	dir, err := rig.TempDir()
@@ -552,7 +554,7 @@
 	}
 	defer os.RemoveAll(dir)
 	f, err := leases.Run(leases.Config{Seed: t.Seed, Boxes: 7, Schedule: rig.Schedule{}, Clean: t.Count, Clocks: true, Example: t.Site, Dir: dir, Progress: w,
-		Terms: lease.Terms{Term: t.Term, Drift: 0.02}, Election: 400 * time.Millisecond, Serve: serveBy(t.Program)})
+		Terms: lease.Terms{Term: t.Term, Drift: 0.02}, Election: 400 * time.Millisecond, Serve: serveCommand(t.Program)})
 	if err != nil {
 		return err
 	}
@@ -560,18 +562,18 @@
 	if f.VacancyMax > f.VacancyBound || f.Vacancies < t.Count {
 		missed = append(missed, fmt.Sprintf("%d takeovers, the longest after %v", f.Vacancies, f.VacancyMax))
 	}
-	return ended(w, f, nil, missed)
+	return printResult(w, f, nil, missed)
 }
 
-// crowd measures many processes.
-func (o *options) crowd(w io.Writer) error {
+// largeFleet runs the crowd trial, which measures a fleet of many processes. It returns an error if a session is lost.
+func (o *options) largeFleet(w io.Writer) error {
 	t := o.Trial.Crowd
 	dir, err := rig.TempDir()
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f, err := leases.Crowd(leases.Config{Boxes: t.Boxes, Example: t.Site, Dir: dir, Progress: w, Terms: lease.Terms{Term: t.Term, Drift: 0.01}, Election: time.Second, Serve: serveBy(t.Program)}, t.Span)
+	f, err := leases.Crowd(leases.Config{Boxes: t.Boxes, Example: t.Site, Dir: dir, Progress: w, Terms: lease.Terms{Term: t.Term, Drift: 0.01}, Election: time.Second, Serve: serveCommand(t.Program)}, t.Span)
 	if err != nil {
 		return err
 	}
@@ -579,19 +581,19 @@
 	if f.Lost > 0 {
 		missed = append(missed, fmt.Sprintf("%d boxes lost their sessions although nothing failed", f.Lost))
 	}
-	return ended(w, f, nil, missed)
+	return printResult(w, f, nil, missed)
 }
 
-// fleetsim plays fleets in virtual time; an error says which bounds were missed.
+// fleetsim runs the fleetsim trial. The error lists the missed bounds.
 func (o *options) fleetsim(w io.Writer) error {
 	t := o.Trial.Fleetsim
 	if t.Members > 0 {
 		f := fleetsim.Scale(t.Members, t.Term, time.Minute)
 		var missed []string
 		if f.Lost > 0 || f.AllIn == 0 {
-			missed = append(missed, fmt.Sprintf("%d sessions were lost, all were in after %v", f.Lost, f.AllIn))
+			missed = append(missed, fmt.Sprintf("%d sessions were lost, all members had joined after %v", f.Lost, f.AllIn))
 		}
-		return ended(w, prefixed{f}, nil, missed)
+		return printResult(w, figuresLine{f}, nil, missed)
 	}
 	f := fleetsim.Many(t.Seed, t.Seeds, t.Workers, w)
 	if f.First != nil {
@@ -599,10 +601,10 @@
 			fmt.Fprintln(w, l)
 		}
 	}
-	return ended(w, f, nil, f.Missed())
+	return printResult(w, f, nil, f.Missed())
 }
 
-// completion prints a completion for bash from the commands that there are.
+// completion prints a bash completion script that it generates from the commands and flags.
 func completion(w io.Writer, model *kong.Application) error {
 	fmt.Fprintln(w, "_cairnctl() {\n  local at=\"${COMP_WORDS[*]:1:COMP_CWORD-1}\"\n  case \"$at\" in")
 	var walk func(n *kong.Node, at string)
--- a/cmd/cairnctl/overload.go
+++ b/cmd/cairnctl/overload.go
@@ -12,7 +12,7 @@
 	"cairnlane/internal/lab/rig"
 )
 
-// overload plays days of overload over real processes; an error says which bounds were missed.
+// overload runs the overload trial. The error lists the missed bounds.
 func (o *options) overload(w io.Writer) error {
 	t := o.Trial.Overload
 	dir, err := rig.TempDir()
@@ -21,14 +21,14 @@
 	}
 	defer os.RemoveAll(dir)
 	f, err := overloads.Trial{Seed: t.Seed, Seeds: t.Seeds, Boxes: t.Boxes, Loads: []float64{0.9, 1.1, 1.5}, Modes: []model.Mode{model.Fleet, model.Alone, model.Cut}, Span: t.Span, Faults: model.Faults, Outage: t.Outage,
-		Example: t.Site, Dir: dir, Serve: serveBy(t.Program), Progress: w}.Run()
+		Example: t.Site, Dir: dir, Serve: serveCommand(t.Program), Progress: w}.Run()
 	if err != nil {
 		return err
 	}
-	return ended(w, f, f.Notes, f.Missed())
+	return printResult(w, f, f.Notes, f.Missed())
 }
 
-// overloadCost measures what a request costs; an error says which bounds were missed.
+// overloadCost runs the overload-cost trial. The error lists the missed bounds.
 func (o *options) overloadCost(w io.Writer) error {
 	t := o.Trial.OverloadCost
 	dir, err := rig.TempDir()
@@ -36,14 +36,14 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f, err := overloads.Cost(overloads.CostConfig{Rounds: t.Rounds, Requests: t.Requests, Example: t.Site, Dir: dir, Serve: serveBy(t.Program), Progress: w})
+	f, err := overloads.Cost(overloads.CostConfig{Rounds: t.Rounds, Requests: t.Requests, Example: t.Site, Dir: dir, Serve: serveCommand(t.Program), Progress: w})
 	if err != nil {
 		return err
 	}
-	return ended(w, f, nil, f.Missed())
+	return printResult(w, f, nil, f.Missed())
 }
 
-// days plays them in virtual time; an error says which bounds were missed.
+// days runs the days trial in virtual time. The error lists the missed bounds.
 func (o *options) days(w io.Writer) error {
 	t := o.Trial.Days
 	site, err := model.Open(t.Site)
@@ -67,11 +67,11 @@
 	var missed []string
 	for _, boxes := range t.Boxes {
 		f := model.Sum(slices.DeleteFunc(slices.Clone(rows), func(r model.Row) bool { return r.Boxes != boxes }))
-		if boxes > shed.MaxFleetSize { // it does not shed as one: it is not to be worse than its boxes alone
+		if boxes > shed.MaxFleetSize { // a fleet of this size does not shed as one: it need not gain, but must not be worse than its boxes alone
 			f.Least = nil
 		}
 		missed = append(missed, f.Missed()...)
 		fmt.Fprintf(w, "%v boxes=%d\n", f, boxes)
 	}
-	return ended(w, "figures: "+fmt.Sprintf("sizes=%d missed=%d", len(t.Boxes), len(missed)), nil, missed)
+	return printResult(w, "figures: "+fmt.Sprintf("sizes=%d missed=%d", len(t.Boxes), len(missed)), nil, missed)
 }
--- a/cmd/cairnctl/rollout.go
+++ b/cmd/cairnctl/rollout.go
@@ -14,7 +14,7 @@
 	"cairnlane/internal/decide/rollout"
 )
 
-// planOptions are how a roll-out goes.
+// planOptions are the flags that make the plan of a roll-out.
 type planOptions struct {
 	Canaries  int           `default:"1" help:"Boxes of the first wave."`
 	Share     float64       `default:"0.25" help:"Of all boxes, in each wave after it."`
@@ -31,7 +31,7 @@
 	return rollout.Plan{Canaries: p.Canaries, Share: p.Share, ObserveFor: p.Pace, Timeout: p.Patience, MaxRejected: p.Turned, MaxDead: p.Died, Slots: p.At, Supersede: p.Supersede, KeepLowest: p.Keep}
 }
 
-// config carries out a command of numbered configurations.
+// config runs a "fleet config" command.
 func (o *options) config(w io.Writer, name string, c control.FleetClient) error {
 	f := &o.Fleet.Config
 	inForce := func(n uint64) (uint64, error) {
@@ -40,7 +40,7 @@
 		}
 		r, err := c.Rollouts()
 		if err == nil && r.InForce == 0 {
-			err = errors.New("nothing is in force on this box; 'cairnctl fleet config list' lists what there is")
+			err = errors.New("no configuration is in force on this box; 'cairnctl fleet config list' lists the stored ones")
 		}
 		return r.InForce, err
 	}
@@ -56,7 +56,7 @@
 		}
 		if f.Put.Start {
 			if err := c.StartRoll(n, f.Put.plan()); err != nil {
-				return fmt.Errorf("it has number %d, and its roll-out did not begin: %w", n, err)
+				return fmt.Errorf("configuration stored with number %d, but its roll-out did not start: %w", n, err)
 			}
 		}
 		return o.show(w, map[string]uint64{"number": n}, nil, func(t io.Writer) { fmt.Fprintf(t, "number\t%d\n", n) })
@@ -99,7 +99,7 @@
 		if err := errors.Join(aerr, berr); err != nil {
 			return err
 		}
-		for _, line := range difference(lines(a), lines(b)) {
+		for _, line := range diffLines(lines(a), lines(b)) {
 			fmt.Fprintln(w, line)
 		}
 		return nil
@@ -113,7 +113,7 @@
 			return err
 		}
 		if err := c.StartRoll(n, f.Back.plan()); err != nil {
-			return fmt.Errorf("the contents of %d have number %d now, and its roll-out did not begin: %w", f.Back.N, n, err)
+			return fmt.Errorf("contents of configuration %d stored with number %d, but the roll-out did not start: %w", f.Back.N, n, err)
 		}
 		return o.show(w, map[string]uint64{"number": n}, nil, func(t io.Writer) { fmt.Fprintf(t, "number\t%d\n", n) })
 	}
@@ -122,9 +122,9 @@
 
 func lines(b []byte) []string { return strings.Split(strings.TrimSuffix(string(b), "\n"), "\n") }
 
-// difference lists the lines of two texts, those of one alone with - or + before them.
-func difference(a, b []string) (list []string) {
-	common := make([][]int, len(a)+1) // longest common run of lines of what is left
+// diffLines returns the lines of two texts. Lines of only the first are prefixed with -, lines of only the second with +.
+func diffLines(a, b []string) (list []string) {
+	common := make([][]int, len(a)+1) // common[i][j] is the length of the longest common subsequence of a[i:] and b[j:]
 	for i := range common {
 		common[i] = make([]int, len(b)+1)
 	}
@@ -154,7 +154,7 @@
 	return list
 }
 
-// rollout carries out a command of roll-outs.
+// rollout runs a "fleet rollout" command. The status returns an error if the last roll-out is or was rolled back.
 func (o *options) rollout(w io.Writer, name string, c control.FleetClient) error {
 	f := &o.Fleet.Rollout
 	switch name {
@@ -185,12 +185,12 @@
 		return err
 	}
 	if len(list) > 0 && (list[0].Phase == rollout.RollingBack || list[0].Phase == rollout.RolledBack) {
-		return fmt.Errorf("the last roll-out, of %d, went back: %s", list[0].To, list[0].Why)
+		return fmt.Errorf("the last roll-out, of configuration %d, was or is being rolled back: %s", list[0].To, list[0].Why)
 	}
 	return nil
 }
 
-// stragglers lists those that are behind.
+// stragglers lists the boxes that are behind and returns an error if there are any.
 func (o *options) stragglers(w io.Writer, c control.FleetClient) error {
 	r, err := c.Rollouts()
 	if err = o.show(w, r.Stragglers, err, func(t io.Writer) {
@@ -207,11 +207,11 @@
 	return nil
 }
 
-// environment is what a command that runs under a lease gets of the configuration in force.
-func environment(c control.FleetClient) ([]string, error) {
+// leaseEnvironment returns the environment variables that a command under a lease gets from the configuration in force.
+func leaseEnvironment(c control.FleetClient) ([]string, error) {
 	r, err := c.Rollouts()
 	if err != nil || r.InForce == 0 {
-		return nil, nil // what is wrong shows when the slot is asked for
+		return nil, nil // the request for the slot reports the error
 	}
 	body, err := c.Body(r.InForce)
 	if err != nil {
