--- a/internal/certs/year/chart.go
+++ b/internal/certs/year/chart.go
@@ -9,15 +9,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// WriteSVG draws the remaining lifetime of each certificate over the year, with the faults at its first authority as
-// bars under the axis.
+// WriteSVG writes a chart of the remaining lifetime of each certificate over the year, with the faults at its first
+// authority as bars below the axis.
 func (f *Figures) WriteSVG(path string) error {
 	p := plot.New()
 	p.Title.Text = "Remaining lifetime, with the faults of the first authority under it"
 	p.X.Label.Text, p.Y.Label.Text = "day", "days left"
 	p.Legend.Top = true
 	if len(f.Points) == 0 {
-		return fmt.Errorf("nothing was played")
+		return fmt.Errorf("no points to draw: the simulation has not run")
 	}
 	start := f.Points[0].At
 	colors := []color.Color{color.RGBA{R: 31, G: 119, B: 180, A: 255}, color.RGBA{R: 44, G: 160, B: 44, A: 255}, color.RGBA{R: 214, G: 39, B: 40, A: 255}}
--- a/internal/certs/year/script.go
+++ b/internal/certs/year/script.go
@@ -1,5 +1,5 @@
-// Package year plays a simulated year of one box with certificates of several lifetimes: a sped-up clock, the real
-// keepers, store and TLS front over loopback, and stand-ins for the authorities that follow a script of faults.
+// Package year simulates a year of one box with certificates of several lifetimes: with an accelerated clock, the real
+// keepers, store and TLS listener on loopback, and fake authorities that follow a script of faults.
 package year
 
 import (
@@ -11,17 +11,17 @@
 
 const day = 24 * time.Hour
 
-// Window is a stretch of a script.
+// Window is a period of a script during which an authority has one kind of fault.
 type Window struct {
 	From, To time.Time
 	Kind     string
 	fault    func(authority.Op) authority.Fault
 }
 
-// Script is what goes wrong at one authority, in order, without overlaps.
+// Script is the list of fault windows of one authority, in order of time and without overlaps.
 type Script []Window
 
-// at gives the window that covers a time, or nil.
+// at returns the window that covers a time, or nil.
 func (s Script) at(now time.Time) *Window {
 	for i := range s {
 		if !now.Before(s[i].From) && now.Before(s[i].To) {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// Fault is for authority.Config.
+// Fault returns the fault of an operation at a time. It is the callback of authority.Config.
 func (s Script) Fault(now time.Time, op authority.Op) authority.Fault {
 	if w := s.at(now); w != nil {
 		return w.fault(op)
@@ -39,7 +39,8 @@
 	return authority.Fault{}
 }
 
-func only(op authority.Op, f authority.Fault) func(authority.Op) authority.Fault {
+// faultOn returns a fault function that injects a fault into one operation.
+func faultOn(op authority.Op, f authority.Fault) func(authority.Op) authority.Fault {
 	return func(o authority.Op) authority.Fault {
 		if o == op {
 			return f
@@ -48,8 +49,8 @@
 	}
 }
 
-// kinds are the faults that a window may hold.
-var kinds = []struct {
+// faultKinds are the kinds of faults that a script is drawn from.
+var faultKinds = []struct {
 	name string
 	make func(*rand.Rand) func(authority.Op) authority.Fault
 }{
@@ -57,76 +58,78 @@
 		return func(authority.Op) authority.Fault { return authority.Fault{Down: true} }
 	}},
 	{"slow", func(*rand.Rand) func(authority.Op) authority.Fault {
-		return only(authority.OpOrder, authority.Fault{Slow: true})
+		return faultOn(authority.OpOrder, authority.Fault{Slow: true})
 	}},
 	{"errors", func(r *rand.Rand) func(authority.Op) authority.Fault {
 		f := authority.Fault{Status: 503, RetryAfter: time.Duration(r.IntN(90)) * time.Minute}
 		return func(authority.Op) authority.Fault { return f }
 	}},
 	{"bad nonces", func(*rand.Rand) func(authority.Op) authority.Fault {
-		return only(authority.OpFinalize, authority.Fault{BadNonce: true})
+		return faultOn(authority.OpFinalize, authority.Fault{BadNonce: true})
 	}},
 	{"limits", func(r *rand.Rand) func(authority.Op) authority.Fault {
-		return only(authority.OpOrder, authority.Fault{Status: 429, Problem: "rateLimited", RetryAfter: time.Duration(1+r.IntN(11)) * time.Hour})
+		return faultOn(authority.OpOrder, authority.Fault{Status: 429, Problem: "rateLimited", RetryAfter: time.Duration(1+r.IntN(11)) * time.Hour})
 	}},
 	{"refusals", func(*rand.Rand) func(authority.Op) authority.Fault {
-		return only(authority.OpOrder, authority.Fault{Problem: "caa"})
+		return faultOn(authority.OpOrder, authority.Fault{Problem: "caa"})
 	}},
 	{"slow validation", func(r *rand.Rand) func(authority.Op) authority.Fault {
-		return only(authority.OpChallenge, authority.Fault{Pending: time.Duration(1+r.IntN(20)) * time.Hour})
+		return faultOn(authority.OpChallenge, authority.Fault{Pending: time.Duration(1+r.IntN(20)) * time.Hour})
 	}},
 	{"failed validation", func(*rand.Rand) func(authority.Op) authority.Fault {
-		return only(authority.OpChallenge, authority.Fault{Invalid: true})
+		return faultOn(authority.OpChallenge, authority.Fault{Invalid: true})
 	}},
 	{"rubbish", func(r *rand.Rand) func(authority.Op) authority.Fault {
 		all := []authority.Rubbish{authority.WrongName, authority.AlreadyOver, authority.OtherKey, authority.NoPEM}
-		return only(authority.OpFinalize, authority.Fault{Rubbish: all[r.IntN(len(all))]})
+		return faultOn(authority.OpFinalize, authority.Fault{Rubbish: all[r.IntN(len(all))]})
 	}},
 	{"answers lost", func(r *rand.Rand) func(authority.Op) authority.Fault {
 		ops := []authority.Op{authority.OpOrder, authority.OpChallenge, authority.OpFinalize, authority.OpFetch}
-		return only(ops[r.IntN(len(ops))], authority.Fault{Lost: true})
+		return faultOn(ops[r.IntN(len(ops))], authority.Fault{Lost: true})
 	}},
 	{"replaces refused", func(*rand.Rand) func(authority.Op) authority.Fault {
-		return only(authority.OpOrder, authority.Fault{Replace: true})
+		return faultOn(authority.OpOrder, authority.Fault{Replace: true})
 	}},
 }
 
-// draw makes a script for a span: windows of up to most, with up to apart between them.
-func draw(r *rand.Rand, from, to time.Time, most, apart time.Duration) (s Script) {
-	for at := from.Add(span(r, day, apart)); ; {
-		k := kinds[r.IntN(len(kinds))]
-		w := Window{From: at, To: at.Add(span(r, 6*time.Hour, most)), Kind: k.name, fault: k.make(r)}
+// drawScript draws a script for a period: windows of 6 hours to maxLength, with gaps of a day to maxGap between them.
+func drawScript(r *rand.Rand, from, to time.Time, maxLength, maxGap time.Duration) (s Script) {
+	for at := from.Add(randomDuration(r, day, maxGap)); ; {
+		k := faultKinds[r.IntN(len(faultKinds))]
+		w := Window{From: at, To: at.Add(randomDuration(r, 6*time.Hour, maxLength)), Kind: k.name, fault: k.make(r)}
 		if w.To.After(to) {
 			return s
 		}
 		s = append(s, w)
-		at = w.To.Add(span(r, day, apart))
+		at = w.To.Add(randomDuration(r, day, maxGap))
 	}
 }
 
-func span(r *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(r.Int64N(int64(most-least)))
+// randomDuration returns a random duration of at least lower and less than upper.
+func randomDuration(r *rand.Rand, lower, upper time.Duration) time.Duration {
+	return lower + time.Duration(r.Int64N(int64(upper-lower)))
 }
 
-// baseline is what renewing at a third of the lifetime left, with a try each hour at the first authority alone and no
-// heed to what it says, comes to under the same script: how long no good certificate is held, and how often it asks.
-func baseline(s Script, from, to time.Time, life time.Duration) (expired time.Duration, orders, most int) {
-	good := from.Add(life)
-	var tries []time.Time
+// baseline simulates a simple renewal under the same script: when a third of the lifetime is left, it makes an attempt
+// each hour at the first authority only and ignores its responses. It returns how long there is no valid certificate,
+// the number of orders and the largest number of orders in a week.
+func baseline(s Script, from, to time.Time, life time.Duration) (expired time.Duration, orders, maxInWeek int) {
+	validUntil := from.Add(life)
+	var attempts []time.Time
 	for now := from; now.Before(to); now = now.Add(time.Hour) {
-		if now.After(good) {
+		if now.After(validUntil) {
 			expired += time.Hour
 		}
-		if good.Sub(now) > life/3 {
+		if validUntil.Sub(now) > life/3 {
 			continue
 		}
 		orders++
-		for tries = append(tries, now); now.Sub(tries[0]) >= 7*day; tries = tries[1:] {
+		for attempts = append(attempts, now); now.Sub(attempts[0]) >= 7*day; attempts = attempts[1:] {
 		}
-		most = max(most, len(tries))
+		maxInWeek = max(maxInWeek, len(attempts))
 		if w := s.at(now); w == nil || w.Kind == "replaces refused" {
-			good = now.Add(life)
+			validUntil = now.Add(life)
 		}
 	}
-	return expired, orders, most
+	return expired, orders, maxInWeek
 }
--- a/internal/certs/year/year.go
+++ b/internal/certs/year/year.go
@@ -32,15 +32,15 @@
 	"cairnlane/internal/thrift"
 )
 
-// Config is what a year is played with.
+// Config configures a simulation.
 type Config struct {
 	Seed     uint64
 	Days     int
-	Dir      string // for the store
+	Dir      string // folder of the certificate store
 	Progress io.Writer
 }
 
-// Figures are what a year came to.
+// Figures are the results of a simulation.
 type Figures struct {
 	Handshakes, HandshakesFailed       int
 	Requests, EndedTwice, Lost, Swaps  int
@@ -54,7 +54,7 @@
 	Outages                            map[string]Script
 }
 
-// Point is how a certificate stood at an hour.
+// Point is the state of a certificate at an hour.
 type Point struct {
 	At     time.Time
 	Name   string
@@ -63,69 +63,69 @@
 	Outage string
 }
 
-// lifetimes are those of the certificates that are kept side by side.
+// lifetimes are the simulated certificates, which one box manages at the same time.
 var lifetimes = []struct {
-	name string
-	life time.Duration
-	most time.Duration // the longest fault at its first authority
+	name      string
+	life      time.Duration
+	maxOutage time.Duration // longest fault at its first authority
 }{{"quarter", 90 * day, 8 * day}, {"weeks", 45 * day, 5 * day}, {"days", 6 * day, 70 * time.Hour}}
 
 // site is one certificate with its authorities.
 type site struct {
-	name   string
-	host   string
-	life   time.Duration
-	script Script
-	ca     [2]*authority.Authority
-	slow   [2]func() bool // whether the script makes that one slow now
-	roots  *x509.CertPool
-	conn   *peer
-	good   time.Time // until when what is served is good
-	next   time.Time // when its keeper is due
+	name        string
+	host        string
+	life        time.Duration
+	script      Script
+	authorities [2]*authority.Authority
+	slow        [2]func() bool // reports whether the script makes that authority slow now
+	roots       *x509.CertPool
+	conn        *routerConn
+	validUntil  time.Time // expiry of the certificate in use
+	nextStep    time.Time // time of its keeper's next step
 }
 
-// world is a box in its year.
-type world struct {
-	cfg    Config
-	rand   *rand.Rand
-	now    atomic.Int64 // of everybody else
-	offset atomic.Int64 // of the box's clock
-	sites  []*site
-	files  *faultfs.Faulty
-	core   *core
-	fig    *Figures
-
-	server *front.Server
-	tls    *front.TLS
-	set    *certs.Set
-	store  *keystore.Store
-	plain  net.Listener
-	ans    atomic.Pointer[certs.Answers]
+// simulation is a running simulation of one box.
+type simulation struct {
+	cfg     Config
+	rand    *rand.Rand
+	now     atomic.Int64 // time of everything but the box
+	offset  atomic.Int64 // offset of the box's clock from now
+	sites   []*site
+	files   *faultfs.Faulty
+	replica *fakeReplica
+	figures *Figures
+
+	server            *front.Server
+	tls               *front.TLS
+	set               *certs.Set
+	store             *keystore.Store
+	challengeListener net.Listener
+	answers           atomic.Pointer[certs.Answers]
 }
 
-func (w *world) clock() time.Time    { return time.Unix(0, w.now.Load()).UTC() }
-func (w *world) boxClock() time.Time { return time.Unix(0, w.now.Load()+w.offset.Load()).UTC() }
+func (w *simulation) clock() time.Time    { return time.Unix(0, w.now.Load()).UTC() }
+func (w *simulation) boxClock() time.Time { return time.Unix(0, w.now.Load()+w.offset.Load()).UTC() }
 
-// core keeps requests open until it is told to answer them.
-type core struct {
-	mu   sync.Mutex
-	open []replica.Request
-	came chan struct{}
+// fakeReplica keeps requests open until answerAll is called.
+type fakeReplica struct {
+	mu      sync.Mutex
+	open    []replica.Request
+	arrived chan struct{}
 }
 
-func (c *core) Arrive(q replica.Request) error {
+func (c *fakeReplica) Arrive(q replica.Request) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.open = append(c.open, q)
-	c.came <- struct{}{}
+	c.arrived <- struct{}{}
 	return nil
 }
-func (c *core) CountMalformed()               {}
-func (c *core) CallerGone(string)             {} // callers of the year do not give up
-func (c *core) Healthy() bool                 { return true }
-func (c *core) CurrentSignal() replica.Signal { return replica.Signal{} }
+func (c *fakeReplica) CountMalformed()               {}
+func (c *fakeReplica) CallerGone(string)             {} // callers of the simulation do not cancel requests
+func (c *fakeReplica) Healthy() bool                 { return true }
+func (c *fakeReplica) CurrentSignal() replica.Signal { return replica.Signal{} }
 
-func (c *core) answer() {
+func (c *fakeReplica) answerAll() {
 	c.mu.Lock()
 	open := c.open
 	c.open = nil
@@ -135,101 +135,103 @@
 	}
 }
 
-// Real times. callTime and pollTime are never reached by an authority that answers, however busy the machine and its
-// disk are: an attempt that ran out of them would be missing in the year, and rests for hours of it.
+// Timeouts in real time. callTimeout and pollTimeout are long enough for an authority that answers, even if the machine
+// and its disk are busy: an attempt that times out would be missing from the results, because its retry comes only hours
+// of simulated time later.
 const (
-	callTime  = 30 * time.Second
-	pollTime  = 500 * time.Millisecond
-	slowAfter = 250 * time.Millisecond // when an authority that the script makes slow is given up on
+	callTimeout = 30 * time.Second
+	pollTimeout = 500 * time.Millisecond
+	slowTimeout = 250 * time.Millisecond // after which a call to an authority that the script makes slow is canceled
 )
 
-// hasty reaches an authority and gives up on it early, while the script makes it slow.
-type hasty struct {
+// slowAbortTransport cancels calls to an authority after slowTimeout while the script makes the authority slow.
+type slowAbortTransport struct {
 	http.RoundTripper
 	slow func() bool
 }
 
 // RoundTrip implements http.RoundTripper.
-func (h hasty) RoundTrip(r *http.Request) (*http.Response, error) {
+func (h slowAbortTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if !h.slow() {
 		return h.RoundTripper.RoundTrip(r)
 	}
 	ctx, cancel := context.WithCancel(r.Context())
-	timer := time.AfterFunc(slowAfter, cancel)
+	timer := time.AfterFunc(slowTimeout, cancel)
 	resp, err := h.RoundTripper.RoundTrip(r.WithContext(ctx))
-	if !timer.Stop() && err == nil { // its body would be cut off
+	if !timer.Stop() && err == nil { // the context is canceled, so the body cannot be read to its end
 		resp.Body.Close()
 		return nil, context.DeadlineExceeded
 	}
 	return resp, err
 }
 
-// Run plays a year and counts.
+// Run runs a simulation and returns its figures.
 func Run(cfg Config) (*Figures, error) {
 	began := time.Now()
-	w := &world{cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, 0x5ca1ab1e)), fig: &Figures{Outages: map[string]Script{}},
-		core: &core{came: make(chan struct{}, 64)}, files: faultfs.NewFaulty()}
+	w := &simulation{cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, 0x5ca1ab1e)), figures: &Figures{Outages: map[string]Script{}},
+		replica: &fakeReplica{arrived: make(chan struct{}, 64)}, files: faultfs.NewFaulty()}
 	start := time.Unix(1_764_576_000, 0)
 	end := start.Add(time.Duration(cfg.Days) * day)
 	w.now.Store(start.UnixNano())
-	if err := w.outside(start, end); err != nil {
+	if err := w.startAuthorities(start, end); err != nil {
 		return nil, err
 	}
-	defer w.away()
-	if err := w.up(); err != nil {
+	defer w.close()
+	if err := w.startProcess(); err != nil {
 		return nil, err
 	}
-	if err := w.play(start, end); err != nil {
+	if err := w.run(start, end); err != nil {
 		return nil, err
 	}
 	for _, s := range w.sites {
-		for _, ca := range s.ca {
-			w.fig.Orders += ca.Calls(authority.OpOrder)
-			w.fig.Issued += ca.Issued()
-			w.fig.MostInAnHour = max(w.fig.MostInAnHour, ca.MostInAnHour())
+		for _, ca := range s.authorities {
+			w.figures.Orders += ca.Calls(authority.OpOrder)
+			w.figures.Issued += ca.Issued()
+			w.figures.MostInAnHour = max(w.figures.MostInAnHour, ca.MostInAnHour())
 		}
 		expired, orders, most := baseline(s.script, start, end, s.life)
-		w.fig.BaselineExpired += expired
-		w.fig.BaselineOrders += orders
-		w.fig.BaselineMostInWeek = max(w.fig.BaselineMostInWeek, most)
+		w.figures.BaselineExpired += expired
+		w.figures.BaselineOrders += orders
+		w.figures.BaselineMostInWeek = max(w.figures.BaselineMostInWeek, most)
 	}
-	w.fig.Took = time.Since(began)
-	return w.fig, nil
+	w.figures.Took = time.Since(began)
+	return w.figures, nil
 }
 
-// outside starts what is not the box: authorities, and the listener that they validate at.
-func (w *world) outside(start, end time.Time) error {
+// startAuthorities draws the scripts and starts the fake authorities and the listener that they validate at.
+func (w *simulation) startAuthorities(start, end time.Time) error {
 	var err error
-	if w.plain, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if w.challengeListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return err
 	}
-	go http.Serve(w.plain, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { w.ans.Load().ServeHTTP(rw, r) }))
+	go http.Serve(w.challengeListener, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { w.answers.Load().ServeHTTP(rw, r) }))
 	for _, l := range lifetimes {
 		s := &site{name: l.name, host: l.name + ".site.example", life: l.life, roots: x509.NewCertPool()}
-		s.script = draw(w.rand, start, end, l.most, l.life/3)
-		second := draw(w.rand, start, end, 20*time.Hour, l.life/2)
+		s.script = drawScript(w.rand, start, end, l.maxOutage, l.life/3)
+		second := drawScript(w.rand, start, end, 20*time.Hour, l.life/2)
 		for i, script := range []Script{s.script, second} {
 			s.slow[i] = func() bool { at := script.at(w.clock()); return at != nil && at.Kind == "slow" }
-			s.ca[i], err = authority.Start(authority.Config{Name: fmt.Sprint(l.name, i), Now: w.clock, Lifetime: l.life, Fault: script.Fault, PerHour: 20,
-				Resolve: func(string, int) string { return w.plain.Addr().String() }})
+			s.authorities[i], err = authority.Start(authority.Config{Name: fmt.Sprint(l.name, i), Now: w.clock, Lifetime: l.life, Fault: script.Fault, PerHour: 20,
+				Resolve: func(string, int) string { return w.challengeListener.Addr().String() }})
 			if err != nil {
 				return err
 			}
-			for _, c := range s.ca[i].Certificates() {
+			for _, c := range s.authorities[i].Certificates() {
 				s.roots.AddCert(c)
 			}
 		}
-		w.fig.Outages[l.name] = s.script
+		w.figures.Outages[l.name] = s.script
 		w.sites = append(w.sites, s)
 	}
 	return nil
 }
 
-func (w *world) away() {
-	w.down(false)
-	w.plain.Close()
+// close stops the box and the authorities.
+func (w *simulation) close() {
+	w.stopProcess(false)
+	w.challengeListener.Close()
 	for _, s := range w.sites {
-		for _, ca := range s.ca {
+		for _, ca := range s.authorities {
 			if ca != nil {
 				ca.Close()
 			}
@@ -237,31 +239,31 @@
 	}
 }
 
-// up starts the box's process.
-func (w *world) up() error {
+// startProcess starts the box: store, keepers and listeners.
+func (w *simulation) startProcess() error {
 	var err error
 	if w.store, err = keystore.Open(w.files, filepath.Join(w.cfg.Dir, "store")); err != nil {
 		return err
 	}
 	ans := certs.NewAnswers()
-	w.ans.Store(ans)
+	w.answers.Store(ans)
 	var keepers []*certs.Keeper
 	for i, s := range w.sites {
-		cfg := certs.Config{Name: s.name, Names: []string{s.host}, Challenge: certs.HTTP01, SelfSigned: false, Roots: s.roots, CallTime: callTime,
-			PollTime: pollTime, PollEvery: 20 * time.Millisecond, Plan: renewal.Settings{Place: float64(i) / 3, Jitter: rand.New(rand.NewPCG(w.cfg.Seed, uint64(i))).Float64}}
-		for j, ca := range s.ca {
+		cfg := certs.Config{Name: s.name, Names: []string{s.host}, Challenge: certs.HTTP01, SelfSigned: false, Roots: s.roots, CallTime: callTimeout,
+			PollTime: pollTimeout, PollEvery: 20 * time.Millisecond, Plan: renewal.Settings{Place: float64(i) / 3, Jitter: rand.New(rand.NewPCG(w.cfg.Seed, uint64(i))).Float64}}
+		for j, ca := range s.authorities {
 			cfg.Authorities = append(cfg.Authorities, certs.Authority{Name: fmt.Sprint(s.name, j), Directory: ca.URL(),
-				HTTP: hasty{&http.Transport{TLSClientConfig: &tls.Config{RootCAs: ca.Roots()}}, s.slow[j]}})
+				HTTP: slowAbortTransport{&http.Transport{TLSClientConfig: &tls.Config{RootCAs: ca.Roots()}}, s.slow[j]}})
 		}
 		k, err := certs.New(cfg, w.store, ans, w.boxClock, zerolog.Nop())
 		if err != nil {
 			return err
 		}
-		keepers, s.next = append(keepers, k), time.Time{}
+		keepers, s.nextStep = append(keepers, k), time.Time{}
 	}
 	w.set = certs.NewSet(ans, keepers...)
 	set := new(counters.Set)
-	if w.server, err = front.Listen("127.0.0.1:0", 64, w.core, func() time.Duration { return time.Duration(w.now.Load()) }, set); err != nil {
+	if w.server, err = front.Listen("127.0.0.1:0", 64, w.replica, func() time.Duration { return time.Duration(w.now.Load()) }, set); err != nil {
 		return err
 	}
 	go w.server.Serve()
@@ -272,24 +274,24 @@
 	return nil
 }
 
-// down ends the process, by a drain or as a kill does.
-func (w *world) down(drain bool) {
+// stopProcess stops the box, with a drain or without one, as after a kill.
+func (w *simulation) stopProcess(drain bool) {
 	if w.server == nil {
 		return
 	}
 	w.tls.Close()
 	w.server.Leave()
 	if drain {
-		w.core.answer()
+		w.replica.answerAll()
 		for _, s := range w.sites {
-			s.conn.finish(w.fig, true)
+			s.conn.readAnswer(w.figures, true)
 		}
 	}
 	for _, s := range w.sites {
 		s.conn.close()
 		s.conn = nil
 	}
-	w.core.answer()
+	w.replica.answerAll()
 	for end := time.Now().Add(5 * time.Second); !w.server.Close() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
@@ -297,127 +299,128 @@
 	w.server = nil
 }
 
-// play goes through the year hour by hour.
-func (w *world) play(start, end time.Time) error {
-	nextKill, nextDrain := start.Add(span(w.rand, 3*day, 12*day)), start.Add(span(w.rand, 5*day, 20*day))
-	nextFull, nextJump := start.Add(span(w.rand, 2*day, 15*day)), start.Add(span(w.rand, 20*day, 60*day))
+// run simulates the period hour by hour and draws kills, drains, full disks and clock jumps.
+func (w *simulation) run(start, end time.Time) error {
+	nextKill, nextDrain := start.Add(randomDuration(w.rand, 3*day, 12*day)), start.Add(randomDuration(w.rand, 5*day, 20*day))
+	nextFull, nextJump := start.Add(randomDuration(w.rand, 2*day, 15*day)), start.Add(randomDuration(w.rand, 20*day, 60*day))
 	var fullTo, jumpTo time.Time
 	for now := start; now.Before(end); now = now.Add(time.Hour) {
 		if w.cfg.Progress != nil && int(now.Sub(start)/time.Hour)%(24*30) == 0 {
-			fmt.Fprintf(w.cfg.Progress, "day %d of %d: %d handshakes, %d failed, %d swaps\n", int(now.Sub(start)/day), w.cfg.Days, w.fig.Handshakes, w.fig.HandshakesFailed, w.fig.Swaps)
+			fmt.Fprintf(w.cfg.Progress, "day %d of %d: %d handshakes, %d failed, %d swaps\n", int(now.Sub(start)/day), w.cfg.Days, w.figures.Handshakes, w.figures.HandshakesFailed, w.figures.Swaps)
 		}
 		w.now.Store(now.UnixNano())
 		switch {
-		case now.After(nextKill): // it dies at some change of the store, in the next days
+		case now.After(nextKill): // the process is killed at one of the next 30 store changes, which take days
 			w.files.KillAt(w.files.Ops()+w.rand.IntN(30), w.rand.IntN(300))
-			nextKill = now.Add(span(w.rand, 6*day, 14*day))
+			nextKill = now.Add(randomDuration(w.rand, 6*day, 14*day))
 		case now.After(nextDrain):
-			w.fig.Drains++
+			w.figures.Drains++
 			if err := w.restart(true); err != nil {
 				return err
 			}
-			nextDrain = now.Add(span(w.rand, 8*day, 20*day))
+			nextDrain = now.Add(randomDuration(w.rand, 8*day, 20*day))
 		}
 		if now.After(nextFull) {
-			w.fig.FullDisks++
+			w.figures.FullDisks++
 			w.files.Room(w.rand.IntN(2000))
-			fullTo, nextFull = now.Add(span(w.rand, time.Hour, 6*time.Hour)), now.Add(span(w.rand, 8*day, 20*day))
+			fullTo, nextFull = now.Add(randomDuration(w.rand, time.Hour, 6*time.Hour)), now.Add(randomDuration(w.rand, 8*day, 20*day))
 		}
 		if !fullTo.IsZero() && now.After(fullTo) {
 			w.files.Room(-1)
 			fullTo = time.Time{}
 		}
 		if now.After(nextJump) {
-			w.fig.Jumps++
-			w.offset.Store(int64([]time.Duration{-time.Hour, 30 * day}[w.fig.Jumps%2]))
-			jumpTo, nextJump = now.Add(3*time.Hour), now.Add(span(w.rand, 40*day, 90*day))
+			w.figures.Jumps++
+			w.offset.Store(int64([]time.Duration{-time.Hour, 30 * day}[w.figures.Jumps%2]))
+			jumpTo, nextJump = now.Add(3*time.Hour), now.Add(randomDuration(w.rand, 40*day, 90*day))
 		}
 		if !jumpTo.IsZero() && now.After(jumpTo) {
 			w.offset.Store(0)
 			jumpTo = time.Time{}
 		}
-		if err := w.hour(now, now.Sub(start) >= 2*time.Hour); err != nil {
+		if err := w.simulateHour(now, now.Sub(start) >= 2*time.Hour); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// restart ends the process and starts it anew.
-func (w *world) restart(drain bool) error {
+// restart stops the box and starts it again.
+func (w *simulation) restart(drain bool) error {
 	if drain {
-		for _, s := range w.sites { // a request is open when the notice to leave comes
+		for _, s := range w.sites { // a request is in flight when the drain starts
 			if s.conn != nil {
-				s.conn.begin(w)
+				s.conn.sendRequest(w)
 			}
 		}
 	}
-	w.down(drain)
+	w.stopProcess(drain)
 	w.files = faultfs.NewFaulty()
-	return w.up()
+	return w.startProcess()
 }
 
-// hour opens a request on each connection, has the keepers do what is due, shakes hands, and answers the requests.
-func (w *world) hour(now time.Time, counts bool) error {
+// simulateHour sends a request on each connection, runs the due steps of the keepers, makes a handshake for each
+// certificate and answers the requests. count tells whether handshakes and expiry are counted.
+func (w *simulation) simulateHour(now time.Time, count bool) error {
 	for _, s := range w.sites {
-		if s.conn == nil && !s.good.IsZero() {
+		if s.conn == nil && !s.validUntil.IsZero() {
 			s.conn = w.dial(s)
 		}
 		if s.conn != nil {
-			s.conn.begin(w)
+			s.conn.sendRequest(w)
 		}
 	}
 	killed := false
 	for i, s := range w.sites {
 		k := w.set.Keepers()[i]
-		for steps := 0; steps < 50 && !s.next.After(w.boxClock()); steps++ {
-			s.next = k.Step(context.Background())
+		for steps := 0; steps < 50 && !s.nextStep.After(w.boxClock()); steps++ {
+			s.nextStep = k.Step(context.Background())
 		}
-		if s.next.After(w.boxClock().Add(6 * time.Hour)) {
-			s.next = w.boxClock().Add(6 * time.Hour) // its clock may step back
+		if s.nextStep.After(w.boxClock().Add(6 * time.Hour)) {
+			s.nextStep = w.boxClock().Add(6 * time.Hour) // the box's clock may step back
 		}
 		killed = killed || w.files.Dead()
 	}
 	for i, s := range w.sites {
 		if cert := w.set.Keepers()[i].Current(); cert != nil {
-			if !cert.Leaf.NotAfter.Equal(s.good) && !s.good.IsZero() {
-				w.fig.Swaps++
+			if !cert.Leaf.NotAfter.Equal(s.validUntil) && !s.validUntil.IsZero() {
+				w.figures.Swaps++
 			}
-			s.good = cert.Leaf.NotAfter
+			s.validUntil = cert.Leaf.NotAfter
 		}
-		if counts {
-			if now.After(s.good) {
-				w.fig.Expired += time.Hour
+		if count {
+			if now.After(s.validUntil) {
+				w.figures.Expired += time.Hour
 			}
-			w.shake(s)
+			w.handshake(s)
 		}
 		left := time.Duration(0)
-		if !s.good.IsZero() {
-			left = s.good.Sub(now)
+		if !s.validUntil.IsZero() {
+			left = s.validUntil.Sub(now)
 		}
 		p := Point{At: now, Name: s.name, Left: left, Alarm: w.set.Keepers()[i].Status().Alarm}
 		if o := s.script.at(now); o != nil {
 			p.Outage = o.Kind
 		}
-		w.fig.Points = append(w.fig.Points, p)
+		w.figures.Points = append(w.figures.Points, p)
 	}
-	if killed { // what was open at a kill is lost with the process, as on any machine
-		w.fig.Kills++
+	if killed { // requests in flight at a kill are lost with the process
+		w.figures.Kills++
 		return w.restart(false)
 	}
-	w.core.answer()
+	w.replica.answerAll()
 	for _, s := range w.sites {
-		s.conn.finish(w.fig, false)
+		s.conn.readAnswer(w.figures, false)
 	}
 	return nil
 }
 
-// shake makes a new connection with a full handshake.
-func (w *world) shake(s *site) {
-	w.fig.Handshakes++
-	c, err := tls.Dial("tcp", w.tls.Addr(), w.client(s))
+// handshake opens a new connection with a full handshake and counts the result.
+func (w *simulation) handshake(s *site) {
+	w.figures.Handshakes++
+	c, err := tls.Dial("tcp", w.tls.Addr(), w.clientConfig(s))
 	if err != nil {
-		w.fig.HandshakesFailed++
+		w.figures.HandshakesFailed++
 		if w.cfg.Progress != nil {
 			fmt.Fprintf(w.cfg.Progress, "%v: handshake with %s: %v\n", w.clock(), s.host, err)
 		}
@@ -426,75 +429,75 @@
 	c.Close()
 }
 
-func (w *world) client(s *site) *tls.Config {
+func (w *simulation) clientConfig(s *site) *tls.Config {
 	return &tls.Config{ServerName: s.host, RootCAs: s.roots, Time: w.clock}
 }
 
-// peer is a router's connection that lives on over swaps.
-type peer struct {
+// routerConn is a router's connection that stays open over renewals.
+type routerConn struct {
 	*tls.Conn
-	seq, waits int32
-	in         []byte
+	seq, pendingSeq int32
+	in              []byte
 }
 
-func (w *world) dial(s *site) *peer {
-	c, err := tls.Dial("tcp", w.tls.Addr(), w.client(s))
+func (w *simulation) dial(s *site) *routerConn {
+	c, err := tls.Dial("tcp", w.tls.Addr(), w.clientConfig(s))
 	if err != nil {
 		return nil
 	}
-	return &peer{Conn: c}
+	return &routerConn{Conn: c}
 }
 
-// begin writes a request and waits until it was taken.
-func (p *peer) begin(w *world) {
-	if p == nil || p.waits > 0 {
+// sendRequest sends a request, unless one is pending, and waits up to 10 s until the replica has received it.
+func (p *routerConn) sendRequest(w *simulation) {
+	if p == nil || p.pendingSeq > 0 {
 		return
 	}
 	p.seq++
-	p.waits = p.seq
-	w.fig.Requests++
-	p.Write(call("serve", p.seq))
+	p.pendingSeq = p.seq
+	w.figures.Requests++
+	p.Write(encodeCall("serve", p.seq))
 	select {
-	case <-w.core.came:
+	case <-w.replica.arrived:
 	case <-time.After(10 * time.Second):
 	}
 }
 
-// finish reads the answer, and with a health check behind it that there is no second one.
-func (p *peer) finish(fig *Figures, leaving bool) {
-	if p == nil || p.waits == 0 {
+// readAnswer reads the answer to the pending request. A health check sent behind it shows that no second answer follows.
+func (p *routerConn) readAnswer(figures *Figures, draining bool) {
+	if p == nil || p.pendingSeq == 0 {
 		return
 	}
-	want := p.waits
-	p.waits = 0
+	want := p.pendingSeq
+	p.pendingSeq = 0
 	p.seq++
-	p.Write(call("isWell", p.seq))
+	p.Write(encodeCall("isWell", p.seq))
 	p.SetDeadline(time.Now().Add(10 * time.Second))
 	defer p.SetDeadline(time.Time{})
 	got := 0
 	for {
-		h, err := p.next()
+		h, err := p.readHeader()
 		switch {
 		case err != nil:
 			if got == 0 {
-				fig.Lost++
+				figures.Lost++
 			}
 			return
 		case h.Seq == want:
 			got++
 			if got > 1 {
-				fig.EndedTwice++
+				figures.EndedTwice++
 			}
 		case h.Seq == p.seq:
 			if got == 0 {
-				fig.Lost++
+				figures.Lost++
 			}
 			return
 		}
 	}
 }
 
-func (p *peer) next() (thrift.Header, error) {
+func (p *routerConn) readHeader() (thrift.Header, error) {
 	buf := make([]byte, 4096)
 	for {
 		frame, rest, err := thrift.Frame(p.in)
@@ -513,14 +516,14 @@
 	}
 }
 
-func (p *peer) close() {
+func (p *routerConn) close() {
 	if p != nil {
 		p.Close()
 	}
 }
 
-// call is a message of a router.
-func call(name string, seq int32) []byte {
+// encodeCall returns the frame of a router's call.
+func encodeCall(name string, seq int32) []byte {
 	return thrift.AppendFrame(nil, func(b []byte) []byte {
 		b = thrift.AppendHeader(b, thrift.Header{Type: thrift.Call, Name: name, Seq: seq})
 		if name == "serve" {
@@ -532,7 +535,7 @@
 	})
 }
 
-// Table prints how each certificate fared, beside the baseline under the same faults.
+// Table prints the least remaining lifetime, the hours with faults and the hours in alarm of each certificate.
 func (f *Figures) Table(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "CERTIFICATE\tLIFETIME\tLEAST LEFT\tHOURS OF FAULTS\tHOURS IN ALARM")
@@ -557,7 +560,7 @@
 	t.Flush()
 }
 
-// Missed lists the bounds that were missed.
+// Missed returns the names of the missed bounds.
 func (f *Figures) Missed() (list []string) {
 	for what, bad := range map[string]bool{"handshakes_failed": f.HandshakesFailed > 0, "ended_twice": f.EndedTwice > 0, "lost": f.Lost > 0, "expired_s": f.Expired > 0,
 		"most_calls_in_an_hour over 150": f.MostInAnHour > 150, "invariants_broken": assert.Failures() > 0, "no handshakes": f.Handshakes == 0, "no swaps": f.Swaps == 0,
@@ -569,7 +572,7 @@
 	return list
 }
 
-// String is the figures line.
+// String returns the line of figures.
 func (f *Figures) String() string {
 	per := 0.0
 	if f.Issued > 0 {
@@ -582,7 +585,7 @@
 		f.FullDisks, f.Jumps, f.BaselineExpired.Seconds(), f.BaselineOrders, f.BaselineMostInWeek, assert.Failures(), f.Took.Seconds())
 }
 
-// WriteCSV keeps the points as a table.
+// WriteCSV writes the points as a CSV table.
 func (f *Figures) WriteCSV(path string) error {
 	out, err := os.Create(path)
 	if err != nil {
--- a/internal/certs/year/year_test.go
+++ b/internal/certs/year/year_test.go
@@ -11,8 +11,8 @@
 	"cairnlane/internal/standin/authority"
 )
 
-// TestAMonthWithFaultsFailsNoHandshake is the short form of `make year`.
-func TestAMonthWithFaultsFailsNoHandshake(t *testing.T) {
+// TestFaultsOver24DaysFailNoHandshake is a short form of `make year`.
+func TestFaultsOver24DaysFailNoHandshake(t *testing.T) {
 	dir := t.TempDir()
 	f, err := Run(Config{Seed: 1, Days: 24, Dir: dir})
 	if err != nil {
@@ -35,46 +35,46 @@
 	}
 }
 
-// TestABoundThatIsMissedIsSaid: the figures are of use only if they can be bad.
-func TestABoundThatIsMissedIsSaid(t *testing.T) {
+// TestMissedListsEachBound checks that each bound can be missed and is then reported.
+func TestMissedListsEachBound(t *testing.T) {
 	good := Figures{Handshakes: 1, Requests: 1, Swaps: 1}
 	if len(good.Missed()) > 0 {
-		t.Errorf("good figures miss %v", good.Missed())
+		t.Errorf("figures within all bounds miss %v", good.Missed())
 	}
 	for name, change := range map[string]func(*Figures){"handshakes_failed": func(f *Figures) { f.HandshakesFailed = 1 }, "ended_twice": func(f *Figures) { f.EndedTwice = 1 },
 		"lost": func(f *Figures) { f.Lost = 1 }, "expired_s": func(f *Figures) { f.Expired = time.Second }, "most_calls_in_an_hour over 150": func(f *Figures) { f.MostInAnHour = 151 },
 		"no requests": func(f *Figures) { f.Requests = 0 }} {
 		f := good
 		if change(&f); strings.Join(f.Missed(), "") != name {
-			t.Errorf("%s: missed %v", name, f.Missed())
+			t.Errorf("%s: Missed returns %v", name, f.Missed())
 		}
 	}
 }
 
-// TestTheBaselineRunsOutWhenAnAuthorityIsAwayTooLong, and does not when it is not.
-func TestTheBaselineRunsOutWhenAnAuthorityIsAwayTooLong(t *testing.T) {
+// TestBaselineExpiresOnlyInLongOutages checks the baseline with an outage that ends before the expiry and a longer one.
+func TestBaselineExpiresOnlyInLongOutages(t *testing.T) {
 	from := time.Unix(1_764_576_000, 0)
-	away := func(d time.Duration) Script {
+	outage := func(d time.Duration) Script {
 		return Script{{From: from.Add(4 * day), To: from.Add(4*day + d), Kind: "down", fault: func(authority.Op) authority.Fault { return authority.Fault{Down: true} }}}
 	}
-	if expired, orders, _ := baseline(away(40*time.Hour), from, from.Add(10*day), 6*day); expired != 0 || orders < 40 {
-		t.Errorf("away for 40 hours: expired for %v, %d orders", expired, orders)
+	if expired, orders, _ := baseline(outage(40*time.Hour), from, from.Add(10*day), 6*day); expired != 0 || orders < 40 {
+		t.Errorf("outage of 40 hours: expired for %v, %d orders", expired, orders)
 	}
-	if expired, _, most := baseline(away(60*time.Hour), from, from.Add(10*day), 6*day); expired < 11*time.Hour || expired > 13*time.Hour || most < 50 {
-		t.Errorf("away for 60 hours: expired for %v, %d orders in a week", expired, most)
+	if expired, _, most := baseline(outage(60*time.Hour), from, from.Add(10*day), 6*day); expired < 11*time.Hour || expired > 13*time.Hour || most < 50 {
+		t.Errorf("outage of 60 hours: expired for %v, %d orders in a week", expired, most)
 	}
 }
 
-func TestAScriptIsDrawnFromItsSeed(t *testing.T) {
+func TestScriptIsDeterministicForASeed(t *testing.T) {
 	from := time.Unix(0, 0)
-	a := draw(rand.New(rand.NewPCG(7, 7)), from, from.Add(365*day), 3*day, 9*day)
-	b := draw(rand.New(rand.NewPCG(7, 7)), from, from.Add(365*day), 3*day, 9*day)
+	a := drawScript(rand.New(rand.NewPCG(7, 7)), from, from.Add(365*day), 3*day, 9*day)
+	b := drawScript(rand.New(rand.NewPCG(7, 7)), from, from.Add(365*day), 3*day, 9*day)
 	if len(a) < 20 || len(a) != len(b) {
 		t.Fatalf("%d and %d windows", len(a), len(b))
 	}
 	for i := range a {
 		if a[i].From != b[i].From || a[i].Kind != b[i].Kind || i > 0 && a[i].From.Before(a[i-1].To) {
-			t.Errorf("window %d: %v", i, a[i])
+			t.Errorf("window %d differs or overlaps the one before: %v", i, a[i])
 		}
 	}
 }
