--- a/internal/lab/model/chart.go
+++ b/internal/lab/model/chart.go
@@ -9,11 +9,11 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Chart draws what a fleet gains over each alone, a point a case with its 95% interval over paired seeds, into an SVG file.
+// Chart draws the gain of the fleet over boxes alone into an SVG file: one point per case, with its 95% interval over paired seeds.
 func Chart(path string, rows []Row) error {
 	p := plot.New()
-	p.Title.Text = "Worth of a day as a fleet, over each box alone"
-	p.X.Label.Text = "gain, with the 95% interval over paired seeds"
+	p.Title.Text = "Gain in a day's worth: boxes as a fleet over boxes alone"
+	p.X.Label.Text = "gain with its 95% interval over paired seeds"
 	var points plotter.XYs
 	var errs plotter.XErrors
 	var names []string
--- a/internal/lab/model/day.go
+++ b/internal/lab/model/day.go
@@ -1,6 +1,6 @@
-// Package model is the project's own model of what it serves: clients, routers with their habits, boxes with cores, reading cost and cold
-// starts, and what goes wrong. It runs the real module, replica and fleet decisions in virtual time (Play), and the same clients, habits
-// and cores stand behind real processes in `make overload` (internal/lab/overloads). The figures come from a site's description
+// Package model simulates the surroundings of a fleet: clients, routers with their habits, boxes with cores, reading cost and cold
+// starts, and faults. Play runs the real policy module, replica and fleet decisions on it in virtual time. The trial over real processes
+// (`make overload`, internal/lab/overloads) uses the same clients, habits and cores. The figures of a site come from its description
 // (Open), none is in the code.
 package model
 
@@ -14,12 +14,12 @@
 	"cairnlane/internal/decide/shed"
 )
 
-// Order are the classes in the order in which the fleet sheds them.
+// Order returns the classes in the order in which the fleet sheds them.
 func (s Site) Order() []int {
 	return shed.SheddingOrder(len(s.Classes), func(i int) float64 { return s.Classes[i].Worth }, func(i int) time.Duration { return s.Classes[i].Aim })
 }
 
-// Shares are the tenants' parts of the capacity, by name.
+// Shares returns each tenant's share of the capacity, by name.
 func (s Site) Shares(quota float64) map[string]float64 {
 	m := map[string]float64{}
 	for _, t := range s.Tenants {
@@ -28,42 +28,43 @@
 	return m
 }
 
-// Request is what a client asks for, once.
+// Request is one request of a client.
 type Request struct {
 	N      int
 	At     time.Duration
 	Class  int
 	Tenant int
 	Router int
-	Key    uint64 // its subject
+	Key    uint64 // what the request is about, for routers that pick by key
 	Work   time.Duration
-	Rank   float64 // 0 to 1, by worth
+	Rank   float64 // 0 to 1, higher for classes of higher worth
 }
 
-// Due is when its client leaves.
+// Due returns the request's deadline, at which the client gives up.
 func (s Site) Due(q Request) time.Duration { return q.At + s.Classes[q.Class].Deadline }
 
-// Load is what clients ask for over a day.
+// Load describes the client load of a day.
 type Load struct {
 	Seed     uint64
-	Of       float64 // of the capacity of all boxes, in the mean outside bursts
+	Of       float64 // mean load outside bursts, as a factor of the capacity of all boxes
 	Boxes    int
 	Routers  int
 	Span     time.Duration
-	Hot      int     // the tenant that asks for more than its share
-	HotTimes float64 // how many times its share, 1 for none
+	Hot      int     // index of the tenant whose load is above its share
+	HotTimes float64 // factor on the hot tenant's share of the requests; 1 for none
 	Bursts   []Burst
-	// OneRouter has all of the hot tenant's requests come through one router.
+	// OneRouter sends all requests of the hot tenant through one router.
 	OneRouter bool
 }
 
-// Burst is a time in which clients ask for more.
+// Burst is a time span in which the load is multiplied by Times.
 type Burst struct {
 	From, For time.Duration
 	Times     float64
 }
 
-func (l Load) times(at time.Duration) float64 {
+// burstFactor returns the factor on the load at a time.
+func (l Load) burstFactor(at time.Duration) float64 {
 	for _, b := range l.Bursts {
 		if at >= b.From && at < b.From+b.For {
 			return b.Times
@@ -72,47 +73,48 @@
 	return 1
 }
 
-// the streams of random numbers, so that what changes with one policy does not change the day
+// The streams of random numbers. They are separate, so that a change in one part does not change the draws of another: the clients of a seed
+// are the same under every policy.
 const (
 	streamClients = iota + 1
 	streamRouters
-	streamTroubles
-	streamTalk
+	streamFaults
+	streamMessages
 )
 
-// Stream is that of a day's routers.
+// Stream returns the stream of random numbers for a day's routers.
 func Stream(seed uint64) *rand.Rand { return stream(seed, streamRouters) }
 
 func stream(seed, which uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, which)) }
 
-// Draw is all that clients ask for, in the order in which they do. The same seed gives the same requests whatever serves them.
+// Draw returns all requests of a day, ordered by time. The same seed gives the same requests, whatever serves them.
 func (s Site) Draw(l Load) (list []Request) {
-	r := stream(l.Seed, streamClients)
-	most := 1.0
+	rng := stream(l.Seed, streamClients)
+	maxFactor := 1.0
 	for _, b := range l.Bursts {
-		most = max(most, b.Times)
+		maxFactor = max(maxFactor, b.Times)
 	}
-	weights := make([]float64, len(s.Tenants))
+	tenantWeights := make([]float64, len(s.Tenants))
 	for i, t := range s.Tenants {
-		weights[i] = t.Share
+		tenantWeights[i] = t.Share
 		if i == l.Hot && l.HotTimes > 0 {
-			weights[i] *= l.HotTimes
+			tenantWeights[i] *= l.HotTimes
 		}
 	}
-	classes := make([]float64, len(s.Classes))
+	classWeights := make([]float64, len(s.Classes))
 	for i, c := range s.Classes {
-		classes[i] = c.Share
+		classWeights[i] = c.Share
 	}
-	routers := make([]float64, l.Routers)
-	for i := range routers {
-		routers[i] = 0.5 + r.Float64()
+	routerWeights := make([]float64, l.Routers)
+	for i := range routerWeights {
+		routerWeights[i] = 0.5 + rng.Float64()
 	}
-	ranks := s.ranks()
-	rate := l.Of * s.Capacity(l.Boxes) * most
+	ranges := s.rankRanges()
+	rate := l.Of * s.Capacity(l.Boxes) * maxFactor
 	for at := 0.0; ; {
-		at += r.ExpFloat64() / rate
-		q := Request{N: len(list), At: time.Duration(at * 1e9), Class: pick(r, classes), Tenant: pick(r, weights), Router: pick(r, routers), Key: uint64(45000 * math.Pow(r.Float64(), 3))}
-		keep, work, rank := r.Float64(), r.NormFloat64(), r.Float64()
+		at += rng.ExpFloat64() / rate
+		q := Request{N: len(list), At: time.Duration(at * 1e9), Class: pickWeighted(rng, classWeights), Tenant: pickWeighted(rng, tenantWeights), Router: pickWeighted(rng, routerWeights), Key: uint64(45000 * math.Pow(rng.Float64(), 3))}
+		keep, work, rank := rng.Float64(), rng.NormFloat64(), rng.Float64()
 		if q.At >= l.Span {
 			return list
 		}
@@ -122,23 +124,23 @@
 		c := s.Classes[q.Class]
 		sigma := math.Sqrt(math.Log(1 + c.CV*c.CV))
 		q.Work = time.Duration(float64(c.Work) * math.Exp(sigma*work-sigma*sigma/2))
-		q.Rank = ranks[q.Class][0] + rank*(ranks[q.Class][1]-ranks[q.Class][0])
-		if keep*most < l.times(q.At) {
+		q.Rank = ranges[q.Class][0] + rank*(ranges[q.Class][1]-ranges[q.Class][0])
+		if keep*maxFactor < l.burstFactor(q.At) {
 			q.N = len(list)
 			list = append(list, q)
 		}
 	}
 }
 
-// ranks are the parts of 0 to 1 that the classes have, the least worth first.
-func (s Site) ranks() [][2]float64 {
+// rankRanges returns the range of ranks within [0, 1) of each class: the lowest worth has the lowest ranks, the width is the class's share.
+func (s Site) rankRanges() [][2]float64 {
 	order := make([]int, len(s.Classes))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(s.Classes[a].Worth, s.Classes[b].Worth) })
 	out := make([][2]float64, len(s.Classes))
-	for at, i := 0.0, 0; i < len(order); i++ { // classes of the same worth have the same part
+	for at, i := 0.0, 0; i < len(order); i++ { // classes of the same worth have the same range
 		j, sum := i, 0.0
 		for ; j < len(order) && s.Classes[order[j]].Worth == s.Classes[order[i]].Worth; j++ {
 			sum += s.Classes[order[j]].Share
@@ -151,7 +153,8 @@
 	return out
 }
 
-func pick(r *rand.Rand, weights []float64) int {
+// pickWeighted draws an index with a probability proportional to its weight.
+func pickWeighted(r *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
--- a/internal/lab/model/events.go
+++ b/internal/lab/model/events.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// World is virtual time: things happen in their order, and those of one moment in the order in which they were asked for. It implements
-// replica.Clock.
+// World is an event loop in virtual time: it runs events ordered by time, and those of the same time in the order in which they were
+// scheduled. It implements replica.Clock.
 type World struct {
-	now  time.Duration
-	list events
-	n    uint64
+	now     time.Duration
+	queue   events
+	lastSeq uint64
 }
 
 type event struct {
-	at time.Duration
-	n  uint64
-	do func()
+	at  time.Duration
+	seq uint64
+	run func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(a, b int) bool {
-	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].n < e[b].n
+	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].seq < e[b].seq
 }
 func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -40,18 +40,18 @@
 // AfterFunc implements replica.Clock.
 func (w *World) AfterFunc(d time.Duration, f func()) { w.At(w.now+max(d, 0), f) }
 
-// At has something happen at a time.
+// At schedules do at a time, or now if the time is past.
 func (w *World) At(at time.Duration, do func()) {
-	w.n++
-	heap.Push(&w.list, event{max(at, w.now), w.n, do})
+	w.lastSeq++
+	heap.Push(&w.queue, event{max(at, w.now), w.lastSeq, do})
 }
 
-// Run goes on until a time.
+// Run processes all events up to and including until.
 func (w *World) Run(until time.Duration) {
-	for len(w.list) > 0 && w.list[0].at <= until {
-		e := heap.Pop(&w.list).(event)
+	for len(w.queue) > 0 && w.queue[0].at <= until {
+		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
-		e.do()
+		e.run()
 	}
 	w.now = until
 }
--- a/internal/lab/model/index.go
+++ b/internal/lab/model/index.go
@@ -7,161 +7,161 @@
 	"cairnlane/policy"
 )
 
-// index is the dependency that all boxes of a day call: so many slots, and a queue before them.
+// index is the dependency that all boxes call: a fixed number of slots with a queue in front of them.
 type index struct {
-	p       *play
-	on      int
+	sim     *simulation
+	running int
 	waiting []*indexCall
 	served  int
 }
 
 // indexCall is one call to the index.
 type indexCall struct {
-	box  *box
-	life uint64 // of the box that called
-	txn  string
-	from time.Duration
-	body []byte
-	over bool // nobody waits for it any more; if it is on, it goes on to its end
+	box         *box
+	incarnation uint64 // of the calling box
+	txn         string
+	startedAt   time.Duration
+	body        []byte
+	ended       bool // no caller waits for it any more; a call that runs still occupies its slot until it is done
 }
 
-// add takes a call, which is given up after its wait.
-func (x *index) add(c *indexCall, wait time.Duration) {
-	x.p.At(x.p.now+wait, func() { c.end(policy.TimedOut) })
+// add queues a call, which times out after timeout.
+func (x *index) add(c *indexCall, timeout time.Duration) {
+	x.sim.At(x.sim.now+timeout, func() { c.end(policy.TimedOut) })
 	x.waiting = append(x.waiting, c)
-	x.next()
+	x.startCalls()
 }
 
-// next fills the slots. A call that was given up while it waited never runs.
-func (x *index) next() {
-	for x.on < x.p.day.Index.Slots && len(x.waiting) > 0 {
+// startCalls fills the free slots. A call that ended while queued is not run.
+func (x *index) startCalls() {
+	for x.running < x.sim.day.Index.Slots && len(x.waiting) > 0 {
 		c := x.waiting[0]
 		x.waiting = x.waiting[1:]
-		if c.over {
+		if c.ended {
 			continue
 		}
-		x.on++
-		x.p.At(x.p.now+x.p.day.Index.Takes, func() {
-			x.on--
+		x.running++
+		x.sim.At(x.sim.now+x.sim.day.Index.Takes, func() {
+			x.running--
 			x.served++
 			c.end(policy.Succeeded)
-			x.next()
+			x.startCalls()
 		})
 	}
 }
 
-// end tells the box how its call has ended, once, unless the box has died.
+// end reports the outcome of a call to its box, once, unless that process has died.
 func (c *indexCall) end(outcome policy.Outcome) {
-	if c.over {
+	if c.ended {
 		return
 	}
-	c.over = true
+	c.ended = true
 	b := c.box
-	if b.dead || b.life != c.life {
+	if b.dead || b.incarnation != c.incarnation {
 		return
 	}
-	delete(b.calls, c.txn)
-	b.rep.CallEnded(c.txn, outcome, b.p.now-c.from, c.body)
+	delete(b.openCalls, c.txn)
+	b.rep.CallEnded(c.txn, outcome, b.sim.now-c.startedAt, c.body)
 }
 
-// indexOf is the index as one process calls it.
-type indexOf struct {
-	b    *box
-	life uint64
+// boxIndex implements replica.Index for one process.
+type boxIndex struct {
+	box         *box
+	incarnation uint64
 }
 
 // Get implements replica.Index.
-func (i indexOf) Get(txn string, wait time.Duration, body []byte) {
+func (i boxIndex) Get(txn string, wait time.Duration, body []byte) {
 	i.Stop(txn)
-	c := &indexCall{box: i.b, life: i.life, txn: txn, from: i.b.p.now, body: append([]byte(nil), body...)}
-	i.b.calls[txn] = c
-	p := i.b.p
-	p.At(p.now+hop, func() {
-		if !c.over {
-			p.index.add(c, wait)
+	c := &indexCall{box: i.box, incarnation: i.incarnation, txn: txn, startedAt: i.box.sim.now, body: append([]byte(nil), body...)}
+	i.box.openCalls[txn] = c
+	sim := i.box.sim
+	sim.At(sim.now+networkDelay, func() {
+		if !c.ended {
+			sim.index.add(c, wait)
 		}
 	})
 }
 
 // Stop implements replica.Index.
-func (i indexOf) Stop(txn string) {
-	if c := i.b.calls[txn]; c != nil {
-		c.over = true
-		delete(i.b.calls, txn)
+func (i boxIndex) Stop(txn string) {
+	if c := i.box.openCalls[txn]; c != nil {
+		c.ended = true
+		delete(i.box.openCalls, txn)
 	}
 }
 
-// indexFor is what a box's process is given to call; nil at sites without calls.
-func (b *box) indexFor() replica.Index {
-	if !b.p.day.calls() {
+// newIndex returns the index for a new process of the box, nil at sites without index calls.
+func (b *box) newIndex() replica.Index {
+	if !b.sim.day.callsIndex() {
 		return nil
 	}
-	b.calls = map[string]*indexCall{}
-	return indexOf{b, b.life}
+	b.openCalls = map[string]*indexCall{}
+	return boxIndex{b, b.incarnation}
 }
 
-// engineRun is a run that calls the index before it works.
+// engineRun is a run that makes index calls before it does its work.
 type engineRun struct {
-	left   int // calls that it has yet to make
-	notice int64
-	waits  bool
-	begin  func() // its work
+	callsLeft int // calls not made yet
+	notice    int64
+	waiting   bool
+	startWork func()
 }
 
-// callsOf is how many calls a request makes: the mean of its class, rounded up or down by the request's own number.
-func (s Site) callsOf(q Request) int {
+// callCount returns how many index calls a request makes: the mean of its class, rounded up or down by a hash of the request's number.
+func (s Site) callCount(q Request) int {
 	mean := s.Classes[q.Class].Calls
 	n := int(mean)
-	if place(q.N) < mean-float64(n) {
+	if phaseOf(q.N) < mean-float64(n) {
 		n++
 	}
 	return n
 }
 
-// need has a run ask for its next call, or begin its work. It happens apart from whatever is on the stack.
-func (e engineOf) need(txn string, r *engineRun) {
-	b := e.b
-	b.p.At(b.p.now, func() {
+// advance makes a run request its next index call or, after the last one, start its work. It does so in an event of its own.
+func (e boxEngine) advance(txn string, r *engineRun) {
+	b := e.box
+	b.sim.At(b.sim.now, func() {
 		switch {
-		case b.dead || b.life != e.life:
-		case r.left == 0:
-			delete(b.waits, txn)
-			r.begin()
+		case b.dead || b.incarnation != e.incarnation:
+		case r.callsLeft == 0:
+			delete(b.waitingRuns, txn)
+			r.startWork()
 		default:
-			r.left--
-			r.waits = true
-			b.notice++
-			r.notice = b.notice
+			r.callsLeft--
+			r.waiting = true
+			b.lastNotice++
+			r.notice = b.lastNotice
 			b.rep.CallRequested(txn, r.notice, []byte(txn))
 		}
 	})
 }
 
-// went has a run that waits for a call go on; the reply has to be the call's own.
-func (e engineOf) went(txn string, reply []byte, skipped bool) {
-	r := e.b.waits[txn]
-	if r == nil || !r.waits {
+// endCall lets a run that waits for a call continue. It records a violation if the reply is not the one to this call.
+func (e boxEngine) endCall(txn string, reply []byte, skipped bool) {
+	r := e.box.waitingRuns[txn]
+	if r == nil || !r.waiting {
 		return
 	}
-	r.waits = false
+	r.waiting = false
 	if skipped {
-		e.b.p.res.Skipped++
+		e.box.sim.result.Skipped++
 	} else if string(reply) != txn {
-		e.b.p.broke("the run of %s is fed %q", txn, reply)
+		e.box.sim.recordViolation("run of %s received the index reply %q", txn, reply)
 	}
-	e.need(txn, r)
+	e.advance(txn, r)
 }
 
 // Feed implements replica.Engine.
-func (e engineOf) Feed(txn string, reply []byte) bool {
-	e.went(txn, reply, false)
+func (e boxEngine) Feed(txn string, reply []byte) bool {
+	e.endCall(txn, reply, false)
 	return true
 }
 
 // Skip implements replica.Engine.
-func (e engineOf) Skip(txn string, notice int64) bool {
-	if r := e.b.waits[txn]; r != nil && r.notice == notice {
-		e.went(txn, nil, true)
+func (e boxEngine) Skip(txn string, notice int64) bool {
+	if r := e.box.waitingRuns[txn]; r != nil && r.notice == notice {
+		e.endCall(txn, nil, true)
 	}
 	return true
 }
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -16,8 +16,8 @@
 
 const ms = time.Millisecond
 
-// TestCoresShareTheirTime: jobs end in the order of what they need, none gets more than a core, and no work is lost or made.
-func TestCoresShareTheirTime(t *testing.T) {
+// TestCoresConserveWork checks that no job gets more than one core and that all jobs complete, no earlier than the cores can do their work.
+func TestCoresConserveWork(t *testing.T) {
 	testkit.Check(t, 200, func(t *rapid.T) {
 		m := Machine{Cores: rapid.IntRange(1, 8).Draw(t, "cores"), ThrashAt: 1e9, Thrash: 1}
 		c := NewCores(0, m, false)
@@ -31,63 +31,64 @@
 			began := now
 			c.Add(now, work, func() {
 				left--
-				last = c.at
-				if took := c.at - began; took < work-ms {
-					t.Fatalf("%v of work took %v", work, took)
+				last = c.advancedTo
+				if took := c.advancedTo - began; took < work-ms {
+					t.Fatalf("job with %v of work took only %v", work, took)
 				}
 			})
 		}
 		for left > 0 {
 			at, ok := c.Next()
 			if !ok {
-				t.Fatalf("%d jobs are left and nothing is on", left)
+				t.Fatalf("%d jobs are not done and the cores are empty", left)
 			}
 			now = max(now, at)
 			c.Advance(now)
 		}
 		if least := all / time.Duration(m.Cores); last < least-ms {
-			t.Fatalf("%v of work on %d cores was done after %v", all, m.Cores, last)
+			t.Fatalf("%v of work on %d cores was done after only %v", all, m.Cores, last)
 		}
 	})
 }
 
-// TestWhatMakesCoresSlow: a cold start, a slow spell, and more on them than they bear.
-func TestWhatMakesCoresSlow(t *testing.T) {
+// TestCoresSlowDown checks the speed of the cores with few and many jobs, under a slow fault and after a cold start.
+func TestCoresSlowDown(t *testing.T) {
 	m := Machine{Cores: 2, ThrashAt: 2, Thrash: 0.5, ColdFrom: 0.25, ColdFor: 10 * time.Second}
 	for name, c := range map[string]struct {
 		cold  bool
 		speed float64
 		jobs  int
-		want  time.Duration // for each job of a second
-	}{"alone": {false, 1, 1, time.Second}, "both cores": {false, 1, 2, time.Second}, "four": {false, 1, 4, 2 * time.Second}, "eight thrash": {false, 1, 8, 4 * time.Second * 4 / 3},
+		want  time.Duration // completion time of jobs of 1 s
+	}{"one job": {false, 1, 1, time.Second}, "two jobs": {false, 1, 2, time.Second}, "four jobs": {false, 1, 4, 2 * time.Second}, "eight jobs, above ThrashAt": {false, 1, 8, 4 * time.Second * 4 / 3},
 		"slow": {false, 0.125, 1, 8 * time.Second}, "cold": {true, 1, 1, 2720 * ms}} {
 		cores := NewCores(0, m, c.cold)
 		cores.Slow(0, c.speed)
 		var ended time.Duration
 		for range c.jobs {
-			cores.Add(0, time.Second, func() { ended = cores.at })
+			cores.Add(0, time.Second, func() { ended = cores.advancedTo })
 		}
 		for cores.Demand() > 0 {
 			at, _ := cores.Next()
 			cores.Advance(at)
 		}
 		if math.Abs(float64(ended-c.want)) > 0.05*float64(c.want) {
-			t.Errorf("%s: %v, not %v", name, ended, c.want)
+			t.Errorf("%s: took %v, want %v", name, ended, c.want)
 		}
 	}
 }
 
-// TestClientsAreDrawnOnceForAll: the same seed asks for the same, the loads are as said, bursts and the hot tenant too.
-func TestClientsAreDrawnOnceForAll(t *testing.T) {
-	s := Perth(1)
+// TestDrawIsReproducibleAndMatchesLoad checks that a seed repeats its requests, and that load, mean work, bursts and the hot tenant's part are
+// as configured.
+func TestDrawIsReproducibleAndMatchesLoad(t *testing.T) {
+	s := exampleSite(1)
 	l := Load{Seed: 3, Of: 1.1, Boxes: 8, Routers: 5, Span: 60 * time.Second, Hot: 2, HotTimes: 3}
 	a, b := s.Draw(l), s.Draw(l)
 	if !reflect.DeepEqual(a, b) {
-		t.Fatal("the same seed asks for something else")
+		t.Fatal("the same seed gives different requests")
 	}
 	want := 1.1 * s.Capacity(8) * 60
 	if math.Abs(float64(len(a))-want) > 0.06*want {
-		t.Errorf("%d requests, not about %.0f", len(a), want)
+		t.Errorf("%d requests, want about %.0f", len(a), want)
 	}
 	var work time.Duration
 	hot, classes := 0, make([]int, len(s.Classes))
@@ -98,24 +99,25 @@
 			hot++
 		}
 		if q.N != i || q.Rank < 0 || q.Rank >= 1 || s.Classes[q.Class].Worth == 4 && q.Rank < 0.91 {
-			t.Fatalf("%+v", q)
+			t.Fatalf("request %d has a wrong number or rank: %+v", i, q)
 		}
 	}
 	if mean := work / time.Duration(len(a)); math.Abs(float64(mean-s.MeanWork())) > 0.05*float64(s.MeanWork()) {
-		t.Errorf("mean work %v, not %v", mean, s.MeanWork())
+		t.Errorf("mean work %v, want about %v", mean, s.MeanWork())
 	}
 	if share := float64(hot) / float64(len(a)); math.Abs(share-0.6/1.4) > 0.03 {
-		t.Errorf("the hot tenant asks for %.2f of all", share)
+		t.Errorf("the hot tenant has %.2f of the requests, want about %.2f", share, 0.6/1.4)
 	}
 	l.Bursts = []Burst{{20 * time.Second, 10 * time.Second, 2}}
 	if n := len(s.Draw(l)); math.Abs(float64(n)-want*70/60) > 0.08*want {
-		t.Errorf("%d requests with a burst", n)
+		t.Errorf("%d requests with a burst, want about %.0f", n, want*70/60)
 	}
 }
 
-// TestTrafficBeyondAShareIsWorthATenth, counted over the whole fleet and each second; late answers and those after the deadline as the classes say.
-func TestTrafficBeyondAShareIsWorthATenth(t *testing.T) {
-	s := Perth(1)
+// TestJudgeDiscountsTrafficOverShare checks that traffic over a tenant's share counts a tenth, per second over the whole fleet, that late
+// answers count with the class's factor and those after the deadline nothing, and the recovery time.
+func TestJudgeDiscountsTrafficOverShare(t *testing.T) {
+	s := exampleSite(1)
 	s.Tenants = []Tenant{{"a", 0.5}, {"b", 0.5}}
 	l := Load{Boxes: 8, Span: time.Second}
 	allowed := int(s.Capacity(8) * s.Quota * 0.5)
@@ -127,102 +129,104 @@
 	}
 	add(2*allowed, 0, true, ms)
 	if w := s.Judge(l, fates); math.Abs(w.Asked-1.1*float64(allowed)) > 1 || math.Abs(w.Of()-1) > 1e-9 || w.ShareError != 0 {
-		t.Errorf("all is served: %+v", w)
+		t.Errorf("with all requests served: %+v", w)
 	}
 	add(allowed, 1, false, ms)
 	if w := s.Judge(l, fates); math.Abs(w.Of()-1.1/2.1) > 0.01 || w.ShareError < 0.49 {
-		t.Errorf("the other tenant gets nothing: %v, %v", w.Of(), w.ShareError)
+		t.Errorf("with one tenant served and the other one not: ratio %v, share error %v", w.Of(), w.ShareError)
 	}
 	fates = nil
 	add(10, 0, true, s.Classes[1].Aim+ms)
 	add(10, 1, true, s.Classes[1].Deadline+ms)
 	if w := s.Judge(l, fates); math.Abs(w.Got-2) > 1e-9 {
-		t.Errorf("late answers: %v of %v", w.Got, w.Asked)
+		t.Errorf("late answers are worth %v of %v, want 2", w.Got, w.Asked)
 	}
 	w := Worth{Seconds: []float64{1, 1, 1, 0.2, 0.2, 0.5, 0.95, 1, 1}}
 	if got := w.Settles(3*time.Second, 4*time.Second, 0.9); got != 2*time.Second {
-		t.Errorf("it settles after %v", got)
+		t.Errorf("recovery time %v, want 2s", got)
 	}
 }
 
-// TestARouterHeedsWhatItIsTold, if it is one that does.
-func TestARouterHeedsWhatItIsTold(t *testing.T) {
-	polite := Habit{Tries: 3, Later: true, GiveUp: true, Signal: true}
+// TestRouterCompliesWithHints checks what a router picks and whether it retries after each kind of hint, for each way of picking a box.
+func TestRouterCompliesWithHints(t *testing.T) {
+	compliant := Habit{Tries: 3, Later: true, GiveUp: true, Signal: true}
 	for name, c := range map[string]struct {
 		habit Habit
-		told  Told
+		hints Told
 		rank  float64
 		after time.Duration
 		picks bool
 		again bool
 	}{
-		"nothing is told":      {polite, Told{}, 0.1, 0, true, true},
-		"stays away":           {polite, Told{Later: 100 * ms}, 0.1, 50 * ms, false, true},
-		"comes back":           {polite, Told{Later: 100 * ms}, 0.1, 150 * ms, true, true},
-		"gives up":             {polite, Told{GiveUp: true}, 0.1, 0, true, false},
-		"a lower rank":         {polite, Told{Signal: 0.5, Set: true}, 0.1, 0, false, true},
-		"a higher one":         {polite, Told{Signal: 0.5, Set: true}, 0.6, 0, true, true},
-		"forgets":              {polite, Told{Signal: 0.5, Set: true}, 0.1, 2 * time.Second, true, true},
-		"heeds nothing of all": {Habit{}, Told{Later: time.Hour, GiveUp: true, Signal: 1, Set: true}, 0, 0, true, true},
+		"no hints":                          {compliant, Told{}, 0.1, 0, true, true},
+		"within the retry-after delay":      {compliant, Told{Later: 100 * ms}, 0.1, 50 * ms, false, true},
+		"after the retry-after delay":       {compliant, Told{Later: 100 * ms}, 0.1, 150 * ms, true, true},
+		"do not retry":                      {compliant, Told{GiveUp: true}, 0.1, 0, true, false},
+		"rank below the published value":    {compliant, Told{Signal: 0.5, Set: true}, 0.1, 0, false, true},
+		"rank above the published value":    {compliant, Told{Signal: 0.5, Set: true}, 0.6, 0, true, true},
+		"published value has expired":       {compliant, Told{Signal: 0.5, Set: true}, 0.1, 2 * time.Second, true, true},
+		"router that complies with no hint": {Habit{}, Told{Later: time.Hour, GiveUp: true, Signal: 1, Set: true}, 0, 0, true, true},
 	} {
-		for choice := range choices {
+		for choice := range choiceCount {
 			h := c.habit
 			h.Choice = choice
 			r := NewRouter(h, time.Second, stream(1, 1))
 			r.List([]int{7, 8})
 			r.Sent(7)
-			r.Heard(time.Hour, 7, c.told)
+			r.Heard(time.Hour, 7, c.hints)
 			box, ok := r.Pick(time.Hour+c.after, Request{Rank: c.rank}, []int{8})
-			if ok != c.picks || ok && box != 7 || r.Again(1, c.told) != c.again {
-				t.Errorf("%s, choice %d: picks %d, %v; again %v", name, choice, box, ok, r.Again(1, c.told))
+			if ok != c.picks || ok && box != 7 || r.Again(1, c.hints) != c.again {
+				t.Errorf("%s, choice %d: picks box %d, %v; retries %v", name, choice, box, ok, r.Again(1, c.hints))
 			}
 		}
 	}
 }
 
-// TestADayIsTheSameEachTime, with everything that can go wrong on it, and keeps the rules.
-func TestADayIsTheSameEachTime(t *testing.T) {
+// TestPlayIsDeterministicUnderAllFaults simulates a day with the faults of all hard cases twice and checks that the results are equal and no
+// invariant is broken.
+func TestPlayIsDeterministicUnderAllFaults(t *testing.T) {
 	for _, m := range []Mode{Alone, Fleet, Cut} {
 		d := Case{"all", 1.2, func(d *Day) {
 			for _, c := range Hard {
 				c.Make(d)
 			}
 			d.OneRouter = false
-		}}.Day(Perth(1), 8, 30*time.Second, 5, m)
+		}}.Day(exampleSite(1), 8, 30*time.Second, 5, m)
 		a, b := Play(d), Play(d)
 		if !reflect.DeepEqual(a, b) {
-			t.Fatalf("%s: two plays differ: %v and %v", m, a.Of(), b.Of())
+			t.Fatalf("%s: two simulations of the same day differ: %v and %v", m, a.Of(), b.Of())
 		}
 		if a.Lost+a.Twice+a.DoubleRuns+len(a.Broken) > 0 || a.LevelChanges > 1 || a.Requests < 1000 {
-			t.Errorf("%s: lost %d, twice %d, double %d, levels %d, %v", m, a.Lost, a.Twice, a.DoubleRuns, a.LevelChanges, a.Broken)
+			t.Errorf("%s: %d lost, %d answered twice, %d double runs, %d level changes, %d requests, violations %v", m, a.Lost, a.Twice, a.DoubleRuns, a.LevelChanges, a.Requests, a.Broken)
 		}
 	}
 }
 
-// TestAFleetIsBetterThanEachAlone under overload, and one whose boxes hear nobody is not worse.
-func TestAFleetIsBetterThanEachAlone(t *testing.T) {
-	rows := Sweep{Site: Perth(1), Boxes: 8, Seeds: 5, From: 1, Span: 35 * time.Second, Cases: append(slices.Clone(Steady), Hard[len(Hard)-1])}.Run(nil)
+// TestFleetOutperformsBoxesAlone checks that boxes that shed as a fleet gain over boxes alone under overload, and that a fleet whose boxes cannot
+// exchange messages is not worse than boxes alone.
+func TestFleetOutperformsBoxesAlone(t *testing.T) {
+	rows := Sweep{Site: exampleSite(1), Boxes: 8, Seeds: 5, From: 1, Span: 35 * time.Second, Cases: append(slices.Clone(Steady), Hard[len(Hard)-1])}.Run(nil)
 	for _, r := range rows {
 		gain, _ := r.Gain(Fleet, Alone)
 		if r.Of > 1 && gain < 0.03 || gain < -0.02 {
-			t.Errorf("%s: the fleet is better by %.3f", r.Name, gain)
+			t.Errorf("%s: the gain of the fleet is %.3f", r.Name, gain)
 		}
 		if cut, _ := r.Gain(Cut, Alone); cut < -0.01 {
-			t.Errorf("%s: a fleet that hears nobody differs from alone by %v", r.Name, cut)
+			t.Errorf("%s: the gain of a fleet without messages is %v", r.Name, cut)
 		}
-		if let := r.Mean(Fleet, letIn); let > 0.12 {
-			t.Errorf("%s: %.3f further tries are let in for each first one", r.Name, let)
+		if admitted := r.Mean(Fleet, admittedRetriesPerRequest); admitted > 0.12 {
+			t.Errorf("%s: %.3f admitted retries per request", r.Name, admitted)
 		}
 	}
 	var out bytes.Buffer
 	Table(&out, rows)
 	if n := strings.Count(out.String(), "\n"); n != 1+len(rows) {
-		t.Errorf("%d lines:\n%s", n, out.String())
+		t.Errorf("the table has %d lines, want %d:\n%s", n, 1+len(rows), out.String())
 	}
 }
 
-// TestABoundThatIsMissedIsSaid: the figures are of use only if they can be bad.
-func TestABoundThatIsMissedIsSaid(t *testing.T) {
+// TestMissedListsEachBound checks that good figures miss no bound and that each bad one is listed.
+func TestMissedListsEachBound(t *testing.T) {
 	good := func() Figures {
 		return Figures{Least: map[string]float64{"110%": 0.04, "150%": 0.1}, Worth: map[string][3]float64{}}
 	}
@@ -233,10 +237,10 @@
 		"cut": func(f *Figures) { f.CutLeast = -0.02 }, "hard": func(f *Figures) { f.HardLeast = -0.1 }, "110": func(f *Figures) { f.Least["110%"] = 0.02 }, "150": func(f *Figures) { f.Least["150%"] = 0 }} {
 		f := good()
 		if change(&f); !strings.Contains(strings.Join(f.Missed(), " "), name) {
-			t.Errorf("%s: missed %v", name, f.Missed())
+			t.Errorf("%s is not listed among the missed bounds %v", name, f.Missed())
 		}
 	}
 	if mean, half := Interval([]float64{1, 2, 3}); mean != 2 || math.Abs(half-2.48) > 0.01 {
-		t.Errorf("interval %v ± %v", mean, half)
+		t.Errorf("interval %v ± %v, want 2 ± 2.48", mean, half)
 	}
 }
--- a/internal/lab/model/play.go
+++ b/internal/lab/model/play.go
@@ -17,33 +17,33 @@
 	"cairnlane/policy"
 )
 
-// Mode is how the boxes of a day go by their fleet.
+// Mode says whether the boxes shed load as a fleet or on their own.
 type Mode string
 
 // The modes.
 const (
-	Alone Mode = "alone" // each sheds by itself
-	Fleet Mode = "fleet" // they shed as one
-	Cut   Mode = "cut"   // they would, and none hears another
+	Alone Mode = "alone" // each box decides by itself
+	Fleet Mode = "fleet" // boxes exchange load summaries and follow the fleet advice
+	Cut   Mode = "cut"   // as Fleet, but every message between boxes is lost
 )
 
-// Kind is a kind of trouble.
+// Kind is the kind of a fault.
 type Kind string
 
-// The kinds.
+// The kinds of faults.
 const (
-	Kill      Kind = "kill"      // boxes die and come back cold
-	Slow      Kind = "slow"      // boxes are so many times slower
-	Partition Kind = "partition" // boxes and the others hear nothing of each other; routers reach all
-	Late      Kind = "late"      // what boxes say comes 2 s late
-	Lose      Kind = "lose"      // half of what boxes say is lost
-	Reorder   Kind = "reorder"   // what boxes say overtakes each other, and comes twice
-	Lie       Kind = "lie"       // boxes say a hundred times their capacity, and that they are offered nothing
-	Nothing   Kind = "nothing"   // boxes say that they can do nothing
-	Catalog   Kind = "catalog"   // it is down
+	Kill      Kind = "kill"      // boxes are killed and restart cold
+	Slow      Kind = "slow"      // the cores of boxes are slower by the factor Times
+	Partition Kind = "partition" // boxes and the rest of the fleet cannot exchange messages; routers reach all boxes
+	Late      Kind = "late"      // messages from boxes are delayed by 2 s
+	Lose      Kind = "lose"      // half of the messages from boxes are lost
+	Reorder   Kind = "reorder"   // messages from boxes are reordered and duplicated
+	Lie       Kind = "lie"       // boxes report 100 times the requests they served and no offered load
+	Nothing   Kind = "nothing"   // boxes report that they serve nothing and reject all requests
+	Catalog   Kind = "catalog"   // the catalog is down
 )
 
-// Trouble is something that goes wrong for a time.
+// Trouble is a fault with its start, duration and, where the kind has them, the boxes it hits (nil for all) and the slowdown factor.
 type Trouble struct {
 	Kind  Kind
 	From  time.Duration
@@ -52,156 +52,159 @@
 	Times float64
 }
 
-func (t Trouble) on(now time.Duration, kind Kind, box int) bool {
+// activeAt reports whether t is a fault of the given kind that hits box at now, counted from the start of the day.
+func (t Trouble) activeAt(now time.Duration, kind Kind, box int) bool {
 	return t.Kind == kind && now >= t.From && now < t.From+t.For && (t.Boxes == nil || slices.Contains(t.Boxes, box))
 }
 
-// Day is what is played.
+// Day is a scenario to simulate: site, client load, mode and faults.
 type Day struct {
 	Site
 	Load
 	Mode     Mode
-	Tries    float64 // the budget; 0 for the usual one
+	Tries    float64 // retry budget in the fleet's rules; 0 for the default
 	Troubles []Trouble
-	Relays   int // 3 if not given
+	Relays   int // number of relays; 0 means 3
 }
 
-// Result is what came of a day.
+// Result holds what a simulated day yielded.
 type Result struct {
 	Worth
 	Lost, Twice, DoubleRuns int
-	Levels                  []time.Duration // changes of the first box's level
-	LevelChanges            int             // at most, of one box in 10 s
-	Probes                  float64         // questions to the catalog a second while it was down
-	Reports                 float64         // and while it was up
-	Blind                   time.Duration   // the longest that a box took to report after the catalog was back
-	Messages, Bytes         float64         // of the fleet's talk, a second and box
-	GaveUp                  int             // refusals that asked to try nowhere else
-	Wrongly                 int             // of them, while another box was idle
-	Calls, Skipped          int             // to the index: those that it served, and those that runs went on without
+	Levels                  []time.Duration // times at which the first box's shedding level changed
+	LevelChanges            int             // maximum number of level changes of one box within 10 s
+	Probes                  float64         // reports to the catalog per second while it was down
+	Reports                 float64         // the same while it was up
+	Blind                   time.Duration   // longest time from the catalog's return to a box's next report
+	Messages, Bytes         float64         // messages between boxes, per second and box
+	GaveUp                  int             // rejections that asked the router not to retry
+	Wrongly                 int             // those sent while another box was mostly idle
+	Calls, Skipped          int             // index calls: served by the index; skipped by the replica, so that the run continued without a reply
 	Events                  uint64
 	Broken                  []string
 }
 
-// start is when a day begins, by the clock of the world: nothing stands at 0.
-const start = 1000 * time.Second
+// startTime is the virtual time at which a day begins. It is not 0, so that a zero time stands for "never".
+const startTime = 1000 * time.Second
 
 const (
-	hop        = 500 * time.Microsecond // between a router and a box, and between two boxes
-	ledgerLag  = 5 * time.Second        // until the fleet knows of a box that has died
-	reportEach = 700 * time.Millisecond // as a lone box reports to the catalog
-	reportMost = 1300 * time.Millisecond
-	returnEach = 5 * time.Millisecond // what the catalog needs for one box
+	networkDelay      = 500 * time.Microsecond // one way, between a router and a box and between two boxes
+	ledgerDelay       = 5 * time.Second        // from a box's death until the fleet knows of it
+	reportInterval    = 700 * time.Millisecond // a box's reports to the catalog when it is alone
+	maxReportInterval = 1300 * time.Millisecond
+	reportCostPerBox  = 5 * time.Millisecond // catalog's processing time for one box's report
 )
 
-type play struct {
+// simulation is the state of one simulated day.
+type simulation struct {
 	World
-	day     Day
-	boxes   []*box
-	names   []string
-	relays  []string
-	routers []*Router
-	rules   *shed.Rules
-	talk    *rand.Rand
-	res     Result
-	fates   []Fate
-	runs    map[string]int // of keyed requests on one box
-	said    int
-	bytes   int
-	down    int // questions while the catalog was down
-	up      int
-	gone    []bool // as the ledger has it
-	index   *index
-}
-
+	day              Day
+	boxes            []*box
+	names            []string
+	relays           []string
+	routers          []*Router
+	rules            *shed.Rules
+	messageRand      *rand.Rand
+	result           Result
+	outcomes         []Fate
+	keyedRuns        map[string]int // runs by box, incarnation and keyed request
+	messagesSent     int
+	bytesSent        int
+	reportsWhileDown int
+	reportsWhileUp   int
+	knownDead        []bool // by box: dead according to the ledger
+	index            *index
+}
+
+// box is one simulated box: its process, its cores and what it has in flight.
 type box struct {
-	p      *play
-	i      int
-	rep    *replica.Replica
-	cores  *Cores
-	pumped int
-	dead   bool
-	flows  map[string]*flow
-	load   view.Load
-	life   uint64 // incarnation
-	pace   probes.Schedule
-	level  int
-	turns  []time.Duration       // of its level
-	since  time.Duration         // the catalog is back, and it has not reported; 0: it has
-	calls  map[string]*indexCall // out, by request; nil at sites without calls
-	waits  map[string]*engineRun // runs that have calls to make
-	notice int64                 // of the engine, the last that asked for a call
-}
-
-// flow is a request on its way.
-type flow struct {
-	q      Request
-	tried  []int
-	tries  int
-	let    int
-	at     *box
-	inside bool // its box's Arrive is on the stack
-	over   bool
-	txn    string
-}
-
-// Play plays a day.
-func Play(d Day) Result {
-	p := &play{day: d, talk: stream(d.Seed, streamTalk), runs: map[string]int{}, gone: make([]bool, d.Boxes)}
-	p.now, p.index = start, &index{p: p}
-	if d.Relays == 0 {
-		p.day.Relays = 3
-	}
-	if d.Mode != Alone {
-		p.rules = &shed.Rules{Version: 1, Tries: d.Tries, Shares: d.Shares(d.Quota), Order: d.Order()}
-	}
-	for i := range d.Boxes {
-		p.names = append(p.names, fmt.Sprintf("n%04d", i))
-		p.boxes = append(p.boxes, &box{p: p, i: i, flows: map[string]*flow{}})
-		p.boxes[i].start(false)
-	}
-	p.relays = p.names[:min(p.day.Relays, d.Boxes)]
-	src := stream(d.Seed, streamRouters)
-	for _, h := range Habits(d.Seed, d.Routers) {
-		r := NewRouter(h, d.Heeded, src)
-		p.routers = append(p.routers, r)
-	}
-	p.list()
-	for _, q := range d.Draw(d.Load) {
-		p.At(start+q.At, func() { p.try(&flow{q: q}) })
-	}
-	for _, t := range d.Troubles {
-		p.trouble(t)
-	}
-	p.Run(start + d.Span)
-	p.Run(start + d.Span + 12*time.Second) // what is open ends
-	for _, b := range p.boxes {
-		p.res.LevelChanges = max(p.res.LevelChanges, Most(b.turns, 10*time.Second))
-		for _, f := range b.flows {
-			if !f.over {
-				p.res.Lost++
+	sim            *simulation
+	number         int
+	rep            *replica.Replica
+	cores          *Cores
+	timerSeq       int
+	dead           bool
+	attempts       map[string]*requestState // unanswered, by transaction
+	load           view.Load
+	incarnation    uint64 // number of this box's process, from 1
+	reportSchedule probes.Schedule
+	level          int
+	levelChanges   []time.Duration       // times of its level changes
+	catalogBackAt  time.Duration         // when the catalog came back; 0 once the box has reported since
+	openCalls      map[string]*indexCall // by transaction; nil at sites without index calls
+	waitingRuns    map[string]*engineRun // runs that still have index calls to make, by transaction
+	lastNotice     int64                 // number of the last notice that requested an index call
+}
+
+// requestState is a client's request with its attempts.
+type requestState struct {
+	request         Request
+	triedBoxes      []int
+	attempts        int
+	admittedRetries int
+	box             *box   // of the current attempt
+	arriving        bool   // the replica's Arrive is running for the current attempt
+	finished        bool   // the current attempt, or the whole request
+	txn             string // of the current attempt
+}
+
+// Play simulates a day.
+func Play(day Day) Result {
+	sim := &simulation{day: day, messageRand: stream(day.Seed, streamMessages), keyedRuns: map[string]int{}, knownDead: make([]bool, day.Boxes)}
+	sim.now, sim.index = startTime, &index{sim: sim}
+	if day.Relays == 0 {
+		sim.day.Relays = 3
+	}
+	if day.Mode != Alone {
+		sim.rules = &shed.Rules{Version: 1, Tries: day.Tries, Shares: day.Shares(day.Quota), Order: day.Order()}
+	}
+	for i := range day.Boxes {
+		sim.names = append(sim.names, fmt.Sprintf("n%04d", i))
+		sim.boxes = append(sim.boxes, &box{sim: sim, number: i, attempts: map[string]*requestState{}})
+		sim.boxes[i].start(false)
+	}
+	sim.relays = sim.names[:min(sim.day.Relays, day.Boxes)]
+	src := stream(day.Seed, streamRouters)
+	for _, h := range Habits(day.Seed, day.Routers) {
+		r := NewRouter(h, day.Heeded, src)
+		sim.routers = append(sim.routers, r)
+	}
+	sim.updateRouterLists()
+	for _, q := range day.Draw(day.Load) {
+		sim.At(startTime+q.At, func() { sim.sendAttempt(&requestState{request: q}) })
+	}
+	for _, t := range day.Troubles {
+		sim.scheduleFault(t)
+	}
+	sim.Run(startTime + day.Span)
+	sim.Run(startTime + day.Span + 12*time.Second) // lets open requests finish
+	for _, b := range sim.boxes {
+		sim.result.LevelChanges = max(sim.result.LevelChanges, Most(b.levelChanges, 10*time.Second))
+		for _, state := range b.attempts {
+			if !state.finished {
+				sim.result.Lost++
 			}
 		}
 	}
-	p.res.Levels = p.boxes[0].turns
-	p.res.Worth = d.Judge(d.Load, p.fates)
-	seconds := d.Span.Seconds() * float64(d.Boxes)
-	p.res.Messages, p.res.Bytes = float64(p.said)/seconds, float64(p.bytes)/seconds
-	out := 0.0
-	for _, t := range d.Troubles {
+	sim.result.Levels = sim.boxes[0].levelChanges
+	sim.result.Worth = day.Judge(day.Load, sim.outcomes)
+	seconds := day.Span.Seconds() * float64(day.Boxes)
+	sim.result.Messages, sim.result.Bytes = float64(sim.messagesSent)/seconds, float64(sim.bytesSent)/seconds
+	outage := 0.0
+	for _, t := range day.Troubles {
 		if t.Kind == Catalog {
-			out += t.For.Seconds()
+			outage += t.For.Seconds()
 		}
 	}
-	if out > 0 {
-		p.res.Probes = float64(p.down) / out
+	if outage > 0 {
+		sim.result.Probes = float64(sim.reportsWhileDown) / outage
 	}
-	p.res.Reports = float64(p.up) / (d.Span.Seconds() + 12 - out)
-	p.res.Events, p.res.Calls = p.n, p.index.served
-	return p.res
+	sim.result.Reports = float64(sim.reportsWhileUp) / (day.Span.Seconds() + 12 - outage)
+	sim.result.Events, sim.result.Calls = sim.lastSeq, sim.index.served
+	return sim.result
 }
 
-// Most is how many of some times lie within a span of each other, at the most.
+// Most returns the largest number of times that lie within one span. The times are ascending.
 func Most(times []time.Duration, span time.Duration) (n int) {
 	for i := range times {
 		k := 0
@@ -215,63 +218,64 @@
 	return n
 }
 
-// list tells all routers which boxes there are.
-func (p *play) list() {
-	var up []int
-	for _, b := range p.boxes {
+// updateRouterLists gives every router the list of boxes that are alive.
+func (sim *simulation) updateRouterLists() {
+	var alive []int
+	for _, b := range sim.boxes {
 		if !b.dead {
-			up = append(up, b.i)
+			alive = append(alive, b.number)
 		}
 	}
-	for _, r := range p.routers {
-		r.List(up)
+	for _, r := range sim.routers {
+		r.List(alive)
 	}
 }
 
-func (p *play) trouble(t Trouble) {
+// scheduleFault queues the begin and end of a fault that changes a box or the catalog; the others are looked up when a message is sent.
+func (sim *simulation) scheduleFault(t Trouble) {
 	switch t.Kind {
 	case Kill:
 		for _, i := range t.Boxes {
-			p.At(start+t.From, func() { p.boxes[i].kill() })
-			p.At(start+t.From+t.For, func() { p.boxes[i].start(true) })
+			sim.At(startTime+t.From, func() { sim.boxes[i].kill() })
+			sim.At(startTime+t.From+t.For, func() { sim.boxes[i].start(true) })
 		}
 	case Slow:
 		for _, i := range t.Boxes {
-			p.At(start+t.From, func() { p.boxes[i].slow(1 / t.Times) })
-			p.At(start+t.From+t.For, func() { p.boxes[i].slow(1) })
+			sim.At(startTime+t.From, func() { sim.boxes[i].setSpeed(1 / t.Times) })
+			sim.At(startTime+t.From+t.For, func() { sim.boxes[i].setSpeed(1) })
 		}
 	case Catalog:
-		p.At(start+t.From+t.For, func() {
-			for _, b := range p.boxes {
-				b.since = p.now
+		sim.At(startTime+t.From+t.For, func() {
+			for _, b := range sim.boxes {
+				b.catalogBackAt = sim.now
 			}
 		})
 	}
 }
 
-// is tells whether a trouble is on at a box.
-func (p *play) is(kind Kind, box int) bool {
-	for _, t := range p.day.Troubles {
-		if t.on(p.now-start, kind, box) {
+// faultActive reports whether a fault of the given kind hits box now.
+func (sim *simulation) faultActive(kind Kind, box int) bool {
+	for _, t := range sim.day.Troubles {
+		if t.activeAt(sim.now-startTime, kind, box) {
 			return true
 		}
 	}
 	return false
 }
 
-// start is the begin of a box's process.
+// start starts a new process of the box.
 func (b *box) start(cold bool) {
-	p := b.p
-	b.life++
-	b.dead, b.cores = false, NewCores(p.now, p.day.Machine, cold)
-	cfg := p.day.Policy(int64(p.day.Seed)*1000+int64(b.i), p.day.Routers)
+	sim := b.sim
+	b.incarnation++
+	b.dead, b.cores = false, NewCores(sim.now, sim.day.Machine, cold)
+	cfg := sim.day.Policy(int64(sim.day.Seed)*1000+int64(b.number), sim.day.Routers)
 	cfg.Cold = cold
-	b.waits = map[string]*engineRun{}
+	b.waitingRuns = map[string]*engineRun{}
 	var tenants []string
-	for _, t := range p.day.Tenants {
+	for _, t := range sim.day.Tenants {
 		tenants = append(tenants, t.Name)
 	}
-	rep, err := replica.New(replica.Config{Policy: cfg, Tenants: tenants, MaxResultBytes: 1 << 20, Index: b.indexFor()}, life{p, b, b.life}, engineOf{b, b.life}, new(counters.Set))
+	rep, err := replica.New(replica.Config{Policy: cfg, Tenants: tenants, MaxResultBytes: 1 << 20, Index: b.newIndex()}, processClock{sim, b, b.incarnation}, boxEngine{b, b.incarnation}, new(counters.Set))
 	if err != nil {
 		panic("model: the site's figures are no settings: " + err.Error())
 	}
@@ -279,389 +283,401 @@
 	rep.Attached(0, func() {})
 	rep.Started(0)
 	b.load = view.Load{}
-	p.res.LevelChanges = max(p.res.LevelChanges, Most(b.turns, 10*time.Second)) // of the process before
-	b.turns, b.level = nil, 0
-	b.pace = probes.Schedule{Self: p.names[b.i], BaseInterval: reportEach, MaxInterval: reportMost, CostPerBox: returnEach, Place: place(b.i)}
-	mine := b.life
-	p.each(view.ExchangeInterval, place(b.i), func() bool { return b.life == mine && !b.dead }, b.turn)
-	p.each(reportEach/8, place(b.i), func() bool { return b.life == mine && !b.dead }, b.report)
-	if b.life > 1 {
-		p.At(p.now+p.day.ListLag, p.list)
-		p.At(p.now+ledgerLag/5, func() { p.gone[b.i] = false })
+	sim.result.LevelChanges = max(sim.result.LevelChanges, Most(b.levelChanges, 10*time.Second)) // of the previous process
+	b.levelChanges, b.level = nil, 0
+	b.reportSchedule = probes.Schedule{Self: sim.names[b.number], BaseInterval: reportInterval, MaxInterval: maxReportInterval, CostPerBox: reportCostPerBox, Place: phaseOf(b.number)}
+	incarnation := b.incarnation
+	sim.repeat(view.ExchangeInterval, phaseOf(b.number), func() bool { return b.incarnation == incarnation && !b.dead }, b.exchangeLoad)
+	sim.repeat(reportInterval/8, phaseOf(b.number), func() bool { return b.incarnation == incarnation && !b.dead }, b.reportIfDue)
+	if b.incarnation > 1 {
+		sim.At(sim.now+sim.day.ListLag, sim.updateRouterLists)
+		sim.At(sim.now+ledgerDelay/5, func() { sim.knownDead[b.number] = false })
 	}
 }
 
-// place is a box's own, evenly over 0 to 1.
-func place(i int) float64 { return float64(mix(77, i)>>11) / (1 << 53) }
+// phaseOf returns a fixed number in [0, 1) for i; the numbers of different i are spread evenly.
+func phaseOf(i int) float64 { return float64(hashKey(77, i)>>11) / (1 << 53) }
 
-// each does something again and again while a box lives.
-func (p *play) each(every time.Duration, at float64, while func() bool, do func()) {
+// repeat calls do every interval for as long as while reports true. The first call comes after phase times the interval.
+func (sim *simulation) repeat(interval time.Duration, phase float64, while func() bool, do func()) {
 	var next func()
 	next = func() {
 		if while() {
 			do()
-			p.At(p.now+every, next)
+			sim.At(sim.now+interval, next)
 		}
 	}
-	p.At(p.now+time.Duration(at*float64(every)), next)
+	sim.At(sim.now+time.Duration(phase*float64(interval)), next)
 }
 
-// life is the clock of one process: what it asked for does not happen once it is dead.
-type life struct {
-	p *play
-	b *box
-	n uint64
+// processClock is the clock of one process. Its timers do not fire once the process is dead.
+type processClock struct {
+	sim         *simulation
+	box         *box
+	incarnation uint64
 }
 
-func (l life) Now() time.Duration { return l.p.now }
-func (l life) AfterFunc(d time.Duration, f func()) {
-	l.p.AfterFunc(d, func() {
-		if !l.b.dead && l.b.life == l.n {
+// Now implements replica.Clock.
+func (l processClock) Now() time.Duration { return l.sim.now }
+
+// AfterFunc implements replica.Clock.
+func (l processClock) AfterFunc(d time.Duration, f func()) {
+	l.sim.AfterFunc(d, func() {
+		if !l.box.dead && l.box.incarnation == l.incarnation {
 			f()
 		}
 	})
 }
 
+// kill ends the box's process and its connections. Routers learn of it after the list delay, the fleet after ledgerDelay.
 func (b *box) kill() {
-	p := b.p
+	sim := b.sim
 	b.dead = true
-	for _, txn := range slices.Sorted(maps.Keys(b.flows)) { // their connections end
-		p.lost(b.flows[txn])
+	for _, txn := range slices.Sorted(maps.Keys(b.attempts)) { // in a fixed order, so that a seed repeats exactly
+		sim.loseConnection(b.attempts[txn])
 	}
-	b.flows = map[string]*flow{}
-	p.At(p.now+p.day.ListLag, p.list)
-	p.At(p.now+ledgerLag, func() { p.gone[b.i] = b.dead })
+	b.attempts = map[string]*requestState{}
+	sim.At(sim.now+sim.day.ListLag, sim.updateRouterLists)
+	sim.At(sim.now+ledgerDelay, func() { sim.knownDead[b.number] = b.dead })
 }
 
-func (b *box) slow(speed float64) {
-	b.cores.Slow(b.p.now, speed)
-	b.pump()
+func (b *box) setSpeed(speed float64) {
+	b.cores.Slow(b.sim.now, speed)
+	b.armTimer()
 }
 
-// add puts work on the cores; do happens apart from whatever is on the stack then.
-func (b *box) add(work time.Duration, do func()) {
-	mine := b.life
-	b.cores.Add(b.p.now, work, func() {
-		b.p.At(b.p.now, func() {
-			if !b.dead && b.life == mine {
+// addWork puts work on the cores. do runs when it is done, in an event of its own and not inside the call that completes the work.
+func (b *box) addWork(work time.Duration, do func()) {
+	incarnation := b.incarnation
+	b.cores.Add(b.sim.now, work, func() {
+		b.sim.At(b.sim.now, func() {
+			if !b.dead && b.incarnation == incarnation {
 				do()
 			}
 		})
 	})
-	b.pump()
+	b.armTimer()
 }
 
-func (b *box) pump() {
+// armTimer schedules the next advance of the cores and replaces the one scheduled before.
+func (b *box) armTimer() {
 	at, ok := b.cores.Next()
 	if !ok {
 		return
 	}
-	b.pumped++
-	n, mine := b.pumped, b.life
-	b.p.At(at, func() {
-		if n == b.pumped && mine == b.life && !b.dead {
-			b.cores.Advance(b.p.now)
-			b.pump()
+	b.timerSeq++
+	n, incarnation := b.timerSeq, b.incarnation
+	b.sim.At(at, func() {
+		if n == b.timerSeq && incarnation == b.incarnation && !b.dead {
+			b.cores.Advance(b.sim.now)
+			b.armTimer()
 		}
 	})
 }
 
-// engineOf is the engine of one process.
-type engineOf struct {
-	b    *box
-	life uint64
+// boxEngine implements replica.Engine for one process.
+type boxEngine struct {
+	box         *box
+	incarnation uint64
 }
 
 // Run implements replica.Engine.
-func (e engineOf) Run(txn, class string, body []byte) bool {
-	b := e.b
-	f := b.flows[txn]
-	if f == nil {
+func (e boxEngine) Run(txn, class string, body []byte) bool {
+	b := e.box
+	state := b.attempts[txn]
+	if state == nil {
 		return true
 	}
-	q := f.q
-	if b.p.day.Classes[q.Class].Semantics == policy.Keyed {
-		key := fmt.Sprint(b.i, "/", b.life, "/", q.N)
-		if b.p.runs[key]++; b.p.runs[key] > 1 {
-			b.p.res.DoubleRuns++
+	q := state.request
+	if b.sim.day.Classes[q.Class].Semantics == policy.Keyed {
+		key := fmt.Sprint(b.number, "/", b.incarnation, "/", q.N)
+		if b.sim.keyedRuns[key]++; b.sim.keyedRuns[key] > 1 {
+			b.sim.result.DoubleRuns++
 		}
 	}
-	began := b.p.now
-	work := func() { b.add(q.Work, func() { b.rep.Done(txn, policy.Succeeded, b.p.now-began, nil) }) }
-	if b.calls == nil || b.p.day.callsOf(q) == 0 {
+	startedAt := b.sim.now
+	work := func() { b.addWork(q.Work, func() { b.rep.Done(txn, policy.Succeeded, b.sim.now-startedAt, nil) }) }
+	if b.openCalls == nil || b.sim.day.callCount(q) == 0 {
 		work()
 		return true
 	}
-	run := &engineRun{left: b.p.day.callsOf(q), begin: work}
-	b.waits[txn] = run
-	b.p.At(start+b.p.day.Due(q), func() { // it ends at its call once its request is over
-		if b.waits[txn] == run && !b.dead && b.life == e.life {
-			delete(b.waits, txn)
-			b.rep.Done(txn, policy.Cancelled, b.p.now-began, nil)
+	run := &engineRun{callsLeft: b.sim.day.callCount(q), startWork: work}
+	b.waitingRuns[txn] = run
+	b.sim.At(startTime+b.sim.day.Due(q), func() { // a run that still waits for a call is cancelled at its request's deadline
+		if b.waitingRuns[txn] == run && !b.dead && b.incarnation == e.incarnation {
+			delete(b.waitingRuns, txn)
+			b.rep.Done(txn, policy.Cancelled, b.sim.now-startedAt, nil)
 		}
 	})
-	e.need(txn, run)
+	e.advance(txn, run)
 	return true
 }
 
 // RequestGauges implements replica.Engine.
-func (e engineOf) RequestGauges() bool {
-	b := e.b
-	b.p.At(b.p.now, func() {
-		if !b.dead && b.life == e.life {
+func (e boxEngine) RequestGauges() bool {
+	b := e.box
+	b.sim.At(b.sim.now, func() {
+		if !b.dead && b.incarnation == e.incarnation {
 			b.rep.Gauges([]float64{float64(b.cores.Demand())})
 		}
 	})
 	return true
 }
 
-// try sends a request to a box, if there is one to send it to.
-func (p *play) try(f *flow) {
-	r := p.routers[f.q.Router]
-	now := p.now - start
-	if now >= p.day.Due(f.q) {
-		p.end(f, false)
+// sendAttempt sends a request to the box that its router picks, or finishes it as not served if the deadline has passed or no box may be sent to.
+func (sim *simulation) sendAttempt(state *requestState) {
+	r := sim.routers[state.request.Router]
+	now := sim.now - startTime
+	if now >= sim.day.Due(state.request) {
+		sim.finish(state, false)
 		return
 	}
-	i, ok := r.Pick(p.now, f.q, f.tried)
+	target, ok := r.Pick(sim.now, state.request, state.triedBoxes)
 	if !ok {
-		p.end(f, false)
+		sim.finish(state, false)
 		return
 	}
-	f.tried = append(f.tried, i)
-	b := p.boxes[i]
+	state.triedBoxes = append(state.triedBoxes, target)
+	b := sim.boxes[target]
 	if b.dead {
-		p.At(p.now+2*hop, func() { p.try(f) }) // refused connections are not tries: nobody reads them
+		sim.At(sim.now+2*networkDelay, func() { sim.sendAttempt(state) }) // a refused connection is not an attempt: no box reads the request
 		return
 	}
-	r.Sent(i)
-	f.tries++
-	f.at = b
-	f.txn = fmt.Sprintf("%08x%08x", f.q.N, f.tries)
-	f.over = false
-	b.flows[f.txn] = f
-	door := p.now
-	b.add(p.day.Read, func() { b.read(f, door) })
-	txn := f.txn
-	p.At(start+p.day.Due(f.q), func() { // its client leaves
-		if f.txn == txn && !f.over {
-			f.over = true
-			r.Heard(p.now, i, Told{})
-			p.end(f, false)
+	r.Sent(target)
+	state.attempts++
+	state.box = b
+	state.txn = fmt.Sprintf("%08x%08x", state.request.N, state.attempts)
+	state.finished = false
+	b.attempts[state.txn] = state
+	arrivedAt := sim.now
+	b.addWork(sim.day.Read, func() { b.handOver(state, arrivedAt) })
+	txn := state.txn
+	sim.At(startTime+sim.day.Due(state.request), func() { // the client gives up at its deadline
+		if state.txn == txn && !state.finished {
+			state.finished = true
+			r.Heard(sim.now, target, Told{})
+			sim.finish(state, false)
 		}
 	})
 }
 
-func (b *box) read(f *flow, door time.Duration) {
-	p, q := b.p, f.q
-	k := p.day.Classes[q.Class]
-	in := replica.Request{Txn: f.txn, Class: k.Name, Tenant: p.day.Tenants[q.Tenant].Name, Body: []byte(fmt.Sprint(q.N)), Caller: q.Router, Retry: f.tries > 1,
-		KB: 16, Rank: q.Rank, ArrivedAt: time.Unix(0, int64(door)), WaitLimit: start + p.day.Due(q) - door, Reply: &reply{b, f, f.txn}}
-	if k.Semantics == policy.Keyed {
+// handOver passes an attempt that the box has read to the replica.
+func (b *box) handOver(state *requestState, arrivedAt time.Duration) {
+	sim, q := b.sim, state.request
+	class := sim.day.Classes[q.Class]
+	in := replica.Request{Txn: state.txn, Class: class.Name, Tenant: sim.day.Tenants[q.Tenant].Name, Body: []byte(fmt.Sprint(q.N)), Caller: q.Router, Retry: state.attempts > 1,
+		KB: 16, Rank: q.Rank, ArrivedAt: time.Unix(0, int64(arrivedAt)), WaitLimit: startTime + sim.day.Due(q) - arrivedAt, Reply: &reply{b, state, state.txn}}
+	if class.Semantics == policy.Keyed {
 		in.IdempotencyKey = fmt.Sprintf("%032x", q.N)
 	}
 	if in.WaitLimit <= 0 {
-		delete(b.flows, f.txn)
+		delete(b.attempts, state.txn)
 		return
 	}
-	f.inside = true
-	if err := b.rep.Arrive(in); err != nil && !f.over { // one that waited to be read until long after its client had left is none
-		p.broke("a request is not taken: %v", err)
+	state.arriving = true
+	if err := b.rep.Arrive(in); err != nil && !state.finished { // an error is allowed for an attempt that was read long after its client's deadline
+		sim.recordViolation("request not accepted: %v", err)
 	}
-	if f.inside && f.tries > 1 && !f.over {
-		f.let++
+	if state.arriving && state.attempts > 1 && !state.finished {
+		state.admittedRetries++
 	}
-	f.inside = false
+	state.arriving = false
 }
 
-func (p *play) broke(format string, a ...any) {
-	if len(p.res.Broken) < 20 {
-		p.res.Broken = append(p.res.Broken, fmt.Sprintf("%v: ", p.now-start)+fmt.Sprintf(format, a...))
+// recordViolation notes a broken invariant; the first 20 are kept.
+func (sim *simulation) recordViolation(format string, a ...any) {
+	if len(sim.result.Broken) < 20 {
+		sim.result.Broken = append(sim.result.Broken, fmt.Sprintf("%v: ", sim.now-startTime)+fmt.Sprintf(format, a...))
 	}
 }
 
-// reply takes the one answer of a try.
+// reply implements replica.Reply for one attempt.
 type reply struct {
-	b   *box
-	f   *flow
-	txn string
+	box   *box
+	state *requestState
+	txn   string
 }
 
 // Answer implements replica.Reply.
 func (r *reply) Answer(a replica.Answer) {
-	b, f := r.b, r.f
-	p := b.p
-	if b.flows[r.txn] == nil {
-		p.res.Twice++
+	b, state := r.box, r.state
+	sim := b.sim
+	if b.attempts[r.txn] == nil {
+		sim.result.Twice++
 		return
 	}
-	delete(b.flows, r.txn)
-	if f.txn == r.txn && f.inside && a.Kind == replica.Rejected {
-		f.inside = false // refused at read
+	delete(b.attempts, r.txn)
+	if state.txn == r.txn && state.arriving && a.Kind == replica.Rejected {
+		state.arriving = false // rejected as soon as it was read
 	}
 	if a.GiveUp {
-		p.res.GaveUp++
-		if p.day.Mode == Fleet && p.idle(b) {
-			p.res.Wrongly++
+		sim.result.GaveUp++
+		if sim.day.Mode == Fleet && sim.otherBoxIdle(b) {
+			sim.result.Wrongly++
 		}
 	}
-	told := Told{Later: a.RetryAfter, GiveUp: a.GiveUp, Signal: a.Signal.Value, Set: a.Signal.Set}
-	p.At(p.now+hop, func() { p.heard(f, r.txn, b.i, a.Kind, told) })
+	hints := Told{Later: a.RetryAfter, GiveUp: a.GiveUp, Signal: a.Signal.Value, Set: a.Signal.Set}
+	sim.At(sim.now+networkDelay, func() { sim.handleAnswer(state, r.txn, b.number, a.Kind, hints) })
 }
 
-// idle tells whether another box has most of its cores free.
-func (p *play) idle(but *box) bool {
-	for _, b := range p.boxes {
-		if b != but && !b.dead && b.cores.speed == 1 && b.cores.Demand() < p.day.Cores/4 {
+// otherBoxIdle reports whether some live box other than except runs at full speed with over three quarters of its cores free.
+func (sim *simulation) otherBoxIdle(except *box) bool {
+	for _, b := range sim.boxes {
+		if b != except && !b.dead && b.cores.speed == 1 && b.cores.Demand() < sim.day.Cores/4 {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *play) heard(f *flow, txn string, box int, kind replica.Kind, told Told) {
-	if f.txn != txn || f.over {
-		return // its client has left
+// handleAnswer processes the answer of an attempt at its router, which may retry.
+func (sim *simulation) handleAnswer(state *requestState, txn string, box int, kind replica.Kind, hints Told) {
+	if state.txn != txn || state.finished {
+		return // the client has given up
 	}
-	f.over = true
-	r := p.routers[f.q.Router]
-	r.Heard(p.now, box, told)
+	state.finished = true
+	r := sim.routers[state.request.Router]
+	r.Heard(sim.now, box, hints)
 	switch {
 	case kind == replica.Served:
-		p.end(f, true)
-	case kind == replica.Rejected && r.Again(f.tries, told):
-		p.try(f)
+		sim.finish(state, true)
+	case kind == replica.Rejected && r.Again(state.attempts, hints):
+		sim.sendAttempt(state)
 	default:
-		p.end(f, false)
+		sim.finish(state, false)
 	}
 }
 
-// lost is the end of a try whose connection has ended.
-func (p *play) lost(f *flow) {
-	if f.over {
+// loseConnection ends an attempt whose connection was closed without an answer. Only safe requests are retried.
+func (sim *simulation) loseConnection(state *requestState) {
+	if state.finished {
 		return
 	}
-	f.over = true
-	p.routers[f.q.Router].Heard(p.now, f.at.i, Told{})
-	if p.day.Classes[f.q.Class].Semantics == policy.Safe && p.routers[f.q.Router].Again(f.tries, Told{}) {
-		p.At(p.now+hop, func() { p.try(f) })
+	state.finished = true
+	sim.routers[state.request.Router].Heard(sim.now, state.box.number, Told{})
+	if sim.day.Classes[state.request.Class].Semantics == policy.Safe && sim.routers[state.request.Router].Again(state.attempts, Told{}) {
+		sim.At(sim.now+networkDelay, func() { sim.sendAttempt(state) })
 		return
 	}
-	p.end(f, false)
+	sim.finish(state, false)
 }
 
-func (p *play) end(f *flow, served bool) {
-	f.over = true
-	p.fates = append(p.fates, Fate{Request: f.q, Served: served, Took: p.now - start - f.q.At, Tries: f.tries, Let: f.let})
+// finish records the outcome of a request.
+func (sim *simulation) finish(state *requestState, served bool) {
+	state.finished = true
+	sim.outcomes = append(sim.outcomes, Fate{Request: state.request, Served: served, Took: sim.now - startTime - state.request.At, Tries: state.attempts, Let: state.admittedRetries})
 }
 
-// turn is what a box does for its fleet, a few times a second.
-func (b *box) turn() {
-	p := b.p
-	if p.day.Mode == Alone {
+// exchangeLoad runs one step of the fleet's load exchange: the box publishes its totals, applies the advice and sends what is due.
+func (b *box) exchangeLoad() {
+	sim := b.sim
+	if sim.day.Mode == Alone {
 		return
 	}
 	t := view.TotalsOf(b.rep.Figures(), b.rep.Level())
-	if p.is(Lie, b.i) {
+	if sim.faultActive(Lie, b.number) {
 		t.Served, t.First, t.Further = t.Served*100, 0, 0
 	}
-	if p.is(Nothing, b.i) {
+	if sim.faultActive(Nothing, b.number) {
 		t.Served, t.RejectedLocally, t.Busy = 0, t.First, 1
 	}
-	out := b.load.Tick(p.now, view.TickInputs{Membership: p.place(b), Totals: t, Rules: p.rules, MaxRetryDelay: p.day.MaxLater, Finding: b.said()})
+	out := b.load.Tick(sim.now, view.TickInputs{Membership: sim.membership(b), Totals: t, Rules: sim.rules, MaxRetryDelay: sim.day.MaxLater, Finding: b.findingReport()})
 	b.rep.Advise(b.load.Advice)
 	if l := b.load.Advice.Level; l != b.level {
 		b.level = l
-		b.turns = append(b.turns, p.now-start)
+		b.levelChanges = append(b.levelChanges, sim.now-startTime)
 	}
-	b.pace.SetFleet(len(p.names), b.i == p.prober())
+	b.reportSchedule.SetFleet(len(sim.names), b.number == sim.proberNumber())
 	for _, s := range b.load.Sums.Reports {
-		b.pace.RecordReport(p.now, s)
+		b.reportSchedule.RecordReport(sim.now, s)
 	}
 	for _, o := range out {
-		p.send(b, o)
+		sim.send(b, o)
 	}
 }
 
-func (b *box) said() *probes.FindingReport {
-	if s, ok := b.pace.Report(b.p.now); ok {
+// findingReport returns the box's report of the catalog's state, nil if it has none.
+func (b *box) findingReport() *probes.FindingReport {
+	if s, ok := b.reportSchedule.Report(b.sim.now); ok {
 		return &s
 	}
 	return nil
 }
 
-// prober is the box that has the lease, as the ledger gives it out.
-func (p *play) prober() int {
-	for i := range p.boxes {
-		if !p.gone[i] {
+// proberNumber returns the box that holds the prober's lease: the first one that the ledger takes for alive.
+func (sim *simulation) proberNumber() int {
+	for i := range sim.boxes {
+		if !sim.knownDead[i] {
 			return i
 		}
 	}
 	return 0
 }
 
-func (p *play) place(b *box) view.Membership {
+// membership returns the fleet's membership as box b knows it.
+func (sim *simulation) membership(b *box) view.Membership {
 	known := 0
-	for _, g := range p.gone {
+	for _, g := range sim.knownDead {
 		if !g {
 			known++
 		}
 	}
-	return view.Membership{Self: p.names[b.i], Session: b.life, Relays: p.relays, Known: known}
+	return view.Membership{Self: sim.names[b.number], Session: b.incarnation, Relays: sim.relays, Known: known}
 }
 
-func (p *play) send(from *box, o view.OutgoingMessage) {
-	p.said++
-	if p.said%16 == 1 {
+// send delivers a message between two boxes, subject to the faults that are active. The size of every 16th message stands for 16.
+func (sim *simulation) send(from *box, o view.OutgoingMessage) {
+	sim.messagesSent++
+	if sim.messagesSent%16 == 1 {
 		if raw, err := cbor.Marshal(o.Message); err == nil {
-			p.bytes += 16 * len(raw)
+			sim.bytesSent += 16 * len(raw)
 		}
 	}
 	var i int
 	fmt.Sscanf(o.To, "n%d", &i)
-	to := p.boxes[i]
-	delay, times := hop, 1
-	cut := p.day.Mode == Cut
-	for _, t := range p.day.Troubles {
+	to := sim.boxes[i]
+	delay, times := networkDelay, 1
+	cut := sim.day.Mode == Cut
+	for _, t := range sim.day.Troubles {
 		switch {
-		case t.Kind == Partition && p.now-start >= t.From && p.now-start < t.From+t.For:
-			cut = cut || slices.Contains(t.Boxes, from.i) != slices.Contains(t.Boxes, i)
-		case t.on(p.now-start, Late, from.i):
+		case t.Kind == Partition && sim.now-startTime >= t.From && sim.now-startTime < t.From+t.For:
+			cut = cut || slices.Contains(t.Boxes, from.number) != slices.Contains(t.Boxes, i)
+		case t.activeAt(sim.now-startTime, Late, from.number):
 			delay = 2 * time.Second
-		case t.on(p.now-start, Lose, from.i):
-			cut = cut || p.talk.IntN(2) == 0
-		case t.on(p.now-start, Reorder, from.i):
-			delay = time.Duration(p.talk.IntN(600)) * time.Millisecond
-			times = 1 + p.talk.IntN(2)
+		case t.activeAt(sim.now-startTime, Lose, from.number):
+			cut = cut || sim.messageRand.IntN(2) == 0
+		case t.activeAt(sim.now-startTime, Reorder, from.number):
+			delay = time.Duration(sim.messageRand.IntN(600)) * time.Millisecond
+			times = 1 + sim.messageRand.IntN(2)
 		}
 	}
 	if cut {
 		return
 	}
 	for range times {
-		p.At(p.now+delay, func() {
+		sim.At(sim.now+delay, func() {
 			if !to.dead {
-				to.load.Take(p.now, p.names[from.i], o.Message, p.place(to))
+				to.load.Take(sim.now, sim.names[from.number], o.Message, sim.membership(to))
 			}
 		})
 	}
 }
 
-// report is a box's look at whether it is to report to the catalog.
-func (b *box) report() {
-	p := b.p
-	if !b.pace.Due(p.now) {
+// reportIfDue reports to the catalog when the schedule says so.
+func (b *box) reportIfDue() {
+	sim := b.sim
+	if !b.reportSchedule.Due(sim.now) {
 		return
 	}
-	up := !p.is(Catalog, -1)
+	up := !sim.faultActive(Catalog, -1)
 	if up {
-		p.up++
-		if b.since > 0 {
-			p.res.Blind = max(p.res.Blind, p.now-b.since)
-			b.since = 0
+		sim.reportsWhileUp++
+		if b.catalogBackAt > 0 {
+			sim.result.Blind = max(sim.result.Blind, sim.now-b.catalogBackAt)
+			b.catalogBackAt = 0
 		}
 	} else {
-		p.down++
+		sim.reportsWhileDown++
 	}
-	b.pace.RecordResult(p.now, up)
+	b.reportSchedule.RecordResult(sim.now, up)
 }
--- a/internal/lab/model/router.go
+++ b/internal/lab/model/router.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// Habit is how a router chooses, and what it heeds.
+// Habit describes how a router picks boxes and which hints in answers it complies with.
 type Habit struct {
 	Choice  Choice
-	Tries   int  // at the most, 0 for as many as there are boxes in its list
-	Later   bool // it stays away when it is asked to
-	GiveUp  bool // it tries nowhere else when it is asked not to
-	Signal  bool // it sends nothing of lower rank than the free value
-	Patient bool // it waits for a box to be free again instead of refusing by itself
+	Tries   int  // maximum number of attempts; 0 means one per box of its list
+	Later   bool // complies with the retry-after delay
+	GiveUp  bool // does not retry when asked not to
+	Signal  bool // sends no request whose rank is below the published value
+	Patient bool // waits for a box to be free again instead of rejecting by itself
 }
 
-// Choice is how a router picks a box.
+// Choice is a router's way of picking a box.
 type Choice int
 
-// The choices.
+// The ways of picking a box.
 const (
-	Round Choice = iota
-	Least        // in flight, from this router
-	Two          // the better of two
-	ByKey        // the same box for the same subject, as long as it may
-	choices
+	Round Choice = iota // round robin
+	Least               // fewest requests in flight from this router
+	Two                 // of two random boxes, the one with fewer requests in flight from this router
+	ByKey               // by rendezvous hashing of the request's key
+	choiceCount
 )
 
-// Habits draws those of a day's routers: one in five ignores what it is told, as the brief has it.
+// Habits draws the habits of n routers. One router in five complies with none of the hints, as the
+// requirements of the platform assume.
 func Habits(seed uint64, n int) []Habit {
 	r := stream(seed, streamRouters)
 	list := make([]Habit, n)
-	rude := r.IntN(5)
+	nonCompliant := r.IntN(5)
 	for i := range list {
-		h := Habit{Choice: Choice(r.IntN(int(choices))), Tries: []int{3, 3, 0}[r.IntN(3)], Later: true, GiveUp: true, Signal: true}
-		if i%5 == rude {
+		h := Habit{Choice: Choice(r.IntN(int(choiceCount))), Tries: []int{3, 3, 0}[r.IntN(3)], Later: true, GiveUp: true, Signal: true}
+		if i%5 == nonCompliant {
 			h = Habit{Choice: h.Choice, Tries: 0}
 		}
 		list[i] = h
@@ -43,104 +44,105 @@
 	return list
 }
 
-// Told is what a router reads of an answer.
+// Told holds the hints that a router reads from an answer.
 type Told struct {
 	Later  time.Duration
 	GiveUp bool
 	Signal float64
-	Set    bool // Signal was told
+	Set    bool // Signal is valid
 }
 
-// Router is one router's state: it does no I/O and has no clock. Not safe for use by several goroutines.
+// Router is the state of one router. It does no I/O and has no clock. It is not safe for concurrent use.
 type Router struct {
 	Habit
-	heeded time.Duration
-	rand   *rand.Rand
-	list   []int // boxes that it knows of
-	next   int
-	state  map[int]*told
+	signalLifetime time.Duration
+	rand           *rand.Rand
+	boxes          []int // known boxes
+	roundRobin     int
+	state          map[int]*boxState
 }
 
-type told struct {
-	out   int           // requests that it waits for
-	away  time.Duration // until when it stays away
-	floor float64
-	at    time.Duration // when the floor was told
+// boxState is what a router knows of one box.
+type boxState struct {
+	inFlight   int           // requests without an answer yet
+	avoidUntil time.Duration // end of the retry-after delay
+	minRank    float64
+	minRankAt  time.Duration // when minRank was received
 }
 
-// NewRouter returns one that knows nothing yet.
+// NewRouter returns a router without boxes. It complies with a published value for the time signalLifetime.
 func NewRouter(h Habit, heeded time.Duration, r *rand.Rand) *Router {
-	return &Router{Habit: h, heeded: heeded, rand: r, state: map[int]*told{}, next: r.IntN(1 << 16)}
+	return &Router{Habit: h, signalLifetime: heeded, rand: r, state: map[int]*boxState{}, roundRobin: r.IntN(1 << 16)}
 }
 
-// List sets the boxes that it knows of.
-func (r *Router) List(boxes []int) { r.list = slices.Clone(boxes) }
+// List sets the boxes that the router knows of.
+func (r *Router) List(boxes []int) { r.boxes = slices.Clone(boxes) }
 
-func (r *Router) of(box int) *told {
+func (r *Router) stateOf(box int) *boxState {
 	t := r.state[box]
 	if t == nil {
-		t = new(told)
+		t = new(boxState)
 		r.state[box] = t
 	}
 	return t
 }
 
-// Pick chooses a box for a try; those that were tried already are left out. ok is false when none may be sent to.
+// Pick chooses a box for an attempt, other than those in tried. ok is false if there is no box to which the router may send.
 func (r *Router) Pick(now time.Duration, q Request, tried []int) (box int, ok bool) {
-	var may []int
-	for _, b := range r.list {
-		t := r.of(b)
-		if slices.Contains(tried, b) || r.Later && now < t.away || r.Signal && now-t.at < r.heeded && q.Rank < t.floor {
+	var candidates []int
+	for _, b := range r.boxes {
+		state := r.stateOf(b)
+		if slices.Contains(tried, b) || r.Later && now < state.avoidUntil || r.Signal && now-state.minRankAt < r.signalLifetime && q.Rank < state.minRank {
 			continue
 		}
-		may = append(may, b)
+		candidates = append(candidates, b)
 	}
-	if len(may) == 0 {
+	if len(candidates) == 0 {
 		return 0, false
 	}
 	switch r.Choice {
 	case Least:
-		return slices.MinFunc(may, func(a, b int) int { return r.of(a).out - r.of(b).out }), true
+		return slices.MinFunc(candidates, func(a, b int) int { return r.stateOf(a).inFlight - r.stateOf(b).inFlight }), true
 	case Two:
-		a, b := may[r.rand.IntN(len(may))], may[r.rand.IntN(len(may))]
-		if r.of(b).out < r.of(a).out {
+		a, b := candidates[r.rand.IntN(len(candidates))], candidates[r.rand.IntN(len(candidates))]
+		if r.stateOf(b).inFlight < r.stateOf(a).inFlight {
 			a = b
 		}
 		return a, true
-	case ByKey: // rendezvous
-		return slices.MaxFunc(may, func(a, b int) int {
-			if mix(q.Key, a) < mix(q.Key, b) {
+	case ByKey:
+		return slices.MaxFunc(candidates, func(a, b int) int {
+			if hashKey(q.Key, a) < hashKey(q.Key, b) {
 				return -1
 			}
 			return 1
 		}), true
 	}
-	r.next++
-	return may[r.next%len(may)], true
+	r.roundRobin++
+	return candidates[r.roundRobin%len(candidates)], true
 }
 
-func mix(key uint64, box int) uint64 {
+func hashKey(key uint64, box int) uint64 {
 	z := key*0x9e3779b97f4a7c15 + uint64(box+1)*0xbf58476d1ce4e5b9
 	z = (z ^ z>>30) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
 
-// Sent and Heard count what it waits for; Heard takes what an answer told as well.
-func (r *Router) Sent(box int) { r.of(box).out++ }
+// Sent counts an attempt that was sent to a box.
+func (r *Router) Sent(box int) { r.stateOf(box).inFlight++ }
 
-// Heard takes an answer, or the word that none will come.
+// Heard processes the hints of an answer, or, with empty hints, the end of an attempt that gets no answer.
 func (r *Router) Heard(now time.Duration, box int, t Told) {
-	s := r.of(box)
-	s.out--
+	state := r.stateOf(box)
+	state.inFlight--
 	if t.Later > 0 {
-		s.away = now + t.Later
+		state.avoidUntil = now + t.Later
 	}
 	if t.Set {
-		s.floor, s.at = t.Signal, now
+		state.minRank, state.minRankAt = t.Signal, now
 	}
 }
 
-// Again tells whether a refused request is tried elsewhere; tries are those that it had.
+// Again reports whether a rejected request is retried at another box. tries is the number of attempts that it had.
 func (r *Router) Again(tries int, t Told) bool {
-	return (!r.GiveUp || !t.GiveUp) && (r.Tries == 0 && tries < len(r.list) || tries < r.Tries)
+	return (!r.GiveUp || !t.GiveUp) && (r.Tries == 0 && tries < len(r.boxes) || tries < r.Tries)
 }
--- a/internal/lab/model/site.go
+++ b/internal/lab/model/site.go
@@ -13,53 +13,53 @@
 	"cairnlane/policy"
 )
 
-// Class is a class of requests, as clients ask for it.
+// Class is a class of requests with its part of the client load.
 type Class struct {
 	policy.Class
-	Share float64       // of the requests
-	Work  time.Duration // mean
-	CV    float64       // of the work
-	Calls float64       // to the index that the boxes share, mean of a request
+	Share float64       // of all requests
+	Work  time.Duration // mean processor time of a request
+	CV    float64       // coefficient of variation of the work
+	Calls float64       // mean number of calls to the shared index per request
 }
 
-// Tenant is one of those who share the fleet.
+// Tenant is one of the tenants that share the fleet.
 type Tenant struct {
 	Name  string
 	Share float64 // of the fleet's quota
 }
 
-// Site is what stays the same over days.
+// Site describes what all days of a site have in common.
 type Site struct {
 	Machine
 	Classes  []Class
 	Tenants  []Tenant
-	Hot      int           // the tenant that asks for more than its share on days that have one
-	Quota    float64       // share of the capacity that the tenants' shares are parts of
-	Over     float64       // what traffic beyond a share is worth
-	MaxLater time.Duration // the longest advice to stay away that is honoured
-	Heeded   time.Duration // how long a router goes by a free value
-	ListLag  time.Duration // until routers learn of a box that came or went
-	Index    Index         // of no use where the settings know no dependency
-
-	read float64 // reading cost of a request, as a part of the mean work
-	told settings.Settings
+	Hot      int           // index of the tenant whose load is above its share, on days that have one
+	Quota    float64       // part of the capacity that is divided into the tenants' shares
+	Over     float64       // factor on the worth of traffic over a tenant's share
+	MaxLater time.Duration // longest retry-after delay that routers comply with
+	Heeded   time.Duration // how long a router complies with a published value
+	ListLag  time.Duration // until routers learn of a box that started or died
+	Index    Index         // unused if the settings have no dependency
+
+	readShare float64 // cost of reading a request, as a fraction of the mean work
+	settings  settings.Settings
 }
 
-// Index is the dependency that all boxes call.
+// Index describes the dependency that all boxes call.
 type Index struct {
-	Slots int           // calls at a time; others wait
-	Takes time.Duration // a call
+	Slots int           // calls served at a time; further ones are queued
+	Takes time.Duration // duration of a call
 }
 
-// WorldFile is the name of a site's description, in the folder of the site's configuration.
+// WorldFile is the file name of a site's description, which stands in the folder of the site's configuration.
 const WorldFile = "world.json"
 
-// ErrWorld marks a description that does not fit its site's settings.
+// ErrWorld is returned for a description that does not match the site's settings.
 var ErrWorld = errors.New(WorldFile)
 
-// world is a site's description: what its settings do not say of clients, machines and dependency.
-type world struct {
-	// Settings are laid over those of the configuration, for what a lab's box is told otherwise.
+// description is the content of a WorldFile: the properties of clients, machines and dependency that the settings do not have.
+type description struct {
+	// Settings override those of the configuration for boxes in the lab.
 	Settings json.RawMessage `json:"settings"`
 	Classes  map[string]struct {
 		Share  float64 `json:"share"`
@@ -81,10 +81,10 @@
 	} `json:"index"`
 }
 
-// Open reads a site: the settings from a replica's configuration, and the description in the same folder. Classes and tenants of the
-// description are found by their names; one that is missing, or that the settings do not know, is an ErrWorld.
+// Open reads a site: the settings from a replica's configuration and the description from the same folder. Classes and tenants are
+// matched by name. It returns an ErrWorld if one is missing in the description or unknown to the settings.
 func Open(config string) (Site, error) {
-	told, err := settings.Read(config)
+	base, err := settings.Read(config)
 	if err != nil {
 		return Site{}, err
 	}
@@ -92,34 +92,35 @@
 	if err != nil {
 		return Site{}, err
 	}
-	var w world
+	var desc description
 	in := json.NewDecoder(bytes.NewReader(raw))
 	in.DisallowUnknownFields()
-	if err := in.Decode(&w); err != nil {
+	if err := in.Decode(&desc); err != nil {
 		return Site{}, fmt.Errorf("%w: %w", ErrWorld, err)
 	}
-	if len(w.Settings) > 0 {
-		if err := json.Unmarshal(w.Settings, told); err != nil {
+	if len(desc.Settings) > 0 {
+		if err := json.Unmarshal(desc.Settings, base); err != nil {
 			return Site{}, fmt.Errorf("%w: settings: %w", ErrWorld, err)
 		}
 	}
-	return w.site(told)
+	return desc.build(base)
 }
 
-// millis is a span of a description.
+// millis converts milliseconds into a duration.
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func (w world) site(told *settings.Settings) (Site, error) {
-	c := told.Policy(0)
-	s := Site{Quota: w.Quota, Over: w.Over, MaxLater: c.MaxHoldOff, Heeded: c.SignalLifetime, ListLag: millis(w.ListLagMS), Hot: -1, read: w.Read, told: *told,
+// build combines the description with the settings.
+func (w description) build(base *settings.Settings) (Site, error) {
+	c := base.Policy(0)
+	s := Site{Quota: w.Quota, Over: w.Over, MaxLater: c.MaxHoldOff, Heeded: c.SignalLifetime, ListLag: millis(w.ListLagMS), Hot: -1, readShare: w.Read, settings: *base,
 		Index:   Index{Slots: w.Index.Slots, Takes: millis(w.Index.TakesMS)},
 		Machine: Machine{Cores: c.Cores, ThrashAt: w.ThrashAt, Thrash: w.Thrash, ColdFrom: c.ColdFrom, ColdFor: c.ColdFor}}
 	for _, k := range c.Classes {
-		of, ok := w.Classes[k.Name]
-		if !ok || !(of.WorkMS > 0) || !(of.Share > 0) {
-			return Site{}, fmt.Errorf("%w: class %q needs a share and a work above 0", ErrWorld, k.Name)
+		described, ok := w.Classes[k.Name]
+		if !ok || !(described.WorkMS > 0) || !(described.Share > 0) {
+			return Site{}, fmt.Errorf("%w: class %q needs a share above 0 and a work_ms above 0", ErrWorld, k.Name)
 		}
-		s.Classes = append(s.Classes, Class{Class: k, Share: of.Share, Work: millis(of.WorkMS), CV: of.CV, Calls: of.Calls})
+		s.Classes = append(s.Classes, Class{Class: k, Share: described.Share, Work: millis(described.WorkMS), CV: described.CV, Calls: described.Calls})
 	}
 	for i, t := range c.Tenants {
 		share, ok := w.Tenants[t.Name]
@@ -132,23 +133,24 @@
 	}
 	switch {
 	case len(w.Classes) != len(s.Classes) || len(w.Tenants) != len(s.Tenants):
-		return Site{}, fmt.Errorf("%w: it names classes or tenants that the settings do not know", ErrWorld)
+		return Site{}, fmt.Errorf("%w: has %d classes and %d tenants, some of which the settings do not know", ErrWorld, len(w.Classes), len(w.Tenants))
 	case s.Hot < 0:
-		return Site{}, fmt.Errorf("%w: the hot tenant %q is none of the settings'", ErrWorld, w.Hot)
-	case s.calls() && (s.Index.Slots <= 0 || s.Index.Takes <= 0):
-		return Site{}, fmt.Errorf("%w: the settings know an index that is called, and it has no slots", ErrWorld)
+		return Site{}, fmt.Errorf("%w: the settings have no tenant %q, which is named as the hot one", ErrWorld, w.Hot)
+	case s.callsIndex() && (s.Index.Slots <= 0 || s.Index.Takes <= 0):
+		return Site{}, fmt.Errorf("%w: the settings have an index dependency, but the index has no slots or no call duration", ErrWorld)
 	}
-	s.Read = s.reading()
+	s.Read = s.readWork()
 	return s, nil
 }
 
-// calls tells whether requests call the index that the boxes share.
-func (s Site) calls() bool { return s.told.Policy(0).Dependency == policy.SharedDependency }
+// callsIndex reports whether requests call the shared index.
+func (s Site) callsIndex() bool { return s.settings.Policy(0).Dependency == policy.SharedDependency }
 
-func (s Site) reading() time.Duration { return time.Duration(s.read * float64(s.MeanWork())) }
+// readWork returns the processor time for reading one request.
+func (s Site) readWork() time.Duration { return time.Duration(s.readShare * float64(s.MeanWork())) }
 
-// Faster is the same site at so many times its speed: what requests need and how long clients, routers and cold boxes take. What the
-// platform's rules bound stays as it is.
+// Faster returns the site with all times of requests, clients, routers, cold boxes and the index divided by times. Times that the
+// platform's rules set, such as ListLag, stay.
 func (s Site) Faster(times float64) Site {
 	span := func(d time.Duration) time.Duration { return millis(float64(d) / float64(time.Millisecond) / times) }
 	classes := make([]Class, len(s.Classes))
@@ -158,11 +160,11 @@
 	}
 	s.Classes = classes
 	s.MaxLater, s.Heeded, s.ColdFor, s.Index.Takes = span(s.MaxLater), span(s.Heeded), span(s.ColdFor), span(s.Index.Takes)
-	s.Read = s.reading()
+	s.Read = s.readWork()
 	return s
 }
 
-// MeanWork is that of a request.
+// MeanWork returns the mean processor time of a request.
 func (s Site) MeanWork() time.Duration {
 	mean := 0.0
 	for _, c := range s.Classes {
@@ -171,14 +173,14 @@
 	return time.Duration(mean)
 }
 
-// Capacity is how many requests a second so many warm boxes serve at the most, each read once.
+// Capacity returns the maximum number of requests per second that warm boxes serve, if each request is read once.
 func (s Site) Capacity(boxes int) float64 {
 	return float64(boxes*s.Cores) / (s.MeanWork() + s.Read).Seconds()
 }
 
-// Policy is what a box's module is told of the site.
+// Policy returns the configuration of a box's policy module at the site.
 func (s Site) Policy(seed int64, routers int) policy.Config {
-	c := s.told.Policy(seed)
+	c := s.settings.Policy(seed)
 	c.Cores, c.ColdFrom, c.ColdFor, c.Callers, c.SignalLifetime, c.MaxHoldOff = s.Cores, s.ColdFrom, s.ColdFor, routers, s.Heeded, s.MaxLater
 	c.Classes = nil
 	for _, k := range s.Classes {
--- a/internal/lab/model/site_test.go
+++ b/internal/lab/model/site_test.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	lectures = "../../../examples/config.json"        // four classes, the last one keyed, three tenants, no dependency
-	images   = "../../../examples/images/config.json" // four classes, the second and the last keyed, five tenants, calls to an index
+	plainConfig = "../../../examples/config.json"        // four classes, the last one keyed; three tenants; no dependency
+	indexConfig = "../../../examples/images/config.json" // four classes, the second and the last keyed; five tenants; calls to an index
 )
 
-func open(config string) Site {
+func mustOpen(config string) Site {
 	s, err := Open(config)
 	if err != nil {
 		panic(err)
@@ -27,12 +27,13 @@
 	return s
 }
 
-// Perth is the site of examples/ at so many times its speed.
-func Perth(faster float64) Site { return open(lectures).Faster(faster) }
+// exampleSite returns the site of examples/ with its times divided by faster.
+func exampleSite(faster float64) Site { return mustOpen(plainConfig).Faster(faster) }
 
-// TestASiteIsWhatItsFilesSay: classes and tenants are those of the settings, in their order, and what the module is told is laid over.
-func TestASiteIsWhatItsFilesSay(t *testing.T) {
-	s := open(images)
+// TestOpenCombinesSettingsAndDescription checks that classes and tenants stand in the order of the settings and that the description's settings
+// override those of the configuration.
+func TestOpenCombinesSettingsAndDescription(t *testing.T) {
+	s := mustOpen(indexConfig)
 	var names []string
 	for _, c := range s.Classes {
 		names = append(names, c.Name)
@@ -41,28 +42,28 @@
 		t.Errorf("classes %v, tenants %v, hot %d", names, s.Tenants, s.Hot)
 	}
 	if k := s.Classes[1]; k.Semantics != policy.Keyed || k.DedupWindow != 27600*ms || k.Work != 170*ms || k.Calls != 1.5 || s.Read != time.Duration(0.045*float64(s.MeanWork())) {
-		t.Errorf("%+v, read %v", k, s.Read)
+		t.Errorf("class 1 is %+v, reading takes %v", k, s.Read)
 	}
 	if c := s.Policy(1, 9); c.Dependency != policy.SharedDependency || c.MeanCallLimit != 1.4 || c.Callers != 9 || c.Cores != 4 || c.MaxHoldOff != 1500*ms || len(c.Tenants) != 5 {
-		t.Errorf("the module is told %+v", c)
+		t.Errorf("the policy configuration is %+v", c)
 	}
-	l := open(lectures)
+	l := mustOpen(plainConfig)
 	if c := l.Policy(1, 5); c.ColdFor != 12*time.Second || c.ColdFrom != 0.35 || c.RunMemoryFactor != 16 || c.Dependency != policy.NoDependency {
-		t.Errorf("what is laid over the settings is not told: %+v", c)
+		t.Errorf("the description does not override the settings: %+v", c)
 	}
 	f := l.Faster(2)
 	if f.Classes[3].DedupWindow != l.Classes[3].DedupWindow/2 || f.Classes[0].Work != l.Classes[0].Work/2 || f.ColdFor != 6*time.Second || f.ListLag != l.ListLag || f.Capacity(3) < 1.99*l.Capacity(3) {
-		t.Errorf("twice as fast: %+v", f)
+		t.Errorf("site at twice the speed: %+v", f)
 	}
 }
 
-// TestADescriptionThatDoesNotFitIsTurnedDown, with the name of what does not fit.
-func TestADescriptionThatDoesNotFitIsTurnedDown(t *testing.T) {
-	config, err := os.ReadFile(images)
+// TestOpenRejectsMismatchedDescription checks that each mismatch gives an ErrWorld that names it.
+func TestOpenRejectsMismatchedDescription(t *testing.T) {
+	config, err := os.ReadFile(indexConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := os.ReadFile(filepath.Join(filepath.Dir(images), WorldFile))
+	raw, err := os.ReadFile(filepath.Join(filepath.Dir(indexConfig), WorldFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,15 +92,15 @@
 			t.Fatal(err)
 		}
 		if _, err := Open(path); !errors.Is(err, ErrWorld) || !strings.Contains(err.Error(), what) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("the error of Open is %v, want ErrWorld that mentions %s", err, what)
 		}
 	}
 }
 
-// TestAnotherSiteIsPlayedByTheSameCode: five tenants, keyed classes in other places, and a dependency that runs call. The rules are kept with
-// all that goes wrong on a day, and calls are made. What a fleet gains there is not judged: `cairnctl trial days --site` tells it.
-func TestAnotherSiteIsPlayedByTheSameCode(t *testing.T) {
-	s := open(images)
+// TestPlaySiteWithIndexCalls simulates a site with five tenants, keyed classes at other positions and runs that call an index, with the faults of
+// all hard cases. It checks the invariants and that calls are made. The gain of a fleet is not checked here: `cairnctl trial days --site` measures it.
+func TestPlaySiteWithIndexCalls(t *testing.T) {
+	s := mustOpen(indexConfig)
 	for _, m := range []Mode{Alone, Fleet, Cut} {
 		d := Case{"all", 1.2, func(d *Day) {
 			for _, c := range Hard {
@@ -109,14 +110,14 @@
 		}}.Day(s, 8, 30*time.Second, 5, m)
 		a := Play(d)
 		if b := Play(d); !reflect.DeepEqual(a, b) {
-			t.Fatalf("%s: two plays differ: %v and %v", m, a.Of(), b.Of())
+			t.Fatalf("%s: two simulations of the same day differ: %v and %v", m, a.Of(), b.Of())
 		}
 		if a.Lost+a.Twice+a.DoubleRuns+len(a.Broken) > 0 || a.LevelChanges > 1 || a.Requests < 1000 {
-			t.Errorf("%s: lost %d, twice %d, double %d, levels %d, %v", m, a.Lost, a.Twice, a.DoubleRuns, a.LevelChanges, a.Broken)
+			t.Errorf("%s: %d lost, %d answered twice, %d double runs, %d level changes, %d requests, violations %v", m, a.Lost, a.Twice, a.DoubleRuns, a.LevelChanges, a.Requests, a.Broken)
 		}
 		if a.Calls < 300 {
-			t.Errorf("%s: %d calls, %d skipped", m, a.Calls, a.Skipped)
+			t.Errorf("%s: only %d index calls, %d skipped", m, a.Calls, a.Skipped)
 		}
-		t.Logf("%s: %.3f, %d requests, %d calls, %d skipped, classes %.2f", m, a.Of(), a.Requests, a.Calls, a.Skipped, a.ByClass)
+		t.Logf("%s: worth ratio %.3f, %d requests, %d index calls, %d skipped, ratios by class %.2f", m, a.Of(), a.Requests, a.Calls, a.Skipped, a.ByClass)
 	}
 }
--- a/internal/lab/model/sweep.go
+++ b/internal/lab/model/sweep.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Sweep is a table of days: each case with each mode over the same seeds.
+// Sweep simulates each case in each mode over the same seeds.
 type Sweep struct {
 	Site  Site
 	Boxes int
@@ -20,16 +20,16 @@
 	Cases []Case
 }
 
-// Row is what came of a case.
+// Row holds the results of a case.
 type Row struct {
 	Case
 	Boxes   int
 	Seeds   int
 	Results map[Mode][]Result      // by seed
-	Settled map[Mode]time.Duration // in the mean, after the fault
+	Settled map[Mode]time.Duration // mean recovery time after the fault
 }
 
-// Mean is a figure's over the seeds.
+// Mean returns the mean of a figure over the seeds.
 func (r Row) Mean(m Mode, of func(Result) float64) (mean float64) {
 	for _, x := range r.Results[m] {
 		mean += of(x) / float64(len(r.Results[m]))
@@ -37,7 +37,8 @@
 	return mean
 }
 
-// Gain is by how much one mode's worth is above another's over paired seeds: the mean, and half of its 95% confidence interval.
+// Gain returns by how much the worth ratio in mode m is above that in another mode: the mean over paired seeds and the half-width of its 95%
+// confidence interval.
 func (r Row) Gain(m, over Mode) (mean, half float64) {
 	var diffs []float64
 	for i, x := range r.Results[m] {
@@ -46,10 +47,10 @@
 	return Interval(diffs)
 }
 
-// student is the 97.5% point of Student's t for n-1 degrees of freedom, for small n.
-var student = []float64{0, 0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13}
+// studentT975 holds the 97.5% quantile of Student's t-distribution with n-1 degrees of freedom, for small n.
+var studentT975 = []float64{0, 0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13}
 
-// Interval is a mean and half of its 95% confidence interval.
+// Interval returns the mean of list and the half-width of its 95% confidence interval.
 func Interval(list []float64) (mean, half float64) {
 	n := float64(len(list))
 	for _, d := range list {
@@ -63,26 +64,26 @@
 		sum += (d - mean) * (d - mean)
 	}
 	t := 1.96
-	if len(list) < len(student) {
-		t = student[len(list)]
+	if len(list) < len(studentT975) {
+		t = studentT975[len(list)]
 	}
 	return mean, t * math.Sqrt(sum/(n-1)/n)
 }
 
-// Run plays it on all cores. What comes out does not depend on how many there are.
+// Run simulates the sweep on all cores. The result does not depend on their number.
 func (s Sweep) Run(progress io.Writer) []Row {
 	rows := make([]Row, len(s.Cases))
-	var wait sync.WaitGroup
+	var workers sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var mu sync.Mutex
-	done := 0
+	finished := 0
 	for i, c := range s.Cases {
 		rows[i] = Row{Case: c, Boxes: s.Boxes, Seeds: s.Seeds, Results: map[Mode][]Result{}, Settled: map[Mode]time.Duration{}}
 		for _, m := range []Mode{Alone, Fleet, Cut} {
-			results := make([]Result, s.Seeds) // the map itself is for this goroutine alone
+			results := make([]Result, s.Seeds) // workers write to the slice; only this goroutine uses the map
 			rows[i].Results[m] = results
 			for k := range s.Seeds {
-				wait.Go(func() {
+				workers.Go(func() {
 					slots <- struct{}{}
 					defer func() { <-slots }()
 					d := c.Day(s.Site, s.Boxes, s.Span, s.From+uint64(k), m)
@@ -93,37 +94,40 @@
 					if from, to, ok := d.Fault(); ok {
 						rows[i].Settled[m] += r.Settles(from, to, 0.9) / time.Duration(s.Seeds)
 					}
-					done++
-					if progress != nil && done%50 == 0 {
-						fmt.Fprintf(progress, "%d of %d days\n", done, 3*s.Seeds*len(s.Cases))
+					finished++
+					if progress != nil && finished%50 == 0 {
+						fmt.Fprintf(progress, "%d of %d days\n", finished, 3*s.Seeds*len(s.Cases))
 					}
 				})
 			}
 		}
 	}
-	wait.Wait()
+	workers.Wait()
 	return rows
 }
 
-// Table prints rows.
+// Table prints rows as a table.
 func Table(w io.Writer, rows []Row) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "BOXES\tCASE\tLOAD\tALONE\tFLEET\tCUT\tGAIN\t±\tWORST CLASS\tTRIES\tLET IN\tSETTLED\tLEVELS\tPROBES/S\tMESSAGES\tBYTES")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "BOXES\tCASE\tLOAD\tALONE\tFLEET\tCUT\tGAIN\t±\tWORST CLASS\tTRIES\tLET IN\tSETTLED\tLEVELS\tPROBES/S\tMESSAGES\tBYTES")
 	for _, r := range rows {
 		worth := func(x Result) float64 { return x.Of() }
 		tries := func(x Result) float64 { return float64(x.Tries) / float64(max(x.Requests, 1)) }
 		gain, half := r.Gain(Fleet, Alone)
-		fmt.Fprintf(t, "%d\t%s\t%.0f%%\t%.3f\t%.3f\t%.3f\t%+.3f\t%.3f\t%.2f/%.2f\t%.2f/%.2f\t%.3f/%.3f\t%.1f/%.1fs\t%d\t%.1f/%.1f\t%.1f\t%.0f\n", r.Boxes, r.Name, 100*r.Of, r.Mean(Alone, worth), r.Mean(Fleet, worth), r.Mean(Cut, worth), gain, half,
+		fmt.Fprintf(table, "%d\t%s\t%.0f%%\t%.3f\t%.3f\t%.3f\t%+.3f\t%.3f\t%.2f/%.2f\t%.2f/%.2f\t%.3f/%.3f\t%.1f/%.1fs\t%d\t%.1f/%.1f\t%.1f\t%.0f\n", r.Boxes, r.Name, 100*r.Of, r.Mean(Alone, worth), r.Mean(Fleet, worth), r.Mean(Cut, worth), gain, half,
 			r.Mean(Alone, func(x Result) float64 { return x.WorstClass }), r.Mean(Fleet, func(x Result) float64 { return x.WorstClass }), r.Mean(Alone, tries), r.Mean(Fleet, tries),
-			r.Mean(Alone, letIn), r.Mean(Fleet, letIn), r.Settled[Alone].Seconds(), r.Settled[Fleet].Seconds(), r.Levels(),
+			r.Mean(Alone, admittedRetriesPerRequest), r.Mean(Fleet, admittedRetriesPerRequest), r.Settled[Alone].Seconds(), r.Settled[Fleet].Seconds(), r.Levels(),
 			r.Mean(Alone, func(x Result) float64 { return x.Probes }), r.Mean(Fleet, func(x Result) float64 { return x.Probes }), r.Mean(Fleet, func(x Result) float64 { return x.Messages }), r.Mean(Fleet, func(x Result) float64 { return x.Bytes }))
 	}
-	t.Flush()
+	table.Flush()
 }
 
-func letIn(x Result) float64 { return float64(x.LetIn) / float64(max(x.Requests, 1)) }
+// admittedRetriesPerRequest returns how many retries were not rejected at read, per request.
+func admittedRetriesPerRequest(x Result) float64 {
+	return float64(x.LetIn) / float64(max(x.Requests, 1))
+}
 
-// Levels is how often a box's level changed within 10 s, at the most.
+// Levels returns the maximum number of level changes of one box within 10 s in fleet mode.
 func (r Row) Levels() (n int) {
 	for _, x := range r.Results[Fleet] {
 		n = max(n, x.LevelChanges)
@@ -131,17 +135,17 @@
 	return n
 }
 
-// Figures are what a sweep comes to.
+// Figures sums up a sweep.
 type Figures struct {
 	Days, Lost, Twice, DoubleRuns, Broken, Levels int
-	Worth                                         map[string][3]float64 // of the steady loads: alone, fleet, cut
-	Least                                         map[string]float64    // gain over alone, less its interval
-	CutLeast                                      float64               // by how much a fleet that is cut is worse than alone, at the worst case
-	HardLeast                                     float64               // gain in the worst hard case
+	Worth                                         map[string][3]float64 // of the cases without a fault: alone, fleet, cut
+	Least                                         map[string]float64    // gain over alone, less the half-width of its interval
+	CutLeast                                      float64               // lowest gain over alone of any case in mode Cut, at most 0
+	HardLeast                                     float64               // lowest gain of any hard case
 	HardWorst                                     string
 }
 
-// Sum works them out.
+// Sum computes the figures of rows.
 func Sum(rows []Row) Figures {
 	f := Figures{Worth: map[string][3]float64{}, Least: map[string]float64{}, HardLeast: math.Inf(1)}
 	for _, r := range rows {
@@ -166,14 +170,14 @@
 	return f
 }
 
-// Missed are the bounds that are missed: the gain of a fleet at 110 and 150% with its interval, and the rules.
+// Missed lists the bounds that the figures miss: the gains of a fleet, at 110 and 150% with the interval, and the invariants.
 func (f Figures) Missed() (list []string) {
 	for _, b := range []struct {
 		name string
 		bad  bool
 	}{{"lost", f.Lost > 0}, {"answered twice", f.Twice > 0}, {"double runs", f.DoubleRuns > 0}, {"broken", f.Broken > 0}, {"more than one change of the level in 10 s", f.Levels > 1},
 		{"worse than alone by over 0.01 with the view cut", f.CutLeast < -0.01}, {"worse than alone by over 0.02 in a hard case: " + f.HardWorst, f.HardLeast < -0.02},
-		{"gain at 110%", has(f.Least, "110%") && f.Least["110%"] < 0.03}, {"gain at 150%", has(f.Least, "150%") && f.Least["150%"] < 0.03}} {
+		{"gain at 110%", hasKey(f.Least, "110%") && f.Least["110%"] < 0.03}, {"gain at 150%", hasKey(f.Least, "150%") && f.Least["150%"] < 0.03}} {
 		if b.bad {
 			list = append(list, b.name)
 		}
@@ -181,9 +185,9 @@
 	return list
 }
 
-func has(m map[string]float64, k string) bool { _, ok := m[k]; return ok }
+func hasKey(m map[string]float64, k string) bool { _, ok := m[k]; return ok }
 
-// String is the line of figures.
+// String returns the figures as one line.
 func (f Figures) String() string {
 	w := func(load string) string {
 		x := f.Worth[load]
--- a/internal/lab/model/worth.go
+++ b/internal/lab/model/worth.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Fate is what became of a request.
+// Fate is the outcome of a request.
 type Fate struct {
 	Request
 	Served bool
-	Took   time.Duration // from its client's first try to its answer
-	Tries  int           // that a box read
-	Let    int           // of the further ones, those that were not refused at once
+	Took   time.Duration // from the client's first attempt to the answer
+	Tries  int           // attempts that a box read
+	Let    int           // retries that were not rejected at once
 }
 
-// Worth is what a day was worth.
+// Worth measures the result of a day in worth: what was asked for and what was achieved.
 type Worth struct {
 	Asked, Got float64
 	Requests   int
-	Tries      int // read by boxes
-	Further    int // of them beyond the first
-	LetIn      int // further ones that were not refused at read
+	Tries      int // attempts read by boxes
+	Further    int // those after the first of a request
+	LetIn      int // retries that were not rejected at read
 	ByClass    []float64
 	WorstClass float64
-	ShareError float64   // mean over tenants that asked for more than their share: how far what they got is from it, as a part of it
-	Seconds    []float64 // worth got over worth asked, by second
+	ShareError float64   // mean over tenants with requests: by how much they got less than they asked for, up to their share, as a fraction
+	Seconds    []float64 // ratio of worth got to worth asked for, by second
 }
 
-// Of is the share that was got.
+// Of returns the ratio of the worth got to the worth asked for.
 func (w Worth) Of() float64 { return w.Got / max(w.Asked, 1e-9) }
 
-// Judge works out what a day was worth. Traffic of a tenant beyond its share, counted over the whole fleet and each second, is worth
-// a tenth: of what was asked for in a second the first so many count in full, and of what was served as well.
-func (s Site) Judge(l Load, fates []Fate) (w Worth) {
-	slices.SortFunc(fates, func(a, b Fate) int { return a.N - b.N })
+// Judge computes the worth of a day. The traffic of a tenant over its share, counted over the whole fleet and per second, counts with the
+// site's factor Over. In each second the first requests up to the share count in full, among those asked for and among those served.
+func (s Site) Judge(l Load, outcomes []Fate) (w Worth) {
+	slices.SortFunc(outcomes, func(a, b Fate) int { return a.N - b.N })
 	seconds := int(l.Span/time.Second) + 1
 	type cell struct{ asked, served float64 }
 	cells := make([][]cell, len(s.Tenants))
@@ -41,7 +41,7 @@
 		cells[i] = make([]cell, seconds)
 	}
 	quota := s.Capacity(l.Boxes) * s.Quota
-	weigh := func(n *float64, tenant int) float64 {
+	weight := func(n *float64, tenant int) float64 {
 		allowed := s.Tenants[tenant].Share * quota
 		full := min(1, max(0, allowed-*n))
 		*n++
@@ -49,14 +49,14 @@
 	}
 	type sum struct{ asked, got float64 }
 	classes, bySecond := make([]sum, len(s.Classes)), make([]sum, seconds)
-	for _, f := range fates {
+	for _, f := range outcomes {
 		sec := int(f.At / time.Second)
 		c := &cells[f.Tenant][sec]
 		k := s.Classes[f.Class]
-		asked := k.Worth * weigh(&c.asked, f.Tenant)
+		asked := k.Worth * weight(&c.asked, f.Tenant)
 		got := 0.0
 		if f.Served && f.Took <= k.Deadline {
-			got = k.Worth * weigh(&c.served, f.Tenant)
+			got = k.Worth * weight(&c.served, f.Tenant)
 			if f.Took > k.Aim {
 				got *= k.LateWorth
 			}
@@ -84,7 +84,7 @@
 			asked, served = asked+c.asked, served+c.served
 		}
 		allowed := s.Tenants[t].Share * quota * l.Span.Seconds()
-		if want := min(asked, allowed); asked > 0 { // within its share it should get all that it asks for
+		if want := min(asked, allowed); asked > 0 { // up to its share a tenant should get all that it asks for
 			w.ShareError += max(0, want-served) / want
 			n++
 		}
@@ -93,8 +93,8 @@
 	return w
 }
 
-// Settles tells how long after a time what is got, as the mean of each two seconds, is back to a share of what it was in the mean before
-// another time; the whole rest of the day if it never is.
+// Settles returns the recovery time: how long after the time after the ratio of worth, as the mean of two seconds, is back at the given
+// share of its mean before the time before. It is the whole rest of the day if the ratio does not recover.
 func (w Worth) Settles(before, after time.Duration, share float64) time.Duration {
 	b, a := int(before/time.Second), int(after/time.Second)
 	if b == 0 || a >= len(w.Seconds) {
--- a/internal/lab/mutants/overload.go
+++ b/internal/lab/mutants/overload.go
@@ -17,7 +17,7 @@
 	{"a box that is shut out believed", "internal/fleet/view/exchange.go", "	case p.Member != nil && !p.Member(from):\n", "	case false:\n", "./internal/fleet/view", "TestExchangeRejectsInvalidMessages"},
 	{"fallback forgotten", "internal/decide/shed/shed.go", "	if a.Trust == 0 {\n		return w\n	}\n", "", "./internal/decide/shed", "TestAdviceForRequests"},
 	{"what the fleet refuses taken for a full box", "internal/fleet/view/meter.go", "	own, served := rate(t.RejectedLocally, was.RejectedLocally), ", "	own, served := rate(t.RejectedLocally, was.RejectedLocally)+rate(t.Advised, was.Advised), ", "./internal/fleet/view", "TestCapacityMeasurement"},
-	{"callers that heed nothing refused first", "internal/replica/replica.go", "	if r.compliance.Observe(req.Caller, req.Rank) {", "	if r.compliance.Observe(req.Caller, req.Rank) && false {", "./internal/lab/model", "TestAFleetIsBetterThanEachAlone"},
+	{"callers that heed nothing refused first", "internal/replica/replica.go", "	if r.compliance.Observe(req.Caller, req.Rank) {", "	if r.compliance.Observe(req.Caller, req.Rank) && false {", "./internal/lab/model", "TestFleetOutperformsBoxesAlone"},
 	{"each box asks for its own", "policy/signals.go", "*(max(c.meanLevel, own-levelExcess)-own)", "*(max(c.meanLevel, own-levelExcess)-own)*0", "./policy", "TestSignalBlendsWithMeanOfServers"},
 	{"judged by the newest version", "policy/rejection.go", "Version: r.Peers.Version}", "Version: r.Peers.Version + 1}", "./internal/replica", "TestRequestKeepsAdviceVersionItWasReadUnder"},
 	{"give up though others have room", "policy/rejection.go", "		othersReject = others.Full\n", "		othersReject = true\n", "./policy", "TestPeerStateDecidesRejectionAdvice"},
