--- a/internal/lab/model/sweep.go
+++ b/internal/lab/model/sweep.go
@@ -175,8 +175,8 @@
 	for _, b := range []struct {
 		name string
 		bad  bool
-	}{{"lost", f.Lost > 0}, {"answered twice", f.Twice > 0}, {"double runs", f.DoubleRuns > 0}, {"broken", f.Broken > 0}, {"more than one change of the level in 10 s", f.Levels > 1},
-		{"worse than alone by over 0.01 with the view cut", f.CutLeast < -0.01}, {"worse than alone by over 0.02 in a hard case: " + f.HardWorst, f.HardLeast < -0.02},
+	}{{"lost", f.Lost > 0}, {"answered twice", f.Twice > 0}, {"double runs", f.DoubleRuns > 0}, {"broken", f.Broken > 0}, {"more than one level change in 10 s", f.Levels > 1},
+		{"more than 0.01 worse than alone with the messages between boxes cut", f.CutLeast < -0.01}, {"more than 0.02 worse than alone in a hard case: " + f.HardWorst, f.HardLeast < -0.02},
 		{"gain at 110%", hasKey(f.Least, "110%") && f.Least["110%"] < 0.03}, {"gain at 150%", hasKey(f.Least, "150%") && f.Least["150%"] < 0.03}} {
 		if b.bad {
 			list = append(list, b.name)
--- a/internal/lab/overloads/machine.go
+++ b/internal/lab/overloads/machine.go
@@ -7,69 +7,73 @@
 	"cairnlane/internal/lab/model"
 )
 
-// machine is the cores of one box in real time: what the engine runs and what reading costs share them. What it calls back it calls
-// on a goroutine of its own.
+// machine models the cores of one box in real time. The runs of the engine and the reading of requests share them. Completion callbacks
+// run on a goroutine of their own.
 type machine struct {
-	m model.Machine
+	spec model.Machine
 
-	mu    sync.Mutex
-	cores *model.Cores
-	from  time.Time
-	life  int // of the box: what was on the cores of an earlier one is gone
-	timer *time.Timer
-	over  []func()
+	mu          sync.Mutex
+	cores       *model.Cores
+	startedAt   time.Time
+	incarnation int // changes at a restart; work of an earlier incarnation is dropped
+	timer       *time.Timer
+	finished    []func() // callbacks of completed work that have not been called yet
 }
 
 func newMachine(m model.Machine) *machine {
-	c := &machine{m: m, from: time.Now()}
+	c := &machine{spec: m, startedAt: time.Now()}
 	c.cores = model.NewCores(0, m, false)
-	c.timer = time.AfterFunc(time.Hour, c.wake)
+	c.timer = time.AfterFunc(time.Hour, c.advance)
 	return c
 }
 
-// do does something with the cores, and then calls back what has ended.
-func (c *machine) do(f func(now time.Duration)) {
+// withCores calls f with the mutex held, sets the timer for the next completion and calls the callbacks of completed work.
+func (c *machine) withCores(f func(now time.Duration)) {
 	c.mu.Lock()
-	f(time.Since(c.from))
+	f(time.Since(c.startedAt))
 	if at, ok := c.cores.Next(); ok {
-		c.timer.Reset(max(at-time.Since(c.from), 0))
+		c.timer.Reset(max(at-time.Since(c.startedAt), 0))
 	}
-	over := c.over
-	c.over = nil
+	callbacks := c.finished
+	c.finished = nil
 	c.mu.Unlock()
-	if len(over) > 0 { // apart from the caller, who may hold what is called back for
+	if len(callbacks) > 0 { // in a goroutine, since the caller may hold a lock that a callback needs
 		go func() {
-			for _, f := range over {
+			for _, f := range callbacks {
 				f()
 			}
 		}()
 	}
 }
 
-func (c *machine) wake() { c.do(func(now time.Duration) { c.cores.Advance(now) }) }
+// advance completes the work that is due.
+func (c *machine) advance() { c.withCores(func(now time.Duration) { c.cores.Advance(now) }) }
 
-// add puts work on the cores; done is called once it is over, unless the box dies before.
+// add puts work on the cores. done is called once it is complete, unless the box is restarted before.
 func (c *machine) add(work time.Duration, done func()) {
-	c.do(func(now time.Duration) {
-		life := c.life
+	c.withCores(func(now time.Duration) {
+		life := c.incarnation
 		c.cores.Add(now, work, func() {
-			if life == c.life {
-				c.over = append(c.over, done)
+			if life == c.incarnation {
+				c.finished = append(c.finished, done)
 			}
 		})
 	})
 }
 
-func (c *machine) slow(speed float64) { c.do(func(now time.Duration) { c.cores.Slow(now, speed) }) }
+func (c *machine) setSpeed(speed float64) {
+	c.withCores(func(now time.Duration) { c.cores.Slow(now, speed) })
+}
 
-// restart is the box's death, and another one that begins cold.
+// restart drops all work and starts with fresh cores, cold or warm.
 func (c *machine) restart(cold bool) {
-	c.do(func(now time.Duration) {
-		c.life++
-		c.cores = model.NewCores(now, c.m, cold)
+	c.withCores(func(now time.Duration) {
+		c.incarnation++
+		c.cores = model.NewCores(now, c.spec, cold)
 	})
 }
 
+// demand returns the number of jobs on the cores.
 func (c *machine) demand() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/overloads/overloads_test.go
+++ b/internal/lab/overloads/overloads_test.go
@@ -14,8 +14,9 @@
 
 func TestMain(m *testing.M) { rigtest.Main(m) }
 
-// TestDaysOfOverloadKeepTheRules is the short form of `make overload`: it judges rules and counts, not times nor what a day was worth.
-func TestDaysOfOverloadKeepTheRules(t *testing.T) {
+// TestOverloadTrialKeepsInvariants is a short form of `make overload`. It checks invariants and counts, but neither times nor the worth of the day,
+// which depend on the machine.
+func TestOverloadTrialKeepsInvariants(t *testing.T) {
 	dir, err := rig.TempDir()
 	if err != nil {
 		t.Fatal(err)
@@ -34,30 +35,30 @@
 	}
 	r := f.Got[1.3][model.Fleet][0]
 	if r.Requests < 500 || r.Over == 0 {
-		t.Errorf("too little was seen: %d requests, %d refused over a share", r.Requests, r.Over)
+		t.Errorf("too little load: %d requests, %d rejected over share", r.Requests, r.Over)
 	}
 	t.Log(f)
 }
 
-// TestAMachineInRealTime ends what is on its cores, apart from whoever puts it there, and nothing of a box that died.
-func TestAMachineInRealTime(t *testing.T) {
+// TestMachineCompletesWorkInRealTime checks that shorter work completes first, in real time, and that work from before a restart never completes.
+func TestMachineCompletesWorkInRealTime(t *testing.T) {
 	m := newMachine(model.Machine{Cores: 1, ThrashAt: 9, Thrash: 1})
 	ended := make(chan int, 8)
 	m.add(20*time.Millisecond, func() { ended <- 1 })
 	m.add(time.Millisecond, func() { ended <- 2 })
 	if a, b := <-ended, <-ended; a != 2 || b != 1 {
-		t.Errorf("%d and %d end in this order", a, b)
+		t.Errorf("work completed in the order %d, %d, want 2, 1", a, b)
 	}
 	m.add(time.Millisecond, func() { ended <- 3 })
 	m.restart(true)
 	m.add(time.Millisecond, func() { ended <- 4 })
 	if n := <-ended; n != 4 || m.demand() != 0 || len(ended) > 0 {
-		t.Errorf("%d ends after a death; %d are left on the cores", n, m.demand())
+		t.Errorf("work %d completed after a restart, want 4; %d jobs are left on the cores", n, m.demand())
 	}
 }
 
-// TestABoundThatIsMissedIsSaid: the figures are of use only if they can be bad.
-func TestABoundThatIsMissedIsSaid(t *testing.T) {
+// TestMissedListsEachBound checks that good figures miss no bound and that each bad one is listed.
+func TestMissedListsEachBound(t *testing.T) {
 	day := func(of float64) *Result {
 		return &Result{Worth: model.Worth{Asked: 1, Got: of, Requests: 100, Tries: 105, LetIn: 5}}
 	}
@@ -78,15 +79,15 @@
 	for name, change := range map[string]func(f *Figures, r *Result){
 		"lost": func(_ *Figures, r *Result) { r.Lost = 1 }, "ended twice": func(_ *Figures, r *Result) { r.Twice = 1 }, "double runs": func(_ *Figures, r *Result) { r.DoubleRuns = 1 }, "wrong": func(_ *Figures, r *Result) { r.Wrong = 1 },
 		"invariants": func(_ *Figures, r *Result) { r.Invariants = 1 }, "level": func(_ *Figures, r *Result) { r.LevelChanges = 2 }, "late": func(_ *Figures, r *Result) { r.Late = 1 },
-		"let in": func(_ *Figures, r *Result) { r.LetIn = 40 }, "gain at 110": func(_ *Figures, r *Result) { r.Got = 0.72 }, "probes": func(f *Figures, _ *Result) { f.Got[0.9][model.Fleet][0].Probes = 10 },
-		"gain at 90": func(f *Figures, _ *Result) { f.Got[0.9][model.Fleet][0].Got = 0.69 }, "view cut": func(f *Figures, _ *Result) { f.Got[1.5][model.Cut][0].Got = 0.6 }} {
+		"admitted retries": func(_ *Figures, r *Result) { r.LetIn = 40 }, "gain at 110": func(_ *Figures, r *Result) { r.Got = 0.72 }, "probes": func(f *Figures, _ *Result) { f.Got[0.9][model.Fleet][0].Probes = 10 },
+		"gain at 90": func(f *Figures, _ *Result) { f.Got[0.9][model.Fleet][0].Got = 0.69 }, "messages cut": func(f *Figures, _ *Result) { f.Got[1.5][model.Cut][0].Got = 0.6 }} {
 		f := good()
 		change(f, f.Got[1.1][model.Fleet][0])
 		if !strings.Contains(strings.Join(f.Missed(), "; "), name) {
-			t.Errorf("%s: missed %v", name, f.Missed())
+			t.Errorf("%s is not listed among the missed bounds %v", name, f.Missed())
 		}
 	}
-	if math.Abs(per(3, 0)-3) > 1e-9 {
-		t.Error("a day without requests")
+	if math.Abs(ratio(3, 0)-3) > 1e-9 {
+		t.Errorf("ratio(3, 0) is %v, want 3", ratio(3, 0))
 	}
 }
--- a/internal/lab/overloads/play.go
+++ b/internal/lab/overloads/play.go
@@ -1,6 +1,6 @@
-// Package overloads plays days of overload over fleets of real processes: the program's boxes with stand-in engines, routers with habits
-// and clients of the model (internal/lab/model), as a fleet, each alone, and as a fleet whose boxes hear nothing of each other, side by side
-// on the same clients and the same faults.
+// Package overloads runs overload scenarios over fleets of real processes: the program's boxes with fake engines, and the routers and
+// clients of the model (internal/lab/model). Three fleets run side by side under the same clients and faults: boxes that shed as a fleet,
+// boxes alone, and a fleet whose boxes cannot exchange messages.
 package overloads
 
 import (
@@ -22,167 +22,168 @@
 	"cairnlane/policy"
 )
 
-// Config is what one fleet plays a day with.
+// Config holds the parameters of one fleet's run of a day.
 type Config struct {
 	Day     model.Day
 	Dir     string
 	Example string
 	Serve   func(config string) *exec.Cmd
-	Outage  time.Duration // after the day: catalog and links to the engines are down for all; 0 for none
+	Outage  time.Duration // after the day, the catalog and the links to all engines are down for this long; 0 for no outage
 	Note    func(format string, a ...any)
 }
 
-// Result is what came of a day.
+// Result holds what a day yielded.
 type Result struct {
 	model.Worth
 	Lost, Twice, DoubleRuns, Late, Wrong int64
-	Refused, Sent                        int64         // answers, and tries that were read
-	LevelChanges                         int           // of one process, within 10 s at the most
-	Invariants                           int64         // broken, as the boxes count them
-	Probes                               float64       // questions to catalog and engines a second while both were down
-	Back                                 time.Duration // until all boxes had reported again
-	Over, Low, Beyond                    int64         // refused by the fleet's word
+	Refused, Sent                        int64         // rejections, and attempts that were read
+	LevelChanges                         int           // maximum number of level changes of one process within 10 s
+	Invariants                           int64         // broken invariants, as counted by the boxes
+	Probes                               float64       // reports and dials to catalog and engines per second while both were down
+	Back                                 time.Duration // time from the end of the outage until all boxes had reported to the catalog again
+	Over, Low, Beyond                    int64         // rejected by fleet advice: over share, of a low class, over the retry budget
 }
 
-// play is a day that is played.
-type play struct {
-	cfg      Config
-	rig      *rig.Site
-	machines []*machine
-	t0       time.Time
-	wires    [][]*router.Router // by router and box
-	life     []atomic.Int64     // of boxes
-
-	mu      sync.Mutex // guards the routers' state and what follows
-	routers []*model.Router
-	alive   []bool
-	fates   []model.Fate
-	runs    map[string][]run // of keyed requests, by body
-	open    sync.WaitGroup
-	res     Result
-	works   sync.Map // work of a request, by its body
-	turns   [][]time.Duration
-	levels  []int
-	cold    []bool
+// trialRun is the state of one fleet's run of a day.
+type trialRun struct {
+	cfg          Config
+	rig          *rig.Site
+	machines     []*machine
+	startedAt    time.Time
+	connections  [][]*router.Router // by router number and box
+	incarnations []atomic.Int64     // by box; changes when the box is killed
+
+	mu           sync.Mutex // guards the routers' state and the fields below
+	routers      []*model.Router
+	alive        []bool
+	outcomes     []model.Fate
+	keyedRuns    map[string][]keyedRun // runs of keyed requests, by body
+	openRequests sync.WaitGroup
+	result       Result
+	workByBody   sync.Map // time.Duration of a request's work, by its body
+	levelChanges [][]time.Duration
+	levels       []int
+	cold         []bool
 }
 
-type run struct {
-	box  int
-	life int64
+// keyedRun is a process that ran a keyed request.
+type keyedRun struct {
+	box         int
+	incarnation int64
 }
 
-// terms are short, so that a fleet of a trial comes to rest soon.
+// terms are short, so that the fleet of a trial is ready soon.
 var terms = lease.Terms{Term: 2 * time.Second, Drift: 0.02}
 
-// Play plays it.
+// Play runs a day.
 func Play(cfg Config) (*Result, error) {
 	d := cfg.Day
-	p := &play{cfg: cfg, alive: make([]bool, d.Boxes), life: make([]atomic.Int64, d.Boxes), runs: map[string][]run{}, turns: make([][]time.Duration, d.Boxes), levels: make([]int, d.Boxes), cold: make([]bool, d.Boxes)}
+	run := &trialRun{cfg: cfg, alive: make([]bool, d.Boxes), incarnations: make([]atomic.Int64, d.Boxes), keyedRuns: map[string][]keyedRun{}, levelChanges: make([][]time.Duration, d.Boxes), levels: make([]int, d.Boxes), cold: make([]bool, d.Boxes)}
 	for i := range d.Boxes {
-		p.machines = append(p.machines, newMachine(d.Machine))
-		p.alive[i] = true
+		run.machines = append(run.machines, newMachine(d.Machine))
+		run.alive[i] = true
 	}
 	voters := []int{0, 1, 2}[:min(3, d.Boxes)]
 	var err error
-	p.rig, err = rig.NewSite(rig.SiteConfig{Seed: d.Seed, Dir: cfg.Dir, Boxes: d.Boxes, Voters: voters, Terms: terms, Election: 400 * time.Millisecond, Example: cfg.Example, Serve: cfg.Serve, Shape: p.shape, Engine: p.engine})
+	run.rig, err = rig.NewSite(rig.SiteConfig{Seed: d.Seed, Dir: cfg.Dir, Boxes: d.Boxes, Voters: voters, Terms: terms, Election: 400 * time.Millisecond, Example: cfg.Example, Serve: cfg.Serve, Shape: run.applySite, Engine: run.newEngine})
 	if err != nil {
 		return nil, err
 	}
-	defer p.rig.Close()
-	if err := p.rig.Start(); err != nil {
+	defer run.rig.Close()
+	if err := run.rig.Start(); err != nil {
 		return nil, err
 	}
 	if d.Mode != model.Alone {
-		if err := p.rules(); err != nil {
+		if err := run.rolloutRules(); err != nil {
 			return nil, err
 		}
 	}
 	if d.Mode == model.Cut {
-		p.cut(func(a, b int) bool { return true }, true)
-		time.Sleep(forgets) // until nobody trusts what it heard
+		run.setLinksCut(func(a, b int) bool { return true }, true)
+		time.Sleep(adviceExpiry) // until no box trusts the advice that it has
 	}
-	p.connect()
+	run.createRouters()
 	stop := make(chan struct{})
-	var looks sync.WaitGroup
-	looks.Go(func() { p.look(stop) })
-	p.t0 = time.Now()
-	p.troubles(&looks)
+	var background sync.WaitGroup
+	background.Go(func() { run.pollLevels(stop) })
+	run.startedAt = time.Now()
+	run.injectFaults(&background)
 	for _, q := range d.Draw(d.Load) {
-		time.Sleep(time.Until(p.t0.Add(q.At)))
-		p.open.Add(1)
-		p.works.Store(p.body(q), q.Work)
-		p.try(&flow{q: q})
+		time.Sleep(time.Until(run.startedAt.Add(q.At)))
+		run.openRequests.Add(1)
+		run.workByBody.Store(run.body(q), q.Work)
+		run.sendAttempt(&requestState{request: q})
 	}
-	p.open.Wait()
+	run.openRequests.Wait()
 	close(stop)
-	looks.Wait()
+	background.Wait()
 	if cfg.Outage > 0 {
-		p.outage()
+		run.outage()
 	}
-	p.sum()
-	return &p.res, nil
+	run.summarize()
+	return &run.result, nil
 }
 
-// forgets is how long after the last word a box goes by itself alone, and a little.
-const forgets = 4 * time.Second
+// adviceExpiry is the time after which a box without messages decides alone, with a margin.
+const adviceExpiry = 4 * time.Second
 
-// shape is a box's settings: the model's site.
-func (p *play) shape(box int, c map[string]any) {
-	d := p.cfg.Day
+// applySite writes the site's figures into a box's configuration.
+func (run *trialRun) applySite(box int, config map[string]any) {
+	d := run.cfg.Day
 	us := func(t time.Duration) int64 { return t.Microseconds() }
-	set := c["settings"].(map[string]any)
-	fam := set["family-info"].(map[string]any)
-	fam["cores"], fam["cold"], fam["heeded"], fam["upstreams"] = d.Cores, p.cold[box], us(d.Heeded), d.Routers
-	g := set["guarantees"].(map[string]any)
-	g["cold"], g["cold-from"] = us(d.ColdFor), d.ColdFrom
+	set := config["settings"].(map[string]any)
+	family := set["family-info"].(map[string]any)
+	family["cores"], family["cold"], family["heeded"], family["upstreams"] = d.Cores, run.cold[box], us(d.Heeded), d.Routers
+	guarantees := set["guarantees"].(map[string]any)
+	guarantees["cold"], guarantees["cold-from"] = us(d.ColdFor), d.ColdFrom
 	set["policy-limits"].(map[string]any)["max-retry-after"] = us(d.MaxLater)
-	for i, l := range set["lanes"].([]any) { // the day's classes are the settings'
-		k, lane := d.Classes[i], l.(map[string]any)
-		lane["aim"], lane["deadline"], lane["dedup-window"] = us(k.Aim), us(k.Deadline), us(k.DedupWindow)
+	for i, l := range set["lanes"].([]any) { // the day's classes stand in the order of the settings
+		class, lane := d.Classes[i], l.(map[string]any)
+		lane["aim"], lane["deadline"], lane["dedup-window"] = us(class.Aim), us(class.Deadline), us(class.DedupWindow)
 	}
 }
 
-// engine is a box's: its runs are on the cores of the box's machine.
-func (p *play) engine(box int) *engine.Engine {
-	m := p.machines[box]
+// newEngine returns the fake engine of a box, whose runs use the cores of the box's machine.
+func (run *trialRun) newEngine(box int) *engine.Engine {
+	m := run.machines[box]
 	return engine.On(func(_, body string, done func(time.Duration)) {
-		work, ok := p.works.Load(body)
+		work, ok := run.workByBody.Load(body)
 		if !ok {
-			p.cfg.Note("the engine of n%d is to run %q, which nobody has asked for", box, body)
-			atomic.AddInt64(&p.res.Wrong, 1)
+			run.cfg.Note("engine of n%d got the unknown body %q", box, body)
+			atomic.AddInt64(&run.result.Wrong, 1)
 			return
 		}
 		if strings.HasPrefix(body, keyedBody) {
-			p.mu.Lock()
-			p.runs[body] = append(p.runs[body], run{box, p.life[box].Load()})
-			p.mu.Unlock()
+			run.mu.Lock()
+			run.keyedRuns[body] = append(run.keyedRuns[body], keyedRun{box, run.incarnations[box].Load()})
+			run.mu.Unlock()
 		}
 		began := time.Now()
 		m.add(work.(time.Duration), func() { done(time.Since(began)) })
 	}, m.demand)
 }
 
-// rules has the fleet shed as one, and waits until all boxes do.
-func (p *play) rules() error {
+// rolloutRules rolls out a configuration with overload rules and waits until all boxes follow them.
+func (run *trialRun) rolloutRules() error {
 	var src strings.Builder
 	src.WriteString("needs = 2\noverload {\n shares = {\n")
-	for name, s := range p.cfg.Day.Shares(p.cfg.Day.Quota) {
+	for name, s := range run.cfg.Day.Shares(run.cfg.Day.Quota) {
 		fmt.Fprintf(&src, "  %q = %.3f\n", name, s)
 	}
 	src.WriteString(" }\n}\n")
-	c := p.rig.Boxes[0].Control().Fleet()
+	c := run.rig.Boxes[0].Control().Fleet()
 	n, err := c.PutConfig([]byte(src.String()))
 	if err == nil {
-		err = c.StartRoll(n, rollout.Plan{Canaries: 1, Share: 1, Timeout: 12 * time.Second, Slots: p.cfg.Day.Boxes})
+		err = c.StartRoll(n, rollout.Plan{Canaries: 1, Share: 1, Timeout: 12 * time.Second, Slots: run.cfg.Day.Boxes})
 	}
 	if err != nil {
-		return fmt.Errorf("overloads: the rules are not taken: %w", err)
+		return fmt.Errorf("overloads: rolling out the overload rules failed: %w", err)
 	}
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(lookEach) {
+	for end := time.Now().Add(20 * time.Second); ; time.Sleep(pollInterval) {
 		err = nil
-		for _, b := range p.rig.Boxes {
-			if l, e := b.Control().Fleet().Load(); e != nil || l.Advice == nil || l.Advice.Trust < 1 && len(p.rig.Boxes) > 1 && p.cfg.Day.Mode == model.Fleet && l.Fleet.Boxes < len(p.rig.Boxes) {
-				err = fmt.Errorf("overloads: %s does not go by the rules: %+v %v", b.Name, l, e)
+		for _, b := range run.rig.Boxes {
+			if l, e := b.Control().Fleet().Load(); e != nil || l.Advice == nil || l.Advice.Trust < 1 && len(run.rig.Boxes) > 1 && run.cfg.Day.Mode == model.Fleet && l.Fleet.Boxes < len(run.rig.Boxes) {
+				err = fmt.Errorf("overloads: %s does not follow the overload rules: load %+v, error %v", b.Name, l, e)
 			}
 		}
 		if err == nil || time.Now().After(end) {
@@ -191,21 +192,23 @@
 	}
 }
 
-const lookEach = 250 * time.Millisecond
+// pollInterval is the time between two queries of the boxes.
+const pollInterval = 250 * time.Millisecond
 
-// cut has the links between some boxes lose all, or lose nothing.
-func (p *play) cut(between func(a, b int) bool, on bool) {
-	for a := range p.rig.Boxes {
-		for b := range p.rig.Boxes {
+// setLinksCut cuts the links between the boxes that between selects, or restores them.
+func (run *trialRun) setLinksCut(between func(a, b int) bool, on bool) {
+	for a := range run.rig.Boxes {
+		for b := range run.rig.Boxes {
 			if a != b && between(a, b) {
-				p.rig.Net.Set(a, b, func(f *rig.Flow) { f.Cut = on })
+				run.rig.Net.Set(a, b, func(f *rig.Flow) { f.Cut = on })
 			}
 		}
 	}
 }
 
-func (p *play) connect() {
-	d := p.cfg.Day
+// createRouters creates the routers, each with a client for every box.
+func (run *trialRun) createRouters() {
+	d := run.cfg.Day
 	all := make([]int, d.Boxes)
 	for i := range all {
 		all[i] = i
@@ -214,158 +217,160 @@
 	for i, h := range model.Habits(d.Seed, d.Routers) {
 		r := model.NewRouter(h, d.Heeded, src)
 		r.List(all)
-		p.routers = append(p.routers, r)
-		var wires []*router.Router
-		for _, b := range p.rig.Boxes {
-			wires = append(wires, &router.Router{Addr: b.Addr(), Number: i, Twice: func(int32) { atomic.AddInt64(&p.res.Twice, 1) }})
+		run.routers = append(run.routers, r)
+		var connections []*router.Router
+		for _, b := range run.rig.Boxes {
+			connections = append(connections, &router.Router{Addr: b.Addr(), Number: i, Twice: func(int32) { atomic.AddInt64(&run.result.Twice, 1) }})
 		}
-		p.wires = append(p.wires, wires)
+		run.connections = append(run.connections, connections)
 	}
 }
 
-// flow is a request on its way.
-type flow struct {
-	q     model.Request
-	tried []int
-	tries int
-	let   int
-	at    int // the try that is out, from 1; 0: none
-	ended bool
+// requestState is a client's request with its attempts.
+type requestState struct {
+	request         model.Request
+	triedBoxes      []int
+	attempts        int
+	admittedRetries int
+	openAttempt     int // number of the open attempt, from 1; 0 for none
+	ended           bool
 }
 
-// keyedBody begins the bodies of keyed requests.
+// keyedBody is the prefix of the bodies of keyed requests.
 const keyedBody = "key "
 
-func (p *play) now() time.Duration { return time.Since(p.t0) + time.Hour }
+// now returns the time for the routers. It starts at 1 h, so that 0 is long past.
+func (run *trialRun) now() time.Duration { return time.Since(run.startedAt) + time.Hour }
 
-// body is a request's: it tells the engine's side whether it may run once alone.
-func (p *play) body(q model.Request) string {
-	if p.cfg.Day.Classes[q.Class].Semantics == policy.Keyed {
+// body returns the body of a request. Its prefix tells the fake engine whether the request is keyed and may run only once.
+func (run *trialRun) body(q model.Request) string {
+	if run.cfg.Day.Classes[q.Class].Semantics == policy.Keyed {
 		return keyedBody + fmt.Sprint(q.N)
 	}
 	return fmt.Sprintf("body %d", q.N)
 }
 
-// try sends a request to a box, if there is one to send it to.
-func (p *play) try(f *flow) {
-	d := p.cfg.Day
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	due := p.t0.Add(d.Due(f.q))
-	if f.ended {
+// sendAttempt sends a request to the box that its router picks, or finishes it as not served if the deadline has passed or no box may be sent to.
+func (run *trialRun) sendAttempt(state *requestState) {
+	d := run.cfg.Day
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	due := run.startedAt.Add(d.Due(state.request))
+	if state.ended {
 		return
 	}
-	box, ok := p.routers[f.q.Router].Pick(p.now(), f.q, f.tried)
+	box, ok := run.routers[state.request.Router].Pick(run.now(), state.request, state.triedBoxes)
 	if !ok || time.Now().After(due) {
-		p.end(f, false)
+		run.finish(state, false)
 		return
 	}
-	f.tried = append(f.tried, box)
-	if !p.alive[box] { // the connection is refused: nobody reads it
-		time.AfterFunc(time.Millisecond, func() { p.try(f) })
+	state.triedBoxes = append(state.triedBoxes, box)
+	if !run.alive[box] { // the connection is refused, which is not an attempt: no box reads the request
+		time.AfterFunc(time.Millisecond, func() { run.sendAttempt(state) })
 		return
 	}
-	p.routers[f.q.Router].Sent(box)
-	f.tries++
-	f.at = f.tries
-	n, door, life := f.tries, time.Now(), p.life[box].Load()
-	txn := fmt.Sprintf("%08x%08x", f.q.N, n)
-	p.res.Sent++
-	time.AfterFunc(time.Until(due), func() { p.left(f, n, box) })
-	p.machines[box].add(d.Read, func() { p.send(f, n, txn, box, life, door) })
+	run.routers[state.request.Router].Sent(box)
+	state.attempts++
+	state.openAttempt = state.attempts
+	attempt, arrivedAt, incarnation := state.attempts, time.Now(), run.incarnations[box].Load()
+	txn := fmt.Sprintf("%08x%08x", state.request.N, attempt)
+	run.result.Sent++
+	time.AfterFunc(time.Until(due), func() { run.abandonAttempt(state, attempt, box) })
+	run.machines[box].add(d.Read, func() { run.forward(state, attempt, txn, box, incarnation, arrivedAt) })
 }
 
-// left is the client's leaving while a try is out.
-func (p *play) left(f *flow, n, box int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if f.at == n && !f.ended {
-		p.routers[f.q.Router].Heard(p.now(), box, model.Told{})
-		p.end(f, false)
+// abandonAttempt ends a request at its deadline if the attempt is still open.
+func (run *trialRun) abandonAttempt(state *requestState, attempt, box int) {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	if state.openAttempt == attempt && !state.ended {
+		run.routers[state.request.Router].Heard(run.now(), box, model.Told{})
+		run.finish(state, false)
 	}
 }
 
-// send hands a try that was read to the box's process.
-func (p *play) send(f *flow, n int, txn string, box int, life int64, door time.Time) {
-	d := p.cfg.Day
-	limit := d.Due(f.q) - door.Sub(p.t0)
-	p.mu.Lock()
-	gone := f.ended || f.at != n
-	p.mu.Unlock()
-	if gone || limit <= 0 {
+// forward sends an attempt to the box's process once its reading cost has been paid.
+func (run *trialRun) forward(state *requestState, attempt int, txn string, box int, incarnation int64, arrivedAt time.Time) {
+	d := run.cfg.Day
+	limit := d.Due(state.request) - arrivedAt.Sub(run.startedAt)
+	run.mu.Lock()
+	ended := state.ended || state.openAttempt != attempt
+	run.mu.Unlock()
+	if ended || limit <= 0 {
 		return
 	}
-	k := d.Classes[f.q.Class]
-	q := router.Request{Txn: txn, Class: k.Name, Tenant: d.Tenants[f.q.Tenant].Name, Body: p.body(f.q), Limit: limit, Retry: n > 1, Rank: f.q.Rank, Door: door}
-	if k.Semantics == policy.Keyed {
-		q.Unique = fmt.Sprintf("%032x", f.q.N)
+	class := d.Classes[state.request.Class]
+	q := router.Request{Txn: txn, Class: class.Name, Tenant: d.Tenants[state.request.Tenant].Name, Body: run.body(state.request), Limit: limit, Retry: attempt > 1, Rank: state.request.Rank, Door: arrivedAt}
+	if class.Semantics == policy.Keyed {
+		q.Unique = fmt.Sprintf("%032x", state.request.N)
 	}
-	p.wires[f.q.Router][box].Send(q, func(o router.Outcome) {
-		died := p.life[box].Load() != life
-		if o.Took = time.Since(door); o.Took > limit+answerRest && !died {
-			atomic.AddInt64(&p.res.Late, 1)
-			p.cfg.Note("%s to n%d was answered after %v of %v", txn, box, o.Took, limit)
+	run.connections[state.request.Router][box].Send(q, func(o router.Outcome) {
+		died := run.incarnations[box].Load() != incarnation
+		if o.Took = time.Since(arrivedAt); o.Took > limit+answerSlack && !died {
+			atomic.AddInt64(&run.result.Late, 1)
+			run.cfg.Note("%s to n%d was answered after %v, its limit was %v", txn, box, o.Took, limit)
 		}
 		if o.End == router.Served && o.Body != "did "+q.Body {
-			atomic.AddInt64(&p.res.Wrong, 1)
+			atomic.AddInt64(&run.result.Wrong, 1)
 		}
 		if o.End == router.Lost && !died {
-			atomic.AddInt64(&p.res.Lost, 1)
-			p.cfg.Note("%s to n%d was lost", txn, box)
+			atomic.AddInt64(&run.result.Lost, 1)
+			run.cfg.Note("%s to n%d got no answer", txn, box)
 		}
-		p.heard(f, n, box, txn, o)
+		run.handleOutcome(state, attempt, box, txn, o)
 	})
 }
 
-// answerRest is the slack of the rules on sockets, and what 24 processes and all that is around them on one machine add to it.
-const answerRest = 300 * time.Millisecond
+// answerSlack is how late an answer may arrive: the tolerance of the rules on sockets, and the delays of 24 processes and their surroundings on
+// one machine.
+const answerSlack = 300 * time.Millisecond
 
-// heard takes the answer of a try.
-func (p *play) heard(f *flow, n, box int, txn string, o router.Outcome) {
-	p.mu.Lock()
-	again := false
-	if n > 1 && p.rig.Boxes[box].Began(txn) {
-		f.let++
+// handleOutcome processes the outcome of an attempt, and retries if the router wants to.
+func (run *trialRun) handleOutcome(state *requestState, attempt, box int, txn string, o router.Outcome) {
+	run.mu.Lock()
+	retry := false
+	if attempt > 1 && run.rig.Boxes[box].Began(txn) {
+		state.admittedRetries++
 	}
 	if o.End == router.Refused {
-		p.res.Refused++
-	}
-	if f.at == n && !f.ended {
-		r := p.routers[f.q.Router]
-		told := model.Told{Later: o.Later, GiveUp: o.GiveUp, Signal: o.Feedback, Set: o.Told}
-		r.Heard(p.now(), box, told)
-		f.at = 0
-		safe := p.cfg.Day.Classes[f.q.Class].Semantics == policy.Safe
+		run.result.Refused++
+	}
+	if state.openAttempt == attempt && !state.ended {
+		r := run.routers[state.request.Router]
+		hints := model.Told{Later: o.Later, GiveUp: o.GiveUp, Signal: o.Feedback, Set: o.Told}
+		r.Heard(run.now(), box, hints)
+		state.openAttempt = 0
+		safe := run.cfg.Day.Classes[state.request.Class].Semantics == policy.Safe
 		switch {
 		case o.End == router.Served:
-			p.end(f, true)
+			run.finish(state, true)
 		case o.End == router.Refused || o.End == router.TurnedBack || o.End == router.Lost && safe:
-			if again = r.Again(f.tries, told); !again {
-				p.end(f, false)
+			if retry = r.Again(state.attempts, hints); !retry {
+				run.finish(state, false)
 			}
 		default:
-			p.end(f, false)
+			run.finish(state, false)
 		}
 	}
-	p.mu.Unlock()
-	if again {
-		p.try(f)
+	run.mu.Unlock()
+	if retry {
+		run.sendAttempt(state)
 	}
 }
 
-// end ends a request; p.mu is held.
-func (p *play) end(f *flow, served bool) {
-	f.ended = true
-	p.fates = append(p.fates, model.Fate{Request: f.q, Served: served, Took: time.Since(p.t0) - f.q.At, Tries: f.tries, Let: f.let})
-	p.open.Done()
+// finish records the outcome of a request. The caller holds the mutex.
+func (run *trialRun) finish(state *requestState, served bool) {
+	state.ended = true
+	run.outcomes = append(run.outcomes, model.Fate{Request: state.request, Served: served, Took: time.Since(run.startedAt) - state.request.At, Tries: state.attempts, Let: state.admittedRetries})
+	run.openRequests.Done()
 }
 
-// troubles plays what goes wrong. The routers' list follows as late as the site has it.
-func (p *play) troubles(wait *sync.WaitGroup) {
-	d := p.cfg.Day
+// injectFaults schedules the day's faults. Routers learn of killed and restarted boxes after the site's list delay.
+func (run *trialRun) injectFaults(pending *sync.WaitGroup) {
+	d := run.cfg.Day
 	at := func(t time.Duration, do func()) {
-		wait.Go(func() {
-			time.Sleep(time.Until(p.t0.Add(t)))
+		pending.Go(func() {
+			time.Sleep(time.Until(run.startedAt.Add(t)))
 			do()
 		})
 	}
@@ -373,170 +378,173 @@
 		switch t.Kind {
 		case model.Slow:
 			for _, b := range t.Boxes {
-				at(t.From, func() { p.machines[b].slow(1 / t.Times) })
-				at(t.From+t.For, func() { p.machines[b].slow(1) })
+				at(t.From, func() { run.machines[b].setSpeed(1 / t.Times) })
+				at(t.From+t.For, func() { run.machines[b].setSpeed(1) })
 			}
 		case model.Kill:
 			for _, b := range t.Boxes {
-				at(t.From, func() { p.kill(b) })
-				at(t.From+d.ListLag, p.list)
-				at(t.From+t.For, func() { p.start(b) })
-				at(t.From+t.For+d.ListLag, p.list)
+				at(t.From, func() { run.kill(b) })
+				at(t.From+d.ListLag, run.updateRouterLists)
+				at(t.From+t.For, func() { run.start(b) })
+				at(t.From+t.For+d.ListLag, run.updateRouterLists)
 			}
 		case model.Partition:
 			if d.Mode == model.Cut {
 				continue
 			}
 			half := func(a, b int) bool { return slices.Contains(t.Boxes, a) != slices.Contains(t.Boxes, b) }
-			at(t.From, func() { p.cut(half, true) })
-			at(t.From+t.For, func() { p.cut(half, false) })
+			at(t.From, func() { run.setLinksCut(half, true) })
+			at(t.From+t.For, func() { run.setLinksCut(half, false) })
 		case model.Catalog:
-			at(t.From, func() { p.rig.Catalog().Down(true) })
-			at(t.From+t.For, func() { p.rig.Catalog().Down(false) })
+			at(t.From, func() { run.rig.Catalog().Down(true) })
+			at(t.From+t.For, func() { run.rig.Catalog().Down(false) })
 		}
 	}
 }
 
-func (p *play) kill(b int) {
-	p.life[b].Add(1)
-	p.mu.Lock()
-	p.alive[b], p.cold[b] = false, true
-	p.mu.Unlock()
-	p.machines[b].restart(true)
-	p.rig.Boxes[b].Kill()
+// kill kills the process of box b. It restarts cold.
+func (run *trialRun) kill(b int) {
+	run.incarnations[b].Add(1)
+	run.mu.Lock()
+	run.alive[b], run.cold[b] = false, true
+	run.mu.Unlock()
+	run.machines[b].restart(true)
+	run.rig.Boxes[b].Kill()
 }
 
-func (p *play) start(b int) {
-	p.machines[b].restart(true)
-	p.rig.Boxes[b].Born(time.Now())
-	err := p.rig.Boxes[b].Configure()
+// start restarts the process of box b.
+func (run *trialRun) start(b int) {
+	run.machines[b].restart(true)
+	run.rig.Boxes[b].Born(time.Now())
+	err := run.rig.Boxes[b].Configure()
 	if err == nil {
-		err = p.rig.Boxes[b].Start()
+		err = run.rig.Boxes[b].Start()
 	}
 	if err != nil {
-		p.cfg.Note("n%d does not come back: %v", b, err)
+		run.cfg.Note("restarting n%d failed: %v", b, err)
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.alive[b], p.levels[b], p.turns[b] = true, 0, nil
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.alive[b], run.levels[b], run.levelChanges[b] = true, 0, nil
 }
 
-// list tells all routers which boxes there are.
-func (p *play) list() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// updateRouterLists gives every router the list of boxes that are alive.
+func (run *trialRun) updateRouterLists() {
+	run.mu.Lock()
+	defer run.mu.Unlock()
 	var up []int
-	for b, alive := range p.alive {
+	for b, alive := range run.alive {
 		if alive {
 			up = append(up, b)
 		}
 	}
-	for _, r := range p.routers {
+	for _, r := range run.routers {
 		r.List(up)
 	}
 }
 
-// look asks the boxes for their level again and again.
-func (p *play) look(stop chan struct{}) {
+// pollLevels queries the boxes for their shedding level until stop is closed, and counts the changes.
+func (run *trialRun) pollLevels(stop chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(lookEach):
+		case <-time.After(pollInterval):
 		}
-		for i, b := range p.rig.Boxes {
-			p.mu.Lock()
-			alive, life := p.alive[i], p.life[i].Load()
-			p.mu.Unlock()
+		for i, b := range run.rig.Boxes {
+			run.mu.Lock()
+			alive, incarnation := run.alive[i], run.incarnations[i].Load()
+			run.mu.Unlock()
 			if !alive {
 				continue
 			}
-			l, err := b.Control().Fleet().Load()
-			if err != nil || l.Advice == nil {
+			load, err := b.Control().Fleet().Load()
+			if err != nil || load.Advice == nil {
 				continue
 			}
-			p.mu.Lock()
-			if l.Advice.Level != p.levels[i] && life == p.life[i].Load() {
-				p.levels[i] = l.Advice.Level
-				p.turns[i] = append(p.turns[i], p.now())
-				p.res.LevelChanges = max(p.res.LevelChanges, model.Most(p.turns[i], levelSpan))
+			run.mu.Lock()
+			if load.Advice.Level != run.levels[i] && incarnation == run.incarnations[i].Load() {
+				run.levels[i] = load.Advice.Level
+				run.levelChanges[i] = append(run.levelChanges[i], run.now())
+				run.result.LevelChanges = max(run.result.LevelChanges, model.Most(run.levelChanges[i], levelSpan))
 			}
-			p.mu.Unlock()
+			run.mu.Unlock()
 		}
 	}
 }
 
-// levelSpan is the time in which a level changes once at the most, less what the looks are apart.
-const levelSpan = 10*time.Second - 2*lookEach
+// levelSpan is the time in which a level may change only once, less the error from polling.
+const levelSpan = 10*time.Second - 2*pollInterval
 
-// outage takes the catalog and the links to the engines from all boxes, counts what is asked meanwhile, and gives them back.
-func (p *play) outage() {
+// outage takes the catalog and all links to engines down, counts the reports and dials meanwhile, and measures how soon the boxes report again
+// after it ends.
+func (run *trialRun) outage() {
 	dials := func() (n int) {
-		for _, b := range p.rig.Boxes {
+		for _, b := range run.rig.Boxes {
 			n += b.Engine().Dials()
 		}
 		return n
 	}
-	p.rig.Catalog().Down(true)
-	for _, b := range p.rig.Boxes {
+	run.rig.Catalog().Down(true)
+	for _, b := range run.rig.Boxes {
 		b.Engine().Cut(true)
 	}
-	time.Sleep(p.cfg.Outage / 3) // they find out
-	asked, from := p.rig.Catalog().Came()+dials(), time.Now()
-	time.Sleep(p.cfg.Outage * 2 / 3)
-	p.res.Probes = float64(p.rig.Catalog().Came()+dials()-asked) / time.Since(from).Seconds()
-	p.rig.Catalog().Down(false)
-	for _, b := range p.rig.Boxes {
+	time.Sleep(run.cfg.Outage / 3) // time to detect the outage
+	before, from := run.rig.Catalog().Came()+dials(), time.Now()
+	time.Sleep(run.cfg.Outage * 2 / 3)
+	run.result.Probes = float64(run.rig.Catalog().Came()+dials()-before) / time.Since(from).Seconds()
+	run.rig.Catalog().Down(false)
+	for _, b := range run.rig.Boxes {
 		b.Engine().Cut(false)
 	}
 	back := time.Now()
-	for _, b := range p.rig.Boxes {
+	for _, b := range run.rig.Boxes {
 		for time.Since(back) < 10*time.Second {
-			if r, ok := p.rig.Catalog().Last(b.Name); ok && r.At.After(back) {
+			if r, ok := run.rig.Catalog().Last(b.Name); ok && r.At.After(back) {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	p.res.Back = time.Since(back)
+	run.result.Back = time.Since(back)
 }
 
-// sum works out what the day was worth, and reads what the boxes have counted.
-func (p *play) sum() {
-	d := p.cfg.Day
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for key, runs := range p.runs {
-		seen := map[run]bool{}
+// summarize computes the worth of the day, counts keyed requests that ran twice in one process, and reads the counters of the boxes.
+func (run *trialRun) summarize() {
+	d := run.cfg.Day
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	for key, runs := range run.keyedRuns {
+		seen := map[keyedRun]bool{}
 		for _, r := range runs {
 			if seen[r] {
-				p.res.DoubleRuns++
-				p.cfg.Note("%s ran twice at n%d", key, r.box)
+				run.result.DoubleRuns++
+				run.cfg.Note("keyed request %q ran twice at n%d", key, r.box)
 			}
 			seen[r] = true
 		}
 	}
-	p.res.Worth = d.Judge(d.Load, p.fates)
-	for _, b := range p.rig.Boxes {
+	run.result.Worth = d.Judge(d.Load, run.outcomes)
+	for _, b := range run.rig.Boxes {
 		st, err := b.Control().Status()
 		if err != nil {
-			p.cfg.Note("%s does not answer at the end: %v", b.Name, err)
+			run.cfg.Note("%s did not answer the status query at the end: %v", b.Name, err)
 			continue
 		}
-		p.res.Invariants += st.Counters["invariants_broken"]
-		p.res.Over += st.Counters["refused_over_share"]
-		p.res.Low += st.Counters["refused_low_class"]
-		p.res.Beyond += st.Counters["refused_beyond_tries"]
+		run.result.Invariants += st.Counters["invariants_broken"]
+		run.result.Over += st.Counters["refused_over_share"]
+		run.result.Low += st.Counters["refused_low_class"]
+		run.result.Beyond += st.Counters["refused_beyond_tries"]
 	}
-	for _, list := range p.wires {
+	for _, list := range run.connections {
 		for _, w := range list {
 			w.Close()
 		}
 	}
 }
 
-// dirOf is the folder of one of several fleets.
-func dirOf(dir string, parts ...any) string {
+// fleetDir returns the folder of one of several fleets.
+func fleetDir(dir string, parts ...any) string {
 	return filepath.Join(dir, fmt.Sprint(parts...))
 }
--- a/internal/lab/overloads/site_test.go
+++ b/internal/lab/overloads/site_test.go
@@ -14,29 +14,31 @@
 	"cairnlane/policy"
 )
 
-const images = "../../../examples/images/config.json" // two keyed classes, neither of them where the other example's is
+const indexConfig = "../../../examples/images/config.json" // two keyed classes, at other positions than in the other example
 
-// TestKeyedBodiesAreThoseOfKeyedClasses, wherever these stand in the settings: runs that came twice are counted by the body.
-func TestKeyedBodiesAreThoseOfKeyedClasses(t *testing.T) {
-	s, err := Site(images)
+// TestBodyPrefixMarksKeyedClasses checks that exactly the bodies of keyed classes have the prefix by which double runs are counted, at any position
+// of these classes in the settings.
+func TestBodyPrefixMarksKeyedClasses(t *testing.T) {
+	s, err := Site(indexConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &play{cfg: Config{Day: model.Day{Site: s}}}
+	p := &trialRun{cfg: Config{Day: model.Day{Site: s}}}
 	for i, c := range s.Classes {
 		if b := p.body(model.Request{N: 7, Class: i}); strings.HasPrefix(b, keyedBody) != (c.Semantics == policy.Keyed) {
-			t.Errorf("%s (%v) has the body %q", c.Name, c.Semantics, b)
+			t.Errorf("class %s (%v) has the body %q", c.Name, c.Semantics, b)
 		}
 	}
 }
 
-// TestABoxIsToldItsSite: its settings stay the configuration's but for the times, which are the day's, and the number of cores.
-func TestABoxIsToldItsSite(t *testing.T) {
-	s, err := Site(images)
+// TestApplySiteWritesSettings checks that a box's settings are those of the configuration, except for the times, which are the day's, and the
+// number of cores.
+func TestApplySiteWritesSettings(t *testing.T) {
+	s, err := Site(indexConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := os.ReadFile(images)
+	raw, err := os.ReadFile(indexConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,36 +46,37 @@
 	if err := json.Unmarshal(raw, &c); err != nil {
 		t.Fatal(err)
 	}
-	p := &play{cfg: Config{Day: model.Day{Site: s, Load: model.Load{Boxes: 1, Routers: 5}}}, cold: make([]bool, 1)}
-	p.shape(0, c)
+	p := &trialRun{cfg: Config{Day: model.Day{Site: s, Load: model.Load{Boxes: 1, Routers: 5}}}, cold: make([]bool, 1)}
+	p.applySite(0, c)
 	if raw, err = json.Marshal(c["settings"]); err != nil {
 		t.Fatal(err)
 	}
-	told, err := settings.Decode(raw)
+	decoded, err := settings.Decode(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := told.Policy(1)
+	got := decoded.Policy(1)
 	if got.MaxRunsPerCore != 5 || got.Cores != boxCores || got.Dependency != policy.SharedDependency || len(got.Classes) != 4 {
-		t.Errorf("%+v", got)
+		t.Errorf("policy configuration of the box: %+v", got)
 	}
 	for i, k := range got.Classes {
 		want := s.Classes[i]
 		if near := func(a, b time.Duration) bool { return (a - b).Abs() <= time.Microsecond }; k.Name != want.Name || k.Worth != want.Worth || k.SkipWorth != want.SkipWorth ||
 			k.Semantics != want.Semantics || !near(k.DedupWindow, want.DedupWindow) || !near(k.Deadline, want.Deadline) || !near(k.Aim, want.Aim) {
-			t.Errorf("class %d: %+v, not %+v", i, k, want.Class)
+			t.Errorf("class %d is %+v, want %+v", i, k, want.Class)
 		}
 	}
 }
 
-// TestADayAtAnotherSiteKeepsTheRules, over real processes: two keyed classes, five tenants, and runs that call an index. It judges rules and counts.
-func TestADayAtAnotherSiteKeepsTheRules(t *testing.T) {
+// TestOverloadTrialWithIndexCallsKeepsInvariants runs a trial over real processes at a site with two keyed classes, five tenants and runs that call
+// an index. It checks invariants and counts.
+func TestOverloadTrialWithIndexCallsKeepsInvariants(t *testing.T) {
 	dir, err := rig.TempDir()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	f, err := Trial{Seed: 1, Seeds: 1, Boxes: 3, Loads: []float64{1.3}, Modes: []model.Mode{model.Fleet}, Span: 5 * time.Second, Example: images, Dir: dir, Serve: rigtest.Serve,
+	f, err := Trial{Seed: 1, Seeds: 1, Boxes: 3, Loads: []float64{1.3}, Modes: []model.Mode{model.Fleet}, Span: 5 * time.Second, Example: indexConfig, Dir: dir, Serve: rigtest.Serve,
 		Faults: func(d *model.Day) {
 			d.Troubles = append(d.Troubles, model.Trouble{Kind: model.Kill, From: 2 * time.Second, For: 500 * time.Millisecond, Boxes: []int{2}})
 		}}.Run()
@@ -85,7 +88,7 @@
 	}
 	r := f.Got[1.3][model.Fleet][0]
 	if r.Requests < 200 {
-		t.Errorf("too little was seen: %d requests", r.Requests)
+		t.Errorf("too little load: %d requests", r.Requests)
 	}
 	t.Logf("%+v", *r)
 }
--- a/internal/lab/overloads/trial.go
+++ b/internal/lab/overloads/trial.go
@@ -12,7 +12,7 @@
 	"cairnlane/internal/lab/model"
 )
 
-// Trial is a number of seeds, each with three loads, each of them in three modes side by side.
+// Trial holds the parameters of a trial: each seed is run at each load, with the modes side by side.
 type Trial struct {
 	Seed     uint64
 	Seeds    int
@@ -21,20 +21,20 @@
 	Modes    []model.Mode
 	Span     time.Duration
 	Faults   func(*model.Day)
-	Outage   time.Duration // once a seed, after the first load
+	Outage   time.Duration // once per seed, after the first load; 0 for no outage
 	Example  string
 	Dir      string
 	Serve    func(config string) *exec.Cmd
 	Progress io.Writer
 }
 
-// Times is how much faster than the described one the trial's site is: shorter requests make days shorter and their figures less noisy.
+// Times is the factor by which the trial's site is faster than described. Shorter requests make days shorter and the figures less noisy.
 const Times = 3
 
-// boxCores are those of a box: fewer than a machine of a site has, so that one machine can carry all boxes.
+// boxCores is the number of cores of a box. It is lower than on a site's machines, so that one machine can run all boxes.
 const boxCores = 4
 
-// Site is the trial's: that of a configuration, faster and with fewer cores a box.
+// Site returns the trial's site: that of a configuration, but faster and with fewer cores per box.
 func Site(config string) (model.Site, error) {
 	s, err := model.Open(config)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return s, nil
 }
 
-// Run plays it.
+// Run runs the trial.
 func (t Trial) Run() (*Figures, error) {
 	if t.Progress == nil {
 		t.Progress = io.Discard
@@ -77,7 +77,7 @@
 					if t.Faults != nil {
 						t.Faults(&d)
 					}
-					cfg := Config{Day: d, Dir: dirOf(t.Dir, seed, i, k), Example: t.Example, Serve: t.Serve, Note: note}
+					cfg := Config{Day: d, Dir: fleetDir(t.Dir, seed, i, k), Example: t.Example, Serve: t.Serve, Note: note}
 					if i == 0 {
 						cfg.Outage = t.Outage
 					}
@@ -95,7 +95,7 @@
 			fmt.Fprintf(t.Progress, "seed %d, %.0f%%:", t.Seed*1000+uint64(seed), 100*of)
 			for k, mode := range t.Modes {
 				r := results[k]
-				fmt.Fprintf(t.Progress, "  %s %.3f (worst class %.2f, %.2f tries, %.3f let in, refused over/low/beyond %d/%d/%d)", mode, r.Of(), r.WorstClass, per(r.Tries, r.Requests), per(r.LetIn, r.Requests), r.Over, r.Low, r.Beyond)
+				fmt.Fprintf(t.Progress, "  %s %.3f (worst class %.2f, %.2f attempts and %.3f admitted retries per request, rejected over share %d, of low class %d, over retry budget %d)", mode, r.Of(), r.WorstClass, ratio(r.Tries, r.Requests), ratio(r.LetIn, r.Requests), r.Over, r.Low, r.Beyond)
 			}
 			fmt.Fprintln(t.Progress)
 		}
@@ -103,16 +103,17 @@
 	return f, nil
 }
 
-func per(a, b int) float64 { return float64(a) / float64(max(b, 1)) }
+// ratio returns a divided by b, where b counts as at least 1.
+func ratio(a, b int) float64 { return float64(a) / float64(max(b, 1)) }
 
-// Figures are what a trial comes to.
+// Figures sums up a trial.
 type Figures struct {
 	Trial
-	Got   map[float64]map[model.Mode][]*Result // by load and mode, a result a seed
+	Got   map[float64]map[model.Mode][]*Result // by load and mode, one result per seed
 	Notes []string
 }
 
-// mean of a figure over seeds, at some loads.
+// mean returns the mean of a figure over all seeds at the given loads.
 func (f *Figures) mean(m model.Mode, of func(*Result) float64, loads ...float64) float64 {
 	sum, n := 0.0, 0
 	for _, l := range loads {
@@ -124,11 +125,12 @@
 	return sum / float64(max(n, 1))
 }
 
-func worth(r *Result) float64 { return r.Of() }
-func tries(r *Result) float64 { return per(r.Tries, r.Requests) }
-func letIn(r *Result) float64 { return per(r.LetIn, r.Requests) }
+func worthRatio(r *Result) float64                { return r.Of() }
+func attemptsPerRequest(r *Result) float64        { return ratio(r.Tries, r.Requests) }
+func admittedRetriesPerRequest(r *Result) float64 { return ratio(r.LetIn, r.Requests) }
 
-// Gain is by how much a fleet is better than each alone at a load, with half of its 95% confidence interval over the paired seeds.
+// Gain returns by how much the worth ratio in mode m is above that of boxes alone at a load: the mean over paired seeds and the half-width of its
+// 95% confidence interval.
 func (f *Figures) Gain(load float64, m model.Mode) (mean, half float64) {
 	var diffs []float64
 	for i, r := range f.Got[load][m] {
@@ -137,8 +139,8 @@
 	return model.Interval(diffs)
 }
 
-// jam is how long after its burst a day is back at nine tenths of what it was.
-func (f *Figures) jam(m model.Mode, loads ...float64) float64 {
+// recoveryMillis returns the mean time after the first burst until the worth ratio is back at 0.9 of its mean before, in milliseconds.
+func (f *Figures) recoveryMillis(m model.Mode, loads ...float64) float64 {
 	d := model.Day{Load: model.Load{Boxes: f.Boxes}}
 	if f.Faults != nil {
 		f.Faults(&d)
@@ -150,7 +152,7 @@
 	return f.mean(m, func(r *Result) float64 { return float64(r.Settles(b.From, b.From+b.For, 0.9).Milliseconds()) }, loads...)
 }
 
-// total of a count over all that was played.
+// total returns the sum of a count over all results.
 func (f *Figures) total(of func(*Result) int64) (n int64) {
 	for _, modes := range f.Got {
 		for _, list := range modes {
@@ -162,7 +164,8 @@
 	return n
 }
 
-func (f *Figures) levels() (n int) {
+// maxLevelChanges returns the maximum number of level changes of one box within 10 s.
+func (f *Figures) maxLevelChanges() (n int) {
 	for _, modes := range f.Got {
 		for _, list := range modes {
 			for _, r := range list {
@@ -173,9 +176,10 @@
 	return n
 }
 
-var high = []float64{1.1, 1.5}
+// overloadLoads are the loads above the capacity.
+var overloadLoads = []float64{1.1, 1.5}
 
-// Rules are the bounds that hold on any machine, however fast it is.
+// Rules lists the missed bounds that have to hold on any machine, whatever its speed.
 func (f *Figures) Rules() (list []string) {
 	for name, n := range map[string]int64{"lost": f.total(func(r *Result) int64 { return r.Lost }), "ended twice": f.total(func(r *Result) int64 { return r.Twice }), "double runs": f.total(func(r *Result) int64 { return r.DoubleRuns }),
 		"wrong results": f.total(func(r *Result) int64 { return r.Wrong }), "invariants broken": f.total(func(r *Result) int64 { return r.Invariants })} {
@@ -183,16 +187,16 @@
 			list = append(list, fmt.Sprintf("%s: %d", name, n))
 		}
 	}
-	if n := f.levels(); n > 1 {
-		list = append(list, fmt.Sprintf("%d changes of a level within 10 s", n))
+	if n := f.maxLevelChanges(); n > 1 {
+		list = append(list, fmt.Sprintf("%d level changes within 10 s", n))
 	}
 	return list
 }
 
-// jamRest is by how much a jam may seem longer than it is: what is got is counted by the second.
-const jamRest = 1000
+// recoverySlack, in milliseconds, is the error of a recovery time: the worth is counted by the second.
+const recoverySlack = 1000
 
-// Missed are all bounds that are missed.
+// Missed lists all bounds that the figures miss.
 func (f *Figures) Missed() []string {
 	list := f.Rules()
 	miss := func(bad bool, format string, a ...any) {
@@ -205,30 +209,31 @@
 		miss(l > 1 && gain < 0.03, "gain at %.0f%%: %.3f", 100*l, gain)
 		miss(l < 1 && gain < 0, "gain at %.0f%%: %.3f", 100*l, gain)
 	}
-	// Over all loads: two fleets that do the same differ by one or two hundredths on a day, as the machine has it.
-	cut := f.mean(model.Cut, worth, f.Loads...) - f.mean(model.Alone, worth, f.Loads...)
-	miss(cut < -0.01, "with the view cut: %.3f", cut)
+	// The mean over all loads, since the results of two fleets that behave the same differ by one or two hundredths on a single day.
+	cut := f.mean(model.Cut, worthRatio, f.Loads...) - f.mean(model.Alone, worthRatio, f.Loads...)
+	miss(cut < -0.01, "gain over alone with messages cut: %.3f", cut)
 	late := f.total(func(r *Result) int64 { return r.Late })
-	miss(late > 0, "late: %d", late)
-	let := f.mean(model.Fleet, letIn, high...)
-	miss(let > budget+0.02, "further tries let in: %.3f", let)
-	jam, alone := f.jam(model.Fleet, high...), f.jam(model.Alone, high...)
-	miss(jam > alone+jamRest, "jam: %.0f ms, alone %.0f", jam, alone)
-	probes, lone := f.mean(model.Fleet, probes, f.Loads[0]), f.mean(model.Alone, probes, f.Loads[0])
-	miss(f.Outage > 0 && probes >= lone, "probes: %.1f a second, alone %.1f", probes, lone)
+	miss(late > 0, "late answers: %d", late)
+	admitted := f.mean(model.Fleet, admittedRetriesPerRequest, overloadLoads...)
+	miss(admitted > retryBudget+0.02, "admitted retries per request: %.3f", admitted)
+	recovery, recoveryAlone := f.recoveryMillis(model.Fleet, overloadLoads...), f.recoveryMillis(model.Alone, overloadLoads...)
+	miss(recovery > recoveryAlone+recoverySlack, "recovery after the burst: %.0f ms, alone %.0f ms", recovery, recoveryAlone)
+	probes, probesAlone := f.mean(model.Fleet, probesPerSecond, f.Loads[0]), f.mean(model.Alone, probesPerSecond, f.Loads[0])
+	miss(f.Outage > 0 && probes >= probesAlone, "probes: %.1f per second, alone %.1f", probes, probesAlone)
 	return list
 }
 
-const budget = 0.1
+// retryBudget is the default retry budget, in retries per first attempt.
+const retryBudget = 0.1
 
-func probes(r *Result) float64 { return r.Probes }
+func probesPerSecond(r *Result) float64 { return r.Probes }
 
-// String is the line of figures.
+// String returns the figures as one line.
 func (f *Figures) String() string {
 	s := fmt.Sprintf("figures: processes=%d seeds=%d", len(f.Modes)*f.Boxes, f.Seeds)
 	for _, l := range f.Loads {
 		n := int(math.Round(100 * l))
-		s += fmt.Sprintf(" worth_%d=%.3f worth_alone_%d=%.3f worth_cut_%d=%.3f", n, f.mean(model.Fleet, worth, l), n, f.mean(model.Alone, worth, l), n, f.mean(model.Cut, worth, l))
+		s += fmt.Sprintf(" worth_%d=%.3f worth_alone_%d=%.3f worth_cut_%d=%.3f", n, f.mean(model.Fleet, worthRatio, l), n, f.mean(model.Alone, worthRatio, l), n, f.mean(model.Cut, worthRatio, l))
 	}
 	for _, l := range f.Loads {
 		gain, half := f.Gain(l, model.Fleet)
@@ -241,9 +246,9 @@
 	read := func(r *Result) float64 { return float64(r.Refused) / math.Max(float64(r.Sent), 1) }
 	share := func(r *Result) float64 { return r.ShareError }
 	return s + fmt.Sprintf(" worst_class_110=%.3f worst_class_alone_110=%.3f tries_per_request=%.3f tries_alone=%.3f further_let_in=%.3f further_alone=%.3f read_refused_share=%.3f read_refused_alone=%.3f jam_after_burst_ms=%.0f jam_alone_ms=%.0f probes_per_s=%.1f probes_alone=%.1f back_ms=%.0f tenant_share_error=%.3f tenant_share_error_alone=%.3f level_changes_per_10s_max=%d refused_over_share=%d refused_low_class=%d refused_beyond_tries=%d late=%d lost=%d ended_twice=%d double_runs=%d",
-		f.mean(model.Fleet, class, 1.1), f.mean(model.Alone, class, 1.1), f.mean(model.Fleet, tries, high...), f.mean(model.Alone, tries, high...), f.mean(model.Fleet, letIn, high...), f.mean(model.Alone, letIn, high...),
-		f.mean(model.Fleet, read, high...), f.mean(model.Alone, read, high...), f.jam(model.Fleet, high...), f.jam(model.Alone, high...), f.mean(model.Fleet, probes, f.Loads[0]), f.mean(model.Alone, probes, f.Loads[0]),
-		f.mean(model.Fleet, func(r *Result) float64 { return float64(r.Back.Milliseconds()) }, f.Loads[0]), f.mean(model.Fleet, share, high...), f.mean(model.Alone, share, high...), f.levels(),
+		f.mean(model.Fleet, class, 1.1), f.mean(model.Alone, class, 1.1), f.mean(model.Fleet, attemptsPerRequest, overloadLoads...), f.mean(model.Alone, attemptsPerRequest, overloadLoads...), f.mean(model.Fleet, admittedRetriesPerRequest, overloadLoads...), f.mean(model.Alone, admittedRetriesPerRequest, overloadLoads...),
+		f.mean(model.Fleet, read, overloadLoads...), f.mean(model.Alone, read, overloadLoads...), f.recoveryMillis(model.Fleet, overloadLoads...), f.recoveryMillis(model.Alone, overloadLoads...), f.mean(model.Fleet, probesPerSecond, f.Loads[0]), f.mean(model.Alone, probesPerSecond, f.Loads[0]),
+		f.mean(model.Fleet, func(r *Result) float64 { return float64(r.Back.Milliseconds()) }, f.Loads[0]), f.mean(model.Fleet, share, overloadLoads...), f.mean(model.Alone, share, overloadLoads...), f.maxLevelChanges(),
 		f.total(func(r *Result) int64 { return r.Over }), f.total(func(r *Result) int64 { return r.Low }), f.total(func(r *Result) int64 { return r.Beyond }),
 		f.total(func(r *Result) int64 { return r.Late }), f.total(func(r *Result) int64 { return r.Lost }), f.total(func(r *Result) int64 { return r.Twice }), f.total(func(r *Result) int64 { return r.DoubleRuns }))
 }
