--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -33,22 +33,22 @@
 	killed := w.now
 	for f.AllNotice == 0 && w.now < killed+time.Minute {
 		w.Advance(w.now + 50*time.Millisecond)
-		n := 0
+		noticed := 0
 		for i, b := range w.boxes[:victim] {
 			for _, m := range b.node.Members(b.clock(w)) {
 				if m.Name == w.boxes[victim].name && m.State == fleet.Dead {
-					n++
+					noticed++
 					break
 				}
 			}
-			if i == 0 && n == 0 && f.FirstNotices > 0 {
+			if i == 0 && noticed == 0 && f.FirstNotices > 0 {
 				break
 			}
 		}
-		if n > 0 && f.FirstNotices == 0 {
+		if noticed > 0 && f.FirstNotices == 0 {
 			f.FirstNotices = w.now - killed
 		}
-		if n == victim {
+		if noticed == victim {
 			f.AllNotice = w.now - killed
 		}
 	}
--- a/internal/lab/fleetsim/trial.go
+++ b/internal/lab/fleetsim/trial.go
@@ -33,10 +33,10 @@
 	f := &Figures{Rollouts: map[string]int{}}
 	before := processorTime()
 	var mu sync.Mutex
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	next := from
 	for range workers {
-		wait.Go(func() {
+		running.Go(func() {
 			for {
 				mu.Lock()
 				seed := next
@@ -59,7 +59,7 @@
 			}
 		})
 	}
-	wait.Wait()
+	running.Wait()
 	f.Processor = processorTime() - before
 	return f
 }
--- a/internal/lab/model/play.go
+++ b/internal/lab/model/play.go
@@ -633,28 +633,28 @@
 			sim.bytesSent += 16 * len(raw)
 		}
 	}
-	var i int
-	fmt.Sscanf(o.To, "n%d", &i)
-	to := sim.boxes[i]
-	delay, times := networkDelay, 1
+	var receiver int
+	fmt.Sscanf(o.To, "n%d", &receiver)
+	to := sim.boxes[receiver]
+	delay, copies := networkDelay, 1
 	cut := sim.day.Mode == Cut
 	for _, t := range sim.day.Troubles {
 		switch {
 		case t.Kind == Partition && sim.now-startTime >= t.From && sim.now-startTime < t.From+t.For:
-			cut = cut || slices.Contains(t.Boxes, from.number) != slices.Contains(t.Boxes, i)
+			cut = cut || slices.Contains(t.Boxes, from.number) != slices.Contains(t.Boxes, receiver)
 		case t.activeAt(sim.now-startTime, Late, from.number):
 			delay = 2 * time.Second
 		case t.activeAt(sim.now-startTime, Lose, from.number):
 			cut = cut || sim.messageRand.IntN(2) == 0
 		case t.activeAt(sim.now-startTime, Reorder, from.number):
 			delay = time.Duration(sim.messageRand.IntN(600)) * time.Millisecond
-			times = 1 + sim.messageRand.IntN(2)
+			copies = 1 + sim.messageRand.IntN(2)
 		}
 	}
 	if cut {
 		return
 	}
-	for range times {
+	for range copies {
 		sim.At(sim.now+delay, func() {
 			if !to.dead {
 				to.load.Take(sim.now, sim.names[from.number], o.Message, sim.membership(to))
--- a/internal/lab/model/router.go
+++ b/internal/lab/model/router.go
@@ -87,12 +87,12 @@
 	return t
 }
 
-// Pick chooses a box for an attempt, other than those in tried. ok is false if there is no box to which the router may send.
-func (r *Router) Pick(now time.Duration, q Request, tried []int) (box int, ok bool) {
+// Pick chooses a box for an attempt, other than those in excluded. ok is false if there is no box to which the router may send.
+func (r *Router) Pick(now time.Duration, q Request, excluded []int) (box int, ok bool) {
 	var candidates []int
 	for _, b := range r.boxes {
 		state := r.stateOf(b)
-		if slices.Contains(tried, b) || r.Later && now < state.avoidUntil || r.Signal && now-state.minRankAt < r.signalLifetime && q.Rank < state.minRank {
+		if slices.Contains(excluded, b) || r.Later && now < state.avoidUntil || r.Signal && now-state.minRankAt < r.signalLifetime && q.Rank < state.minRank {
 			continue
 		}
 		candidates = append(candidates, b)
@@ -142,7 +142,7 @@
 	}
 }
 
-// Again reports whether a rejected request is retried at another box. tries is the number of attempts that it had.
-func (r *Router) Again(tries int, t Told) bool {
-	return (!r.GiveUp || !t.GiveUp) && (r.Tries == 0 && tries < len(r.boxes) || tries < r.Tries)
+// Again reports whether a rejected request is retried at another box. attempts is the number of attempts that it had.
+func (r *Router) Again(attempts int, t Told) bool {
+	return (!r.GiveUp || !t.GiveUp) && (r.Tries == 0 && attempts < len(r.boxes) || attempts < r.Tries)
 }
--- a/internal/lab/model/sweep.go
+++ b/internal/lab/model/sweep.go
@@ -112,10 +112,10 @@
 	fmt.Fprintln(table, "BOXES\tCASE\tLOAD\tALONE\tFLEET\tCUT\tGAIN\t±\tWORST CLASS\tTRIES\tLET IN\tSETTLED\tLEVELS\tPROBES/S\tMESSAGES\tBYTES")
 	for _, r := range rows {
 		worth := func(x Result) float64 { return x.Of() }
-		tries := func(x Result) float64 { return float64(x.Tries) / float64(max(x.Requests, 1)) }
+		attempts := func(x Result) float64 { return float64(x.Tries) / float64(max(x.Requests, 1)) }
 		gain, half := r.Gain(Fleet, Alone)
 		fmt.Fprintf(table, "%d\t%s\t%.0f%%\t%.3f\t%.3f\t%.3f\t%+.3f\t%.3f\t%.2f/%.2f\t%.2f/%.2f\t%.3f/%.3f\t%.1f/%.1fs\t%d\t%.1f/%.1f\t%.1f\t%.0f\n", r.Boxes, r.Name, 100*r.Of, r.Mean(Alone, worth), r.Mean(Fleet, worth), r.Mean(Cut, worth), gain, half,
-			r.Mean(Alone, func(x Result) float64 { return x.WorstClass }), r.Mean(Fleet, func(x Result) float64 { return x.WorstClass }), r.Mean(Alone, tries), r.Mean(Fleet, tries),
+			r.Mean(Alone, func(x Result) float64 { return x.WorstClass }), r.Mean(Fleet, func(x Result) float64 { return x.WorstClass }), r.Mean(Alone, attempts), r.Mean(Fleet, attempts),
 			r.Mean(Alone, admittedRetriesPerRequest), r.Mean(Fleet, admittedRetriesPerRequest), r.Settled[Alone].Seconds(), r.Settled[Fleet].Seconds(), r.Levels(),
 			r.Mean(Alone, func(x Result) float64 { return x.Probes }), r.Mean(Fleet, func(x Result) float64 { return x.Probes }), r.Mean(Fleet, func(x Result) float64 { return x.Messages }), r.Mean(Fleet, func(x Result) float64 { return x.Bytes }))
 	}
--- a/internal/lab/overloads/cost.go
+++ b/internal/lab/overloads/cost.go
@@ -54,15 +54,15 @@
 		}
 		defer v.site.Close()
 	}
-	src := rand.New(rand.NewPCG(1, 3))
+	rng := rand.New(rand.NewPCG(1, 3))
 	for round := range cfg.Rounds + 1 {
-		for _, i := range src.Perm(len(variants)) {
-			us, err := variants[i].round(cfg.Requests)
+		for _, i := range rng.Perm(len(variants)) {
+			micros, err := variants[i].round(cfg.Requests)
 			if err != nil {
 				return CostFigures{}, fmt.Errorf("%s: %w", variants[i].name, err)
 			}
 			if round > 0 { // the first round is a warm-up
-				variants[i].cpuMicros = append(variants[i].cpuMicros, us)
+				variants[i].cpuMicros = append(variants[i].cpuMicros, micros)
 			}
 		}
 		if cfg.Progress != nil && round > 0 {
@@ -123,18 +123,18 @@
 }
 
 // round sends n requests, at most 24 at a time, and returns the box's processor time per request in microseconds.
-func (v *variant) round(n int) (us float64, err error) {
+func (v *variant) round(n int) (micros float64, err error) {
 	before, err := cpuTime(v.site.Boxes[0].Pid())
 	if err != nil {
 		return 0, err
 	}
-	var wait sync.WaitGroup
+	var pending sync.WaitGroup
 	var mu sync.Mutex
 	notServed := 0
 	slots := make(chan struct{}, 24)
 	for i := range n {
 		slots <- struct{}{}
-		wait.Add(1)
+		pending.Add(1)
 		v.connections[i%len(v.connections)].Send(router.Request{Txn: fmt.Sprintf("%08x%08x", time.Now().UnixNano()&0xffffffff, i), Class: v.class, Tenant: v.tenant, Body: "x", Limit: 700 * time.Millisecond, Rank: 0.99}, func(o router.Outcome) {
 			if o.End != router.Served {
 				mu.Lock()
@@ -142,10 +142,10 @@
 				mu.Unlock()
 			}
 			<-slots
-			wait.Done()
+			pending.Done()
 		})
 	}
-	wait.Wait()
+	pending.Wait()
 	after, err := cpuTime(v.site.Boxes[0].Pid())
 	if err == nil && notServed > n/100 {
 		err = fmt.Errorf("%d of %d requests were not served", notServed, n)
--- a/internal/lab/overloads/trial.go
+++ b/internal/lab/overloads/trial.go
@@ -70,9 +70,9 @@
 			}
 			results := make([]*Result, len(t.Modes))
 			errs := make([]error, len(t.Modes))
-			var wait sync.WaitGroup
+			var running sync.WaitGroup
 			for k, mode := range t.Modes {
-				wait.Go(func() {
+				running.Go(func() {
 					d := model.Day{Site: site, Mode: mode, Load: model.Load{Seed: t.Seed*1000 + uint64(seed), Of: of, Boxes: t.Boxes, Routers: 5, Span: t.Span, Hot: site.Hot, HotTimes: 3}}
 					if t.Faults != nil {
 						t.Faults(&d)
@@ -85,7 +85,7 @@
 					os.RemoveAll(cfg.Dir)
 				})
 			}
-			wait.Wait()
+			running.Wait()
 			for k, mode := range t.Modes {
 				if errs[k] != nil {
 					return nil, fmt.Errorf("%s at %.0f%%: %w", mode, 100*of, errs[k])
@@ -212,8 +212,8 @@
 	// The mean over all loads, since the results of two fleets that behave the same differ by one or two hundredths on a single day.
 	cut := f.mean(model.Cut, worthRatio, f.Loads...) - f.mean(model.Alone, worthRatio, f.Loads...)
 	miss(cut < -0.01, "gain over alone with messages cut: %.3f", cut)
-	late := f.total(func(r *Result) int64 { return r.Late })
-	miss(late > 0, "late answers: %d", late)
+	lateAnswers := f.total(func(r *Result) int64 { return r.Late })
+	miss(lateAnswers > 0, "late answers: %d", lateAnswers)
 	admitted := f.mean(model.Fleet, admittedRetriesPerRequest, overloadLoads...)
 	miss(admitted > retryBudget+0.02, "admitted retries per request: %.3f", admitted)
 	recovery, recoveryAlone := f.recoveryMillis(model.Fleet, overloadLoads...), f.recoveryMillis(model.Alone, overloadLoads...)
