--- a/internal/lab/mutants/mutants.go
+++ b/internal/lab/mutants/mutants.go
@@ -38,7 +38,7 @@
 	{"goes on after a failed write", "internal/fleet/ledger/core.go", "if err := c.disk.Save(w); err != nil {\n				return err\n			}\n		}\n		if w.Snapshot", "if err := c.disk.Save(w); err != nil {\n			}\n		}\n		if w.Snapshot", "./internal/fleet/ledger", "TestNoMessageAfterFailedSave"},
 	{"slot of a dead box granted at once", "internal/decide/lease/lease.go", "			case !l.Sticky:\n", "			case true:\n", "./internal/decide/lease", "TestTableApply"},
 	{"copied store keeps its voting identity", "internal/fleet/ledger/store.go", "copied := string(meta.Get(placeKey)) != s.fileID", "copied := false", "./internal/fleet/ledger", "TestCopiedStoreLosesVotingIdentity"},
-	{"removed voter keeps voting", "internal/fleet/ledger/ledger.go", "	l.cfg.Logf(\"this box is no longer a voter\")\n", "	if l.id != 0 {\n		return\n	}\n", "./internal/lab/fleetsim", "TestARemovedVoterThatComesBackVotesNoMore"},
+	{"removed voter keeps voting", "internal/fleet/ledger/ledger.go", "	l.cfg.Logf(\"this box is no longer a voter\")\n", "	if l.id != 0 {\n		return\n	}\n", "./internal/lab/fleetsim", "TestRemovedVoterDoesNotVoteAfterRestart"},
 	{"other sessions removed from the queue", "internal/decide/lease/lease.go", "func(w Waiter) bool { return w.Session == s.ID })\n		kept", "func(w Waiter) bool { return true })\n		kept", "./internal/decide/lease", "TestTableApply"},
 	{"permit valid after the process was stopped", "internal/decide/lease/holder.go", "		if now >= h.actUntil {\n			h.checkDeadline(now)\n		} else if", "		if false {\n			h.checkDeadline(now)\n		} else if now < h.actUntil &&", "./internal/decide/lease", "TestRandomStepsNeverExceedSlots"},
 	{"command's children left running", "internal/fleet/command/command.go", "			for (fleet.SystemProcessGroups{}).Alive(pgid) {", "			for false && (fleet.SystemProcessGroups{}).Alive(pgid) {", "./internal/fleet/command", "TestRemainingChildrenAreKilled"},
@@ -47,7 +47,7 @@
 	{"renewed session ended", "internal/decide/lease/lease.go", "		if s.Seq != c.Seq {\n			return ErrStale\n		}\n", "", "./internal/decide/lease", "TestTableApply"},
 	{"expiry detector waits half a term", "internal/decide/lease/judge.go", "j.observed[id] = observation{seq: s.Seq, seenAt: now, sendAt: now + t.Terms.Term}", "j.observed[id] = observation{seq: s.Seq, seenAt: now, sendAt: now + t.Terms.Term/2}", "./internal/decide/lease", "TestRandomStepsNeverExceedSlots"},
 	{"new process takes over the lease at once", "internal/decide/lease/lease.go", "		old.NotRenewable = true\n", "		t.end(old, false)\n", "./internal/decide/lease", "TestTableApply"},
-	{"new era grants leases at once", "internal/decide/lease/lease.go", "t.Token, t.SuspendedAt = max(t.Token, token), index", "t.Token = max(t.Token, token)", "./internal/lab/fleetsim", "TestANewEraIsAboveAllNumbersAndGrantsNothingForATerm"},
+	{"new era grants leases at once", "internal/decide/lease/lease.go", "t.Token, t.SuspendedAt = max(t.Token, token), index", "t.Token = max(t.Token, token)", "./internal/lab/fleetsim", "TestRecoveredEraUsesHigherTokensAndDelaysGrants"},
 	{"numbers restart in a new era", "internal/fleet/ledger/state.go", "	n.Era++\n", "", "./internal/fleet/ledger", "TestNewEraStartsAboveAllIssuedNumbers"},
 	{"message accepted without checking its MAC", "internal/fleet/peer/session.go", "	if !hmac.Equal(sum, messageMAC(s.receiveMAC, s.receivedCount, body)) {", "	if false && !hmac.Equal(sum, messageMAC(s.receiveMAC, s.receivedCount, body)) {", "./internal/fleet/peer", "TestAlteredMessageEndsSession"},
 }
--- a/internal/lab/mutants/overload.go
+++ b/internal/lab/mutants/overload.go
@@ -17,7 +17,7 @@
 	{"summary of a shut-out box accepted", "internal/fleet/view/exchange.go", "	case p.Member != nil && !p.Member(from):\n", "	case false:\n", "./internal/fleet/view", "TestExchangeRejectsInvalidMessages"},
 	{"advice applied without trust", "internal/decide/shed/shed.go", "	if a.Trust == 0 {\n		return w\n	}\n", "", "./internal/decide/shed", "TestAdviceForRequests"},
 	{"fleet rejections counted as a full box", "internal/fleet/view/meter.go", "	own, served := rate(t.RejectedLocally, was.RejectedLocally), ", "	own, served := rate(t.RejectedLocally, was.RejectedLocally)+rate(t.Advised, was.Advised), ", "./internal/fleet/view", "TestCapacityMeasurement"},
-	{"non-compliant callers rejected first", "internal/replica/replica.go", "	if r.compliance.Observe(req.Caller, req.Rank) {", "	if r.compliance.Observe(req.Caller, req.Rank) && false {", "./internal/lab/model", "TestAFleetIsBetterThanEachAlone"},
+	{"non-compliant callers rejected first", "internal/replica/replica.go", "	if r.compliance.Observe(req.Caller, req.Rank) {", "	if r.compliance.Observe(req.Caller, req.Rank) && false {", "./internal/lab/model", "TestFleetOutperformsBoxesAlone"},
 	{"signal ignores the mean of all boxes", "policy/signals.go", "*(max(c.meanLevel, own-levelExcess)-own)", "*(max(c.meanLevel, own-levelExcess)-own)*0", "./policy", "TestSignalBlendsWithMeanOfServers"},
 	{"request handled under a later advice version", "policy/rejection.go", "Version: r.Peers.Version}", "Version: r.Peers.Version + 1}", "./internal/replica", "TestRequestKeepsAdviceVersionItWasReadUnder"},
 	{"no retry advised though peers have room", "policy/rejection.go", "		othersReject = others.Full\n", "		othersReject = true\n", "./policy", "TestPeerStateDecidesRejectionAdvice"},
