--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -12,26 +12,27 @@
 	"cairnlane/internal/counters"
 )
 
-// accepting is the listener as the poller sees it, which is never told that descriptors have run out: netpoll would accept
-// from another goroutine from then on, beside the poller, and after a hand-over too. Who comes meanwhile is turned away,
-// like all who come to a full table, by means of a descriptor that is held for this alone. Accept is the poller's.
-type accepting struct {
+// pollListener is the listener that the poller uses. It hides from netpoll that the process is out of descriptors:
+// netpoll would otherwise accept from a second goroutine beside the poller, also after a hand-over. Connections that
+// arrive meanwhile are accepted with a reserved descriptor and closed at once. Only the poller calls Accept.
+type pollListener struct {
 	netpoll.Listener
-	spare  int // -1 while there is none
-	turned *counters.Counter
+	spare    int // the reserved descriptor, or -1
+	rejected *counters.Counter
 }
 
-// noSpare is how long the poller rests when it can neither accept nor turn away: the listener would wake it at once.
-const noSpare = time.Millisecond
+// spareRetryDelay is how long Accept sleeps when it can neither accept nor reject a connection. Without it the poller would
+// spin, as the listener stays readable.
+const spareRetryDelay = time.Millisecond
 
-func newAccepting(ln netpoll.Listener, turned *counters.Counter) *accepting {
-	a := &accepting{Listener: ln, turned: turned}
-	a.save()
+func newPollListener(ln netpoll.Listener, rejected *counters.Counter) *pollListener {
+	a := &pollListener{Listener: ln, rejected: rejected}
+	a.openSpare()
 	return a
 }
 
-// save sets a descriptor aside.
-func (a *accepting) save() {
+// openSpare reserves a descriptor.
+func (a *pollListener) openSpare() {
 	fd, err := unix.Open("/dev/null", unix.O_RDONLY|unix.O_CLOEXEC, 0)
 	if err != nil {
 		fd = -1
@@ -39,24 +40,24 @@
 	a.spare = fd
 }
 
-// Accept implements net.Listener, in netpoll's way: no connection and no error if nobody waits.
-func (a *accepting) Accept() (net.Conn, error) {
+// Accept implements net.Listener with netpoll's convention: it returns neither a connection nor an error if none waits.
+func (a *pollListener) Accept() (net.Conn, error) {
 	conn, err := a.Listener.Accept()
 	if !errors.Is(err, unix.EMFILE) && !errors.Is(err, unix.ENFILE) {
 		return conn, err
 	}
 	if a.spare < 0 {
-		time.Sleep(noSpare)
-		a.save()
+		time.Sleep(spareRetryDelay)
+		a.openSpare()
 		return nil, nil
 	}
 	unix.Close(a.spare)
 	if conn, err = a.Listener.Accept(); err == nil && conn != nil {
-		a.turned.Inc() // before its peer can know
+		a.rejected.Inc() // before the peer can observe the close
 		if err := conn.Close(); err != nil {
-			log.Print("turn a connection away: ", err)
+			log.Print("close a connection rejected for lack of descriptors: ", err)
 		}
 	}
-	a.save()
+	a.openSpare()
 	return nil, nil
 }
--- a/internal/front/ends.go
+++ b/internal/front/ends.go
@@ -14,111 +14,112 @@
 
 const (
 	sweepPeriod = 250 * time.Millisecond
-	// victimsMost bounds the connections that are looked at to make room for one.
-	victimsMost = 16
-	// fenceTime is the longest that a look may be old when a connection is closed on it: a request that crosses
-	// a close within 50 ms is sent again.
-	fenceTime = 20 * time.Millisecond
-	// backlogTime bounds the wait for connections that the kernel has accepted and we have not.
-	backlogTime = 50 * time.Millisecond
+	// maxVictims bounds the connections that are examined to make room for one.
+	maxVictims = 16
+	// fenceTimeout bounds the age of an observation when a connection is closed because of it. Routers repeat a request that
+	// crosses a close within 50 ms.
+	fenceTimeout = 20 * time.Millisecond
+	// backlogTimeout bounds the wait for connections that the kernel has accepted but the server has not.
+	backlogTimeout = 50 * time.Millisecond
 )
 
-// All router connections are ended in this file, on the word of conns.Ending; a peer that ends its own side is
-// netpoll's matter. Looking and deciding is one step under the session's lock, so that no call is taken between.
+// This file closes router connections as conns.Ending decides; netpoll handles connections that the peer closes.
+// Observing a connection and deciding is one step under the session's lock, so that no call is accepted in between.
 
-// look asks for an end, or carries one on, and tells what is to be done.
-func (c *conn) look(why conns.Reason) conns.Action {
+// decide requests a close for a reason, or with conns.None continues one that has begun, and returns the action to apply.
+func (c *conn) decide(reason conns.Reason) conns.Action {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed { // its descriptor may be another's by now
+	if c.closed { // the descriptor may have been reused by now
 		return conns.Keep
 	}
 	var v conns.View
-	if c.ending.State() != conns.Ended && why != conns.Broken {
-		v = c.view(c.seen())
+	if c.ending.State() != conns.Ended && reason != conns.Broken {
+		v = c.view(c.observe())
 	}
-	if why == conns.None {
+	if reason == conns.None {
 		return c.ending.Step(c.now(), v)
 	}
-	return c.ending.Want(c.now(), why, v)
+	return c.ending.Want(c.now(), reason, v)
 }
 
-// seen fills in what stands outside of the session.
-func (c *conn) seen() (v conns.View) {
-	v.Kernel, v.Reader = c.line.input()
+// observe fills in the fields of a view that are outside of the session.
+func (c *conn) observe() (v conns.View) {
+	v.Kernel, v.Reader = c.transport.input()
 	v.Unsent = !c.out.Empty()
-	v.Unacked = c.line.unacked()
+	v.Unacked = c.transport.unacked()
 	return v
 }
 
-// polledLine is a socket that netpoll reads.
-type polledLine struct{ netpoll.Connection }
+// polledTransport is a socket that netpoll reads.
+type polledTransport struct{ netpoll.Connection }
 
-func (l polledLine) input() (kernel, reader int) {
-	return queued(l.fd(), unix.SIOCINQ), l.Reader().Len()
+func (l polledTransport) input() (kernel, reader int) {
+	return queueLength(l.fd(), unix.SIOCINQ), l.Reader().Len()
 }
 
-func (l polledLine) unacked() int { return queued(l.fd(), unix.SIOCOUTQ) }
+func (l polledTransport) unacked() int { return queueLength(l.fd(), unix.SIOCOUTQ) }
 
-func (polledLine) polled() bool { return true }
+func (polledTransport) polled() bool { return true }
 
-func (l polledLine) halfClose() error { return syscall.Shutdown(l.fd(), syscall.SHUT_WR) }
+func (l polledTransport) halfClose() error { return syscall.Shutdown(l.fd(), syscall.SHUT_WR) }
 
-func (l polledLine) fd() int {
+func (l polledTransport) fd() int {
 	if f, ok := l.Connection.(interface{ Fd() int }); ok {
 		return f.Fd()
 	}
 	return -1
 }
 
-// queued asks the kernel for a queue's length. An error counts as 1: what cannot be looked at is not closed as quiet.
-func queued(fd int, what uint) int {
-	n, err := unix.IoctlGetInt(fd, what)
+// queueLength returns the length of a socket queue of the kernel. It returns 1 on an error, so that a connection whose queue is
+// unknown is not closed as quiet.
+func queueLength(fd int, request uint) int {
+	n, err := unix.IoctlGetInt(fd, request)
 	if err != nil {
 		return 1
 	}
 	return n
 }
 
-// want asks for an end and carries out what is decided. No lock is held by the caller.
-func (s *Server) want(c *conn, why conns.Reason) { s.act(c, c.look(why)) }
+// requestClose requests a close and applies the decision. The caller holds no lock.
+func (s *Server) requestClose(c *conn, reason conns.Reason) { s.apply(c, c.decide(reason)) }
 
-// act carries out a decision.
-func (s *Server) act(c *conn, a conns.Action) {
+// apply carries out an action.
+func (s *Server) apply(c *conn, a conns.Action) {
 	switch a {
 	case conns.HalfClose:
 		c.mu.Lock()
 		if !c.closed {
-			if err := c.line.halfClose(); err != nil {
-				log.Print("end our side of a router connection: ", err)
+			if err := c.transport.halfClose(); err != nil {
+				log.Print("half-close a router connection: ", err)
 			}
 		}
 		c.mu.Unlock()
 	case conns.Close:
 		c.mu.Lock()
-		first := !c.shut
-		c.shut = true
+		first := !c.closing
+		c.closing = true
 		c.mu.Unlock()
 		if first {
-			s.count.ended[c.ending.Reason()].Inc() // which stays as it is now
-			c.line.Close()
+			s.count.ended[c.ending.Reason()].Inc() // the reason no longer changes
+			c.transport.Close()
 		}
 	}
 }
 
-// hasten has the sweep come at once.
-func (s *Server) hasten() {
+// wakeSweep makes the next sweep run at once.
+func (s *Server) wakeSweep() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.sweepNow <- struct{}{}:
 	default:
 	}
 }
 
-// makeRoom tells whether one more connection may be held. When the table is full, one that is missed least is
-// closed, which guards against clients that hold connections for nothing and would shut the routers out. Called by the
-// poller, whose hands are empty then, it needs no fence.
+// makeRoom reports whether one more connection may be held. When the table is full, it closes the least used
+// connection, so that clients with unused connections cannot lock the routers out. When the poller calls it, no
+// fence is needed, as the poller holds no input then.
 func (s *Server) makeRoom(poller bool) bool {
-	for range victimsMost {
+	for range maxVictims {
 		s.mu.Lock()
 		victim, room := s.victim(poller)
 		s.mu.Unlock()
@@ -126,89 +127,89 @@
 			return room
 		}
 		if room {
-			s.act(victim, conns.Close)
+			s.apply(victim, conns.Close)
 			return true
 		}
-		if !s.fence.pass(fenceTime) {
+		if !s.fence.wait(fenceTimeout) {
 			return false
 		}
-		if s.look(victim) {
+		if s.evictIfQuiet(victim) {
 			return true
 		}
 	}
 	return false
 }
 
-// SetMost changes how many connections may be held, and ends as many as it takes of those that are missed least. It
-// tells how many are left: those that are in use are not ended, and go as they become quiet.
-func (s *Server) SetMost(most int) (left int) {
+// SetMost changes the maximum number of connections, closes the least used ones above it and returns how many
+// connections are left. Connections in use stay open above the maximum until they are quiet.
+func (s *Server) SetMost(maxConns int) (left int) {
 	s.mu.Lock()
-	s.table.SetMost(most)
+	s.table.SetMost(maxConns)
 	s.mu.Unlock()
 	s.shrink()
 	return s.Connections()
 }
 
-// shrink ends connections while the table holds more than it may.
+// shrink closes connections while the table holds more than its maximum.
 func (s *Server) shrink() {
 	s.mu.Lock()
 	over := s.table.Over()
 	s.mu.Unlock()
 	for range over {
 		s.mu.Lock()
-		victim, sure := s.victim(false)
+		victim, room := s.victim(false)
 		s.mu.Unlock()
 		switch {
 		case victim == nil:
 			return
-		case sure:
-			s.act(victim, conns.Close)
-		case !s.fence.pass(fenceTime):
+		case room:
+			s.apply(victim, conns.Close)
+		case !s.fence.wait(fenceTimeout):
 			return
 		default:
-			s.look(victim)
+			s.evictIfQuiet(victim)
 		}
 	}
 }
 
-// look closes a victim if it is still quiet.
-func (s *Server) look(victim *conn) bool {
-	if victim.look(conns.Evicted) != conns.Close {
+// evictIfQuiet closes a victim if it is still quiet, and reports whether it did.
+func (s *Server) evictIfQuiet(victim *conn) bool {
+	if victim.decide(conns.Evicted) != conns.Close {
 		return false
 	}
 	s.mu.Lock()
-	s.table.Remove(&victim.file)
+	s.table.Remove(&victim.entry)
 	s.mu.Unlock()
-	s.act(victim, conns.Close)
+	s.apply(victim, conns.Close)
 	return true
 }
 
-// victim finds the connection that makes room for a newcomer, if there has to be one. Without room it is one that has
-// to be looked at once more, behind a fence. s.mu is held.
+// victim returns the connection to evict for a new one, or nil if there is no need or none is quiet. If room is
+// false, the victim must be examined once more after a fence. s.mu is held.
 func (s *Server) victim(poller bool) (victim *conn, room bool) {
 	if !s.table.Full() {
 		return nil, true
 	}
-	tried := 0
+	checked := 0
 	for f := range s.table.Victims(s.now(), func(f *conns.Conn) conns.Use { return f.Owner.(*conn).use() }) {
 		c := f.Owner.(*conn)
-		if c.line.polled() && !poller {
-			if c.mayGo() {
+		if c.transport.polled() && !poller {
+			if c.worthFence() {
 				return c, false
 			}
-		} else if c.look(conns.Evicted) == conns.Close {
+		} else if c.decide(conns.Evicted) == conns.Close {
 			s.table.Remove(f)
 			return c, true
 		}
-		if tried++; tried == victimsMost {
+		if checked++; checked == maxVictims {
 			break
 		}
 	}
 	return nil, false
 }
 
-// mayGo is the look before a fence: whether it is worth one.
-func (c *conn) mayGo() bool {
+// worthFence reports whether the connection may turn out to be quiet, so that waiting for a fence is useful.
+func (c *conn) worthFence() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -217,18 +218,18 @@
 	if c.ending.State() != conns.Serving {
 		return true
 	}
-	kernel, _ := c.line.input()
+	kernel, _ := c.transport.input()
 	return kernel == 0
 }
 
-// Sweep ends connections that are idle, overdue or on their way out, until ctx ends.
+// Sweep closes connections that are idle, overdue or ending, periodically until ctx is done.
 func (s *Server) Sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepPeriod)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-		case <-s.kick:
+		case <-s.sweepNow:
 		case <-ctx.Done():
 			return
 		}
@@ -237,77 +238,77 @@
 	}
 }
 
-// sweep ends what is due, or with leaving all that is quiet. The looks that count are taken before the fence:
-// the ones after it tell whether anything has moved since.
-func (s *Server) sweep(leaving bool) {
+// sweep closes the connections that are due, or all quiet ones if exiting. It examines them before the fence and again
+// after it, to see whether input has arrived since.
+func (s *Server) sweep(exiting bool) {
 	s.mu.Lock()
-	closeIdle := s.closeIdle
+	closeIdle := s.idleTimeout
 	all := make([]*conn, 0, len(s.conns))
 	for c := range s.conns {
 		all = append(all, c)
 	}
 	s.mu.Unlock()
-	type end struct {
+	type closeRequest struct {
 		c   *conn
-		why conns.Reason
+		reason conns.Reason
 	}
-	var due []end
+	var due []closeRequest
 	for _, c := range all {
-		why := c.due(closeIdle)
+		reason := c.due(closeIdle)
 		switch {
-		case why == conns.None && leaving:
-			why = conns.Exit
-		case why == conns.None:
+		case reason == conns.None && exiting:
+			reason = conns.Exit
+		case reason == conns.None:
 			continue
 		}
-		if c.mayGo() {
-			due = append(due, end{c, why})
+		if c.worthFence() {
+			due = append(due, closeRequest{c, reason})
 		}
 	}
 	if len(due) == 0 {
 		return
 	}
-	if !s.fence.pass(fenceTime) {
-		return // the poller is busy; the next sweep looks again
+	if !s.fence.wait(fenceTimeout) {
+		return // the poller is busy; the next sweep tries again
 	}
-	for _, e := range due {
-		s.want(e.c, e.why)
+	for _, r := range due {
+		s.requestClose(r.c, r.reason)
 	}
 }
 
-// Leave stops the listening, so that routers are refused at once, and asks those connected to send
-// nothing new. The listening socket is shut down rather than closed: netpoll closes its descriptor
-// twice, which could hit a connection that has got the same number in between. Connections that the kernel
-// has accepted are taken first; they may carry whole requests, and a shutdown would reset them.
+// Leave stops listening, so that new connections are rejected at once, and sends goaway on the open ones. The
+// listening socket is shut down rather than closed: netpoll closes its descriptor twice, and the second close could
+// hit a connection that has got the same descriptor in between. Connections that the kernel has accepted are accepted
+// first: they may carry complete requests, and a shutdown would reset them.
 func (s *Server) Leave() {
 	s.mu.Lock()
-	s.leaving = true // who comes from now on is asked to part when it has come
+	s.draining = true // add sends goaway on connections from now on
 	s.mu.Unlock()
-	for end := time.Now().Add(s.backlogTime); s.backlog() && time.Now().Before(end); {
+	for end := time.Now().Add(s.backlogTimeout); s.backlog() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if l, ok := s.ln.(*sharedListener); ok {
-		l.stop() // the platform holds the socket; who comes now waits for the next process
+		l.stop() // the platform holds the socket; new connections wait for the next process
 	} else if err := syscall.Shutdown(s.ln.Fd(), syscall.SHUT_RD); err != nil {
 		log.Print("stop listening: ", err)
 	}
-	s.partAll()
+	s.sendGoaways()
 }
 
-// HandOver takes no more connections at a shared listener, whose other holders take them from now on, and asks those
-// connected to send nothing new. What was accepted before is served until its routers go.
+// HandOver stops accepting at a shared listener, whose other holders accept from now on, and sends goaway on the open
+// connections. They are served until their routers close them.
 func (s *Server) HandOver() {
 	s.mu.Lock()
-	s.leaving = true
+	s.draining = true
 	s.mu.Unlock()
 	if l, ok := s.ln.(*sharedListener); ok {
 		l.stop()
 	}
-	s.partAll()
+	s.sendGoaways()
 }
 
-// partAll asks all who are connected to part.
-func (s *Server) partAll() {
+// sendGoaways sends goaway on all connections.
+func (s *Server) sendGoaways() {
 	s.mu.Lock()
 	all := make([]*conn, 0, len(s.conns))
 	for c := range s.conns {
@@ -315,19 +316,19 @@
 	}
 	s.mu.Unlock()
 	for _, c := range all {
-		c.part()
+		c.sendGoaway()
 	}
 }
 
-// backlog tells whether a connection waits to be accepted.
+// backlog reports whether a connection waits to be accepted.
 func (s *Server) backlog() bool {
 	fds := []unix.PollFd{{Fd: int32(s.ln.Fd()), Events: unix.POLLIN}}
 	n, err := unix.Poll(fds, 0)
 	return err == nil && n > 0 && fds[0].Revents&unix.POLLIN != 0
 }
 
-// Close ends all connections as they become quiet and tells whether none is left. It is called again until
-// then, or until time is up.
+// Close closes all quiet connections and reports whether none is left. The caller repeats it until then or until
+// its deadline.
 func (s *Server) Close() bool {
 	s.sweep(true)
 	return s.Connections() == 0
--- a/internal/front/inherit_test.go
+++ b/internal/front/inherit_test.go
@@ -13,8 +13,9 @@
 	"cairnlane/internal/testkit"
 )
 
-// held is a listening socket as the platform holds it, and what a process inherits of it.
-func held(t *testing.T) (addr string, give func() int) {
+// sharedSocket opens a listening socket, as the platform holds it. It returns its address and a function that returns a
+// new descriptor of it, as a process inherits it.
+func sharedSocket(t *testing.T) (addr string, dup func() int) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,7 +28,7 @@
 			t.Fatal(err)
 		}
 		defer f.Close()
-		fd, err := unix.Dup(int(f.Fd())) // its own, as Inherit closes it
+		fd, err := unix.Dup(int(f.Fd())) // a descriptor of its own, as Inherit closes it
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,40 +36,40 @@
 	}
 }
 
-// named serves with its name, so that a router sees who has answered.
-type named struct {
-	core
+// namedCore answers each request with its name.
+type namedCore struct {
+	recordingCore
 	name string
 }
 
-func (n *named) Arrive(q replica.Request) error {
+func (n *namedCore) Arrive(q replica.Request) error {
 	go q.Reply.Answer(replica.Answer{Kind: replica.Served, Body: []byte(n.name)})
 	return nil
 }
 
 func inheritedServer(t *testing.T, fd int, name string) *Server {
 	t.Helper()
-	s, err := Inherit(fd, 100, &named{name: name}, testkit.NewClock().Now, new(counters.Set))
+	s, err := Inherit(fd, 100, &namedCore{name: name}, testkit.NewClock().Now, new(counters.Set))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// TestAHandOverTurnsNobodyBack has two servers on one socket. The old one stops accepting and is closed; the shutdown
-// that ends listening otherwise would end it for both, and connections that wait would be reset.
-func TestAHandOverTurnsNobodyBack(t *testing.T) {
-	addr, give := held(t)
-	old := inheritedServer(t, give(), "old")
+// TestHandOverKeepsWaitingConnections runs two servers on one socket and has the old one stop accepting. A shutdown of the
+// socket would stop listening for both and reset the connections in the backlog.
+func TestHandOverKeepsWaitingConnections(t *testing.T) {
+	addr, dup := sharedSocket(t)
+	old := inheritedServer(t, dup(), "old")
 	go old.Serve()
-	ask := func(want string) net.Conn {
+	sendRequest := func(want string) net.Conn {
 		t.Helper()
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.Write(message("serve", 1, fields(), "body"))
+		c.Write(callMessage("serve", 1, requestFields(), "body"))
 		if want != "" {
 			if h, ok := receive(t, c); !ok || h.Seq != 1 {
 				t.Fatalf("%s: answer %+v, %v", want, h, ok)
@@ -76,35 +77,36 @@
 		}
 		return c
 	}
-	first := ask("old")
+	first := sendRequest("old")
 	old.HandOver()
 	if h, ok := receive(t, first); !ok || h.Name != "goaway" {
-		t.Fatalf("at the hand-over: %+v, %v", h, ok)
+		t.Fatalf("message at the hand-over: %+v, %v", h, ok)
 	}
 	var waiting []net.Conn
-	for range 20 { // nobody accepts
-		waiting = append(waiting, ask(""))
+	for range 20 { // no process accepts them yet
+		waiting = append(waiting, sendRequest(""))
 	}
-	if !old.fence.pass(fenceTime * 50) {
-		t.Fatal("the poller stands still")
+	if !old.fence.wait(fenceTimeout * 50) {
+		t.Fatal("the poller does not complete a round")
 	}
 	if n := old.Connections(); n != 1 {
 		t.Errorf("the old server holds %d connections after it has stopped accepting", n)
 	}
-	next := inheritedServer(t, give(), "new")
-	go next.Serve()
+	successor := inheritedServer(t, dup(), "new")
+	go successor.Serve()
 	for _, c := range waiting {
 		if _, ok := receive(t, c); !ok {
-			t.Fatal("a connection that waited has no answer")
+			t.Fatal("a connection from the backlog has no answer")
 		}
 	}
-	ask("new")
+	sendRequest("new")
 }
 
-// A usual drain of one process leaves the platform's socket alone as well: the next process takes who waits.
-func TestADrainLeavesTheSharedSocketListening(t *testing.T) {
-	addr, give := held(t)
-	old := inheritedServer(t, give(), "old")
+// TestDrainKeepsSharedSocketListening checks that the drain of one process does not shut down the platform's socket: the
+// next process accepts the waiting connections.
+func TestDrainKeepsSharedSocketListening(t *testing.T) {
+	addr, dup := sharedSocket(t)
+	old := inheritedServer(t, dup(), "old")
 	go old.Serve()
 	old.Leave()
 	c, err := net.Dial("tcp", addr)
@@ -112,15 +114,15 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.Write(message("serve", 1, fields(), "body"))
-	next := inheritedServer(t, give(), "new")
-	go next.Serve()
+	c.Write(callMessage("serve", 1, requestFields(), "body"))
+	successor := inheritedServer(t, dup(), "new")
+	go successor.Serve()
 	if _, ok := receive(t, c); !ok {
-		t.Error("who waited has no answer")
+		t.Error("the waiting connection has no answer")
 	}
 }
 
-func TestABadDescriptorIsNamed(t *testing.T) {
+func TestInvalidDescriptorIsReported(t *testing.T) {
 	closed, err := unix.Dup(0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/panic_test.go
+++ b/internal/front/panic_test.go
@@ -9,33 +9,33 @@
 	"cairnlane/internal/replica"
 )
 
-// faulty panics at one class.
-type faulty struct{ echo }
+// panickingCore panics on requests of class "fault".
+type panickingCore struct{ echoCore }
 
-func (f *faulty) Arrive(q replica.Request) error {
+func (f *panickingCore) Arrive(q replica.Request) error {
 	if q.Class == "fault" {
 		panic("of a test")
 	}
-	return f.echo.Arrive(q)
+	return f.echoCore.Arrive(q)
 }
 
-// A panic used to end in netpoll's pool, and in no counter. It ends its own connection, and is counted; with the debug tag
-// it ends the process.
-func TestAPanicEndsOneConnectionAndIsCounted(t *testing.T) {
+// TestPanicClosesOneConnectionAndIsCounted checks that a panic in a callback closes only its own connection and is counted,
+// rather than being recovered in netpoll's pool without a count. With the debug tag a panic ends the process.
+func TestPanicClosesOneConnectionAndIsCounted(t *testing.T) {
 	before := assert.Failures()
-	s := serveBy(t, 100, new(faulty))
+	s := serveCore(t, 100, new(panickingCore))
 	bad, good := dial(t, s), dial(t, s)
-	if _, err := bad.Write(message("serve", 1, fields([2]string{"verb", "fault"}), "")); err != nil {
+	if _, err := bad.Write(callMessage("serve", 1, requestFields([2]string{"verb", "fault"}), "")); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := receive(t, bad); ok {
-		t.Error("an answer to the call that panics")
+		t.Error("the call that panics is answered")
 	}
-	if _, err := good.Write(message("serve", 1, fields(), "")); err != nil {
+	if _, err := good.Write(callMessage("serve", 1, requestFields(), "")); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := receive(t, good); !ok {
-		t.Error("another connection ends with it")
+		t.Error("another connection is closed as well")
 	}
 	if n := assert.Failures() - before; n != 1 {
 		t.Errorf("%d failures counted", n)
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -11,35 +11,35 @@
 	"cairnlane/internal/thrift"
 )
 
-// maxOpen bounds the requests that are open on one connection. Routers open 32 at most.
+// maxOpen bounds the open calls on one connection. Routers open 32 at most.
 const maxOpen = 64
 
-// session is the state of one router connection, with no I/O of its own: bytes come in by feed, and
-// encoded messages go out by send. A second protocol stands beside this one with a session of its own.
+// session is the state of one router connection. It does no I/O: input is passed to feed, and encoded messages are
+// passed to send. Another protocol would have a session type of its own.
 type session struct {
 	core Core
 	send func(encode func([]byte) []byte)
 	now  func() time.Duration
 
-	began time.Duration // when the connection was accepted
+	acceptedAt time.Duration // when the connection was accepted
 
-	in  []byte // read, not yet a whole frame; only the reader uses it
-	seq int32  // of the last call
+	buffered []byte // an incomplete frame; only the reader uses it
+	lastSeq  int32  // of the last call
 
-	mu      sync.Mutex       // guards what follows; never held while the core is called
-	open    int              // calls without their answer
-	tries   map[int32]string // txn of each request without its answer, by the number of its call
-	used    time.Duration
-	partial time.Duration // since when a frame is begun and not whole; 0 when none is
-	kind    conns.Kind    // what it has carried
-	feeding bool          // input is taken out of the reader, or being fed
-	ending  conns.Ending
-	parted  bool // goaway was sent
-	closed  bool // nothing more is sent
+	mu           sync.Mutex       // guards what follows; never held while the core is called
+	open         int              // number of unanswered calls
+	txns         map[int32]string // txn of each unanswered request, by the sequence number of its call
+	lastUsed     time.Duration
+	partialSince time.Duration // when the incomplete frame began; 0 if there is none
+	kind         conns.Kind    // the best kind of call received
+	feeding      bool          // input is being read or parsed
+	ending       conns.Ending
+	goawaySent   bool
+	closed       bool // the connection is closed; nothing more is sent
 }
 
-// enter begins the work on input, before any of it is taken out of the reader. False means that the
-// connection ends and the input is to be thrown away: a call that was taken now would have no answer.
+// enter begins the processing of input, before any of it is taken out of the reader. It returns false if the
+// connection is ending and the input must be dropped: a call accepted now would not be answered.
 func (s *session) enter() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,21 +47,21 @@
 	return s.feeding
 }
 
-// exit ends the work on input.
+// exit ends the processing of input.
 func (s *session) exit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.feeding = false
 }
 
-// feed reads what has come in. An error means that the connection is beyond use.
+// feed parses input. After an error the connection is unusable.
 func (s *session) feed(p []byte) error {
 	buf := p
-	if len(s.in) > 0 {
-		s.in = append(s.in, p...)
-		buf = s.in
+	if len(s.buffered) > 0 {
+		s.buffered = append(s.buffered, p...)
+		buf = s.buffered
 	}
-	if err := s.room(buf); err != nil {
+	if err := s.checkOpenCalls(buf); err != nil {
 		return err
 	}
 	for {
@@ -72,33 +72,33 @@
 		if payload == nil {
 			break
 		}
-		if err := s.message(payload); err != nil {
+		if err := s.handleMessage(payload); err != nil {
 			return err
 		}
 		buf = rest
 	}
 	if len(buf) == 0 {
-		s.in = nil // most connections are idle at any time and need no buffer then
+		s.buffered = nil // most connections are idle at any time and need no buffer
 	} else {
-		s.in = append(s.in[:0], buf...)
+		s.buffered = append(s.buffered[:0], buf...)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.used = s.now() // part of a request is use as well: such a connection is not closed as idle
+	s.lastUsed = s.now() // a partial request counts as use, so that the connection is not closed as idle
 	switch {
 	case len(buf) == 0:
-		s.partial = 0
-	case s.partial == 0 || len(buf) < len(p): // this frame was begun just now
-		s.partial = s.used
+		s.partialSince = 0
+	case s.partialSince == 0 || len(buf) < len(p): // this frame began with this input
+		s.partialSince = s.lastUsed
 	}
 	return nil
 }
 
-// room turns down calls by the hundred before the first of them is taken: they would fill the hold, and
-// no router sends so many.
-func (s *session) room(buf []byte) error {
+// checkOpenCalls rejects input that would open more than maxOpen calls, before the first of them is accepted: they would
+// fill the queue, and no router sends that many.
+func (s *session) checkOpenCalls(buf []byte) error {
 	s.mu.Lock()
-	n := s.open
+	open := s.open
 	s.mu.Unlock()
 	for {
 		payload, rest, err := thrift.Frame(buf)
@@ -108,15 +108,15 @@
 		if payload == nil {
 			return nil
 		}
-		if n++; n > maxOpen {
-			return fmt.Errorf("%w: over %d calls open", thrift.ErrMalformed, maxOpen)
+		if open++; open > maxOpen {
+			return fmt.Errorf("%w: more than %d open calls", thrift.ErrMalformed, maxOpen)
 		}
 		buf = rest
 	}
 }
 
-// message takes one message. What is wrong inside a call is answered on that call alone.
-func (s *session) message(payload []byte) error {
+// handleMessage handles one message. An error inside a call is answered on that call only.
+func (s *session) handleMessage(payload []byte) error {
 	r := thrift.NewReader(payload)
 	h := r.Header()
 	if err := r.Err(); err != nil {
@@ -124,58 +124,58 @@
 	}
 	if h.Type == thrift.Oneway {
 		if h.Name == "forget" {
-			s.forget(r)
+			s.handleForget(r)
 		}
-		return nil // nothing is owed
+		return nil // oneway messages have no answer
 	}
 	if h.Type != thrift.Call {
 		return fmt.Errorf("%w: message of type %d", thrift.ErrMalformed, h.Type)
 	}
-	if h.Seq <= s.seq { // of two calls under one number the router could not tell the answers apart
-		return fmt.Errorf("%w: call %d after call %d", thrift.ErrMalformed, h.Seq, s.seq)
+	if h.Seq <= s.lastSeq { // the router could not tell apart the answers to two calls with one number
+		return fmt.Errorf("%w: call %d after call %d", thrift.ErrMalformed, h.Seq, s.lastSeq)
 	}
-	s.seq = h.Seq
-	s.begin()
+	s.lastSeq = h.Seq
+	s.openCall()
 	c := &call{session: s, seq: h.Seq}
 	switch h.Name {
 	case "serve":
 		q, err := decodeServe(r)
 		if err == nil {
 			q.Reply = c
-			s.track(h.Seq, q.Txn) // before Arrive, which may answer at once
+			s.trackAttempt(h.Seq, q.Txn) // before Arrive, which may answer at once
 			err = s.core.Arrive(q)
 		}
 		if err != nil {
 			s.core.CountMalformed()
-			c.finish(func(dst []byte) []byte { return appendFault(dst, h, thrift.ProtocolError, err.Error()) })
+			c.reply(func(dst []byte) []byte { return appendApplicationException(dst, h, thrift.ProtocolError, err.Error()) })
 			return nil
 		}
-		s.taken(conns.Caller)
+		s.raiseKind(conns.Caller)
 	case "isWell":
-		s.taken(conns.Checker)
-		good, signal := s.core.Healthy(), s.core.CurrentSignal()
-		c.finish(func(dst []byte) []byte { return appendCheck(dst, h.Seq, good, signal) })
+		s.raiseKind(conns.Checker)
+		healthy, signal := s.core.Healthy(), s.core.CurrentSignal()
+		c.reply(func(dst []byte) []byte { return appendCheck(dst, h.Seq, healthy, signal) })
 	default:
-		c.finish(func(dst []byte) []byte {
-			return appendFault(dst, h, thrift.UnknownMethod, fmt.Sprintf("unknown method %.40q", h.Name))
+		c.reply(func(dst []byte) []byte {
+			return appendApplicationException(dst, h, thrift.UnknownMethod, fmt.Sprintf("unknown method %.40q", h.Name))
 		})
 	}
 	return nil
 }
 
-// track notes the try that a call carries, so that a forget of the call reaches it.
-func (s *session) track(seq int32, txn string) {
+// trackAttempt records the txn of a call's attempt, so that a forget message for the call can abandon it.
+func (s *session) trackAttempt(seq int32, txn string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.tries == nil {
-		s.tries = map[int32]string{}
+	if s.txns == nil {
+		s.txns = map[int32]string{}
 	}
-	s.tries[seq] = txn
+	s.txns[seq] = txn
 }
 
-// forget takes the word of a router that it no longer waits for one of its calls; a call that has its answer, or that
-// was never made, is passed over.
-func (s *session) forget(r *thrift.Reader) {
+// handleForget handles a router's message that it no longer waits for one of its calls. A message for a call that is
+// answered or unknown is ignored.
+func (s *session) handleForget(r *thrift.Reader) {
 	seq, found := int32(0), false
 	for {
 		t, id := r.Field()
@@ -189,21 +189,21 @@
 		}
 	}
 	s.mu.Lock()
-	txn, open := s.tries[seq]
+	txn, open := s.txns[seq]
 	s.mu.Unlock()
 	if found && open && r.Err() == nil {
 		s.core.CallerGone(txn)
 	}
 }
 
-func (s *session) begin() {
+func (s *session) openCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open++
 }
 
-// taken says that a call was a good one.
-func (s *session) taken(kind conns.Kind) {
+// raiseKind records the kind of a well-formed call.
+func (s *session) raiseKind(kind conns.Kind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.kind = max(s.kind, kind)
@@ -211,71 +211,71 @@
 
 // call is one call on a connection. It is the replica.Reply of its request.
 type call struct {
-	session *session
-	seq     int32
-	over    bool
+	session  *session
+	seq      int32
+	answered bool
 }
 
 // Answer implements replica.Reply.
 func (c *call) Answer(a replica.Answer) {
-	c.finish(func(dst []byte) []byte { return appendAnswer(dst, c.seq, a) })
+	c.reply(func(dst []byte) []byte { return appendAnswer(dst, c.seq, a) })
 }
 
-func (c *call) finish(encode func([]byte) []byte) {
+func (c *call) reply(encode func([]byte) []byte) {
 	s := c.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !assert.That(!c.over, "a call is answered once") {
+	if !assert.That(!c.answered, "a call is answered once") {
 		return
 	}
-	c.over = true
+	c.answered = true
 	s.open--
-	delete(s.tries, c.seq)
-	s.used = s.now()
+	delete(s.txns, c.seq)
+	s.lastUsed = s.now()
 	if !s.closed {
 		s.send(encode)
 	}
 }
 
-// part asks the router to send nothing new on this connection and to close it when all is answered.
-func (s *session) part() {
+// sendGoaway asks the router to send no new requests on this connection and to close it when all are answered.
+func (s *session) sendGoaway() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.parted && !s.closed {
-		s.parted = true
+	if !s.goawaySent && !s.closed {
+		s.goawaySent = true
 		s.send(appendGoaway)
 	}
 }
 
-// use is what the table files the connection under.
+// use returns the connection's use, by which the table orders it.
 func (s *session) use() conns.Use {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kind := s.kind
-	if s.partial > 0 {
+	if s.partialSince > 0 {
 		kind = conns.Writing
 	}
-	return conns.Use{Kind: kind, Last: s.used, Busy: s.open > 0 || s.feeding}
+	return conns.Use{Kind: kind, Last: s.lastUsed, Busy: s.open > 0 || s.feeding}
 }
 
-// due tells whether the connection has lasted longer than it may for what it carries, and why.
+// due returns the reason for which the connection is due to be closed, or conns.None.
 func (s *session) due(closeIdle time.Duration) conns.Reason {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ending.State() != conns.Serving {
 		return s.ending.Reason()
 	}
-	return conns.Stay{Kind: s.kind, Began: s.began, Used: s.used, Frame: s.partial, Busy: s.open > 0 || s.feeding}.Due(s.now(), closeIdle)
+	return conns.Stay{Kind: s.kind, Began: s.acceptedAt, Used: s.lastUsed, Frame: s.partialSince, Busy: s.open > 0 || s.feeding}.Due(s.now(), closeIdle)
 }
 
-// view completes what was seen of the connection outside of the session; s.mu is held since before that.
+// view completes a view of the connection with the state of the session. s.mu has been held since the view was begun.
 func (s *session) view(v conns.View) conns.View {
-	v.Feeding, v.Partial, v.Open = s.feeding, s.partial > 0, s.open
+	v.Feeding, v.Partial, v.Open = s.feeding, s.partialSince > 0, s.open
 	return v
 }
 
-// end says that the connection is closed: what is still answered goes nowhere.
-func (s *session) end() {
+// markClosed records that the connection is closed; later answers are dropped.
+func (s *session) markClosed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
--- a/internal/front/thrift.go
+++ b/internal/front/thrift.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// maxBody is what a request's body may hold.
+	// maxBody is the maximum size of a request's body.
 	maxBody = 2 << 10
-	// maxName bounds the names of what requests are about, which are kept for as long as their keys. Classes and tenants are
-	// bounded by the settings that name them.
+	// maxName bounds idempotency keys and item names, which are stored as long as the keys. Names of classes and tenants
+	// are bounded by the settings that list them.
 	maxName = 64
-	// maxLimit bounds the arithmetic; how long callers may wait is told by the settings, which the replica has.
-	maxLimit = float64(24 * time.Hour / time.Millisecond)
+	// maxWaitLimit keeps the arithmetic in range, in milliseconds. The replica bounds the wait by its settings.
+	maxWaitLimit = float64(24 * time.Hour / time.Millisecond)
 )
 
-var errField = errors.New("malformed field")
+var errMalformedField = errors.New("malformed field")
 
-// decodeServe reads the arguments of serve and translates them to a neutral request.
+// decodeServe reads the arguments of serve and translates them to a replica.Request.
 func decodeServe(r *thrift.Reader) (replica.Request, error) {
 	var fields map[string]string
 	var body []byte
@@ -46,16 +46,16 @@
 		return replica.Request{}, err
 	}
 	if len(body) > maxBody {
-		return replica.Request{}, fmt.Errorf("%w: body of %d bytes", errField, len(body))
+		return replica.Request{}, fmt.Errorf("%w: body of %d bytes, at most %d are allowed", errMalformedField, len(body), maxBody)
 	}
-	q, err := request(fields)
+	q, err := newRequest(fields)
 	q.Body = append([]byte(nil), body...)
 	return q, err
 }
 
-// request translates the fields of a request.
-func request(fields map[string]string) (replica.Request, error) {
-	p := parser{fields: fields}
+// newRequest translates the fields of a request.
+func newRequest(fields map[string]string) (replica.Request, error) {
+	p := fieldParser{fields: fields}
 	q := replica.Request{
 		Txn: fields["txn"], Class: fields["verb"], Tenant: fields["team"], IdempotencyKey: fields["unique"], Item: fields["item"],
 		Retry:     fields["second"] == "1",
@@ -63,8 +63,8 @@
 		KB:        p.number("ram", math.SmallestNonzeroFloat64, below(2000)),
 		Rank:      p.number("standing", 0, below(1)),
 	}
-	if _, told := fields["limit"]; told { // routers at some sites do not say how long they wait
-		q.WaitLimit = time.Duration(p.number("limit", 0, maxLimit) * float64(time.Millisecond))
+	if _, given := fields["limit"]; given { // routers at some sites do not send it
+		q.WaitLimit = time.Duration(p.number("limit", 0, maxWaitLimit) * float64(time.Millisecond))
 	} else {
 		q.WaitLimitUnknown = true
 	}
@@ -83,31 +83,31 @@
 	return q, p.err
 }
 
-// below is the largest number under x.
+// below returns the largest number under x.
 func below(x float64) float64 { return math.Nextafter(x, 0) }
 
-// parser reads numbers from fields and keeps the first error.
-type parser struct {
+// fieldParser reads numbers from fields and keeps the first error.
+type fieldParser struct {
 	fields map[string]string
 	err    error
 }
 
-func (p *parser) fail(name string) {
+func (p *fieldParser) fail(name string) {
 	if p.err == nil {
-		p.err = fmt.Errorf("%w: %s is %.40q", errField, name, p.fields[name])
+		p.err = fmt.Errorf("%w: %s is %.40q", errMalformedField, name, p.fields[name])
 	}
 }
 
-func (p *parser) number(name string, least, most float64) float64 {
+func (p *fieldParser) number(name string, low, high float64) float64 {
 	v, err := strconv.ParseFloat(p.fields[name], 64)
-	if err != nil || !(v >= least && v <= most) {
+	if err != nil || !(v >= low && v <= high) {
 		p.fail(name)
 		return 0
 	}
 	return v
 }
 
-// signalFields lists the free value as a field.
+// signalFields returns the published value as a field, or no field if it is not set.
 func signalFields(s replica.Signal) [][2]string {
 	if !s.Set {
 		return nil
@@ -122,7 +122,7 @@
 		dst = thrift.AppendHeader(dst, thrift.Header{Type: thrift.Reply, Name: "serve", Seq: seq})
 		switch a.Kind {
 		case replica.Served:
-			dst = appendGood(dst, a.Body, fields, true)
+			dst = appendResult(dst, a.Body, fields, true)
 		case replica.Rejected:
 			if a.RetryAfter > 0 {
 				ms := max(1, (a.RetryAfter+time.Millisecond/2)/time.Millisecond)
@@ -131,33 +131,33 @@
 			if a.GiveUp {
 				fields = append(fields, [2]string{"giveup", "1"})
 			}
-			dst = appendThrown(dst, 1, fields)
+			dst = appendException(dst, 1, fields)
 		default:
-			dst = appendThrown(dst, 2, fields)
+			dst = appendException(dst, 2, fields)
 		}
 		return thrift.AppendStop(dst)
 	})
 }
 
 // appendCheck appends the reply to a health check.
-func appendCheck(dst []byte, seq int32, good bool, s replica.Signal) []byte {
+func appendCheck(dst []byte, seq int32, healthy bool, s replica.Signal) []byte {
 	return thrift.AppendFrame(dst, func(dst []byte) []byte {
 		dst = thrift.AppendHeader(dst, thrift.Header{Type: thrift.Reply, Name: "isWell", Seq: seq})
-		return thrift.AppendStop(appendGood(dst, nil, signalFields(s), good))
+		return thrift.AppendStop(appendResult(dst, nil, signalFields(s), healthy))
 	})
 }
 
-// appendGood appends the struct Answer as the result.
-func appendGood(dst, body []byte, fields [][2]string, good bool) []byte {
+// appendResult appends the struct Answer as the result.
+func appendResult(dst, body []byte, fields [][2]string, success bool) []byte {
 	dst = thrift.AppendField(dst, thrift.Struct, 0)
 	dst = thrift.AppendString(thrift.AppendField(dst, thrift.String, 1), body)
 	dst = thrift.AppendStringMap(thrift.AppendField(dst, thrift.Map, 2), fields)
-	dst = thrift.AppendBool(thrift.AppendField(dst, thrift.Bool, 3), good)
+	dst = thrift.AppendBool(thrift.AppendField(dst, thrift.Bool, 3), success)
 	return thrift.AppendStop(dst)
 }
 
-// appendThrown appends one of the declared exceptions as the result.
-func appendThrown(dst []byte, id int16, fields [][2]string) []byte {
+// appendException appends one of the declared exceptions as the result.
+func appendException(dst []byte, id int16, fields [][2]string) []byte {
 	dst = thrift.AppendField(dst, thrift.Struct, id)
 	dst = thrift.AppendStringMap(thrift.AppendField(dst, thrift.Map, 1), fields)
 	return thrift.AppendStop(dst)
@@ -170,6 +170,6 @@
 	})
 }
 
-func appendFault(dst []byte, h thrift.Header, code thrift.ExceptionCode, text string) []byte {
+func appendApplicationException(dst []byte, h thrift.Header, code thrift.ExceptionCode, text string) []byte {
 	return thrift.AppendFrame(dst, func(dst []byte) []byte { return thrift.AppendException(dst, h, code, text) })
 }
--- a/internal/front/tls.go
+++ b/internal/front/tls.go
@@ -17,41 +17,40 @@
 )
 
 const (
-	// handshakeTime is how long a client may take to its handshake.
-	handshakeTime = 2 * time.Second
-	// handshakesMost bounds the handshakes that are open at once: each costs a signature.
-	handshakesMost = 64
-	// readSize is what a TLS connection reads at once. It is held for as long as the connection lives.
-	readSize = 4 << 10
-	// goodbyeTime is how long a close may take to send its notice.
-	goodbyeTime = 50 * time.Millisecond
+	// handshakeTimeout bounds a handshake.
+	handshakeTimeout = 2 * time.Second
+	// maxHandshakes bounds the concurrent handshakes, each of which costs a signature.
+	maxHandshakes = 64
+	// tlsReadSize is the size of a TLS connection's read buffer, which is allocated for the connection's lifetime.
+	tlsReadSize = 4 << 10
+	// closeNotifyTimeout bounds the sending of close_notify.
+	closeNotifyTimeout = 50 * time.Millisecond
 )
 
-// TLS accepts connections of routers that speak TLS, for a Server. crypto/tls reads in a blocking way, so each
-// connection has one goroutine for as long as it lives; nothing is started for a request, and sessions, sweep, table
-// and ends are those of the plain connections.
+// TLS accepts TLS connections of routers for a Server. As crypto/tls reads block, each connection has a goroutine for
+// its lifetime; requests start none. Sessions, table, sweep and closing are shared with the plain connections.
 type TLS struct {
-	s     *Server
-	ln    net.Listener
-	cfg   *tls.Config
-	open  chan struct{} // a place for each open handshake
-	count struct{ done, failed, turned *counters.Counter }
+	s          *Server
+	ln         net.Listener
+	cfg        *tls.Config
+	handshakes chan struct{} // semaphore of maxHandshakes
+	count      struct{ done, failed, rejected *counters.Counter }
 }
 
-// ListenTLS opens a listener for TLS. The configuration gives a certificate for each handshake; session tickets
-// outlive a change of certificates as long as the configuration is the same.
+// ListenTLS opens a TLS listener. The configuration supplies a certificate for each handshake; session tickets
+// stay valid across a change of certificates as long as the configuration is the same.
 func (s *Server) ListenTLS(addr string, cfg *tls.Config, set *counters.Set) (*TLS, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen for routers over TLS: %w", err)
 	}
-	t := &TLS{s: s, ln: ln, cfg: cfg, open: make(chan struct{}, handshakesMost)}
+	t := &TLS{s: s, ln: ln, cfg: cfg, handshakes: make(chan struct{}, maxHandshakes)}
 	t.count.done, t.count.failed = set.Get("tls_handshakes"), set.Get("tls_handshakes_failed")
-	t.count.turned = set.Get("tls_handshakes_over_limit")
+	t.count.rejected = set.Get("tls_handshakes_over_limit")
 	return t, nil
 }
 
-// Addr is the address that the listener got.
+// Addr returns the address of the listener.
 func (t *TLS) Addr() string { return t.ln.Addr().String() }
 
 // Serve accepts connections until Close.
@@ -61,63 +60,63 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // out of descriptors, or gone before it was accepted
+		if err != nil { // out of descriptors, or the peer closed before the accept
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		select {
-		case t.open <- struct{}{}:
+		case t.handshakes <- struct{}{}:
 		default:
-			t.count.turned.Inc()
+			t.count.rejected.Inc()
 			raw.Close()
 			continue
 		}
 		if !t.s.makeRoom(false) {
-			<-t.open
-			t.s.count.turned.Inc()
+			<-t.handshakes
+			t.s.count.rejected.Inc()
 			raw.Close()
 			continue
 		}
-		w, err := newWire(raw.(*net.TCPConn))
+		w, err := newTLSSocket(raw.(*net.TCPConn))
 		if err != nil {
-			<-t.open
+			<-t.handshakes
 			raw.Close()
 			continue
 		}
-		go t.serve(w) // for the connection, not for a request
+		go t.serve(w)
 	}
 }
 
-// Close ends the listening.
+// Close closes the listener.
 func (t *TLS) Close() error { return t.ln.Close() }
 
-// serve is the life of one connection.
-func (t *TLS) serve(w *wire) {
+// serve performs the handshake of a connection and reads from it until it is closed.
+func (t *TLS) serve(w *tlsSocket) {
 	tc := tls.Server(w, t.cfg)
-	l := &tlsLine{tc: tc, wire: w}
-	c := t.s.add(l, deadlined{tc})
+	l := &tlsTransport{tc: tc, tlsSocket: w}
+	c := t.s.add(l, deadlineWriter{tc})
 	defer l.raw.Close()
 	defer t.s.remove(c)
-	ctx, cancel := context.WithTimeout(context.Background(), handshakeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), handshakeTimeout)
 	err := tc.HandshakeContext(ctx)
 	cancel()
-	<-t.open
+	<-t.handshakes
 	if err != nil {
 		t.count.failed.Inc()
 		return
 	}
 	t.count.done.Inc()
 	if tc.ConnectionState().NegotiatedProtocol == "acme-tls/1" {
-		return // the authority has seen what it asked for
+		return // the authority validates the challenge with the handshake alone
 	}
-	buf := make([]byte, readSize)
+	buf := make([]byte, tlsReadSize)
 	for {
 		n, err := tc.Read(buf)
 		if n > 0 {
 			if c.enter() {
 				t.s.feed(c, buf[:n], w.RemoteAddr())
 			} else {
-				t.s.thrown(c, n)
+				t.s.countDiscarded(c, n)
 			}
 		}
 		if err != nil {
@@ -126,37 +125,38 @@
 	}
 }
 
-// deadlined bounds each write.
-type deadlined struct{ *tls.Conn }
+// deadlineWriter sets a deadline for each write.
+type deadlineWriter struct{ *tls.Conn }
 
-func (d deadlined) Write(p []byte) (int, error) {
-	d.SetWriteDeadline(time.Now().Add(writeTimeout))
+func (d deadlineWriter) Write(p []byte) (int, error) {
+	d.SetWriteDeadline(time.Now().Add(minWriteTimeout))
 	return d.Conn.Write(p)
 }
 
-// wire is the socket below TLS. It knows whether all that was read has been worked off: crypto/tls asks for more only
-// then. The read and the note of it are one step under mu, so nothing is ever in hands that cannot be seen.
-type wire struct {
+// tlsSocket is the socket below TLS. It records whether crypto/tls waits for input, which it does only once it has
+// processed all that was read before. A read and the record of it are one step under mu, so that input is always
+// visible either in the kernel or here.
+type tlsSocket struct {
 	net.Conn
 	raw *net.TCPConn
 	sys syscall.RawConn
 
-	mu   sync.Mutex
-	asks bool // crypto/tls waits for input, and has nothing whole
+	mu      sync.Mutex
+	waiting bool // crypto/tls waits for input and holds no complete record
 }
 
-func newWire(c *net.TCPConn) (*wire, error) {
+func newTLSSocket(c *net.TCPConn) (*tlsSocket, error) {
 	if err := c.SetReadBuffer(readBuffer); err != nil {
 		return nil, err
 	}
 	sys, err := c.SyscallConn()
-	return &wire{Conn: c, raw: c, sys: sys}, err
+	return &tlsSocket{Conn: c, raw: c, sys: sys}, err
 }
 
 // Read implements net.Conn.
-func (w *wire) Read(p []byte) (n int, err error) {
+func (w *tlsSocket) Read(p []byte) (n int, err error) {
 	w.mu.Lock()
-	w.asks = true
+	w.waiting = true
 	w.mu.Unlock()
 	rerr := w.sys.Read(func(fd uintptr) bool {
 		w.mu.Lock()
@@ -172,7 +172,7 @@
 			return false
 		}
 		if n > 0 {
-			w.asks = false
+			w.waiting = false
 		}
 		return true
 	})
@@ -187,39 +187,39 @@
 	return n, nil
 }
 
-// tlsLine is TLS over a socket.
-type tlsLine struct {
-	*wire
+// tlsTransport is TLS over a socket.
+type tlsTransport struct {
+	*tlsSocket
 	tc *tls.Conn
 }
 
-func (l *tlsLine) input() (kernel, reader int) {
+func (l *tlsTransport) input() (kernel, reader int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.asks {
+	if !l.waiting {
 		reader = 1
 	}
 	return l.queue(unix.SIOCINQ), reader
 }
 
-func (l *tlsLine) unacked() int { return l.queue(unix.SIOCOUTQ) }
+func (l *tlsTransport) unacked() int { return l.queue(unix.SIOCOUTQ) }
 
-func (l *tlsLine) queue(what uint) (n int) {
+func (l *tlsTransport) queue(request uint) (n int) {
 	n = 1
-	l.sys.Control(func(fd uintptr) { n = queued(int(fd), what) })
+	l.sys.Control(func(fd uintptr) { n = queueLength(int(fd), request) })
 	return n
 }
 
-func (l *tlsLine) polled() bool { return false }
+func (l *tlsTransport) polled() bool { return false }
 
-func (l *tlsLine) halfClose() error {
-	l.tc.SetWriteDeadline(time.Now().Add(goodbyeTime))
+func (l *tlsTransport) halfClose() error {
+	l.tc.SetWriteDeadline(time.Now().Add(closeNotifyTimeout))
 	return errors.Join(l.tc.CloseWrite(), l.raw.CloseWrite())
 }
 
-// Close ends the connection. Its goroutine takes it out of the table.
-func (l *tlsLine) Close() error {
-	l.raw.SetReadDeadline(time.Unix(1, 0)) // the goroutine ends
-	l.tc.SetWriteDeadline(time.Now().Add(goodbyeTime))
+// Close closes the connection. Its goroutine then removes it from the table.
+func (l *tlsTransport) Close() error {
+	l.raw.SetReadDeadline(time.Unix(1, 0)) // unblocks the goroutine's read
+	l.tc.SetWriteDeadline(time.Now().Add(closeNotifyTimeout))
 	return errors.Join(l.tc.CloseWrite(), l.raw.Close())
 }
--- a/internal/front/tls_test.go
+++ b/internal/front/tls_test.go
@@ -17,7 +17,7 @@
 	"cairnlane/internal/decide/conns"
 )
 
-// certificate makes one for site.example with that serial number.
+// certificate creates a self-signed certificate for site.example with a serial number.
 func certificate(t testing.TB, serial int64) *tls.Certificate {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -32,17 +32,17 @@
 	return &tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}
 }
 
-// secure is a stage with a TLS listener whose certificate can be swapped.
-type secure struct {
-	*stage
+// tlsServer is a controlledServer with a TLS listener whose certificate can be swapped.
+type tlsServer struct {
+	*controlledServer
 	tls  *TLS
 	cert atomic.Pointer[tls.Certificate]
 	set  counters.Set
 }
 
-func newSecure(t *testing.T, most int) *secure {
+func newTLSServer(t *testing.T, maxConns int) *tlsServer {
 	t.Helper()
-	s := &secure{stage: newStage(t, most)}
+	s := &tlsServer{controlledServer: newControlledServer(t, maxConns)}
 	s.cert.Store(certificate(t, 1))
 	var err error
 	s.tls, err = s.ListenTLS("127.0.0.1:0", &tls.Config{MinVersion: tls.VersionTLS12,
@@ -55,12 +55,12 @@
 	return s
 }
 
-// connect dials and shakes hands.
-func (s *secure) connect(t *testing.T, change func(*tls.Config)) *tls.Conn {
+// dialTLS connects and completes the handshake.
+func (s *tlsServer) dialTLS(t *testing.T, configure func(*tls.Config)) *tls.Conn {
 	t.Helper()
 	cfg := &tls.Config{ServerName: "site.example", InsecureSkipVerify: true}
-	if change != nil {
-		change(cfg)
+	if configure != nil {
+		configure(cfg)
 	}
 	c, err := tls.Dial("tcp", s.tls.Addr(), cfg)
 	if err != nil {
@@ -73,17 +73,18 @@
 
 func serial(c *tls.Conn) int64 { return c.ConnectionState().PeerCertificates[0].SerialNumber.Int64() }
 
-// TestACertificateIsSwappedUnderRequests: a request that is open across the swap is answered, a handshake that began
-// before it ends with one certificate or the other, and a ticket from before it still resumes.
-func TestACertificateIsSwappedUnderRequests(t *testing.T) {
-	for name, max := range map[string]uint16{"1.2": tls.VersionTLS12, "1.3": tls.VersionTLS13} {
-		s := newSecure(t, 9)
+// TestCertificateSwapKeepsOpenRequestsAndTickets checks that a request open during the swap is answered, that a connection
+// accepted before it completes its handshake with the new certificate, and that a session ticket from before it
+// still resumes.
+func TestCertificateSwapKeepsOpenRequestsAndTickets(t *testing.T) {
+	for name, maxVersion := range map[string]uint16{"1.2": tls.VersionTLS12, "1.3": tls.VersionTLS13} {
+		s := newTLSServer(t, 9)
 		tickets := tls.NewLRUClientSessionCache(4)
-		with := func(c *tls.Config) { c.MaxVersion, c.ClientSessionCache = max, tickets }
-		old := s.connect(t, with)
-		old.Write(message("serve", 1, fields(), "body"))
-		<-s.core.came
-		half, err := net.Dial("tcp", s.tls.Addr()) // it has connected, and its handshake is still to come
+		configure := func(c *tls.Config) { c.MaxVersion, c.ClientSessionCache = maxVersion, tickets }
+		old := s.dialTLS(t, configure)
+		old.Write(callMessage("serve", 1, requestFields(), "body"))
+		<-s.core.arrived
+		unfinished, err := net.Dial("tcp", s.tls.Addr()) // connected, but the handshake has not begun
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -91,32 +92,32 @@
 			time.Sleep(50 * time.Microsecond)
 		}
 		s.cert.Store(certificate(t, 2))
-		s.core.answer()
+		s.core.answerAll()
 		if h, ok := receive(t, old); !ok || h.Seq != 1 {
-			t.Errorf("TLS %s: the answer across the swap is %+v, %v", name, h, ok)
+			t.Errorf("TLS %s: answer after the swap %+v, %v", name, h, ok)
 		}
-		late := tls.Client(half, &tls.Config{InsecureSkipVerify: true, MaxVersion: max})
+		late := tls.Client(unfinished, &tls.Config{InsecureSkipVerify: true, MaxVersion: maxVersion})
 		if err := late.Handshake(); err != nil || serial(late) != 2 {
-			t.Errorf("TLS %s: the handshake across the swap: %v", name, err)
+			t.Errorf("TLS %s: handshake after the swap: %v", name, err)
 		}
-		again := s.connect(t, with)
-		if !again.ConnectionState().DidResume {
-			t.Errorf("TLS %s: the ticket from before the swap is not taken", name)
+		resumed := s.dialTLS(t, configure)
+		if !resumed.ConnectionState().DidResume {
+			t.Errorf("TLS %s: the session ticket from before the swap is rejected", name)
 		}
-		again.Write(message("isWell", 1, nil, ""))
-		if _, ok := receive(t, again); !ok {
+		resumed.Write(callMessage("isWell", 1, nil, ""))
+		if _, ok := receive(t, resumed); !ok {
 			t.Errorf("TLS %s: no answer on the resumed connection", name)
 		}
 		late.Close()
 	}
 }
 
-// TestSlowHandshakesAreBounded: clients that connect and say nothing hold a place for 2 s and no more of them than
-// there are places; who is over that is closed at once.
+// TestSlowHandshakesAreBounded checks that clients that connect and send nothing are disconnected after 2 s, and that
+// connections above maxHandshakes are closed at once.
 func TestSlowHandshakesAreBounded(t *testing.T) {
-	s := newSecure(t, 2*handshakesMost)
+	s := newTLSServer(t, 2*maxHandshakes)
 	var silent []net.Conn
-	for range handshakesMost {
+	for range maxHandshakes {
 		c, err := net.Dial("tcp", s.tls.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -124,80 +125,80 @@
 		defer c.Close()
 		silent = append(silent, c)
 	}
-	for s.Connections() < handshakesMost {
+	for s.Connections() < maxHandshakes {
 		time.Sleep(50 * time.Microsecond)
 	}
-	over, err := net.Dial("tcp", s.tls.Addr())
+	excess, err := net.Dial("tcp", s.tls.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer over.Close()
-	if !ended(over) {
-		t.Error("one over the bound is kept")
+	defer excess.Close()
+	if !connectionEnded(excess) {
+		t.Error("a connection above the bound is kept")
 	}
-	for _, c := range silent { // after 2 s each is closed by the server
+	for _, c := range silent { // the server closes each after 2 s
 		c.SetDeadline(time.Now().Add(20 * time.Second))
-		if !ended(c) {
-			t.Fatal("a silent one is kept")
+		if !connectionEnded(c) {
+			t.Fatal("a silent connection is kept")
 		}
 	}
-	c := s.connect(t, nil)
-	c.Write(message("isWell", 1, nil, ""))
+	c := s.dialTLS(t, nil)
+	c.Write(callMessage("isWell", 1, nil, ""))
 	if _, ok := receive(t, c); !ok {
-		t.Error("no answer when the places are free again")
+		t.Error("no answer after the silent connections are closed")
 	}
 }
 
-// TestTheEndsAreThoseOfPlainConnections: eviction, idle, garbage, and the drain.
-func TestTheEndsAreThoseOfPlainConnections(t *testing.T) {
-	s := newSecure(t, 2)
+// TestTLSConnectionsCloseLikePlainOnes checks eviction, malformed input and drain of TLS connections.
+func TestTLSConnectionsCloseLikePlainOnes(t *testing.T) {
+	s := newTLSServer(t, 2)
 	s.CloseIdle(time.Second)
-	idle, busy := s.connect(t, nil), s.connect(t, nil)
+	idle, busy := s.dialTLS(t, nil), s.dialTLS(t, nil)
 	for _, c := range []*tls.Conn{idle, busy} {
-		c.Write(message("isWell", 1, nil, ""))
+		c.Write(callMessage("isWell", 1, nil, ""))
 		if _, ok := receive(t, c); !ok {
 			t.Fatal("no answer")
 		}
 	}
-	busy.Write(message("serve", 2, fields(), "body"))
-	<-s.core.came
-	s.settle()
+	busy.Write(callMessage("serve", 2, requestFields(), "body"))
+	<-s.core.arrived
+	s.waitAcked()
 	s.clock.Advance(500 * time.Millisecond)
-	plain := s.used(t) // evicts the idle one, not the busy one
-	if !ended(idle) || s.count.ended[conns.Evicted].Load() != 1 {
-		t.Error("the idle one is not evicted")
+	plain := s.dialUsed(t) // evicts the idle connection, not the busy one
+	if !connectionEnded(idle) || s.count.ended[conns.Evicted].Load() != 1 {
+		t.Error("the idle connection is not evicted")
 	}
 	s.clock.Advance(2 * time.Second)
-	other := s.connect(t, nil) // evicts the plain one, behind a fence
-	if !ended(plain) {
-		t.Error("the plain one is not evicted")
+	other := s.dialTLS(t, nil) // evicts the plain connection, after a fence
+	if !connectionEnded(plain) {
+		t.Error("the plain connection is not evicted")
 	}
 	other.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
-	if !ended(other) || s.count.ended[conns.Garbage].Load() != 1 {
-		t.Error("garbage does not end it")
+	if !connectionEnded(other) || s.count.ended[conns.Garbage].Load() != 1 {
+		t.Error("malformed input does not close the connection")
 	}
 	s.Leave()
-	s.cert.Store(certificate(t, 2)) // a swap in the drain: who still comes is served by the new one and asked to part
-	late := s.connect(t, nil)
+	s.cert.Store(certificate(t, 2)) // a swap during the drain: a new connection gets the new certificate and a goaway
+	late := s.dialTLS(t, nil)
 	if h, ok := receive(t, late); !ok || h.Name != "goaway" || serial(late) != 2 {
-		t.Errorf("who comes in the drain is told %+v, by certificate %d", h, serial(late))
+		t.Errorf("a new connection during the drain receives %+v, with certificate %d", h, serial(late))
 	}
 	late.Close()
-	s.core.answer()
+	s.core.answerAll()
 	names := map[string]bool{}
 	for range 2 {
 		h, ok := receive(t, busy)
 		names[h.Name] = ok
 	}
 	if !names["goaway"] || !names["serve"] {
-		t.Errorf("in the drain the busy one is told %v", names)
+		t.Errorf("the busy connection receives %v during the drain", names)
 	}
 	for !s.Close() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// BenchmarkRequest is what a health check costs from the client's write to its answer, plain and over TLS.
+// BenchmarkRequest measures a health check from the client's write to its answer, plain and over TLS.
 func BenchmarkRequest(b *testing.B) {
 	s, dial := benchServer(b)
 	for name, connect := range map[string]func() net.Conn{"plain": func() net.Conn { c, _ := net.Dial("tcp", s.Addr()); return c }, "tls": dial} {
@@ -208,14 +209,14 @@
 			seq := int32(0)
 			for b.Loop() {
 				seq++
-				c.Write(message("isWell", seq, nil, ""))
+				c.Write(callMessage("isWell", seq, nil, ""))
 				c.Read(buf)
 			}
 		})
 	}
 }
 
-// BenchmarkHandshake is what a connection with its handshake costs on both sides.
+// BenchmarkHandshake measures a connection with its handshake, both sides together.
 func BenchmarkHandshake(b *testing.B) {
 	_, dial := benchServer(b)
 	for b.Loop() {
@@ -223,8 +224,8 @@
 	}
 }
 
-// BenchmarkIdle is the memory of an idle connection, of both of its sides together.
-func BenchmarkIdle(b *testing.B) {
+// BenchmarkIdleConnectionMemory measures the memory of an idle connection, both sides together.
+func BenchmarkIdleConnectionMemory(b *testing.B) {
 	s, dial := benchServer(b)
 	for name, connect := range map[string]func() net.Conn{"plain": func() net.Conn { c, _ := net.Dial("tcp", s.Addr()); return c }, "tls": dial} {
 		b.Run(name, func(b *testing.B) {
@@ -235,7 +236,7 @@
 			const n = 400
 			for range n {
 				c := connect()
-				c.Write(message("isWell", 1, nil, ""))
+				c.Write(callMessage("isWell", 1, nil, ""))
 				c.Read(make([]byte, 256))
 				list = append(list, c)
 			}
@@ -254,7 +255,7 @@
 }
 
 func benchServer(b *testing.B) (*Server, func() net.Conn) {
-	s, err := Listen("127.0.0.1:0", 2000, new(core), func() time.Duration { return time.Duration(time.Now().UnixNano()) }, new(counters.Set))
+	s, err := Listen("127.0.0.1:0", 2000, new(recordingCore), func() time.Duration { return time.Duration(time.Now().UnixNano()) }, new(counters.Set))
 	if err != nil {
 		b.Fatal(err)
 	}
