--- a/internal/front/ends.go
+++ b/internal/front/ends.go
@@ -249,7 +249,7 @@
 	}
 	s.mu.Unlock()
 	type closeRequest struct {
-		c   *conn
+		c      *conn
 		reason conns.Reason
 	}
 	var due []closeRequest
