--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -1,5 +1,5 @@
-// Package thrift reads and writes the framed transport and the strict binary protocol over bytes.
-// It does no I/O and knows no service. All that it reads is bounded, and no input makes it panic.
+// Package thrift encodes and decodes Thrift's framed transport and strict binary protocol.
+// It does no I/O and knows no service. The sizes of decoded input are bounded, and no input makes it panic.
 package thrift
 
 import (
@@ -9,7 +9,7 @@
 	"math"
 )
 
-// Bounds on what is read.
+// Bounds on decoded input.
 const (
 	MaxFrame   = 8 << 10
 	MaxString  = 4 << 10
@@ -39,10 +39,10 @@
 	List   Type = 15
 )
 
-// MessageType is the kind of a message.
+// MessageType is the type of a message.
 type MessageType int32
 
-// The kinds of messages.
+// The message types of the binary protocol.
 const (
 	Call      MessageType = 1
 	Reply     MessageType = 2
@@ -53,7 +53,7 @@
 // ExceptionCode is the code of an application exception.
 type ExceptionCode int32
 
-// The codes of application exceptions in use here.
+// The exception codes that this program uses.
 const (
 	UnknownMethod      ExceptionCode = 1
 	InvalidMessageType ExceptionCode = 2
@@ -71,7 +71,7 @@
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, a...))
 }
 
-// Frame cuts the first frame off buf. It returns a nil payload while the frame is not all there.
+// Frame splits the first frame off buf. It returns a nil payload if the frame is incomplete.
 func Frame(buf []byte) (payload, rest []byte, err error) {
 	if len(buf) < 4 {
 		return nil, buf, nil
@@ -93,19 +93,19 @@
 	Seq  int32
 }
 
-// Reader reads one payload. After the first error all further reads return zero values.
+// Reader decodes one payload. After the first error all further reads return zero values.
 type Reader struct {
 	buf []byte
 	err error
 }
 
-// NewReader reads from payload without copying it.
+// NewReader returns a Reader of payload, which it does not copy.
 func NewReader(payload []byte) *Reader { return &Reader{buf: payload} }
 
 // Err returns the first error.
 func (r *Reader) Err() error { return r.err }
 
-// Len returns how many bytes are unread.
+// Len returns the number of unread bytes.
 func (r *Reader) Len() int { return len(r.buf) }
 
 func (r *Reader) fail(format string, a ...any) {
@@ -119,7 +119,7 @@
 		return nil
 	}
 	if n < 0 || n > len(r.buf) {
-		r.fail("%d bytes wanted, %d left", n, len(r.buf))
+		r.fail("%d bytes expected, %d left", n, len(r.buf))
 		return nil
 	}
 	p := r.buf[:n]
@@ -127,7 +127,7 @@
 	return p
 }
 
-// Byte reads one byte, also a bool.
+// Byte reads a byte or a bool.
 func (r *Reader) Byte() byte {
 	if p := r.take(1); p != nil {
 		return p[0]
@@ -197,7 +197,7 @@
 	return m
 }
 
-// Skip passes over a value.
+// Skip skips a value of a type.
 func (r *Reader) Skip(t Type) { r.skip(t, 0) }
 
 func (r *Reader) skip(t Type, depth int) {
@@ -250,7 +250,7 @@
 
 // The functions below append to dst and return it.
 
-// AppendFrame appends a frame with the payload that encode appends.
+// AppendFrame appends a frame whose payload encode appends.
 func AppendFrame(dst []byte, encode func(dst []byte) []byte) []byte {
 	at := len(dst)
 	dst = encode(append(dst, 0, 0, 0, 0))
@@ -284,7 +284,7 @@
 // AppendI32 appends a 32-bit integer.
 func AppendI32(dst []byte, v int32) []byte { return binary.BigEndian.AppendUint32(dst, uint32(v)) }
 
-// AppendString appends a string or a binary.
+// AppendString appends a string or binary value.
 func AppendString[T string | []byte](dst []byte, s T) []byte {
 	if len(s) > math.MaxInt32 {
 		s = s[:0]
@@ -292,7 +292,7 @@
 	return append(binary.BigEndian.AppendUint32(dst, uint32(len(s))), s...)
 }
 
-// AppendStringMap appends a map from pairs of key and value, in their order.
+// AppendStringMap appends a map of key-value pairs, in the given order.
 func AppendStringMap(dst []byte, pairs [][2]string) []byte {
 	dst = append(dst, byte(String), byte(String))
 	dst = binary.BigEndian.AppendUint32(dst, uint32(len(pairs)))
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -15,13 +15,13 @@
 	return p
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	frame := AppendFrame(nil, func(b []byte) []byte {
 		b = AppendHeader(b, Header{Type: Call, Name: "serve", Seq: 7})
 		b = AppendStringMap(AppendField(b, Map, 1), [][2]string{{"a", "1"}, {"b", ""}})
 		return AppendStop(AppendString(AppendField(b, String, 2), []byte{0, 255}))
 	})
-	for cut := range frame { // not all there yet
+	for cut := range frame { // an incomplete frame
 		if p, rest, err := Frame(frame[:cut]); p != nil || err != nil || len(rest) != cut {
 			t.Fatalf("cut at %d: payload %x, error %v", cut, p, err)
 		}
@@ -54,7 +54,7 @@
 	for want := int16(9); want < 12; want++ {
 		ft, id := r.Field()
 		if r.Skip(ft); id != want {
-			t.Fatalf("field %d, want %d", id, want)
+			t.Fatalf("skipped field %d, want %d", id, want)
 		}
 	}
 	if _, id := r.Field(); id != 12 || r.I32() != 77 || r.Err() != nil {
@@ -62,21 +62,21 @@
 	}
 }
 
-func TestWhatIsOutOfBoundsIsTurnedDown(t *testing.T) {
+func TestOutOfBoundsInputIsRejected(t *testing.T) {
 	deep := bytes.Repeat([]byte{byte(Struct), 0, 1}, MaxNesting+2)
 	for name, read := range map[string]func() error{
-		"frame too long":  func() error { _, _, err := Frame([]byte{0x7f, 0, 0, 0}); return err },
-		"empty frame":     func() error { _, _, err := Frame([]byte{0, 0, 0, 0}); return err },
-		"old version":     func() error { r := NewReader([]byte{0, 0, 0, 1, 'x'}); r.Header(); return r.Err() },
-		"negative string": func() error { r := NewReader([]byte{255, 255, 255, 255}); r.Binary(); return r.Err() },
+		"frame too long":      func() error { _, _, err := Frame([]byte{0x7f, 0, 0, 0}); return err },
+		"empty frame":         func() error { _, _, err := Frame([]byte{0, 0, 0, 0}); return err },
+		"unsupported version": func() error { r := NewReader([]byte{0, 0, 0, 1, 'x'}); r.Header(); return r.Err() },
+		"negative string":     func() error { r := NewReader([]byte{255, 255, 255, 255}); r.Binary(); return r.Err() },
 		"huge list": func() error {
 			r := NewReader([]byte{byte(Bool), 0x7f, 255, 255, 255})
 			r.Skip(List)
 			return r.Err()
 		},
-		"map of others": func() error { r := NewReader([]byte{8, 8, 0, 0, 0, 1}); r.StringMap(); return r.Err() },
-		"too deep":      func() error { r := NewReader(deep); r.Skip(Struct); return r.Err() },
-		"unknown type":  func() error { r := NewReader(nil); r.Skip(99); return r.Err() },
+		"map of integers": func() error { r := NewReader([]byte{8, 8, 0, 0, 0, 1}); r.StringMap(); return r.Err() },
+		"nested too deep": func() error { r := NewReader(deep); r.Skip(Struct); return r.Err() },
+		"unknown type":    func() error { r := NewReader(nil); r.Skip(99); return r.Err() },
 	} {
 		if err := read(); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: error %v", name, err)
