--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -11,36 +11,37 @@
 	"time"
 )
 
-// ErrNo is wrapped by the error of a call that the door has answered with NAK, which has the reason.
+// ErrNo is wrapped by the error of a call that the replica has answered with NAK. The error contains the reason.
 var ErrNo = errors.New("the replica says no")
 
-// Ask makes one call at the door at addr and returns its answer: the figures without their last line for vars, else
-// nothing.
-func Ask(addr, call string, most time.Duration) (string, error) {
-	c, err := net.DialTimeout("tcp", addr, most)
-	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
-		return "", fmt.Errorf("the replica at %s did not answer within %v: %w", addr, most, err)
+// Ask makes one call to the admin listener at addr. For vars it returns the metrics without the final line; for other
+// calls the text is empty.
+func Ask(addr, call string, timeout time.Duration) (string, error) {
+	c, err := net.DialTimeout("tcp", addr, timeout)
+	if netErr := net.Error(nil); errors.As(err, &netErr) && netErr.Timeout() {
+		return "", fmt.Errorf("the replica at %s did not answer within %v: %w", addr, timeout, err)
 	}
 	if err != nil {
 		return "", fmt.Errorf("no replica answers at %s (is it running, and is this its control address?): %w", addr, err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(most))
+	c.SetDeadline(time.Now().Add(timeout))
 	if _, err := fmt.Fprintf(c, "%s\n", call); err != nil {
 		return "", fmt.Errorf("call the replica at %s: %w", addr, err)
 	}
 	text, err := ReadAnswer(c)
 	if err != nil && !errors.Is(err, ErrNo) {
-		return "", fmt.Errorf("the replica at %s did not answer within %v: %w", addr, most, err)
+		return "", fmt.Errorf("the replica at %s did not answer within %v: %w", addr, timeout, err)
 	}
 	return text, err
 }
 
-// ReadAnswer reads the answer to one call: the figures without their last line for vars, else nothing.
-func ReadAnswer(from io.Reader) (string, error) {
+// ReadAnswer reads the answer to one call. For vars it returns the metrics without the final line; for other calls the
+// text is empty.
+func ReadAnswer(r io.Reader) (string, error) {
 	var text strings.Builder
-	for r := bufio.NewReader(from); ; {
-		line, err := r.ReadString('\n')
+	for lines := bufio.NewReader(r); ; {
+		line, err := lines.ReadString('\n')
 		if err != nil {
 			return "", err
 		}
@@ -56,7 +57,7 @@
 	}
 }
 
-// Values gives the figures by their names as they stand in the text.
+// Values parses the metrics of a vars answer. The keys are the names as written, labels included.
 func Values(text string) (map[string]int64, error) {
 	values := map[string]int64{}
 	for line := range strings.Lines(text) {
@@ -68,7 +69,7 @@
 		}
 		n, err := strconv.ParseInt(number, 10, 64)
 		if err != nil {
-			return nil, fmt.Errorf("a figure that cannot be read: %q", line)
+			return nil, fmt.Errorf("metric %q has no integer value: %w", line, err)
 		}
 		values[name] = n
 	}
--- a/internal/operator/door.go
+++ b/internal/operator/door.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	// Most bounds the connections of the door. Those who hold one for nothing cannot keep the next caller out: the
-	// oldest makes room for it.
+	// Most bounds the connections of the admin listener. A new connection above it evicts the oldest, so that unused
+	// connections cannot lock out a caller.
 	Most = 16
-	// holdTime is how long a connection may last, answered or not. Callers need milliseconds.
-	holdTime = 10 * time.Second
+	// connectionTimeout bounds the lifetime of a connection, answered or not. Callers need milliseconds.
+	connectionTimeout = 10 * time.Second
 )
 
-// Door serves operators at an address of its own.
+// Door is the admin listener: it serves operators' calls at an address of its own.
 type Door struct {
 	replica Replica
 	now     func() time.Duration
 	ln      netpoll.Listener
 	loop    netpoll.EventLoop
-	count   struct{ calls, refused, evicted, late *counters.Counter }
+	count   struct{ calls, rejected, evicted, timedOut *counters.Counter }
 
-	mu    sync.Mutex
-	order []*caller // oldest first
+	mu      sync.Mutex
+	callers []*caller // oldest first
 }
 
 // caller is one connection.
 type caller struct {
 	netpoll.Connection
-	session session
-	since   time.Duration
+	session    session
+	acceptedAt time.Duration
 }
 
 type callerKey struct{}
 
-// Listen opens the door at addr.
+// Listen opens the admin listener at addr.
 func Listen(addr string, r Replica, now func() time.Duration, set *counters.Set) (*Door, error) {
 	ln, err := netpoll.CreateListener("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen for operators at %q (control): %w", addr, err)
 	}
 	d := &Door{replica: r, now: now, ln: ln}
-	d.count.calls, d.count.refused = set.Get("operator_calls"), set.Get("operator_calls_refused")
-	d.count.evicted, d.count.late = set.Get("operator_callers_evicted"), set.Get("operator_callers_late")
+	d.count.calls, d.count.rejected = set.Get("operator_calls"), set.Get("operator_calls_refused")
+	d.count.evicted, d.count.timedOut = set.Get("operator_callers_evicted"), set.Get("operator_callers_late")
 	if d.loop, err = netpoll.NewEventLoop(d.read, netpoll.WithOnPrepare(d.prepare)); err != nil {
 		ln.Close()
 		return nil, fmt.Errorf("listen for operators: %w", err)
@@ -59,22 +59,22 @@
 	return d, nil
 }
 
-// Addr is the address that the listener got.
+// Addr returns the address of the listener.
 func (d *Door) Addr() string { return d.ln.Addr().String() }
 
-// Serve takes callers until the process ends.
+// Serve accepts connections until Close.
 func (d *Door) Serve() error { return d.loop.Serve(d.ln) }
 
-// prepare takes a caller in; the poller calls it.
+// prepare registers a connection; the poller calls it.
 func (d *Door) prepare(nc netpoll.Connection) context.Context {
-	c := &caller{Connection: nc, since: d.now()}
+	c := &caller{Connection: nc, acceptedAt: d.now()}
 	d.mu.Lock()
 	var oldest *caller
-	if len(d.order) >= Most {
-		oldest = d.order[0]
-		d.drop(oldest)
+	if len(d.callers) >= Most {
+		oldest = d.callers[0]
+		d.remove(oldest)
 	}
-	d.order = append(d.order, c)
+	d.callers = append(d.callers, c)
 	d.mu.Unlock()
 	if oldest != nil {
 		d.count.evicted.Inc()
@@ -83,28 +83,28 @@
 	nc.AddCloseCallback(func(netpoll.Connection) error {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.drop(c)
+		d.remove(c)
 		return nil
 	})
 	return context.WithValue(context.Background(), callerKey{}, c)
 }
 
-// drop takes a caller off the list; d.mu is held.
-func (d *Door) drop(c *caller) {
-	for i, o := range d.order {
+// remove removes a connection from the list; d.mu is held.
+func (d *Door) remove(c *caller) {
+	for i, o := range d.callers {
 		if o == c {
-			d.order = append(d.order[:i], d.order[i+1:]...)
+			d.callers = append(d.callers[:i], d.callers[i+1:]...)
 			return
 		}
 	}
 }
 
-// read is netpoll's callback: a caller has sent something.
+// read is netpoll's callback for new input on a connection.
 func (d *Door) read(ctx context.Context, nc netpoll.Connection) error {
 	c := ctx.Value(callerKey{}).(*caller)
 	defer func() {
 		if p := recover(); p != nil {
-			assert.Panicked("the operators' door", p)
+			assert.Panicked("the admin listener", p)
 			nc.Close()
 		}
 	}()
@@ -116,16 +116,16 @@
 	if a := c.session.feed(p, d.replica); a != nil {
 		d.count.calls.Inc()
 		if a[0] == 'N' {
-			d.count.refused.Inc()
+			d.count.rejected.Inc()
 		}
 		reply(nc, a)
 	}
 	return r.Release()
 }
 
-// reply writes an answer, which any new connection has room for, and ends our side, so that a caller that reads to
-// the end has it. It goes to the descriptor, which netpoll keeps open while the callback runs: netpoll's own writer
-// fails for a caller that has ended its side behind the call.
+// reply writes an answer, for which the send buffer of a new connection has room, and shuts down the write side, so
+// that a caller that reads to the end has the whole answer. It writes to the descriptor, which netpoll keeps open
+// during the callback: netpoll's own writer fails if the caller has shut down its write side after the call.
 func reply(nc netpoll.Connection, a []byte) {
 	f, ok := nc.(interface{ Fd() int })
 	if !ok {
@@ -138,7 +138,7 @@
 	_ = syscall.Shutdown(f.Fd(), syscall.SHUT_WR) // the caller may be gone
 }
 
-// Sweep ends the connections that have lasted too long, until ctx ends.
+// Sweep closes the connections that exceed their lifetime, until ctx is done.
 func (d *Door) Sweep(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -154,19 +154,19 @@
 
 func (d *Door) sweep() {
 	d.mu.Lock()
-	var late []*caller
-	for len(d.order) > 0 && d.now()-d.order[0].since >= holdTime {
-		late = append(late, d.order[0])
-		d.order = d.order[1:]
+	var expired []*caller
+	for len(d.callers) > 0 && d.now()-d.callers[0].acceptedAt >= connectionTimeout {
+		expired = append(expired, d.callers[0])
+		d.callers = d.callers[1:]
 	}
 	d.mu.Unlock()
-	for _, c := range late {
-		d.count.late.Inc()
+	for _, c := range expired {
+		d.count.timedOut.Inc()
 		c.Close()
 	}
 }
 
-// Close ends the listening and all connections.
+// Close closes the listener and all connections.
 func (d *Door) Close() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/operator/session.go
+++ b/internal/operator/session.go
@@ -1,6 +1,6 @@
-// Package operator is the platform's operators' door: an address of its own where each connection carries one line
-// and gets one answer. It speaks of the replica through Replica, which answers from atomics and a short lock of its
-// own, so that the answer is there whatever the load.
+// Package operator implements the admin listener, an address where operators send one line per connection and get one
+// answer. It queries the replica through the interface Replica, which uses atomics and a lock of its own that is held
+// briefly, so that calls are answered under any load.
 package operator
 
 import (
@@ -11,42 +11,43 @@
 	"cairnlane/internal/replica"
 )
 
-// Replica is what the door speaks of. Its methods must not wait for the serving path.
+// Replica is the replica that operators query and drain. Its methods must not wait for the serving path.
 type Replica interface {
-	// Ready tells whether this process takes clients; an error says why not.
+	// Ready returns an error with the reason if this process does not serve clients.
 	Ready() error
-	// Drain sends callers elsewhere or has them back; an error says why it cannot be done.
+	// Drain begins or ends a drain. An error gives the reason why it cannot.
 	Drain(on bool) error
+	// Figures returns the counts of the vars call.
 	Figures() replica.Figures
 }
 
-// lineMost bounds a call; the longest that there is has 9 bytes.
-const lineMost = 128
+// maxLine bounds the length of a call. The longest known call has 9 bytes.
+const maxLine = 128
 
-// session is one connection with no I/O of its own.
+// session is the state of one connection. It does no I/O.
 type session struct {
-	line []byte
-	over bool // the answer was given; whatever comes after it is thrown away
+	line     []byte
+	answered bool // the answer was returned; further input is dropped
 }
 
-// feed takes what has come in, cut at any byte, and returns the answer once the line is whole.
+// feed adds input, which may be split at any byte, and returns the answer once the line is complete.
 func (s *session) feed(p []byte, r Replica) []byte {
-	if s.over {
+	if s.answered {
 		return nil
 	}
-	s.line = append(s.line, p[:min(len(p), lineMost+2-len(s.line))]...)
-	at := bytes.IndexByte(s.line, '\n')
-	if at < 0 && len(s.line) <= lineMost {
+	s.line = append(s.line, p[:min(len(p), maxLine+2-len(s.line))]...)
+	end := bytes.IndexByte(s.line, '\n')
+	if end < 0 && len(s.line) <= maxLine {
 		return nil
 	}
-	s.over = true
-	if at < 0 {
-		return fmt.Appendf(nil, "NAK a call of over %d bytes\n", lineMost)
+	s.answered = true
+	if end < 0 {
+		return fmt.Appendf(nil, "NAK a call of over %d bytes\n", maxLine)
 	}
-	return Answer(string(bytes.TrimSpace(s.line[:at])), r)
+	return Answer(string(bytes.TrimSpace(s.line[:end])), r)
 }
 
-// Answer carries out a call, for the door and for whatever else operators have to call a replica by.
+// Answer carries out a call and returns its answer. The control socket uses it as well.
 func Answer(call string, r Replica) []byte {
 	var err error
 	switch call {
@@ -65,7 +66,7 @@
 	return []byte("ACK\n")
 }
 
-// appendVars appends the figures in the Prometheus text form, ended by a line of its own.
+// appendVars appends the metrics in the Prometheus text format, followed by the line "--".
 func appendVars(dst []byte, f replica.Figures) []byte {
 	for _, c := range f.Classes {
 		for _, o := range []struct {
@@ -81,7 +82,7 @@
 	return append(dst, "--\n"...)
 }
 
-// label escapes a label's value. Classes are named in the configuration.
+// label escapes a label value: the names of classes come from the configuration and may need it.
 func label(name string) []byte {
 	var out []byte
 	for _, b := range []byte(name) {
--- a/internal/operator/session_test.go
+++ b/internal/operator/session_test.go
@@ -13,46 +13,46 @@
 	"cairnlane/internal/testkit"
 )
 
-// fake is a replica with figures that a test sets.
-type fake struct {
-	ready   error
-	drain   error
-	drained bool
-	figures replica.Figures
+// fakeReplica is a Replica whose answers a test sets.
+type fakeReplica struct {
+	readyErr error
+	drainErr error
+	drained  bool
+	figures  replica.Figures
 }
 
-func (f *fake) Ready() error { return f.ready }
-func (f *fake) Drain(on bool) error {
-	if f.drain == nil {
+func (f *fakeReplica) Ready() error { return f.readyErr }
+func (f *fakeReplica) Drain(on bool) error {
+	if f.drainErr == nil {
 		f.drained = on
 	}
-	return f.drain
+	return f.drainErr
 }
-func (f *fake) Figures() replica.Figures { return f.figures }
+func (f *fakeReplica) Figures() replica.Figures { return f.figures }
 
-func TestCallsAndTheirAnswers(t *testing.T) {
+func TestCallsAndAnswers(t *testing.T) {
 	no := errors.New("not now: this process is leaving")
 	for _, c := range []struct {
 		call, want string
-		f          fake
+		f          fakeReplica
 		drained    bool
 	}{
-		{"check\n", "ACK\n", fake{}, false},
-		{"check\r\n", "ACK\n", fake{}, false},
-		{" check \n", "ACK\n", fake{}, false},
-		{"check\ndrain-on\n", "ACK\n", fake{}, false}, // one line a connection
-		{"check\n", "NAK not now: this process is leaving\n", fake{ready: no}, false},
-		{"drain-on\n", "ACK\n", fake{}, true},
-		{"drain-on\n", "ACK\n", fake{drained: true}, true},
-		{"drain-off\n", "ACK\n", fake{drained: true}, false},
-		{"drain-off\n", "NAK not now: this process is leaving\n", fake{drained: true, drain: no}, true},
-		{"\n", "NAK unknown call \"\"; there are check, vars, drain-on and drain-off\n", fake{}, false},
-		{"CHECK\n", "NAK unknown call \"CHECK\"; there are check, vars, drain-on and drain-off\n", fake{}, false},
-		{"a\x00\x1b[2J\n", "NAK unknown call \"a\\x00\\x1b[2J\"; there are check, vars, drain-on and drain-off\n", fake{}, false},
-		{strings.Repeat("x", 200), "NAK a call of over 128 bytes\n", fake{}, false},
-		{"check", "", fake{}, false},
+		{"check\n", "ACK\n", fakeReplica{}, false},
+		{"check\r\n", "ACK\n", fakeReplica{}, false},
+		{" check \n", "ACK\n", fakeReplica{}, false},
+		{"check\ndrain-on\n", "ACK\n", fakeReplica{}, false}, // a second line is ignored
+		{"check\n", "NAK not now: this process is leaving\n", fakeReplica{readyErr: no}, false},
+		{"drain-on\n", "ACK\n", fakeReplica{}, true},
+		{"drain-on\n", "ACK\n", fakeReplica{drained: true}, true},
+		{"drain-off\n", "ACK\n", fakeReplica{drained: true}, false},
+		{"drain-off\n", "NAK not now: this process is leaving\n", fakeReplica{drained: true, drainErr: no}, true},
+		{"\n", "NAK unknown call \"\"; there are check, vars, drain-on and drain-off\n", fakeReplica{}, false},
+		{"CHECK\n", "NAK unknown call \"CHECK\"; there are check, vars, drain-on and drain-off\n", fakeReplica{}, false},
+		{"a\x00\x1b[2J\n", "NAK unknown call \"a\\x00\\x1b[2J\"; there are check, vars, drain-on and drain-off\n", fakeReplica{}, false},
+		{strings.Repeat("x", 200), "NAK a call of over 128 bytes\n", fakeReplica{}, false},
+		{"check", "", fakeReplica{}, false},
 	} {
-		for step := 1; step <= 3; step++ { // cut at every place, in the end
+		for step := 1; step <= 3; step++ { // over all steps, the call is split at every byte
 			s, got := session{}, ""
 			for p := []byte(c.call); len(p) > 0; p = p[min(step, len(p)):] {
 				got += string(s.feed(p[:min(step, len(p))], &c.f))
@@ -64,13 +64,13 @@
 	}
 }
 
-// The figures are read by what operators use, and each is the number that was counted.
-func TestVarsAreInThePrometheusTextForm(t *testing.T) {
-	f := &fake{figures: replica.Figures{Runs: 7, Open: 3, Classes: []replica.ClassFigures{{Name: "a", Served: 1, Rejected: 2, Failed: 4}, {Name: "b\"\\\n", Served: 9}}}}
+// TestVarsUsePrometheusTextFormat reads the metrics with the Prometheus parser and compares each with its count.
+func TestVarsUsePrometheusTextFormat(t *testing.T) {
+	f := &fakeReplica{figures: replica.Figures{Runs: 7, Open: 3, Classes: []replica.ClassFigures{{Name: "a", Served: 1, Rejected: 2, Failed: 4}, {Name: "b\"\\\n", Served: 9}}}}
 	text := string(new(session).feed([]byte("vars\n"), f))
 	body, ok := strings.CutSuffix(text, "\n--\n")
 	if !ok {
-		t.Fatalf("no line -- at the end of %q", text)
+		t.Fatalf("%q does not end in the line --", text)
 	}
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(strings.NewReader(body + "\n"))
@@ -94,18 +94,19 @@
 		}
 	}
 	if len(got) != 8 {
-		t.Errorf("%d figures: %v", len(got), got)
+		t.Errorf("%d metrics, want 8: %v", len(got), got)
 	}
 }
 
-// Whatever comes, a session gives at most one answer, one line of ACK or NAK unless it is vars, and holds a bounded line.
-func TestRandomInput(t *testing.T) {
+// TestRandomInputGivesAtMostOneAnswer checks that on any input a session returns at most one answer, one line of ACK or NAK
+// unless the call is vars, and holds a bounded line.
+func TestRandomInputGivesAtMostOneAnswer(t *testing.T) {
 	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		s, answers := session{}, 0
 		return map[string]func(*rapid.T){
 			"feed": func(rt *rapid.T) {
 				p := rapid.OneOf(rapid.SliceOfN(rapid.Byte(), 0, 300), rapid.SampledFrom([][]byte{[]byte("che"), []byte("ck\r"), []byte("\n"), []byte("drain-on\n")})).Draw(rt, "p")
-				if a := string(s.feed(p, &fake{})); a != "" {
+				if a := string(s.feed(p, &fakeReplica{})); a != "" {
 					answers++
 					if !strings.HasPrefix(a, "ACK") && !strings.HasPrefix(a, "NAK ") || strings.Count(a, "\n") != 1 {
 						rt.Fatalf("answer %q", a)
@@ -113,8 +114,8 @@
 				}
 			},
 			"": func(rt *rapid.T) {
-				if answers > 1 || len(s.line) > lineMost+2 {
-					rt.Fatalf("%d answers, %d bytes held", answers, len(s.line))
+				if answers > 1 || len(s.line) > maxLine+2 {
+					rt.Fatalf("%d answers, %d bytes buffered", answers, len(s.line))
 				}
 			},
 		}
@@ -126,12 +127,12 @@
 	f.Add([]byte("drain-on"))
 	f.Fuzz(func(t *testing.T, p []byte) {
 		whole, cut := session{}, session{}
-		want, got := whole.feed(p, &fake{}), []byte(nil)
+		want, got := whole.feed(p, &fakeReplica{}), []byte(nil)
 		for i := range p {
-			got = append(got, cut.feed(p[i:i+1], &fake{})...)
+			got = append(got, cut.feed(p[i:i+1], &fakeReplica{})...)
 		}
 		if string(want) != string(got) {
-			t.Errorf("%q: %q whole, %q in bytes", p, want, got)
+			t.Errorf("%q: answer %q for the whole input, %q byte by byte", p, want, got)
 		}
 	})
 }
