--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -252,9 +252,9 @@
 
 // AppendFrame appends a frame whose payload encode appends.
 func AppendFrame(dst []byte, encode func(dst []byte) []byte) []byte {
-	at := len(dst)
+	start := len(dst)
 	dst = encode(append(dst, 0, 0, 0, 0))
-	binary.BigEndian.PutUint32(dst[at:], uint32(len(dst)-at-4))
+	binary.BigEndian.PutUint32(dst[start:], uint32(len(dst)-start-4))
 	return dst
 }
 
