--- a/internal/operator/door_test.go
+++ b/internal/operator/door_test.go
@@ -81,10 +81,10 @@
 		t.Errorf("answer after the silent callers: %q", got)
 	}
 	d.mu.Lock()
-	held := len(d.callers)
+	connections := len(d.callers)
 	d.mu.Unlock()
-	if held > Most || set.Get("operator_callers_evicted").Load() < 4*Most {
-		t.Errorf("%d connections, %d evicted", held, set.Get("operator_callers_evicted").Load())
+	if connections > Most || set.Get("operator_callers_evicted").Load() < 4*Most {
+		t.Errorf("%d connections, %d evicted", connections, set.Get("operator_callers_evicted").Load())
 	}
 }
 
@@ -131,9 +131,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, most := range []time.Duration{time.Nanosecond, time.Millisecond} { // the connection times out, and the answer times out
-		if _, err := Ask(silent.Addr().String(), "check", most); err == nil || !strings.Contains(err.Error(), "did not answer within") {
-			t.Errorf("time-out of %v: %v", most, err)
+	for _, timeout := range []time.Duration{time.Nanosecond, time.Millisecond} { // the connection times out, and the answer times out
+		if _, err := Ask(silent.Addr().String(), "check", timeout); err == nil || !strings.Contains(err.Error(), "did not answer within") {
+			t.Errorf("time-out of %v: %v", timeout, err)
 		}
 	}
 	silent.Close()
--- a/internal/operator/session.go
+++ b/internal/operator/session.go
@@ -69,13 +69,13 @@
 // appendVars appends the metrics in the Prometheus text format, followed by the line "--".
 func appendVars(dst []byte, f replica.Figures) []byte {
 	for _, c := range f.Classes {
-		for _, o := range []struct {
+		for _, outcome := range []struct {
 			name string
 			n    int64
 		}{{"passed", c.Served}, {"dropped", c.Rejected}, {"bad_gateway", c.Failed}} {
 			dst = append(append(dst, `edge_relay_handled{category="`...), label(c.Name)...)
-			dst = append(append(append(dst, `",outcome="`...), o.name...), `"} `...)
-			dst = append(strconv.AppendInt(dst, o.n, 10), '\n')
+			dst = append(append(append(dst, `",outcome="`...), outcome.name...), `"} `...)
+			dst = append(strconv.AppendInt(dst, outcome.n, 10), '\n')
 		}
 	}
 	dst = fmt.Appendf(dst, "edge_relay_upstream_tries %d\nedge_relay_in_progress %d\n", f.Runs, f.Open)
--- a/internal/operator/session_test.go
+++ b/internal/operator/session_test.go
@@ -31,7 +31,7 @@
 func (f *fakeReplica) Figures() replica.Figures { return f.figures }
 
 func TestCallsAndAnswers(t *testing.T) {
-	no := errors.New("not now: this process is leaving")
+	leaving := errors.New("not now: this process is leaving")
 	for _, c := range []struct {
 		call, want string
 		f          fakeReplica
@@ -41,11 +41,11 @@
 		{"check\r\n", "ACK\n", fakeReplica{}, false},
 		{" check \n", "ACK\n", fakeReplica{}, false},
 		{"check\ndrain-on\n", "ACK\n", fakeReplica{}, false}, // a second line is ignored
-		{"check\n", "NAK not now: this process is leaving\n", fakeReplica{readyErr: no}, false},
+		{"check\n", "NAK not now: this process is leaving\n", fakeReplica{readyErr: leaving}, false},
 		{"drain-on\n", "ACK\n", fakeReplica{}, true},
 		{"drain-on\n", "ACK\n", fakeReplica{drained: true}, true},
 		{"drain-off\n", "ACK\n", fakeReplica{drained: true}, false},
-		{"drain-off\n", "NAK not now: this process is leaving\n", fakeReplica{drained: true, drainErr: no}, true},
+		{"drain-off\n", "NAK not now: this process is leaving\n", fakeReplica{drained: true, drainErr: leaving}, true},
 		{"\n", "NAK unknown call \"\"; there are check, vars, drain-on and drain-off\n", fakeReplica{}, false},
 		{"CHECK\n", "NAK unknown call \"CHECK\"; there are check, vars, drain-on and drain-off\n", fakeReplica{}, false},
 		{"a\x00\x1b[2J\n", "NAK unknown call \"a\\x00\\x1b[2J\"; there are check, vars, drain-on and drain-off\n", fakeReplica{}, false},
