--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,5 @@
-// Package control is the way to a running daemon: HTTP with JSON over a unix socket of mode 0600, which only the user
-// that runs the daemon may open. It is apart from the serving path: whatever is asked, no request waits for it.
+// Package control implements the control socket of a running daemon: HTTP with JSON over a unix socket of mode 0600, which
+// only the user that runs the daemon may open. No call on it delays the serving path.
 package control
 
 import (
@@ -24,7 +24,7 @@
 	"cairnlane/internal/state/keystore"
 )
 
-// Status is how a daemon stands.
+// Status is the state of a daemon.
 type Status struct {
 	Name     string           `json:"name"`
 	Listen   string           `json:"listen"`
@@ -34,28 +34,28 @@
 	Counters map[string]int64 `json:"counters"`
 }
 
-// Daemon is what the socket shows and does.
+// Daemon is the daemon that the control socket serves.
 type Daemon interface {
 	Status() Status
-	Operator() operator.Replica // as at the platform's door
-	Stop()                      // finish the work and end
+	Operator() operator.Replica // for the calls of the admin listener
+	Stop()                      // drains and exits
 	Certificates() []certs.Status
 	History(name string) ([]keystore.Event, error)
 	Renew(name string) error
 	Revoke(ctx context.Context, name string, reason int) error
-	Fleet() Fleet // nil when the box is in none
+	Fleet() Fleet // nil when the box is in no fleet
 }
 
-// Server listens on a socket.
+// Server serves the control socket.
 type Server struct {
 	path string
 	http *http.Server
 }
 
-// callTime bounds a call; a revocation asks an authority.
-const callTime = time.Minute
+// callTimeout bounds a call. A revocation calls an authority.
+const callTimeout = time.Minute
 
-// Listen opens the socket. One that a dead daemon has left is taken over; one that answers is not.
+// Listen opens the socket. It replaces a socket file that a dead daemon has left, and fails if a daemon answers there.
 func Listen(path string, d Daemon) (*Server, error) {
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		c.Close()
@@ -64,27 +64,28 @@
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	// The socket is made under a name that nobody knows and gets its own once its mode is set.
-	hidden := path + "." + strconv.Itoa(os.Getpid())
-	ln, err := net.Listen("unix", hidden)
+	// The socket is created under a temporary name and renamed once its mode is set, so that it can never be opened with
+	// a wider mode.
+	temporary := path + "." + strconv.Itoa(os.Getpid())
+	ln, err := net.Listen("unix", temporary)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	ln.(*net.UnixListener).SetUnlinkOnClose(false)
-	if err := errors.Join(os.Chmod(hidden, 0o600), os.Rename(hidden, path)); err != nil {
+	if err := errors.Join(os.Chmod(temporary, 0o600), os.Rename(temporary, path)); err != nil {
 		ln.Close()
-		os.Remove(hidden)
+		os.Remove(temporary)
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	s := &Server{path: path, http: &http.Server{Handler: handler(d), ReadTimeout: 5 * time.Second, WriteTimeout: callTime, MaxHeaderBytes: 8 << 10,
+	s := &Server{path: path, http: &http.Server{Handler: handler(d), ReadTimeout: 5 * time.Second, WriteTimeout: callTimeout, MaxHeaderBytes: 8 << 10,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, callerKey{}, peerOf(c))
+			return context.WithValue(ctx, callerKey{}, peerCredentials(c))
 		}}}
 	go s.http.Serve(ln)
 	return s, nil
 }
 
-// Close ends it.
+// Close closes the socket and removes its file.
 func (s *Server) Close() error {
 	return errors.Join(s.http.Close(), os.Remove(s.path))
 }
@@ -118,14 +119,15 @@
 		reply(w, struct{}{}, d.Revoke(r.Context(), r.PathValue("name"), reason))
 	})
 	mux.Handle("GET /metrics", metricsHandler(d))
-	fleetCalls(mux, d)
+	registerFleetCalls(mux, d)
 	return mux
 }
 
 type callerKey struct{}
 
-// peerOf tells who calls, as the system knows it: the socket is open to one user, but a root shell may call as well.
-func peerOf(c net.Conn) string {
+// peerCredentials returns the user and process of a connection's peer, as the kernel reports them. The socket is open to one
+// user, but root may call as well.
+func peerCredentials(c net.Conn) string {
 	u, ok := c.(*net.UnixConn)
 	if !ok {
 		return "unknown"
@@ -134,21 +136,21 @@
 	if err != nil {
 		return "unknown"
 	}
-	who := "unknown"
+	caller := "unknown"
 	raw.Control(func(fd uintptr) {
 		if cred, err := unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED); err == nil {
-			who = fmt.Sprintf("user %d, process %d", cred.Uid, cred.Pid)
+			caller = fmt.Sprintf("user %d, process %d", cred.Uid, cred.Pid)
 		}
 	})
-	return who
+	return caller
 }
 
 func callerOf(r *http.Request) string {
-	who, _ := r.Context().Value(callerKey{}).(string)
-	return who
+	caller, _ := r.Context().Value(callerKey{}).(string)
+	return caller
 }
 
-type failure struct {
+type errorAnswer struct {
 	Error string `json:"error"`
 }
 
@@ -156,27 +158,27 @@
 	w.Header().Set("Content-Type", "application/json")
 	if err != nil {
 		w.WriteHeader(http.StatusUnprocessableEntity)
-		v = failure{err.Error()}
+		v = errorAnswer{err.Error()}
 	}
 	json.NewEncoder(w).Encode(v)
 }
 
-// Client asks a daemon.
+// Client calls a daemon over its control socket.
 type Client struct {
 	path string
 	http http.Client
 }
 
-// NewClient returns a client for the daemon at a socket.
+// NewClient returns a client of the daemon whose socket is at path.
 func NewClient(path string) *Client {
-	return &Client{path: path, http: http.Client{Timeout: callTime, Transport: &http.Transport{
+	return &Client{path: path, http: http.Client{Timeout: callTimeout, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "unix", path)
 		}}}}
 }
 
-// answerMost bounds what is read of an answer.
-const answerMost = 4 << 20
+// maxAnswer bounds the answer that a client reads.
+const maxAnswer = 4 << 20
 
 func (c *Client) call(method, path string, form url.Values, v any) error {
 	req, err := http.NewRequest(method, "http://daemon"+path, bytes.NewReader([]byte(form.Encode())))
@@ -189,27 +191,27 @@
 		return fmt.Errorf("no daemon answers at %s (is it running, and is this the user that runs it?): %w", c.path, err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		var f failure
+		var f errorAnswer
 		if json.Unmarshal(raw, &f) == nil && f.Error != "" {
 			return errors.New(f.Error)
 		}
-		return fmt.Errorf("the daemon answers %s", resp.Status)
+		return fmt.Errorf("the daemon answers %s to %s %s", resp.Status, method, path)
 	}
 	return json.Unmarshal(raw, v)
 }
 
-// Status asks how the daemon stands.
+// Status returns the state of the daemon.
 func (c *Client) Status() (s Status, err error) { return s, c.call("GET", "/status", nil, &s) }
 
-// Stop has it finish its work and end.
+// Stop makes the daemon drain and exit.
 func (c *Client) Stop() error { return c.call("POST", "/stop", nil, &struct{}{}) }
 
-// Ask makes one of the calls of the platform's door.
+// Ask makes one of the calls of the admin listener.
 func (c *Client) Ask(call string) (string, error) {
 	var answer string
 	if err := c.call("POST", "/call/"+url.PathEscape(call), nil, &answer); err != nil {
@@ -223,17 +225,17 @@
 	return l, c.call("GET", "/certificates", nil, &l)
 }
 
-// History lists what has happened to one.
+// History returns the events of a certificate.
 func (c *Client) History(name string) (l []keystore.Event, err error) {
 	return l, c.call("GET", "/certificates/"+url.PathEscape(name)+"/history", nil, &l)
 }
 
-// Renew has one renewed.
+// Renew requests the renewal of a certificate.
 func (c *Client) Renew(name string) error {
 	return c.call("POST", "/certificates/"+url.PathEscape(name)+"/renew", nil, &struct{}{})
 }
 
-// Revoke has one revoked and renewed.
+// Revoke revokes a certificate at its authority and renews it.
 func (c *Client) Revoke(name string, reason int) error {
 	return c.call("POST", "/certificates/"+url.PathEscape(name)+"/revoke", url.Values{"reason": {strconv.Itoa(reason)}}, &struct{}{})
 }
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -17,15 +17,15 @@
 	"cairnlane/internal/fleet"
 )
 
-// Fleet is what the socket shows and does of a box's fleet.
+// Fleet is the box's part of a fleet, as the control socket serves it.
 type Fleet interface {
 	Status() fleet.Status
 	Members() []fleet.Member
 	Leases() []fleet.LeaseStatus
-	AuditHeads() map[string][]lease.Mark // of the boxes' audits
+	AuditHeads() map[string][]lease.Mark // by box
 	Init(terms lease.Terms, voters []string) error
 	Recover() error
-	ChangeVoters(how string, names []string) error // add, remove or replace; replace takes the old and the new name
+	ChangeVoters(how string, names []string) error // how is add, remove or replace; replace takes the old and the new name
 	AuditFolder() string
 	Load() fleet.LoadStatus
 	Rollouts() fleet.Rollouts
@@ -34,26 +34,26 @@
 	StartRollout(n uint64, p rollout.Plan, caller string) error
 	ChangeRollout(kind rollout.Kind, why, caller string) error
 	SetLowest(n uint64) error
-	Operated(caller, what string, err error) // for the audit
+	Operated(caller, what string, err error) // records an operator's call in the audit
 	Free(token uint64) error
 	StopEarly(token uint64) error
 
-	// Begin asks for a slot that the caller comes back for with Poll, and gives back with End.
+	// Begin requests a slot, which the caller polls for with Poll and releases with End.
 	Begin(r lease.Request) (uint64, error)
 	Poll(id uint64, wait time.Duration) (fleet.RunStatus, error)
 	Command(id uint64, pgid int) error
 	End(id uint64) error
 
-	// Maintain asks for a slot to take this box out of service. Enter does so, once it is granted.
+	// Maintain requests a slot to take this box out of service. Enter takes it out once the slot is granted.
 	Maintain() (uint64, error)
-	Enter(id uint64, what string) error // drain or stop
+	Enter(id uint64, what string) error // what is drain or stop
 }
 
-// ErrNoFleet says that the box is in none.
-var ErrNoFleet = errors.New("this box is in no fleet; give its configuration a fleet block, as in deploy/fleet.hcl, and start it anew")
+// ErrNoFleet is the error of fleet calls to a box that is in no fleet.
+var ErrNoFleet = errors.New("this box is in no fleet; add a fleet block to its configuration, as in deploy/fleet.hcl, and restart it")
 
-// fleetCalls adds the calls of a fleet.
-func fleetCalls(mux *http.ServeMux, d Daemon) {
+// registerFleetCalls registers the handlers of the fleet calls.
+func registerFleetCalls(mux *http.ServeMux, d Daemon) {
 	handle := func(pattern string, do func(f Fleet, r *http.Request) (any, error)) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 			f := d.Fleet()
@@ -63,12 +63,12 @@
 			}
 			v, err := do(f, r)
 			if r.Method == http.MethodPost && !strings.HasPrefix(pattern, "POST /fleet/runs") {
-				f.Operated(callerOf(r), what(r), err)
+				f.Operated(callerOf(r), auditText(r), err)
 			}
 			reply(w, v, err)
 		})
 	}
-	act := func(pattern string, do func(f Fleet, r *http.Request) error) {
+	handleAction := func(pattern string, do func(f Fleet, r *http.Request) error) {
 		handle(pattern, func(f Fleet, r *http.Request) (any, error) { return struct{}{}, do(f, r) })
 	}
 	number := func(r *http.Request, name string) uint64 {
@@ -88,23 +88,23 @@
 	handle("POST /fleet/config", func(f Fleet, r *http.Request) (any, error) {
 		return f.PutConfig([]byte(r.FormValue("body")), callerOf(r))
 	})
-	act("POST /fleet/rollout/{n}", func(f Fleet, r *http.Request) error {
+	handleAction("POST /fleet/rollout/{n}", func(f Fleet, r *http.Request) error {
 		p := rollout.DefaultPlan
 		if err := json.Unmarshal([]byte(r.FormValue("plan")), &p); err != nil {
 			return fmt.Errorf("plan: %w", err)
 		}
 		return f.StartRollout(number(r, "n"), p, callerOf(r))
 	})
-	act("POST /fleet/rollout/change/{how}", func(f Fleet, r *http.Request) error {
+	handleAction("POST /fleet/rollout/change/{how}", func(f Fleet, r *http.Request) error {
 		kind, ok := map[string]rollout.Kind{"hold": rollout.Hold, "resume": rollout.Resume, "abort": rollout.Abort}[r.PathValue("how")]
 		if !ok {
-			return fmt.Errorf("%q is none of hold, resume, abort", r.PathValue("how"))
+			return fmt.Errorf("unknown rollout change %q; must be hold, resume or abort", r.PathValue("how"))
 		}
 		return f.ChangeRollout(kind, r.FormValue("why"), callerOf(r))
 	})
-	act("POST /fleet/lowest/{n}", func(f Fleet, r *http.Request) error { return f.SetLowest(number(r, "n")) })
+	handleAction("POST /fleet/lowest/{n}", func(f Fleet, r *http.Request) error { return f.SetLowest(number(r, "n")) })
 	handle("GET /fleet/marks", func(f Fleet, _ *http.Request) (any, error) { return f.AuditHeads(), nil })
-	act("POST /fleet/init", func(f Fleet, r *http.Request) error {
+	handleAction("POST /fleet/init", func(f Fleet, r *http.Request) error {
 		term, terr := time.ParseDuration(r.FormValue("term"))
 		drift, derr := strconv.ParseFloat(r.FormValue("drift"), 64)
 		if err := errors.Join(terr, derr); err != nil {
@@ -112,12 +112,12 @@
 		}
 		return f.Init(lease.Terms{Term: term, Drift: drift}, strings.Split(r.FormValue("voters"), ","))
 	})
-	act("POST /fleet/recover", func(f Fleet, _ *http.Request) error { return f.Recover() })
-	act("POST /fleet/voters/{how}", func(f Fleet, r *http.Request) error {
+	handleAction("POST /fleet/recover", func(f Fleet, _ *http.Request) error { return f.Recover() })
+	handleAction("POST /fleet/voters/{how}", func(f Fleet, r *http.Request) error {
 		return f.ChangeVoters(r.PathValue("how"), strings.Split(r.FormValue("names"), ","))
 	})
-	act("POST /fleet/leases/{token}/free", func(f Fleet, r *http.Request) error { return f.Free(number(r, "token")) })
-	act("POST /fleet/leases/{token}/stop", func(f Fleet, r *http.Request) error { return f.StopEarly(number(r, "token")) })
+	handleAction("POST /fleet/leases/{token}/free", func(f Fleet, r *http.Request) error { return f.Free(number(r, "token")) })
+	handleAction("POST /fleet/leases/{token}/stop", func(f Fleet, r *http.Request) error { return f.StopEarly(number(r, "token")) })
 	handle("POST /fleet/runs", func(f Fleet, r *http.Request) (any, error) {
 		var q lease.Request
 		if err := json.Unmarshal([]byte(r.FormValue("request")), &q); err != nil {
@@ -129,20 +129,20 @@
 		wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
 		return f.Poll(number(r, "id"), wait)
 	})
-	act("POST /fleet/runs/{id}/command", func(f Fleet, r *http.Request) error {
+	handleAction("POST /fleet/runs/{id}/command", func(f Fleet, r *http.Request) error {
 		pgid, err := strconv.Atoi(r.FormValue("pgid"))
 		if err != nil || pgid < 2 {
-			return fmt.Errorf("%q is no process group", r.FormValue("pgid"))
+			return fmt.Errorf("%q is not a process group number", r.FormValue("pgid"))
 		}
 		return f.Command(number(r, "id"), pgid)
 	})
-	act("POST /fleet/runs/{id}/end", func(f Fleet, r *http.Request) error { return f.End(number(r, "id")) })
+	handleAction("POST /fleet/runs/{id}/end", func(f Fleet, r *http.Request) error { return f.End(number(r, "id")) })
 	handle("POST /fleet/maintenance", func(f Fleet, _ *http.Request) (any, error) { return f.Maintain() })
-	act("POST /fleet/maintenance/{id}/{what}", func(f Fleet, r *http.Request) error { return f.Enter(number(r, "id"), r.PathValue("what")) })
+	handleAction("POST /fleet/maintenance/{id}/{what}", func(f Fleet, r *http.Request) error { return f.Enter(number(r, "id"), r.PathValue("what")) })
 }
 
-// what is a call as the audit has it: its path and what was said with it, but for contents.
-func what(r *http.Request) string {
+// auditText describes a call for the audit: its path and its form values, except the contents of configurations.
+func auditText(r *http.Request) string {
 	var b strings.Builder
 	b.WriteString(strings.TrimPrefix(r.URL.Path, "/fleet/"))
 	for _, k := range slices.Sorted(maps.Keys(r.PostForm)) {
@@ -153,49 +153,50 @@
 	return b.String()
 }
 
-// FleetClient asks a daemon of its fleet. It implements Fleet but for the errors of those that only show.
+// FleetClient makes the fleet calls of a daemon. It has a method for each call of Fleet, each of which can also return
+// an error of the connection.
 type FleetClient struct{ *Client }
 
-// Fleet returns the calls of a fleet.
+// Fleet returns a client for the fleet calls.
 func (c *Client) Fleet() FleetClient { return FleetClient{c} }
 
 func (c FleetClient) post(path string, form url.Values) error {
 	return c.call("POST", path, form, &struct{}{})
 }
 
-// Status asks how the box stands to its fleet.
+// Status returns the box's state in the fleet.
 func (c FleetClient) Status() (s fleet.Status, err error) {
 	return s, c.call("GET", "/fleet/status", nil, &s)
 }
 
-// Load asks how the fleet is loaded.
+// Load returns the load of the fleet.
 func (c FleetClient) Load() (s fleet.LoadStatus, err error) {
 	return s, c.call("GET", "/fleet/load", nil, &s)
 }
 
-// AuditFolder asks where the box's audit stands.
+// AuditFolder returns the folder of the box's audit.
 func (c FleetClient) AuditFolder() (dir string, err error) {
 	return dir, c.call("GET", "/fleet/audit", nil, &dir)
 }
 
-// Rollouts asks how configurations and their roll-outs stand.
+// Rollouts returns the state of the configurations and their rollouts.
 func (c FleetClient) Rollouts() (s fleet.Rollouts, err error) {
 	return s, c.call("GET", "/fleet/rollouts", nil, &s)
 }
 
-// Body asks for the contents of a numbered configuration.
+// Body returns the contents of a numbered configuration.
 func (c FleetClient) Body(n uint64) ([]byte, error) {
 	var s string
 	err := c.call("GET", fmt.Sprintf("/fleet/config/%d", n), nil, &s)
 	return []byte(s), err
 }
 
-// PutConfig has a configuration be checked, kept and numbered.
+// PutConfig submits a configuration, which is checked, stored and numbered, and returns its number.
 func (c FleetClient) PutConfig(src []byte) (n uint64, err error) {
 	return n, c.call("POST", "/fleet/config", url.Values{"body": {string(src)}}, &n)
 }
 
-// StartRoll begins a roll-out.
+// StartRoll starts a rollout of configuration n.
 func (c FleetClient) StartRoll(n uint64, p rollout.Plan) error {
 	raw, err := json.Marshal(p)
 	if err != nil {
@@ -204,12 +205,12 @@
 	return c.post(fmt.Sprintf("/fleet/rollout/%d", n), url.Values{"plan": {string(raw)}})
 }
 
-// ChangeRoll holds, resumes or aborts the roll-out that runs.
+// ChangeRoll holds, resumes or aborts the running rollout.
 func (c FleetClient) ChangeRoll(how, why string) error {
 	return c.post("/fleet/rollout/change/"+how, url.Values{"why": {why}})
 }
 
-// SetLowest has the fleet allow no lower number.
+// SetLowest sets the lowest configuration number that the fleet allows.
 func (c FleetClient) SetLowest(n uint64) error {
 	return c.post(fmt.Sprintf("/fleet/lowest/%d", n), nil)
 }
@@ -219,40 +220,40 @@
 	return l, c.call("GET", "/fleet/members", nil, &l)
 }
 
-// Leases lists who holds and waits for what.
+// Leases lists the leases with their holders and waiters.
 func (c FleetClient) Leases() (l []fleet.LeaseStatus, err error) {
 	return l, c.call("GET", "/fleet/leases", nil, &l)
 }
 
-// Marks are the heads of the boxes' audits that the ledger has.
+// Marks returns the audit heads of the boxes that the ledger holds.
 func (c FleetClient) Marks() (m map[string][]lease.Mark, err error) {
 	return m, c.call("GET", "/fleet/marks", nil, &m)
 }
 
-// Init begins a fleet with this box.
+// Init creates the fleet, beginning at this box.
 func (c FleetClient) Init(terms lease.Terms, voters []string) error {
 	return c.post("/fleet/init", url.Values{"term": {terms.Term.String()}, "drift": {strconv.FormatFloat(terms.Drift, 'g', -1, 64)}, "voters": {strings.Join(voters, ",")}})
 }
 
-// Recover begins the ledger anew from what this box knows.
+// Recover creates a new ledger from the state that this box has.
 func (c FleetClient) Recover() error { return c.post("/fleet/recover", nil) }
 
-// ChangeVoters adds, removes or replaces.
+// ChangeVoters adds, removes or replaces voters.
 func (c FleetClient) ChangeVoters(how string, names []string) error {
 	return c.post("/fleet/voters/"+url.PathEscape(how), url.Values{"names": {strings.Join(names, ",")}})
 }
 
-// Free gives back a slot whose box is gone.
+// Free releases a slot whose box is lost.
 func (c FleetClient) Free(token uint64) error {
 	return c.post(fmt.Sprintf("/fleet/leases/%d/free", token), nil)
 }
 
-// StopEarly asks a holder to stop.
+// StopEarly asks the holder of a lease to stop.
 func (c FleetClient) StopEarly(token uint64) error {
 	return c.post(fmt.Sprintf("/fleet/leases/%d/stop", token), nil)
 }
 
-// Begin asks for a slot.
+// Begin requests a slot and returns the id of the request.
 func (c FleetClient) Begin(r lease.Request) (id uint64, err error) {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -261,20 +262,20 @@
 	return id, c.call("POST", "/fleet/runs", url.Values{"request": {string(raw)}}, &id)
 }
 
-// Poll tells how a slot stands, when it has changed or wait is over.
+// Poll returns the state of a slot request once it has changed or the wait is over.
 func (c FleetClient) Poll(id uint64, wait time.Duration) (s fleet.RunStatus, err error) {
 	return s, c.call("GET", fmt.Sprintf("/fleet/runs/%d?wait=%v", id, wait), nil, &s)
 }
 
-// Command says which process group acts under a slot.
+// Command reports the process group that acts under a slot.
 func (c FleetClient) Command(id uint64, pgid int) error {
 	return c.post(fmt.Sprintf("/fleet/runs/%d/command", id), url.Values{"pgid": {strconv.Itoa(pgid)}})
 }
 
-// End gives a slot back.
+// End releases a slot.
 func (c FleetClient) End(id uint64) error { return c.post(fmt.Sprintf("/fleet/runs/%d/end", id), nil) }
 
-// Maintain asks for a slot to take the box out of service.
+// Maintain requests a slot to take the box out of service.
 func (c FleetClient) Maintain() (id uint64, err error) {
 	return id, c.call("POST", "/fleet/maintenance", nil, &id)
 }
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -12,37 +12,37 @@
 	"cairnlane/internal/fleet"
 )
 
-type shown struct {
+type fakeDaemon struct {
 	Daemon
 	fleet Fleet
 }
 
-func (s shown) Status() Status {
+func (s fakeDaemon) Status() Status {
 	return Status{Counters: map[string]int64{"requests_read": 7, "refused_over_share": 3}}
 }
-func (s shown) Fleet() Fleet { return s.fleet }
+func (s fakeDaemon) Fleet() Fleet { return s.fleet }
 
-type loaded struct {
+type fakeFleet struct {
 	Fleet
-	s fleet.LoadStatus
+	status fleet.LoadStatus
 }
 
-func (l loaded) Load() fleet.LoadStatus { return l.s }
+func (l fakeFleet) Load() fleet.LoadStatus { return l.status }
 
-// TestMetricsAreWhatACollectorReads: the counters, and the fleet's load as far as there is one.
-func TestMetricsAreWhatACollectorReads(t *testing.T) {
+// TestMetrics checks the exported counters, and the fleet's load for a box with and without a fleet.
+func TestMetrics(t *testing.T) {
 	sums := shed.Sums{Capacity: 300, Free: 12, Tenants: map[string]float64{"x": 5, "y": 9}}
 	for name, c := range map[string]struct {
 		fleet Fleet
 		want  map[string]float64
 		not   string
 	}{
-		"no fleet":         {nil, map[string]float64{"cairnlane_requests_read": 7, "cairnlane_refused_over_share": 3}, "cairnlane_fleet_capacity"},
-		"it sheds nothing": {loaded{s: fleet.LoadStatus{Fleet: sums}}, map[string]float64{"cairnlane_fleet_capacity": 300, "cairnlane_fleet_free": 12}, "cairnlane_fleet_level"},
-		"it sheds as one":  {loaded{s: fleet.LoadStatus{Fleet: sums, Advice: &shed.Advice{Trust: 1, Level: 2, GiveUp: true, Tenants: map[string]float64{"y": 0.4}}}}, map[string]float64{"cairnlane_fleet_level": 2, "cairnlane_fleet_trust": 1, "cairnlane_fleet_give_up": 1, "cairnlane_fleet_over_share": 0.4}, ""},
+		"no fleet":       {nil, map[string]float64{"cairnlane_requests_read": 7, "cairnlane_refused_over_share": 3}, "cairnlane_fleet_capacity"},
+		"without advice": {fakeFleet{status: fleet.LoadStatus{Fleet: sums}}, map[string]float64{"cairnlane_fleet_capacity": 300, "cairnlane_fleet_free": 12}, "cairnlane_fleet_level"},
+		"with advice":    {fakeFleet{status: fleet.LoadStatus{Fleet: sums, Advice: &shed.Advice{Trust: 1, Level: 2, GiveUp: true, Tenants: map[string]float64{"y": 0.4}}}}, map[string]float64{"cairnlane_fleet_level": 2, "cairnlane_fleet_trust": 1, "cairnlane_fleet_give_up": 1, "cairnlane_fleet_over_share": 0.4}, ""},
 	} {
 		w := httptest.NewRecorder()
-		handler(shown{fleet: c.fleet}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+		handler(fakeDaemon{fleet: c.fleet}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		parser := expfmt.NewTextParser(model.LegacyValidation)
 		got, err := parser.TextToMetricFamilies(w.Body)
 		if err != nil || w.Code != http.StatusOK {
@@ -54,16 +54,16 @@
 				t.Errorf("%s: no %s", name, n)
 				continue
 			}
-			most := 0.0
+			value := 0.0
 			for _, m := range f.Metric {
-				most = max(most, m.GetGauge().GetValue(), m.GetUntyped().GetValue())
+				value = max(value, m.GetGauge().GetValue(), m.GetUntyped().GetValue())
 			}
-			if most != v {
-				t.Errorf("%s: %s is %v, not %v", name, n, most, v)
+			if value != v {
+				t.Errorf("%s: %s is %v, want %v", name, n, value, v)
 			}
 		}
 		if got[c.not] != nil {
-			t.Errorf("%s: %s is shown", name, c.not)
+			t.Errorf("%s: %s is exported", name, c.not)
 		}
 	}
 }
