--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the appliance's configuration, which is HCL. What is wrong in it is told all at once, each
-// with its file and line and what would be right.
+// Package config reads the appliance's configuration, which is written in HCL. All errors in it are reported at once,
+// each with its file and line and the expected value.
 package config
 
 import (
@@ -25,10 +25,10 @@
 
 // Appliance is the configuration of one box.
 type Appliance struct {
-	Replica  string `hcl:"replica" validate:"required"` // the file with the site's settings, as the platform gives them
-	State    string `hcl:"state" validate:"required"`   // folder for what outlives a restart
-	Control  string `hcl:"control,optional"`            // socket for cairnctl; in the state folder if not given
-	Recorder bool   `hcl:"recorder,optional"`           // keep a record of how the box stands, in the state folder
+	Replica  string `hcl:"replica" validate:"required"` // file with the site's settings, as the platform supplies them
+	State    string `hcl:"state" validate:"required"`   // folder for the data that is kept across restarts
+	Control  string `hcl:"control,optional"`            // socket for cairnctl; control.sock in the state folder by default
+	Recorder bool   `hcl:"recorder,optional"`           // record the box's state over time, in the state folder
 	Log      *Log   `hcl:"log,block"`
 	TLS      *TLS   `hcl:"tls,block"`
 	Fleet    *Fleet `hcl:"fleet,block"`
@@ -37,13 +37,13 @@
 	Path string
 }
 
-// Log is how the log is written.
+// Log configures the log.
 type Log struct {
 	Level  string `hcl:"level,optional" validate:"omitempty,oneof=debug info warn error"`
 	Format string `hcl:"format,optional" validate:"omitempty,oneof=json text"`
 }
 
-// TLS is the listener for TLS and where its certificates come from.
+// TLS configures the TLS listener and the source of its certificates.
 type TLS struct {
 	Listen       string        `hcl:"listen" validate:"required,address"`
 	Challenge    string        `hcl:"challenge,optional" validate:"omitempty,oneof=http-01 tls-alpn-01"`
@@ -60,39 +60,39 @@
 type Authority struct {
 	Name      string `hcl:"name,label" validate:"required,word"`
 	Directory string `hcl:"directory" validate:"required,https"`
-	Root      string `hcl:"root,optional"` // PEM file with what to trust it by, if not by the system's roots
+	Root      string `hcl:"root,optional"` // PEM file with its root certificate; the system's roots by default
 	EAB       *EAB   `hcl:"account_binding,block"`
 }
 
-// EAB binds the account to one that exists there.
+// EAB is the external account binding of an ACME account.
 type EAB struct {
 	KeyID   string `hcl:"key_id" validate:"required"`
 	KeyFile string `hcl:"key_file" validate:"required"` // base64url, mode 0600
 	Key     string // read from KeyFile
 }
 
-// Certificate is one certificate.
+// Certificate is a certificate to obtain.
 type Certificate struct {
 	Name  string   `hcl:"name,label" validate:"required,word"`
 	Hosts []string `hcl:"hosts" validate:"required,min=1,max=100,unique,dive,fqdn"`
 }
 
-// Fleet is the fleet that the box is one of. The box's name in it is that of the site's settings.
+// Fleet is the fleet that the box belongs to. The box's name in it is the name in the site's settings.
 type Fleet struct {
 	Listen      string `hcl:"listen" validate:"required,address"`
-	KeyFile     string `hcl:"key_file" validate:"required"`                                   // a key a line, mode 0600; two during a change
-	Maintenance int    `hcl:"maintenance_slots,optional" validate:"omitempty,min=1,max=1000"` // boxes out of service at a time; 1 if not given
-	ElectionMS  int    `hcl:"election_ms,optional" validate:"omitempty,min=50,max=60000"`     // without a leader, before another one is elected
+	KeyFile     string `hcl:"key_file" validate:"required"`                                   // one key per line, mode 0600; two keys during a change
+	Maintenance int    `hcl:"maintenance_slots,optional" validate:"omitempty,min=1,max=1000"` // maximum number of boxes out of service at a time; 1 by default
+	ElectionMS  int    `hcl:"election_ms,optional" validate:"omitempty,min=50,max=60000"`     // time without a leader before an election
 	Peers       []Peer `hcl:"peer,block" validate:"required,min=1,max=1000,unique=Name,dive"`
 }
 
-// Peer is a box of the fleet. The box's own may be among them, so that all can have the same list.
+// Peer is a box of the fleet. The list may include the box itself, so that all boxes can use the same list.
 type Peer struct {
 	Name    string `hcl:"name,label" validate:"required,word"`
 	Address string `hcl:"address" validate:"required,address"`
 }
 
-// Addresses are the peers' by name.
+// Addresses returns the peers' addresses by name.
 func (f *Fleet) Addresses() map[string]string {
 	m := map[string]string{}
 	for _, p := range f.Peers {
@@ -101,9 +101,9 @@
 	return m
 }
 
-var word = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+var shortName = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// hints say what would be right, by the check that failed.
+// hints describe the expected value for each validation tag.
 var hints = map[string]string{
 	"required": "must be given", "address": `must be host:port, such as "127.0.0.1:7443"`, "oneof": "must be one of: %s",
 	"email": "must be an address such as ops@site.example", "min": "must be %s at least", "max": "must be %s at most",
@@ -112,7 +112,7 @@
 	"https": "must be an https URL, such as https://ca.example/directory",
 }
 
-// Load reads a file and all that it names. The error, if there is one, lists everything that is wrong.
+// Load reads a configuration and the files that it names. The error lists everything that is wrong.
 func Load(path string) (*Appliance, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
@@ -124,24 +124,24 @@
 func parse(path string, src []byte) (*Appliance, error) {
 	file, diags := hclparse.NewParser().ParseHCL(src, path)
 	if diags.HasErrors() {
-		return nil, list(diags)
+		return nil, joinDiagnostics(diags)
 	}
 	a := &Appliance{Path: path}
 	diags = gohcl.DecodeBody(file.Body, nil, a)
-	places := map[string]hcl.Range{}
-	locate(file.Body, reflect.TypeFor[Appliance](), "Appliance", places)
+	ranges := map[string]hcl.Range{}
+	recordRanges(file.Body, reflect.TypeFor[Appliance](), "Appliance", ranges)
 	if !diags.HasErrors() {
-		diags = append(diags, a.check(places)...)
+		diags = append(diags, a.check(ranges)...)
 	}
 	if diags.HasErrors() {
-		return nil, list(diags)
+		return nil, joinDiagnostics(diags)
 	}
 	return a, nil
 }
 
-// list joins all that is wrong, a line each.
-func list(diags hcl.Diagnostics) error {
-	var all []error
+// joinDiagnostics converts the errors among diagnostics to one error, with a line for each.
+func joinDiagnostics(diags hcl.Diagnostics) error {
+	var errs []error
 	for _, d := range diags {
 		if d.Severity != hcl.DiagError {
 			continue
@@ -153,13 +153,13 @@
 		if d.Subject != nil {
 			text = fmt.Sprintf("%s:%d: %s", d.Subject.Filename, d.Subject.Start.Line, text)
 		}
-		all = append(all, errors.New(strings.Join(strings.Fields(text), " ")))
+		errs = append(errs, errors.New(strings.Join(strings.Fields(text), " ")))
 	}
-	return errors.Join(all...)
+	return errors.Join(errs...)
 }
 
-// locate notes where each attribute and block stands, under the path that the validator names it by.
-func locate(body hcl.Body, t reflect.Type, at string, places map[string]hcl.Range) {
+// recordRanges records the source range of each attribute and block under the path that the validator uses for it.
+func recordRanges(body hcl.Body, t reflect.Type, path string, ranges map[string]hcl.Range) {
 	schema, _ := gohcl.ImpliedBodySchema(reflect.New(t).Elem().Interface())
 	content, _, _ := body.PartialContent(schema)
 	if content == nil {
@@ -173,61 +173,61 @@
 			continue
 		}
 		if attr := content.Attributes[name]; attr != nil {
-			places[at+"."+f.Name] = attr.Expr.Range()
+			ranges[path+"."+f.Name] = attr.Expr.Range()
 		}
 		if kind != "block" {
 			continue
 		}
 		for _, b := range content.Blocks.OfType(name) {
-			sub, elem := at+"."+f.Name, f.Type
+			sub, elem := path+"."+f.Name, f.Type
 			if elem.Kind() == reflect.Slice {
 				sub, elem = fmt.Sprintf("%s[%d]", sub, n[name]), elem.Elem()
 				if n[name] == 0 {
-					places[at+"."+f.Name] = b.DefRange
+					ranges[path+"."+f.Name] = b.DefRange
 				}
 			}
 			if elem.Kind() == reflect.Pointer {
 				elem = elem.Elem()
 			}
 			n[name]++
-			places[sub] = b.DefRange
-			locate(b.Body, elem, sub, places)
+			ranges[sub] = b.DefRange
+			recordRanges(b.Body, elem, sub, ranges)
 		}
 	}
 }
 
-// place is where something stands, or what it stands in.
-func place(places map[string]hcl.Range, at string) *hcl.Range {
-	for at != "" {
-		if r, ok := places[at]; ok {
+// rangeOf returns the range of the field at path, or of the innermost enclosing one that has a range.
+func rangeOf(ranges map[string]hcl.Range, path string) *hcl.Range {
+	for path != "" {
+		if r, ok := ranges[path]; ok {
 			return &r
 		}
-		cut := strings.LastIndexAny(at, ".[")
-		if cut < 0 {
+		end := strings.LastIndexAny(path, ".[")
+		if end < 0 {
 			break
 		}
-		at = at[:cut]
+		path = path[:end]
 	}
 	return nil
 }
 
-// check validates the values and reads the files that are named.
-func (a *Appliance) check(places map[string]hcl.Range) (diags hcl.Diagnostics) {
-	wrong := func(at, text string, args ...any) {
-		d := &hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(text, args...), Subject: place(places, at)}
+// check validates the values and reads the files that they name.
+func (a *Appliance) check(ranges map[string]hcl.Range) (diags hcl.Diagnostics) {
+	report := func(at, text string, args ...any) {
+		d := &hcl.Diagnostic{Severity: hcl.DiagError, Summary: fmt.Sprintf(text, args...), Subject: rangeOf(ranges, at)}
 		if d.Subject == nil {
 			d.Subject = &hcl.Range{Filename: a.Path, Start: hcl.InitialPos}
 		}
 		diags = append(diags, d)
 	}
 	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterValidation("word", func(l validator.FieldLevel) bool { return word.MatchString(l.Field().String()) })
+	v.RegisterValidation("word", func(l validator.FieldLevel) bool { return shortName.MatchString(l.Field().String()) })
 	v.RegisterValidation("https", func(l validator.FieldLevel) bool {
 		return strings.HasPrefix(l.Field().String(), "https://") && len(l.Field().String()) > len("https://")
 	})
 	v.RegisterValidation("address", func(l validator.FieldLevel) bool {
 		_, port, err := net.SplitHostPort(l.Field().String())
-		n, perr := strconv.ParseUint(port, 10, 16) // port 0 is any that is free
+		n, perr := strconv.ParseUint(port, 10, 16) // port 0 stands for any free port
 		return err == nil && perr == nil && n <= 65535
 	})
 	var errs validator.ValidationErrors
@@ -237,80 +237,80 @@
 			if strings.Contains(hint, "%s") {
 				hint = fmt.Sprintf(hint, e.Param())
 			}
-			wrong(e.Namespace(), "%s is %q, it %s", attribute(e), fmt.Sprint(e.Value()), hint)
+			report(e.Namespace(), "%s is %q, it %s", attributeName(e), fmt.Sprint(e.Value()), hint)
 		}
 	} else if err != nil {
-		wrong("Appliance", "%v", err)
+		report("Appliance", "%v", err)
 	}
 	if a.TLS != nil {
-		a.TLS.check(filepath.Dir(a.Path), wrong)
+		a.TLS.check(filepath.Dir(a.Path), report)
 	}
 	if a.Fleet != nil {
-		a.Fleet.KeyFile = relative(filepath.Dir(a.Path), a.Fleet.KeyFile)
+		a.Fleet.KeyFile = resolvePath(filepath.Dir(a.Path), a.Fleet.KeyFile)
 		if _, err := peer.LoadKeys(a.Fleet.KeyFile); err != nil {
-			wrong("Appliance.Fleet.KeyFile", "%v", err)
+			report("Appliance.Fleet.KeyFile", "%v", err)
 		}
 		a.Fleet.Maintenance = max(a.Fleet.Maintenance, 1)
 	}
 	var err error
-	a.Replica = relative(filepath.Dir(a.Path), a.Replica) // it is read anew on SIGHUP
+	a.Replica = resolvePath(filepath.Dir(a.Path), a.Replica) // kept, as SIGHUP reads the file again
 	if a.Site, err = settings.Load(a.Replica); err != nil {
-		wrong("Appliance.Replica", "the site's settings: %v", err)
+		report("Appliance.Replica", "the site's settings: %v", err)
 	}
-	if a.Fleet != nil && a.Site != nil && !word.MatchString(a.Site.Name) {
-		wrong("Appliance.Fleet", "the box is named %q in the site's settings, which %s", a.Site.Name, hints["word"])
+	if a.Fleet != nil && a.Site != nil && !shortName.MatchString(a.Site.Name) {
+		report("Appliance.Fleet", "the box is named %q in the site's settings, which %s", a.Site.Name, hints["word"])
 	}
-	if a.State = relative(filepath.Dir(a.Path), a.State); a.Control == "" {
+	if a.State = resolvePath(filepath.Dir(a.Path), a.State); a.Control == "" {
 		a.Control = filepath.Join(a.State, "control.sock")
 	} else {
-		a.Control = relative(filepath.Dir(a.Path), a.Control)
+		a.Control = resolvePath(filepath.Dir(a.Path), a.Control)
 	}
 	if len(a.Control) > 100 {
-		wrong("Appliance.Control", "the path of the control socket has %d bytes; the system takes 100, so give a shorter one", len(a.Control))
+		report("Appliance.Control", "the path of the control socket has %d bytes; the system takes 100 at most; choose a shorter path", len(a.Control))
 	}
 	return diags
 }
 
-func (t *TLS) check(dir string, wrong func(string, string, ...any)) {
+func (t *TLS) check(dir string, report func(string, string, ...any)) {
 	if t.Challenge == "" {
 		t.Challenge = "tls-alpn-01"
 	}
 	if t.Challenge == "http-01" && t.HTTPListen == "" {
-		wrong("Appliance.TLS.Challenge", `http-01 needs http_listen, such as ":80", where the authority asks`)
+		report("Appliance.TLS.Challenge", `http-01 needs http_listen, such as ":80", where the authority sends its validation requests`)
 	}
 	if t.PerHour > 0 && t.PerWeek > 0 && t.PerWeek < t.PerHour {
-		wrong("Appliance.TLS.PerWeek", "orders_per_week is %d, it must be %d at least, which is orders_per_hour", t.PerWeek, t.PerHour)
+		report("Appliance.TLS.PerWeek", "orders_per_week is %d, it must be %d at least, which is orders_per_hour", t.PerWeek, t.PerHour)
 	}
 	for i := range t.Authorities {
 		au, at := &t.Authorities[i], fmt.Sprintf("Appliance.TLS.Authorities[%d]", i)
 		if au.Root != "" {
-			if au.Root = relative(dir, au.Root); !exists(au.Root) {
-				wrong(at+".Root", "%s cannot be read; it must be a PEM file with the authority's root", au.Root)
+			if au.Root = resolvePath(dir, au.Root); !readable(au.Root) {
+				report(at+".Root", "%s cannot be read; it must be a PEM file with the authority's root", au.Root)
 			}
 		}
 		if au.EAB == nil {
 			continue
 		}
-		au.EAB.KeyFile = relative(dir, au.EAB.KeyFile)
+		au.EAB.KeyFile = resolvePath(dir, au.EAB.KeyFile)
 		info, err := os.Stat(au.EAB.KeyFile)
 		if err != nil {
-			wrong(at+".EAB.KeyFile", "%v", err)
+			report(at+".EAB.KeyFile", "%v", err)
 			continue
 		}
 		if info.Mode().Perm()&0o077 != 0 {
-			wrong(at+".EAB.KeyFile", "others may read %s; take the rights away with: chmod 600", au.EAB.KeyFile)
+			report(at+".EAB.KeyFile", "other users can access %s; restrict it with: chmod 600", au.EAB.KeyFile)
 		}
 		raw, err := os.ReadFile(au.EAB.KeyFile)
 		key := strings.TrimRight(strings.TrimSpace(string(raw)), "=")
 		if _, derr := base64.RawURLEncoding.DecodeString(key); err != nil || derr != nil || len(key) < 22 {
-			wrong(at+".EAB.KeyFile", "%s must hold the key as base64url, 128 bits at least", au.EAB.KeyFile)
+			report(at+".EAB.KeyFile", "%s must contain the key in base64url, with at least 128 bits", au.EAB.KeyFile)
 		}
 		au.EAB.Key = key
 	}
 }
 
-// attribute names what failed a check as the file does.
-func attribute(e validator.FieldError) string {
+// attributeName returns the HCL name of the field that failed a validation.
+func attributeName(e validator.FieldError) string {
 	t := reflect.TypeFor[Appliance]()
 	name := ""
 	for _, part := range strings.Split(e.StructNamespace(), ".")[1:] {
@@ -328,14 +328,14 @@
 	return name
 }
 
-func relative(dir, path string) string {
+func resolvePath(dir, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
 	return filepath.Join(dir, path)
 }
 
-func exists(path string) bool {
+func readable(path string) bool {
 	f, err := os.Open(path)
 	if err != nil {
 		return false
--- a/internal/config/numbered_test.go
+++ b/internal/config/numbered_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestANumberedConfiguration: what is wrong in it is said with its line.
-func TestANumberedConfiguration(t *testing.T) {
+// TestParseNumbered checks valid and invalid numbered configurations; each error must name its line.
+func TestParseNumbered(t *testing.T) {
 	for src, want := range map[string]string{
 		"":          "",
 		"needs = 2": "",
@@ -28,7 +28,7 @@
 	} {
 		n, err := ParseNumbered("c", []byte(src))
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v; %q is wanted", src, err, want)
+			t.Errorf("%q: error %v, want %q", src, err, want)
 		}
 		if err == nil && n.Rules().Grace <= 0 {
 			t.Errorf("%q: %+v", src, n.Rules())
@@ -38,11 +38,11 @@
 	if err := n.CheckTenants(nil); err != nil {
 		t.Error(err)
 	}
-	o, err2 := ParseNumbered("c", []byte("needs = 2\noverload {\n shares = { a = 0.4, x = 0.1 }\n}"))
-	if err2 != nil || o.CheckTenants([]string{"a", "x"}) != nil {
+	overload, err2 := ParseNumbered("c", []byte("needs = 2\noverload {\n shares = { a = 0.4, x = 0.1 }\n}"))
+	if err2 != nil || overload.CheckTenants([]string{"a", "x"}) != nil {
 		t.Error(err2)
 	}
-	if err := o.CheckTenants([]string{"a", "b"}); err == nil || !strings.Contains(err.Error(), `c:3: shares: this box's settings know no tenant "x"; they know a, b`) {
+	if err := overload.CheckTenants([]string{"a", "b"}); err == nil || !strings.Contains(err.Error(), `c:3: shares: this box's settings know no tenant "x"; they know a, b`) {
 		t.Error(err)
 	}
 	if err != nil || n.Rules().Grace != time.Minute || n.Rules().Floor != 0.7 || !n.Rules().LeaveService {
