--- a/internal/settings/replica.go
+++ b/internal/settings/replica.go
@@ -17,30 +17,30 @@
 	"cairnlane/policy"
 )
 
-// Replica is the configuration of one real replica.
+// Replica is the configuration of one replica process.
 type Replica struct {
 	Name, Listen, Engine, Directory string
 	Index                           string // the shared index that running requests call; empty at sites without calls
 	Seed                            int64
-	Stop                            time.Duration // from the notice to leave to the kill
+	Stop                            time.Duration // time from the drain notice to the kill
 	Limits                          Limits
 	Settings                        *Settings
 	Policy                          policy.Config
 	Tenants                         []string
-	OnCores                         int    // the place of that gauge among the engine's gauges
-	Control                         string // the operators' address; empty where there is none
+	OnCores                         int    // index of the on_cores gauge among the engine's gauges
+	Control                         string // address of the admin listener; empty for none
 	Inherited                       int    // descriptor of the listening socket; 0 if the process opens its own
-	Folder                          string // that both processes of a replacement share; empty where none is possible
+	Folder                          string // folder that both processes of a replacement share; empty if replacement is not possible
 }
 
-// Limits belong to the program.
+// Limits are the resource limits of the replica process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Load reads the configuration at path. Its errors name what is wrong in it.
+// Load reads the configuration at path.
 func Load(path string) (*Replica, error) {
 	if path == "" {
 		return nil, errors.New("RELAY_CONFIG is not set; it names the configuration file")
@@ -62,11 +62,11 @@
 	return nil
 }
 
-// firstInherited is the lowest descriptor that can be a listening socket: those before it are the standard streams.
+// firstInherited is the lowest descriptor that can be a listening socket; those below are the standard streams.
 const firstInherited = 3
 
-// Environment takes what the platform tells a process beside the configuration: the operators' address, which is
-// another one for each process of a replacement, and the listening socket that they share.
+// Environment applies the environment variables that the platform sets beside the configuration: the address of the admin
+// listener, which differs between the two processes of a replacement, and the listening socket that they share.
 func (r *Replica) Environment(get func(name string) string) error {
 	if addr := get("RELAY_CONTROL"); addr != "" {
 		if err := checkControl(addr); err != nil {
@@ -77,7 +77,7 @@
 	if fd := get("RELAY_INHERITED_FD"); fd != "" {
 		n, err := strconv.Atoi(fd)
 		if err != nil || n < firstInherited {
-			return fmt.Errorf("RELAY_INHERITED_FD must be the number of a descriptor, %d or above, is %q", firstInherited, fd)
+			return fmt.Errorf("RELAY_INHERITED_FD must be the number of a descriptor, %d or higher, is %q", firstInherited, fd)
 		}
 		if r.Folder = get("TMPDIR"); r.Folder == "" {
 			return errors.New("TMPDIR is not set; with RELAY_INHERITED_FD it names the folder that both processes of a replacement share")
@@ -87,9 +87,9 @@
 	return nil
 }
 
-// Reload reads the configuration at path anew for a replica that serves under r. The addresses of the
-// engine and the catalog may change; what the replica is and how it decides may not, since its requests,
-// keys and estimates go on. The seed is new with each start only.
+// Reload reads the configuration at path again for a replica that runs with r. The addresses of the engine, the
+// catalog and the index and the stop time may change. The replica's name, address, settings and seed may not, as its
+// requests, keys and estimates are kept.
 func (r *Replica) Reload(path string) (*Replica, error) {
 	next, err := Load(path)
 	if err != nil {
@@ -108,15 +108,15 @@
 		}
 	}
 	if slices.Sort(changed); len(changed) > 0 {
-		log.Printf("configuration: other %s need a restart; only the addresses are taken", strings.Join(changed, ", "))
-		taken := *next
+		log.Printf("configuration: changed %s need a restart; only the addresses and stop_ms are applied", strings.Join(changed, ", "))
+		loaded := *next
 		*next = *r
-		next.Engine, next.Directory, next.Index, next.Stop = taken.Engine, taken.Directory, taken.Index, taken.Stop
+		next.Engine, next.Directory, next.Index, next.Stop = loaded.Engine, loaded.Directory, loaded.Index, loaded.Stop
 	}
 	return next, nil
 }
 
-// sameSettings compares what two configurations tell the module, tenants apart.
+// sameSettings reports whether two configurations have the same policy settings, tenants aside.
 func sameSettings(a, b *Replica) bool {
 	first, second := a.Policy, b.Policy
 	first.Tenants, second.Tenants = nil, nil
@@ -124,50 +124,50 @@
 }
 
 func parse(raw []byte) (*Replica, error) {
-	var f struct {
+	var file struct {
 		Name, Listen, Engine, Directory, Seed string
 		Control, Index                        string
 		StopMS                                float64 `json:"stop_ms"`
 		Limits                                Limits
 		Settings                              json.RawMessage
 	}
-	if err := json.Unmarshal(raw, &f); err != nil {
+	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	if f.Name == "" {
+	if file.Name == "" {
 		return nil, errors.New(`configuration: "name" is missing`)
 	}
-	for key, addr := range map[string]string{"listen": f.Listen, "engine": f.Engine, "directory": f.Directory} {
+	for key, addr := range map[string]string{"listen": file.Listen, "engine": file.Engine, "directory": file.Directory} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
 			return nil, fmt.Errorf("configuration: %q must be host:port, is %q", key, addr)
 		}
 	}
-	if err := checkControl(f.Control); err != nil {
+	if err := checkControl(file.Control); err != nil {
 		return nil, fmt.Errorf(`configuration: "control" %w`, err)
 	}
-	if _, _, err := net.SplitHostPort(f.Index); f.Index != "" && err != nil {
-		return nil, fmt.Errorf(`configuration: "index" must be host:port, is %q`, f.Index)
+	if _, _, err := net.SplitHostPort(file.Index); file.Index != "" && err != nil {
+		return nil, fmt.Errorf(`configuration: "index" must be host:port, is %q`, file.Index)
 	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		return nil, fmt.Errorf(`configuration: "seed" must be up to 16 hex digits, is %q`, f.Seed)
+		return nil, fmt.Errorf(`configuration: "seed" must be up to 16 hex digits, is %q`, file.Seed)
 	}
-	if !(f.StopMS > 0 && f.StopMS < 1e9) {
-		return nil, fmt.Errorf(`configuration: "stop_ms" must be above 0, is %g`, f.StopMS)
+	if !(file.StopMS > 0 && file.StopMS < 1e9) {
+		return nil, fmt.Errorf(`configuration: "stop_ms" must be above 0, is %g`, file.StopMS)
 	}
-	if !(f.Limits.Cores > 0) || f.Limits.MemoryMB <= 0 || f.Limits.Sockets <= 0 {
-		return nil, fmt.Errorf(`configuration: "limits" must all be above 0, are %+v`, f.Limits)
+	if !(file.Limits.Cores > 0) || file.Limits.MemoryMB <= 0 || file.Limits.Sockets <= 0 {
+		return nil, fmt.Errorf(`configuration: "limits" must all be above 0, are %+v`, file.Limits)
 	}
-	if len(f.Settings) == 0 {
+	if len(file.Settings) == 0 {
 		return nil, errNoSettings
 	}
-	s, err := Decode(f.Settings)
+	s, err := Decode(file.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	r := &Replica{Name: f.Name, Listen: f.Listen, Engine: f.Engine, Directory: f.Directory, Index: f.Index, Seed: int64(seed),
-		Stop: time.Duration(f.StopMS * float64(time.Millisecond)), Limits: f.Limits, Settings: s,
-		Policy: s.Policy(int64(seed)), OnCores: -1, Control: f.Control}
+	r := &Replica{Name: file.Name, Listen: file.Listen, Engine: file.Engine, Directory: file.Directory, Index: file.Index, Seed: int64(seed),
+		Stop: time.Duration(file.StopMS * float64(time.Millisecond)), Limits: file.Limits, Settings: s,
+		Policy: s.Policy(int64(seed)), OnCores: -1, Control: file.Control}
 	for _, t := range s.Tenants {
 		r.Tenants = append(r.Tenants, t.Name)
 	}
@@ -179,52 +179,53 @@
 	return r, r.check()
 }
 
-// names checks those of classes and tenants: each is one word on the engine's link, and stands for one thing.
-func names(s *Settings) error {
-	seen := map[string]int{}
+// checkNames checks that the names of classes are single words, as the engine's line protocol requires, and that the names of
+// classes and of tenants are unique.
+func checkNames(s *Settings) error {
+	indexByName := map[string]int{}
 	for i, l := range s.Lanes {
 		if l.Name == "" || strings.ContainsFunc(l.Name, func(c rune) bool { return unicode.IsSpace(c) || unicode.IsControl(c) }) {
 			return fmt.Errorf("configuration: the name of class %d (settings, lanes) must be one word, is %q", i, l.Name)
 		}
-		if first, twice := seen[l.Name]; twice {
+		if first, duplicate := indexByName[l.Name]; duplicate {
 			return fmt.Errorf("configuration: classes %d and %d (settings, lanes) are both named %q", first, i, l.Name)
 		}
-		seen[l.Name] = i
+		indexByName[l.Name] = i
 	}
-	clear(seen)
+	clear(indexByName)
 	for i, t := range s.Tenants {
-		if first, twice := seen[t.Name]; twice {
+		if first, duplicate := indexByName[t.Name]; duplicate {
 			return fmt.Errorf("configuration: tenants %d and %d (settings, tenants) are both named %q", first, i, t.Name)
 		}
-		seen[t.Name] = i
+		indexByName[t.Name] = i
 	}
 	return nil
 }
 
-// check turns down what the engine's protocol at this site cannot carry out.
+// check rejects settings that the engine's protocol does not support.
 func (r *Replica) check() error {
 	if r.Policy.Halt != policy.NoHalt {
-		return errors.New("configuration: the engine's protocol has no preemption, the settings want it")
+		return errors.New("configuration: the engine's protocol does not support preemption, which the settings require")
 	}
 	switch {
 	case r.Policy.Dependency == policy.NextTier:
-		return errors.New("configuration: the settings want calls to a next tier, which the engine's protocol has not")
+		return errors.New("configuration: the settings require calls to a next tier, which the engine's protocol does not support")
 	case r.Policy.Dependency == policy.SharedDependency && r.Index == "":
-		return errors.New(`configuration: the settings want calls to a shared index, and "index" is missing`)
+		return errors.New(`configuration: the settings require calls to a shared index, but "index" is missing`)
 	}
-	if err := names(r.Settings); err != nil {
+	if err := checkNames(r.Settings); err != nil {
 		return err
 	}
 	for _, l := range r.Settings.Lanes {
-		if _, known := semantics[l.Semantics]; !known { // taken for safe, it could run twice
+		if _, known := semanticsByName[l.Semantics]; !known { // the zero value is Safe, so an unknown class could run twice
 			return fmt.Errorf("configuration: class %q has unknown semantics %q", l.Name, l.Semantics)
 		}
-		if semantics[l.Semantics] == policy.Keyed && l.Window <= 0 {
-			return fmt.Errorf(`configuration: class %q may come again and has no "dedup-window" above 0`, l.Name)
+		if semanticsByName[l.Semantics] == policy.Keyed && l.Window <= 0 {
+			return fmt.Errorf(`configuration: class %q has idempotency keys but no "dedup-window" above 0`, l.Name)
 		}
 	}
 	if r.OnCores < 0 {
-		return errors.New(`configuration: the settings list no gauge "on_cores"`)
+		return errors.New(`configuration: the meters in the settings do not include "on_cores"`)
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of an instance, as the simulator's first message and the
-// replica's configuration both give them, and translates them to the module's terms.
+// Package settings reads the settings of an instance, which both the simulator's first message and the replica's
+// configuration contain, and translates them to a policy.Config.
 package settings
 
 import (
@@ -12,7 +12,7 @@
 	"cairnlane/policy"
 )
 
-// Settings holds the settings of an instance. Names that are not listed are skipped.
+// Settings holds the settings of an instance. Other names in the input are ignored.
 type Settings struct {
 	Family struct {
 		Cores      int       `json:"cores"`
@@ -65,10 +65,9 @@
 	WorthBy string `json:"worth-by"`
 }
 
-// errNoSettings is what a configuration without settings is turned down with.
 var errNoSettings = errors.New(`configuration: "settings" is missing`)
 
-// Decode reads the settings of an instance.
+// Decode decodes the settings of an instance.
 func Decode(raw json.RawMessage) (*Settings, error) {
 	s := new(Settings)
 	if err := json.Unmarshal(raw, s); err != nil {
@@ -77,7 +76,7 @@
 	return s, nil
 }
 
-// Read reads the settings alone from the configuration of a replica at path, whatever else is in it.
+// Read reads only the settings from the configuration of a replica at path, without checking the rest.
 func Read(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -93,14 +92,14 @@
 	return Decode(f.Settings)
 }
 
-// Micros is the unit of the settings and of the simulator's wire.
+// Micros converts microseconds, the unit of the settings and of the simulator's messages.
 func Micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-var semantics = map[string]policy.Semantics{
+var semanticsByName = map[string]policy.Semantics{
 	"read_like": policy.Safe, "idempotency_key": policy.Keyed, "non_idempotent": policy.Unsafe,
 }
 
-// Policy translates the settings to the module's terms.
+// Policy translates the settings to a policy.Config.
 func (s *Settings) Policy(seed int64) policy.Config {
 	fam, g := &s.Family, &s.Guarantees
 	c := policy.Config{Seed: seed, Cores: fam.Cores, Cold: fam.Cold, ColdFrom: g.ColdFrom,
@@ -120,7 +119,7 @@
 	}
 	for i, l := range s.Lanes {
 		cl := policy.Class{Name: l.Name, Aim: Micros(l.Aim), Deadline: Micros(l.Deadline),
-			Worth: l.Importance, LateWorth: l.LateWorth, Semantics: semantics[l.Semantics],
+			Worth: l.Importance, LateWorth: l.LateWorth, Semantics: semanticsByName[l.Semantics],
 			DedupWindow: Micros(l.Window)}
 		if i < len(fam.ClassSkip) {
 			cl.SkipWorth = fam.ClassSkip[i]
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 
 const example = "../../examples/config.json"
 
-func read(t *testing.T) string {
+func readExample(t *testing.T) string {
 	t.Helper()
 	raw, err := os.ReadFile(example)
 	if err != nil {
@@ -22,7 +22,7 @@
 	return string(raw)
 }
 
-func TestTheExampleIsTranslated(t *testing.T) {
+func TestLoadExample(t *testing.T) {
 	r, err := Load(example)
 	if err != nil {
 		t.Fatal(err)
@@ -37,15 +37,16 @@
 	}
 }
 
-// A new configuration may only move the engine and the catalog; what is already decided by goes on.
-func TestAReloadTakesTheAddressesOnly(t *testing.T) {
+// TestReloadAppliesOnlyAddresses checks that a reload changes the addresses of the engine and the catalog and keeps
+// the rest.
+func TestReloadAppliesOnlyAddresses(t *testing.T) {
 	r, err := Load(example)
 	if err != nil {
 		t.Fatal(err)
 	}
 	reload := func(old, new string) (*Replica, error) {
 		path := filepath.Join(t.TempDir(), "config.json")
-		if err := os.WriteFile(path, []byte(strings.Replace(read(t), old, new, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(readExample(t), old, new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return r.Reload(path)
@@ -56,8 +57,8 @@
 			t.Errorf("%s: %+v, error %v", new, next, err)
 		}
 	}
-	// What changes beside them is left alone in whole: tenants used to be taken into the configuration, though no request was
-	// judged by them.
+	// All other changes are ignored, also those of tenants: they must not appear in the configuration while requests are still
+	// decided by the old ones.
 	for old, new := range map[string]string{`"hills-college"`: `"hills"`, `"lecture-page"`: `"lectures"`, `"sockets": 1024`: `"sockets": 512`, `"engine": "127.0.0.1:4400"`: `"engine": "127.0.0.1:4401"`} {
 		next, err := reload(old, new)
 		if err != nil {
@@ -70,14 +71,14 @@
 	}
 	for old, new := range map[string]string{`:7001`: `:7002`, `"name": "n0"`: `"name": "n1"`, `{`: `[`} {
 		if _, err := reload(old, new); err == nil {
-			t.Errorf("%s is taken", new)
+			t.Errorf("a reload with %s is accepted", new)
 		}
 	}
 }
 
-func TestBadConfigurationIsNamed(t *testing.T) {
-	good := read(t)
-	for what, change := range map[string][2]string{
+func TestInvalidConfigurationIsReported(t *testing.T) {
+	valid := readExample(t)
+	for want, change := range map[string][2]string{
 		"configuration":     {"{", "["},
 		`"name"`:            {`"name": "n0"`, `"name": ""`},
 		`"listen"`:          {`"listen": "127.0.0.1:7001"`, `"listen": "here"`},
@@ -96,12 +97,12 @@
 		`no "dedup-window"`: {`"dedup-window": 9618000`, `"dedup-window": 0`},
 		"class \"note-save": {`"semantics": "idempotency_key"`, `"semantics": "odd"`},
 	} {
-		bad := strings.Replace(good, change[0], change[1], 1)
-		if bad == good {
-			t.Fatalf("the example has no %s", change[0])
+		invalid := strings.Replace(valid, change[0], change[1], 1)
+		if invalid == valid {
+			t.Fatalf("the example does not contain %s", change[0])
 		}
-		if _, err := parse([]byte(bad)); err == nil || !strings.Contains(err.Error(), what) {
-			t.Errorf("%s: error %v", what, err)
+		if _, err := parse([]byte(invalid)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: error %v", want, err)
 		}
 	}
 	for _, path := range []string{"", "no such file"} {
@@ -111,9 +112,9 @@
 	}
 }
 
-// The replica used to turn down every site whose requests call a shared index.
-func TestCallsToASharedIndexAreTaken(t *testing.T) {
-	raw := strings.Replace(read(t), `"depends-on": "off"`, `"depends-on": "common"`, 1)
+// TestSharedIndexSettingsAreAccepted checks that a replica accepts a site whose requests call a shared index.
+func TestSharedIndexSettingsAreAccepted(t *testing.T) {
+	raw := strings.Replace(readExample(t), `"depends-on": "off"`, `"depends-on": "common"`, 1)
 	raw = strings.Replace(raw, `"name": "n0"`, `"index": "127.0.0.1:5432", "name": "n0"`, 1)
 	r, err := parse([]byte(raw))
 	if err != nil {
@@ -124,8 +125,8 @@
 	}
 }
 
-func TestTheEnvironmentGoesBeforeTheFile(t *testing.T) {
-	raw := strings.Replace(read(t), `"name": "n0"`, `"control": "127.0.0.1:9000", "name": "n0"`, 1)
+func TestEnvironmentOverridesFile(t *testing.T) {
+	raw := strings.Replace(readExample(t), `"name": "n0"`, `"control": "127.0.0.1:9000", "name": "n0"`, 1)
 	for _, c := range []struct {
 		env     map[string]string
 		control string
@@ -156,6 +157,6 @@
 		}
 	}
 	if _, err := parse([]byte(strings.Replace(raw, "127.0.0.1:9000", "9000", 1))); err == nil || !strings.Contains(err.Error(), `"control" must be host:port`) {
-		t.Errorf("a bad control: %v", err)
+		t.Errorf("invalid control address: %v", err)
 	}
 }
--- a/internal/settings/sites_test.go
+++ b/internal/settings/sites_test.go
@@ -15,21 +15,22 @@
 	"cairnlane/internal/settings"
 )
 
-const root = "../.."
+const repositoryRoot = "../.."
 
-// described are the configurations of sites in this repository, and made those of the benches' made-up ones.
+// siteConfigs are the replica configurations of sites in this repository, and generatedSites the files of the made-up
+// sites of the benchmarks.
 var (
-	described = []string{"examples/config.json", "examples/images/config.json"}
-	made      = "deploy/sites/*.toml"
+	siteConfigs    = []string{"examples/config.json", "examples/images/config.json"}
+	generatedSites = "deploy/sites/*.toml"
 )
 
-// siteNames are the names of all classes and tenants of sites that the repository describes, and the windows of its keyed classes in
-// milliseconds.
+// siteNames returns the names of all classes and tenants of the repository's sites, and the dedup windows of their keyed
+// classes in milliseconds, each with the file that contains it.
 func siteNames(t *testing.T) (names map[string]string, windows map[int64]string) {
 	t.Helper()
 	names, windows = map[string]string{}, map[int64]string{}
-	for _, path := range described {
-		s, err := settings.Read(filepath.Join(root, path))
+	for _, path := range siteConfigs {
+		s, err := settings.Read(filepath.Join(repositoryRoot, path))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,17 +44,17 @@
 			names[n.Name] = path
 		}
 	}
-	files, err := filepath.Glob(filepath.Join(root, made))
+	files, err := filepath.Glob(filepath.Join(repositoryRoot, generatedSites))
 	if err != nil || len(files) < 4 {
 		t.Fatalf("%d site files, %v", len(files), err)
 	}
-	item := regexp.MustCompile(`(?m)^\[\[(?:class|tenant)\]\]\nname = "([^"]*)"`)
+	namePattern := regexp.MustCompile(`(?m)^\[\[(?:class|tenant)\]\]\nname = "([^"]*)"`)
 	for _, path := range files {
 		raw, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		found := item.FindAllStringSubmatch(string(raw), -1)
+		found := namePattern.FindAllStringSubmatch(string(raw), -1)
 		if len(found) < 5 {
 			t.Errorf("%s: %d names", path, len(found))
 		}
@@ -64,17 +65,17 @@
 	return names, windows
 }
 
-// TestNoProgramNamesASite looks through the literals of every program, lab and example, tests apart, for names of a site's classes and
-// tenants and for the windows of its keyed classes. Names of one word ("page") cannot be told from other uses of the word: those of several
-// parts are looked for.
-func TestNoProgramNamesASite(t *testing.T) {
+// TestNoProgramContainsSiteNames searches the literals of all source files except tests for the names of sites' classes and
+// tenants and for the windows of keyed classes. Only names with a hyphen are searched for, as names of one word ("page") cannot
+// be distinguished from other uses of the word.
+func TestNoProgramContainsSiteNames(t *testing.T) {
 	names, windows := siteNames(t)
-	seen := 0
-	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+	files := 0
+	err := filepath.WalkDir(repositoryRoot, func(path string, d fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
 			return err
-		case d.IsDir() && strings.HasPrefix(d.Name(), ".") && path != root, d.IsDir() && d.Name() == "journal":
+		case d.IsDir() && strings.HasPrefix(d.Name(), ".") && path != repositoryRoot, d.IsDir() && d.Name() == "journal":
 			return filepath.SkipDir
 		case d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 			return nil
@@ -84,25 +85,25 @@
 		if err != nil {
 			return err
 		}
-		seen++
+		files++
 		ast.Inspect(file, func(n ast.Node) bool {
 			l, ok := n.(*ast.BasicLit)
 			if !ok {
 				return true
 			}
 			if site := siteOf(l, names, windows); site != "" {
-				t.Errorf("%v: %s is of %s", set.Position(l.Pos()), l.Value, site)
+				t.Errorf("%v: the literal %s belongs to site %s", set.Position(l.Pos()), l.Value, site)
 			}
 			return true
 		})
 		return nil
 	})
-	if err != nil || seen < 150 {
-		t.Fatalf("%d files, %v", seen, err)
+	if err != nil || files < 150 {
+		t.Fatalf("%d files, %v", files, err)
 	}
 }
 
-// siteOf tells which site a literal is of, if it is of one.
+// siteOf returns the site that a literal belongs to, or an empty string.
 func siteOf(l *ast.BasicLit, names map[string]string, windows map[int64]string) string {
 	switch l.Kind {
 	case token.INT:
--- a/internal/settings/tenants_test.go
+++ b/internal/settings/tenants_test.go
@@ -7,9 +7,9 @@
 	"cairnlane/policy"
 )
 
-// The module is told each tenant's fraction of the service, in the order of the settings, so that it can
-// tell what is sent beyond a share.
-func TestTenantsReachTheModuleWithTheirFractions(t *testing.T) {
+// TestTenantFractionsReachPolicy checks that the policy receives each tenant's fraction of the service, in the order of the
+// settings, from which it computes what exceeds a share.
+func TestTenantFractionsReachPolicy(t *testing.T) {
 	s, err := Decode(json.RawMessage(`{"tenants":[{"name":"big","fraction":0.43,"quota-per-s":50},` +
 		`{"name":"small","fraction":0.57,"quota-per-s":66}]}`))
 	if err != nil {
