--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -15,39 +15,41 @@
 )
 
 const (
-	// Period between reports. An entry lapses 3 s after the last one, so three may fail in a row.
+	// Period is the time between reports. An entry expires 3 s after its last report, so three reports in a row may fail.
 	Period = 700 * time.Millisecond
-	// timeout is under the period: a report that is not answered, which may count all the same, must not
-	// delay the next.
+	// timeout is shorter than the period, so that an unanswered report, which may have been accepted all the same, does
+	// not delay the next one.
 	timeout = 500 * time.Millisecond
 )
 
-// Pace says when to report. Its methods do not wait. Without one a report goes out each Period.
+// Pace decides when to report. Its methods do not block. Without one, a report is sent each Period.
 type Pace interface {
-	Due() bool // asked each look; whoever is told yes reports, and tells what came of it
+	// Due reports whether a report is to be sent now. After true, the caller sends one and passes the result to RecordResult.
+	Due() bool
+	// RecordResult receives whether the catalog accepted a report.
 	RecordResult(ok bool)
 }
 
-// look is how often a pace is asked.
-const look = 50 * time.Millisecond
+// pollInterval is the interval of calls of Pace.Due.
+const pollInterval = 50 * time.Millisecond
 
-// Reporter reports a name as passing, or as critical once it leaves.
+// Reporter reports a name to the catalog as passing, or as critical after Leave.
 type Reporter struct {
-	name    string
-	addr    atomic.Pointer[string]
-	moved   chan struct{} // the address is another one now
-	client  http.Client
-	leaving atomic.Bool
-	open    atomic.Pointer[context.CancelFunc] // ends the report that is on its way
-	pace    atomic.Pointer[Pace]
-	sent    *counters.Counter
-	failed  *counters.Counter
+	name         string
+	addr         atomic.Pointer[string]
+	addrChanged  chan struct{} // signals a change of addr
+	client       http.Client
+	leaving      atomic.Bool
+	cancelReport atomic.Pointer[context.CancelFunc] // cancels the report in progress
+	pace         atomic.Pointer[Pace]
+	sent         *counters.Counter
+	failed       *counters.Counter
 }
 
-// NewReporter reports name to the catalog at addr.
+// NewReporter returns a reporter of name to the catalog at addr. Keep sends the reports.
 func NewReporter(addr, name string, set *counters.Set) *Reporter {
 	r := &Reporter{
-		name: name, moved: make(chan struct{}, 1),
+		name: name, addrChanged: make(chan struct{}, 1),
 		client: http.Client{Timeout: timeout, Transport: &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 2,
 			DisableCompression: true}},
 		sent: set.Get("catalog_reports"), failed: set.Get("catalog_reports_failed"),
@@ -56,44 +58,45 @@
 	return r
 }
 
-// Move has the reports go to the catalog at addr, the next one at once: the old catalog's word may no
-// longer count.
+// Move sends the reports to the catalog at addr from now on, the next one at once, as reports to the old catalog may
+// no longer have an effect.
 func (r *Reporter) Move(addr string) {
 	if *r.addr.Swap(&addr) == addr {
 		return
 	}
 	r.client.CloseIdleConnections()
-	if end := r.open.Load(); end != nil { // what the old catalog would say does not count any more
+	if end := r.cancelReport.Load(); end != nil { // the old catalog's answer is no longer needed
 		(*end)()
 	}
 	select {
-	case r.moved <- struct{}{}:
+	case r.addrChanged <- struct{}{}:
 	default:
 	}
 }
 
-// Pace has reports go out when p says so, from the next one on.
+// Pace makes p decide when reports are sent, from the next one on.
 func (r *Reporter) Pace(p Pace) { r.pace.Store(&p) }
 
-// wait returns when a report is due; false means that ctx has ended. A box that leaves goes by the period: its last report must get out.
+// wait returns true when a report is due, or false when ctx is done. After Leave it ignores the pace and uses the period, as
+// the last report must be sent.
 func (r *Reporter) wait(ctx context.Context, tick *time.Ticker) bool {
 	for {
 		p := r.pace.Load()
 		if p == nil || r.leaving.Load() {
 			select {
 			case <-tick.C:
-			case <-r.moved:
+			case <-r.addrChanged:
 			case <-ctx.Done():
 				return false
 			}
 			return true
 		}
 		select {
-		case <-time.After(look):
+		case <-time.After(pollInterval):
 			if (*p).Due() {
 				return true
 			}
-		case <-r.moved:
+		case <-r.addrChanged:
 			return true
 		case <-ctx.Done():
 			return false
@@ -101,11 +104,11 @@
 	}
 }
 
-// Leave makes the next report the last: the entry lapses by itself.
+// Leave makes the next report the last one and critical; the entry then expires.
 func (r *Reporter) Leave() { r.leaving.Store(true) }
 
-// Keep reports at once and then every Period until ctx ends or the last report is out. It runs
-// apart from the serving path: a catalog that is down or slow delays nothing but its own reports.
+// Keep reports at once and then every Period, or at the pace's times, until ctx is done or the last report is sent. It
+// runs apart from the serving path: a catalog that is down or slow delays only its own reports.
 func (r *Reporter) Keep(ctx context.Context) {
 	tick := time.NewTicker(Period)
 	defer tick.Stop()
@@ -132,7 +135,7 @@
 func (r *Reporter) report(ctx context.Context, leaving bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r.open.Store(&cancel) // before the address is read: a move ends this report or is seen by it
+	r.cancelReport.Store(&cancel) // before addr is loaded, so that Move either cancels this report or its new address is used
 	status := "passing"
 	if leaving {
 		status = "critical"
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -13,31 +13,31 @@
 	"cairnlane/internal/testkit"
 )
 
-func TestReportsUntilTheLastOne(t *testing.T) {
-	status, got := http.StatusServiceUnavailable, make(chan string, 4)
+func TestKeepEndsAfterLastReport(t *testing.T) {
+	status, reports := http.StatusServiceUnavailable, make(chan string, 4)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
-		got <- q.Method + " " + q.URL.Path + " " + string(body)
+		reports <- q.Method + " " + q.URL.Path + " " + string(body)
 		w.WriteHeader(status)
 	}))
 	defer srv.Close()
 	set := new(counters.Set)
 	r := NewReporter(strings.TrimPrefix(srv.URL, "http://"), "n3", set)
 	if err := r.report(context.Background(), false); err == nil {
-		t.Error("a report that was turned down counts as sent")
+		t.Error("a rejected report counts as sent")
 	}
-	if want, first := `PUT /catalog/register/n3 {"status":"passing"}`, <-got; first != want {
+	if want, first := `PUT /catalog/register/n3 {"status":"passing"}`, <-reports; first != want {
 		t.Errorf("report %s, want %s", first, want)
 	}
 	status = http.StatusNoContent
 	r.Leave()
 	r.Keep(context.Background()) // ends after the last report
-	if last := <-got; !strings.HasSuffix(last, `{"status":"critical"}`) || set.Get("catalog_reports").Load() != 1 {
+	if last := <-reports; !strings.HasSuffix(last, `{"status":"critical"}`) || set.Get("catalog_reports").Load() != 1 {
 		t.Errorf("last report %s, counters %v", last, set)
 	}
 }
 
-func TestACatalogThatIsDownOnlyFailsReports(t *testing.T) {
+func TestReportFailsWhenCatalogIsDown(t *testing.T) {
 	srv := httptest.NewServer(http.NotFoundHandler())
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	srv.Close()
@@ -46,8 +46,8 @@
 	}
 }
 
-// The catalog used to have one address for good.
-func TestReportsGoToTheNewCatalogAtOnce(t *testing.T) {
+// TestMoveReportsToNewCatalogAtOnce checks that Move sends reports to the new address.
+func TestMoveReportsToNewCatalogAtOnce(t *testing.T) {
 	reports := make(chan string, 8)
 	catalog := func(name string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -62,50 +62,51 @@
 	defer cancel()
 	go r.Keep(ctx)
 	if got := <-reports; got != "old" {
-		t.Fatalf("first report to the %s one", got)
+		t.Fatalf("first report to the %s catalog", got)
 	}
 	r.Move(catalog("new"))
-	for got := range reports { // on a slow machine some may have gone to the old one before
+	for got := range reports { // on a slow machine the old catalog may have received more than one before the move
 		if got == "new" {
 			return
 		}
 	}
 }
 
-// A move used to wait for the report that the old catalog had taken and did not answer.
-func TestAMoveWaitsForNoAnswerOfTheOldCatalog(t *testing.T) {
-	asked, release := make(chan struct{}, 1), make(chan struct{})
+// TestMoveCancelsReportToOldCatalog checks that Move does not wait for a report that the old catalog does not answer.
+func TestMoveCancelsReportToOldCatalog(t *testing.T) {
+	received, release := make(chan struct{}, 1), make(chan struct{})
 	old := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		asked <- struct{}{}
+		received <- struct{}{}
 		<-release
 	}))
 	defer old.Close()
 	defer close(release)
-	told := make(chan struct{}, 8)
+	reported := make(chan struct{}, 8)
 	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusNoContent)
-		told <- struct{}{}
+		reported <- struct{}{}
 	}))
 	defer next.Close()
 	r := NewReporter(strings.TrimPrefix(old.URL, "http://"), "n3", new(counters.Set))
-	r.client.Timeout = 0 // only the move ends the report
+	r.client.Timeout = 0 // only Move can cancel the report
 	go r.Keep(t.Context())
-	<-asked
+	<-received
 	r.Move(strings.TrimPrefix(next.URL, "http://"))
 	select {
-	case <-told:
+	case <-reported:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the new catalog hears nothing")
+		t.Fatal("the new catalog receives no report")
 	}
 }
 
-// Whatever a catalog does with a report, the next one goes out, each on a connection whose last answer was whole.
-func TestReportsGoOnWhateverTheCatalogDoes(t *testing.T) {
+// TestReportsContinueAfterBadAnswers checks that the next report is sent whatever the catalog answers, and that a connection
+// is reused only after a complete answer.
+func TestReportsContinueAfterBadAnswers(t *testing.T) {
 	ln, set := testkit.Listen(t), new(counters.Set)
 	r := NewReporter(ln.Addr().String(), "n3", set)
 	r.client.Timeout = 100 * time.Millisecond
 	go r.Keep(t.Context())
-	reads := func(c *testkit.Peer, answer string) {
+	answerReport := func(c *testkit.Peer, answer string) {
 		t.Helper()
 		q, err := http.ReadRequest(c.In)
 		if err != nil {
@@ -116,16 +117,16 @@
 		}
 		c.Says("%s", answer)
 	}
-	const whole = "HTTP/1.1 204 No Content\r\n\r\n"
+	const complete = "HTTP/1.1 204 No Content\r\n\r\n"
 	for _, answer := range []string{"", "HTTP/1.1 204 No", "what\r\n\r\n", "HTTP/1.1 500 Odd\r\nContent-Length: 9\r\n\r\nhalf"} {
 		c := testkit.Accept(t, ln)
-		reads(c, answer)
-		c.Ends()                 // the report has been given up
-		io.WriteString(c, whole) // and nobody reads what comes late
+		answerReport(c, answer)
+		c.Ends()                    // the report has failed
+		io.WriteString(c, complete) // a late answer is not read
 	}
 	c := testkit.Accept(t, ln)
-	for range 2 { // whose connection is used again
-		reads(c, whole)
+	for range 2 { // the connection is reused
+		answerReport(c, complete)
 	}
 	if n := set.Get("catalog_reports_failed").Load(); n != 4 {
 		t.Errorf("%d reports failed", n)
--- a/internal/catalog/pace_test.go
+++ b/internal/catalog/pace_test.go
@@ -11,29 +11,30 @@
 	"cairnlane/internal/counters"
 )
 
-// granted is a pace that is due as often as the test grants it.
-type granted struct {
-	mu   sync.Mutex
-	left int
-	told []bool
+// fakePace is a Pace that is due as often as the test allows, and records the results.
+type fakePace struct {
+	mu        sync.Mutex
+	remaining int
+	results   []bool
 }
 
-func (g *granted) Due() bool {
+func (g *fakePace) Due() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.left--
-	return g.left >= 0
+	g.remaining--
+	return g.remaining >= 0
 }
 
-func (g *granted) RecordResult(ok bool) {
+func (g *fakePace) RecordResult(ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.told = append(g.told, ok)
+	g.results = append(g.results, ok)
 }
 
-// TestReportsGoOutWhenThePaceSaysSo, what came of each is told to it, and a box that leaves gets its last report out whatever it says.
-func TestReportsGoOutWhenThePaceSaysSo(t *testing.T) {
-	came := make(chan string, 16)
+// TestReportsFollowPaceUntilLeave checks that reports are sent when the pace is due, that it receives each result, and that
+// the last report after Leave is sent even if the pace is not due.
+func TestReportsFollowPaceUntilLeave(t *testing.T) {
+	reports := make(chan string, 16)
 	down := false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		buf := make([]byte, 64)
@@ -43,34 +44,34 @@
 		} else {
 			w.WriteHeader(http.StatusNoContent)
 		}
-		came <- string(buf[:n])
+		reports <- string(buf[:n])
 	}))
 	defer srv.Close()
 	r := NewReporter(strings.TrimPrefix(srv.URL, "http://"), "n0", new(counters.Set))
-	g := new(granted)
+	g := new(fakePace)
 	r.Pace(g)
-	over := make(chan struct{})
-	go func() { r.Keep(context.Background()); close(over) }()
-	<-came // the first one goes out at once
+	done := make(chan struct{})
+	go func() { r.Keep(context.Background()); close(done) }()
+	<-reports // the first one is sent at once
 	grant := func(n int) {
 		g.mu.Lock()
-		g.left = n
+		g.remaining = n
 		g.mu.Unlock()
 	}
 	for range 3 {
 		grant(1)
-		<-came
+		<-reports
 	}
-	if len(came) != 0 {
+	if len(reports) != 0 {
 		t.Error("more reports than were due")
 	}
 	grant(0)
 	r.Leave()
-	if last := <-came; !strings.Contains(last, "critical") {
+	if last := <-reports; !strings.Contains(last, "critical") {
 		t.Errorf("the last report is %q", last)
 	}
-	<-over
-	if len(g.told) != 5 || !g.told[0] || !g.told[4] {
-		t.Errorf("told %v", g.told)
+	<-done
+	if len(g.results) != 5 || !g.results[0] || !g.results[4] {
+		t.Errorf("results %v", g.results)
 	}
 }
--- a/internal/lab/mutants/crossings.go
+++ b/internal/lab/mutants/crossings.go
@@ -25,7 +25,7 @@
 	{"a lock that ends with the process", "internal/handover/link.go", "	l.lock.Close()\n", "", "./internal/handover", "TestAProcessTakesOverFromTheOneBeforeIt"},
 	{"a silent link takes back what was told", "internal/handover/link.go", "if all, heard := l.run(ctx, c, true); heard {", "if all, heard := l.run(ctx, c, true); heard || true {", "./internal/handover", "TestALinkOnWhichNothingIsSaidTakesNothingBack"},
 	{"part of what is owed counts as all", "internal/handover/link.go", "			if all, heard := l.run(ctx, c, true); heard {", "			if all, heard := l.run(ctx, c, true); heard && all {", "./internal/handover", "TestALinkOnWhichNothingIsSaidTakesNothingBack"},
-	{"a move that waits for the old catalog", "internal/catalog/catalog.go", "		(*end)()\n", "		_ = end\n", "./internal/catalog", "TestAMoveWaitsForNoAnswerOfTheOldCatalog"},
+	{"a move that waits for the old catalog", "internal/catalog/catalog.go", "		(*end)()\n", "		_ = end\n", "./internal/catalog", "TestMoveCancelsReportToOldCatalog"},
 	{"half a request keeps its connection", "internal/decide/conns/ending.go", "return v.Kernel == 0 && ", "return !v.Partial && v.Kernel == 0 && ", "./cmd/cairnlane", "TestHalfARequestDoesNotTakeTheLastAnswer"},
 	{"signals once the configuration is read", "cmd/cairnlane/main.go", "	daemon.Catch()\n", "", "./cmd/cairnlane", "TestSignalsWhileTheConfigurationIsRead"},
 	{"the notice to leave waits for a file", "internal/daemon/daemon.go", "			reload, read = nil, s.read()\n", "			r := <-s.read()\n			s.reload(r.next, r.err)\n", "./cmd/cairnlane", "TestTheNoticeToLeaveWaitsForNothing"},
