--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -1,6 +1,5 @@
-// Package outbox holds the output of one connection: whoever answers only appends to it, and one
-// writer goroutine, alive as long as the connection, folds all that has gathered into one write.
-// So a peer that reads slowly stalls its own writer and nobody else.
+// Package outbox buffers the output of a connection. Senders only append to the buffer, and one writer goroutine per
+// connection combines all buffered output into one write. So a peer that reads slowly blocks only its own writer.
 package outbox
 
 import (
@@ -12,23 +11,23 @@
 	"cairnlane/internal/decide/conns"
 )
 
-// ErrFull says that the peer has not read for so long that the bound was reached.
+// ErrFull is returned by Put when the unsent output has reached its bound, as the peer does not read.
 var ErrFull = errors.New("outbox: the peer does not read")
 
-// ErrClosed says that the box takes no more.
+// ErrClosed is returned by Put after Close or a failed write.
 var ErrClosed = errors.New("outbox: closed")
 
-// Account is what several boxes hold together. The zero value knows no bound.
-type Account struct{ held, most atomic.Int64 }
+// Account counts the unsent bytes of several boxes together. The zero value has no bound.
+type Account struct{ size, bound atomic.Int64 }
 
-// Bound sets what they may hold.
-func (a *Account) Bound(most int) { a.most.Store(int64(most)) }
+// Bound sets the bound on the bytes.
+func (a *Account) Bound(bytes int) { a.bound.Store(int64(bytes)) }
 
-// Held tells what they hold.
-func (a *Account) Held() int { return int(a.held.Load()) }
+// Held returns the number of unsent bytes.
+func (a *Account) Held() int { return int(a.size.Load()) }
 
-// spareMost is the largest buffer that is kept for the next batch.
-const spareMost = 16 << 10
+// maxSpare is the capacity of the largest buffer that is kept for the next batch.
+const maxSpare = 16 << 10
 
 // Box is a bounded output buffer in front of a blocking writer.
 type Box struct {
@@ -38,59 +37,59 @@
 	failed  func(error)
 
 	mu       sync.Mutex
-	work     sync.Cond
+	wake     sync.Cond
 	buffered []byte
 	spare    []byte
-	writing  int // bytes handed to the sink and not yet taken by it
+	writing  int // bytes in the current write
 	closed   bool
 }
 
-// New starts the writer of a connection that holds at most about bound, and has a part in an account. failed is called
-// once, on the writer's goroutine, if a write fails.
+// New returns a box that holds about bound bytes at most and is counted in account, and starts its writer. If a write
+// fails, failed is called once, on the writer's goroutine.
 func New(sink io.Writer, bound int, account *Account, failed func(error)) *Box {
 	b := &Box{sink: sink, bound: bound, account: account, failed: failed}
-	b.work.L = &b.mu
+	b.wake.L = &b.mu
 	go b.write()
 	return b
 }
 
-// Put appends what encode adds to the buffer. It never blocks on the peer.
+// Put appends to the buffer with encode. It never waits for the peer.
 func (b *Box) Put(encode func(dst []byte) []byte) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	limits := conns.Output{Each: b.bound, All: int(b.account.most.Load())}
-	switch own := len(b.buffered) + b.writing; {
+	limits := conns.Output{Each: b.bound, All: int(b.account.bound.Load())}
+	switch size := len(b.buffered) + b.writing; {
 	case b.closed:
 		return ErrClosed
-	case !limits.Takes(own, b.account.Held()):
+	case !limits.Takes(size, b.account.Held()):
 		return ErrFull
 	}
 	before := len(b.buffered)
 	b.buffered = encode(b.buffered)
-	b.account.held.Add(int64(len(b.buffered) - before))
-	b.work.Signal()
+	b.account.size.Add(int64(len(b.buffered) - before))
+	b.wake.Signal()
 	return nil
 }
 
-// drop throws away what is buffered; b.mu is held.
+// drop discards the buffered output and closes the box; b.mu is held.
 func (b *Box) drop() {
-	b.account.held.Add(-int64(len(b.buffered)))
+	b.account.size.Add(-int64(len(b.buffered)))
 	b.closed, b.buffered = true, nil
 }
 
-// Empty tells whether all that was put has been taken by the connection.
+// Empty reports whether all output has been written.
 func (b *Box) Empty() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.buffered) == 0 && b.writing == 0
 }
 
-// Close ends the writer; what is still buffered is dropped.
+// Close stops the writer; output that is still buffered is dropped.
 func (b *Box) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drop()
-	b.work.Signal()
+	b.wake.Signal()
 }
 
 func (b *Box) write() {
@@ -98,7 +97,7 @@
 	defer b.mu.Unlock()
 	for {
 		for len(b.buffered) == 0 && !b.closed {
-			b.work.Wait()
+			b.wake.Wait()
 		}
 		if b.closed {
 			return
@@ -111,10 +110,10 @@
 			b.failed(err)
 		}
 		b.mu.Lock()
-		if cap(batch) > spareMost { // a burst must not be paid for as long as the connection lives
+		if cap(batch) > maxSpare { // do not keep the buffer of a burst for the connection's lifetime
 			batch = nil
 		}
-		b.account.held.Add(-int64(b.writing))
+		b.account.size.Add(-int64(b.writing))
 		b.spare, b.writing = batch, 0
 		if err != nil {
 			b.drop()
