--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging sets up the program's log: structured lines through zerolog, JSON by default, text on a terminal. What
-// packages print through the standard log goes the same way. No line holds a key, a secret or a request's body.
+// Package logging sets up the program's log: structured lines with zerolog, as JSON by default and as text on a terminal.
+// Output of the standard log package goes there as well. No line contains a key, a secret or a request's body.
 package logging
 
 import (
@@ -14,17 +14,17 @@
 	"cairnlane/internal/clock"
 )
 
-// Config is how the log is written.
+// Config configures the log.
 type Config struct {
 	Level  string // debug, info, warn or error; empty for info
 	Format string // json or text; empty for text on a terminal and JSON elsewhere
 }
 
-// Start sets the program's log up and returns it. Levels and formats that are not known are the defaults; the
-// configuration turns them down before.
+// Start sets up the program's log and returns it. It uses the defaults for an unknown level or format, which package
+// config rejects when it reads the configuration.
 func Start(w io.Writer, c Config) zerolog.Logger {
 	zerolog.TimeFieldFormat, zerolog.TimestampFunc = time.RFC3339Nano, clock.Wall
-	if c.Format == "text" || c.Format == "" && terminal(w) {
+	if c.Format == "text" || c.Format == "" && isTerminal(w) {
 		w = zerolog.ConsoleWriter{Out: w, TimeFormat: "15:04:05.000000"}
 	}
 	level, err := zerolog.ParseLevel(c.Level)
@@ -33,11 +33,11 @@
 	}
 	l := zerolog.New(w).Level(level).With().Timestamp().Logger()
 	log.SetFlags(0)
-	log.SetOutput(standard{l})
+	log.SetOutput(standardWriter{l})
 	return l
 }
 
-// Check tells what is wrong with a configuration.
+// Check returns an error if the level or the format is unknown.
 func Check(c Config) error {
 	if _, err := zerolog.ParseLevel(c.Level); err != nil {
 		return fmt.Errorf("level %q; debug, info, warn and error are known", c.Level)
@@ -49,11 +49,11 @@
 	return fmt.Errorf("format %q; json and text are known", c.Format)
 }
 
-// standard takes lines of the standard log.
-type standard struct{ l zerolog.Logger }
+// standardWriter passes lines of the standard log package to zerolog.
+type standardWriter struct{ l zerolog.Logger }
 
 // Write implements io.Writer.
-func (s standard) Write(p []byte) (int, error) {
+func (s standardWriter) Write(p []byte) (int, error) {
 	n := len(p)
 	for len(p) > 0 && p[len(p)-1] == '\n' {
 		p = p[:len(p)-1]
@@ -62,8 +62,8 @@
 	return n, nil
 }
 
-// terminal tells whether it is one.
-func terminal(w io.Writer) bool {
+// isTerminal reports whether w is a terminal.
+func isTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	if !ok {
 		return false
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestTheStandardLogIsStructured(t *testing.T) {
+func TestStandardLogIsStructured(t *testing.T) {
 	defer func() { log.SetOutput(os.Stderr); log.SetFlags(log.LstdFlags) }()
 	var b bytes.Buffer
 	l := Start(&b, Config{Level: "warn"})
@@ -36,10 +36,10 @@
 	}
 }
 
-func TestWhatIsNotKnownIsTurnedDown(t *testing.T) {
+func TestCheckRejectsUnknownValues(t *testing.T) {
 	for _, c := range []Config{{Level: "loud"}, {Format: "xml"}} {
 		if Check(c) == nil {
-			t.Errorf("%+v is taken", c)
+			t.Errorf("%+v is accepted", c)
 		}
 	}
 	if err := Check(Config{Level: "debug", Format: "json"}); err != nil {
