--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -107,7 +107,7 @@
 var hints = map[string]string{
 	"required": "must be given", "address": `must be host:port, such as "127.0.0.1:7443"`, "oneof": "must be one of: %s",
 	"email": "must be an address such as ops@site.example", "min": "must be %s at least", "max": "must be %s at most",
-	"unique": "must not name one twice", "fqdn": "must be a full host name such as box1.site.example",
+	"unique": "must not contain a name twice", "fqdn": "must be a full host name such as box1.site.example",
 	"word":  "must be a short name of lower-case letters, digits, dots, dashes and underscores",
 	"https": "must be an https URL, such as https://ca.example/directory",
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -83,7 +83,7 @@
 func TestErrorsNameLineAndCorrection(t *testing.T) {
 	for name, tc := range map[string]struct {
 		from, to string
-		says     []string
+		errors   []string
 	}{
 		"syntax":                {`replica = "site.json"`, `replica = `, []string{"appliance.hcl:2: Invalid expression"}},
 		"unknown attribute":     {`self_signed = true`, `selfsigned = true`, []string{`:11: Unsupported argument`, `Did you mean "self_signed"?`}},
@@ -94,14 +94,14 @@
 		"directory without TLS": {`https://ca.example`, `http://ca.example`, []string{`:15: directory is "http://ca.example/directory", it must be an https URL`}},
 		"host":                  {`"www.site.example"`, `"no name"`, []string{`:26: hosts is "no name", it must be a full host name`}},
 		"contact":               {`"ops@site.example"`, `"ops"`, []string{`:12: contact is "ops", it must be an address`}},
-		"authority twice":       {`authority "second"`, `authority "main"`, []string{`it must not name one twice`}},
+		"authority twice":       {`authority "second"`, `authority "main"`, []string{`it must not contain a name twice`}},
 		"label":                 {`certificate "site"`, `certificate "../x"`, []string{`:25: name is "../x", it must be a short name`}},
 		"root":                  {`"root.pem"`, `"none.pem"`, []string{`:16: `, "none.pem cannot be read"}},
 		"account binding":       {`"eab.key"`, `"none.key"`, []string{`:19: `, "none.key"}},
 		"no certificates":       {`certificate "site" {`, `certificates "site" {`, []string{`Unsupported block type`, `Did you mean "certificate"?`}},
 		"fleet key":             {`"fleet.key"`, `"none.key"`, []string{`:32: `, "none.key"}},
 		"short key":             {`"fleet.key"`, `"short.key"`, []string{`:32: fleet key: line 1 of`, "is not a key of 32 bytes in base64; make one with"}},
-		"peer twice":            {`peer "n1"`, `peer "n0"`, []string{`it must not name one twice`}},
+		"peer twice":            {`peer "n1"`, `peer "n0"`, []string{`it must not contain a name twice`}},
 		"peer's address":        {`"127.0.0.1:7601"`, `"n1"`, []string{`:37: address is "n1", it must be host:port`}},
 		"http-01":               {`self_signed = true`, `challenge = "http-01"`, []string{`:11: http-01 needs http_listen`}},
 		"budget":                {`self_signed = true`, "orders_per_hour = 9\n orders_per_week = 3", []string{`orders_per_week is 3, it must be 9 at least`}},
@@ -115,7 +115,7 @@
 			t.Fatalf("%s: the replacement changes nothing", name)
 		}
 		_, err := Load(writeConfig(t, text))
-		for _, want := range tc.says {
+		for _, want := range tc.errors {
 			if err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("%s: %v\nwant %s", name, err, want)
 			}
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -132,7 +132,7 @@
 		return fmt.Errorf("%w: message of type %d", thrift.ErrMalformed, h.Type)
 	}
 	if h.Seq <= s.lastSeq { // the router could not tell apart the answers to two calls with one number
-		return fmt.Errorf("%w: call %d after call %d", thrift.ErrMalformed, h.Seq, s.lastSeq)
+		return fmt.Errorf("%w: sequence number %d of a call is not above the last one, %d", thrift.ErrMalformed, h.Seq, s.lastSeq)
 	}
 	s.lastSeq = h.Seq
 	s.openCall()
--- a/internal/settings/replica.go
+++ b/internal/settings/replica.go
@@ -40,7 +40,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Load reads the configuration at path.
+// Load reads and checks the configuration at path. Its errors name the invalid setting.
 func Load(path string) (*Replica, error) {
 	if path == "" {
 		return nil, errors.New("RELAY_CONFIG is not set; it names the configuration file")
--- a/internal/thrift/thrift.go
+++ b/internal/thrift/thrift.go
@@ -78,7 +78,7 @@
 	}
 	n := binary.BigEndian.Uint32(buf)
 	if n == 0 || n > MaxFrame {
-		return nil, buf, malformed("frame of %d bytes", n)
+		return nil, buf, malformed("frame of %d bytes, must have 1 to %d", n, MaxFrame)
 	}
 	if uint32(len(buf)-4) < n {
 		return nil, buf, nil
@@ -155,7 +155,7 @@
 func (r *Reader) Binary() []byte {
 	n := r.I32()
 	if n < 0 || n > MaxString {
-		r.fail("string of %d bytes", n)
+		r.fail("string of %d bytes, must have 0 to %d", n, MaxString)
 		return nil
 	}
 	return r.take(int(n))
