--- a/internal/front/ends.go
+++ b/internal/front/ends.go
@@ -239,7 +239,7 @@
 }
 
 // sweep closes the connections that are due, or all quiet ones if exiting. It examines them before the fence and again
-// after it, to see whether input has arrived since.
+// after it: only then is it certain that the poller holds no input of theirs.
 func (s *Server) sweep(exiting bool) {
 	s.mu.Lock()
 	closeIdle := s.idleTimeout
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -152,7 +152,7 @@
 	ctx := context.Background()
 	if !s.makeRoom(true) {
 		s.count.rejected.Inc()
-		nc.Close() // nothing was read from it, so no request is lost
+		nc.Close() // nothing was read from it, so no request has run and the router repeats it
 		return ctx
 	}
 	nc.SetWriteTimeout(time.Duration(s.writeTimeout.Load()))
