--- a/internal/decide/renewal/renewal_test.go
+++ b/internal/decide/renewal/renewal_test.go
@@ -11,7 +11,7 @@
 	"cairnlane/internal/testkit"
 )
 
-var start = time.Unix(0, int64(testkit.Start))
+var start = time.Unix(0, int64(testkit.StartTime))
 
 const day = 24 * time.Hour
 
@@ -53,18 +53,18 @@
 		t.Fatalf("order at authority %d is %v too early", a.Authority, w.blockedUntil[a.Authority].Sub(w.now))
 	}
 	w.orders[a.Authority] = append(w.orders[a.Authority], w.now)
-	w.plan.Begun(w.now, a.Authority, false)
+	w.plan.OrderStarted(w.now, a.Authority, false)
 	w.orderPending = true
 }
 
-func (w *orderObserver) fail(authority int, a Answer) {
-	w.plan.Failed(w.now, a)
+func (w *orderObserver) fail(authority int, a Outcome) {
+	w.plan.OrderFailed(w.now, a)
 	w.orderPending = false
 	until := w.now.Add(a.RetryAfter)
 	switch {
-	case a.Class == Limited && a.RetryAfter == 0:
+	case a.Class == RateLimited && a.RetryAfter == 0:
 		until = w.now.Add(defaultRateLimitDelay)
-	case a.Class == Hopeless:
+	case a.Class == RejectedByAuthority:
 		until = w.now.Add(max(exclusionTime, a.RetryAfter))
 	}
 	if until.After(w.blockedUntil[authority]) {
@@ -73,16 +73,16 @@
 }
 
 func (w *orderObserver) issue(life time.Duration, authority int) {
-	w.plan.Issued(w.now, Held{NotBefore: w.now, NotAfter: w.now.Add(life), FromSecond: authority > 0})
+	w.plan.CertificateIssued(w.now, Certificate{NotBefore: w.now, NotAfter: w.now.Add(life), FromFallback: authority > 0})
 	w.orderPending = false
 }
 
 // TestRandomSequencesKeepBudgetAndReachAnOrder runs random sequences of failures, windows,
 // lifetimes and waits and checks the order budget, the due time and that the plan never waits forever.
 func TestRandomSequencesKeepBudgetAndReachAnOrder(t *testing.T) {
-	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
+	testkit.RunStateMachine(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		n := rapid.IntRange(1, 3).Draw(rt, "authorities")
-		w := newOrderObserver(rt, Settings{Authorities: n, Budget: Budget{Hour: 2, Week: 12}, Place: rapid.Float64Range(0, 0.999).Draw(rt, "place")})
+		w := newOrderObserver(rt, Settings{Authorities: n, Budget: Budget{Hour: 2, Week: 12}, WindowOffset: rapid.Float64Range(0, 0.999).Draw(rt, "place")})
 		at, waits := 0, 0
 		return map[string]func(*rapid.T){
 			"wait": func(rt *rapid.T) {
@@ -95,8 +95,8 @@
 						rt.Fatalf("the plan waits until a time %v in the past", w.now.Sub(a.At))
 					}
 					w.now = a.At
-				case a.Kind == Ask:
-					w.plan.NotSuggested(w.now)
+				case a.Kind == AskWindow:
+					w.plan.WindowFailed(w.now)
 				case w.orderPending && a.Authority != at:
 					rt.Fatalf("the order at authority %d continues at authority %d", at, a.Authority)
 				case !w.orderPending:
@@ -109,7 +109,7 @@
 			},
 			"fail": func(rt *rapid.T) {
 				if w.orderPending {
-					w.fail(at, Answer{Class: Class(rapid.IntRange(0, 3).Draw(rt, "class")),
+					w.fail(at, Outcome{Class: FailureClass(rapid.IntRange(0, 3).Draw(rt, "class")),
 						RetryAfter: time.Duration(rapid.IntRange(0, 40).Draw(rt, "min")) * time.Minute})
 				}
 			},
@@ -120,11 +120,11 @@
 			},
 			"window": func(rt *rapid.T) {
 				from := w.now.Add(time.Duration(rapid.IntRange(-50, 100).Draw(rt, "h")) * time.Hour)
-				w.plan.Suggested(w.now, Window{from, from.Add(time.Duration(rapid.IntRange(-1, 72).Draw(rt, "long")) * time.Hour)}, 0)
+				w.plan.SetWindow(w.now, Window{from, from.Add(time.Duration(rapid.IntRange(-1, 72).Draw(rt, "long")) * time.Hour)}, 0)
 			},
 			"": func(rt *rapid.T) {
 				due := w.plan.DueAt()
-				if h, ok := w.plan.Held(); ok && due.After(h.NotAfter.Add(-h.Lifetime()/6)) {
+				if h, ok := w.plan.Current(); ok && due.After(h.NotAfter.Add(-h.Lifetime()/6)) {
 					rt.Fatalf("renewal due %v before the end of a lifetime of %v, want at least a sixth of it", h.NotAfter.Sub(due), h.Lifetime())
 				}
 				if w.orderPending != (w.plan.Phase() == Ordering) {
@@ -138,15 +138,15 @@
 // TestAllSequencesOfFourFailuresAtTwoAuthorities goes through all outcomes of up to four attempts, with
 // certificates near and far from their expiry, and checks the authority and the time of each next attempt.
 func TestAllSequencesOfFourFailuresAtTwoAuthorities(t *testing.T) {
-	answers := []Answer{{Class: Transient}, {Class: Transient, RetryAfter: 2 * time.Hour}, {Class: Limited}, {Class: Limited, RetryAfter: 3 * time.Hour},
-		{Class: Hopeless}, {Class: Person}}
+	answers := []Outcome{{Class: Transient}, {Class: Transient, RetryAfter: 2 * time.Hour}, {Class: RateLimited}, {Class: RateLimited, RetryAfter: 3 * time.Hour},
+		{Class: RejectedByAuthority}, {Class: NeedsOperator}}
 	played := 0
-	var play func(t *testing.T, left time.Duration, sequence []Answer)
-	play = func(t *testing.T, left time.Duration, sequence []Answer) {
+	var play func(t *testing.T, left time.Duration, sequence []Outcome)
+	play = func(t *testing.T, left time.Duration, sequence []Outcome) {
 		played++
 		w := newOrderObserver(t, Settings{Authorities: 2, Budget: DefaultBudget})
-		w.plan.Issued(w.now, Held{NotBefore: w.now.Add(left - 90*day), NotAfter: w.now.Add(left)})
-		w.plan.NotSuggested(w.now)
+		w.plan.CertificateIssued(w.now, Certificate{NotBefore: w.now.Add(left - 90*day), NotAfter: w.now.Add(left)})
+		w.plan.WindowFailed(w.now)
 		describe := func() (s []string) {
 			for _, a := range sequence {
 				s = append(s, fmt.Sprintf("%v/%v", a.Class, a.RetryAfter))
@@ -158,8 +158,8 @@
 			began := w.now
 			a := w.plan.Next(w.now)
 			for hops := 0; a.Kind != Order; hops++ {
-				if a.Kind == Ask {
-					w.plan.NotSuggested(w.now)
+				if a.Kind == AskWindow {
+					w.plan.WindowFailed(w.now)
 				} else {
 					w.now = a.At
 				}
@@ -174,7 +174,7 @@
 					maxGap = max(maxGap, a.RetryAfter)
 				}
 				switch {
-				case last.Class == Person:
+				case last.Class == NeedsOperator:
 					maxGap = max(operatorRetryInterval, maxGap)
 				case out[0].After(began) && out[1].After(began):
 					maxGap = exclusionTime
@@ -194,16 +194,16 @@
 			}
 			w.begin(t, a)
 			w.fail(a.Authority, sequence[i])
-			if sequence[i].Class == Hopeless {
+			if sequence[i].Class == RejectedByAuthority {
 				out[a.Authority] = w.now.Add(exclusionTime)
 			}
-			if i > 0 && w.plan.Alarm(w.now) == Calm {
+			if i > 0 && w.plan.Alarm(w.now) == NoAlarm {
 				t.Fatalf("%v: the alarm is calm after repeated failures", describe())
 			}
 		}
 		if len(sequence) < 4 {
 			for _, a := range answers {
-				play(t, left, append(append([]Answer(nil), sequence...), a))
+				play(t, left, append(append([]Outcome(nil), sequence...), a))
 			}
 		}
 	}
@@ -233,12 +233,12 @@
 		{"a window after the expiry", 90 * day, 0.5, Window{at(95 * day), at(96 * day)}, 75 * day},
 		{"a window that ends before it starts", 90 * day, 0.999999, Window{at(72 * day), at(70 * day)}, 60 * day},
 	} {
-		p, err := New(start, Settings{Authorities: 1, Budget: DefaultBudget, Place: k.place})
+		p, err := New(start, Settings{Authorities: 1, Budget: DefaultBudget, WindowOffset: k.place})
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.Issued(start, Held{NotBefore: start, NotAfter: at(k.life)})
-		p.Suggested(start, k.window, 0)
+		p.CertificateIssued(start, Certificate{NotBefore: start, NotAfter: at(k.life)})
+		p.SetWindow(start, k.window, 0)
 		if got := p.DueAt().Sub(start); got < k.want-time.Minute || got > k.want+time.Minute {
 			t.Errorf("%s: due after %v, want %v", k.name, got, k.want)
 		}
@@ -250,9 +250,9 @@
 func TestFleetRenewalsAreSpreadOverHours(t *testing.T) {
 	hours := map[int]int{}
 	for i := range 1000 {
-		p, _ := New(start, Settings{Authorities: 1, Budget: DefaultBudget, Place: float64(i*617%1000) / 1000})
-		p.Issued(start, Held{NotBefore: start, NotAfter: start.Add(90 * day)})
-		p.NotSuggested(start)
+		p, _ := New(start, Settings{Authorities: 1, Budget: DefaultBudget, WindowOffset: float64(i*617%1000) / 1000})
+		p.CertificateIssued(start, Certificate{NotBefore: start, NotAfter: start.Add(90 * day)})
+		p.WindowFailed(start)
 		hours[int(p.DueAt().Sub(start)/time.Hour)]++
 	}
 	for h, n := range hours {
@@ -267,7 +267,7 @@
 	w.issue(90*day, 0)
 	w.now = start.Add(70 * day)
 	w.begin(t, w.plan.Next(w.now))
-	w.fail(0, Answer{Class: Limited, RetryAfter: 2 * time.Hour})
+	w.fail(0, Outcome{Class: RateLimited, RetryAfter: 2 * time.Hour})
 	if a := w.plan.Next(w.now); a.Kind != Wait || a.At.Sub(w.now) > 2*time.Hour {
 		t.Errorf("after a rate limit of 2 h: %+v", a)
 	}
@@ -292,13 +292,13 @@
 	if p.Alarm(start) != Notice {
 		t.Errorf("without a certificate: alarm %v, want notice", p.Alarm(start))
 	}
-	p.Issued(start, Held{NotBefore: start, NotAfter: start.Add(90 * day)})
+	p.CertificateIssued(start, Certificate{NotBefore: start, NotAfter: start.Add(90 * day)})
 	var got []string
 	last := alarmCount
 	for d := time.Duration(0); d <= 90*day; d += time.Hour {
 		if d == 61*day {
-			p.Begun(start.Add(d), 0, false)
-			p.Failed(start.Add(d), Answer{Class: Transient})
+			p.OrderStarted(start.Add(d), 0, false)
+			p.OrderFailed(start.Add(d), Outcome{Class: Transient})
 		}
 		if a := p.Alarm(start.Add(d)); a != last {
 			last = a
@@ -312,7 +312,7 @@
 }
 
 func TestInvalidSettingsAreRejected(t *testing.T) {
-	for _, s := range []Settings{{}, {Authorities: 1}, {Authorities: 1, Budget: Budget{Hour: 3, Week: 2}}, {Authorities: 1, Budget: DefaultBudget, Place: 1}} {
+	for _, s := range []Settings{{}, {Authorities: 1}, {Authorities: 1, Budget: Budget{Hour: 3, Week: 2}}, {Authorities: 1, Budget: DefaultBudget, WindowOffset: 1}} {
 		if _, err := New(start, s); err == nil {
 			t.Errorf("invalid settings %+v are accepted", s)
 		}
@@ -322,10 +322,10 @@
 // TestBudgetSurvivesRestart restores orders from before the restart and checks that they count.
 func TestBudgetSurvivesRestart(t *testing.T) {
 	p, _ := New(start, Settings{Authorities: 1, Budget: Budget{Hour: 2, Week: 9}})
-	p.Remembers(0, start.Add(-10*time.Minute))
-	p.Remembers(0, start.Add(-5*time.Minute))
-	p.Remembers(0, start.Add(time.Hour)) // lies in the future and is ignored
-	p.Remembers(7, start)
+	p.RestoreOrder(0, start.Add(-10*time.Minute))
+	p.RestoreOrder(0, start.Add(-5*time.Minute))
+	p.RestoreOrder(0, start.Add(time.Hour)) // lies in the future and is ignored
+	p.RestoreOrder(7, start)
 	if a := p.Next(start); a.Kind != Wait || !a.At.Equal(start.Add(50*time.Minute)) {
 		t.Errorf("next: %+v", a)
 	}
--- a/internal/decide/rollout/rollout_test.go
+++ b/internal/decide/rollout/rollout_test.go
@@ -340,7 +340,7 @@
 
 // TestRandomRollouts runs long random sequences of steps with several versions.
 func TestRandomRollouts(t *testing.T) {
-	testkit.Check(t, 400, func(t *rapid.T) {
+	testkit.CheckProperty(t, 400, func(t *rapid.T) {
 		boxes := []string{"a", "b", "c", "d", "e"}
 		p := newSimFleet(boxes...)
 		for _, b := range boxes {
@@ -459,7 +459,7 @@
 
 // TestBoxSwitchesOnlyWhenStored checks that a version is in force from the call of Stored on, whatever happens before.
 func TestBoxSwitchesOnlyWhenStored(t *testing.T) {
-	testkit.Check(t, 400, func(t *rapid.T) {
+	testkit.CheckProperty(t, 400, func(t *rapid.T) {
 		table := NewTable()
 		living := map[string]uint64{"a": 1}
 		for range 4 {
--- a/internal/decide/shed/fleet_test.go
+++ b/internal/decide/shed/fleet_test.go
@@ -67,7 +67,7 @@
 // TestLevelFollowsLeader checks that a box follows the leader's level: at once after its start, and otherwise with the minimum time
 // between changes that applies to its own decisions.
 func TestLevelFollowsLeader(t *testing.T) {
-	testkit.Check(t, 200, func(t *rapid.T) {
+	testkit.CheckProperty(t, 200, func(t *rapid.T) {
 		var s Shedder
 		last, now := time.Duration(-time.Hour), time.Duration(0)
 		for range 200 {
@@ -143,7 +143,7 @@
 
 // TestMannersDetectsNoncompliance checks that a caller that sends ranks below the floor is detected, that a complying one is not, and that detection ends.
 func TestMannersDetectsNoncompliance(t *testing.T) {
-	testkit.Check(t, 100, func(t *rapid.T) {
+	testkit.CheckProperty(t, 100, func(t *rapid.T) {
 		var m CallerCompliance
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
 		floor, told := 0.4, 0.4 // the current floor, and the one that the complying caller received last
--- a/internal/decide/shed/shed_test.go
+++ b/internal/decide/shed/shed_test.go
@@ -42,7 +42,7 @@
 
 // TestShedLoadEqualsExcess checks it to 5%, however a tenant's requests are spread over boxes, and that no tenant within its share is shed.
 func TestShedLoadEqualsExcess(t *testing.T) {
-	testkit.Check(t, 200, func(t *rapid.T) {
+	testkit.CheckProperty(t, 200, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "tenants")
 		capacity := rapid.Float64Range(100, 10000).Draw(t, "capacity")
 		s := Sums{Boxes: 10, Known: 10, IsLeader: true, Capacity: capacity, Tenants: map[string]float64{}}
@@ -131,7 +131,7 @@
 
 // TestLevelChangesSeldom checks single steps, at least 10 s apart, up only after 2 s, and none for load waves of 15 to 30 s.
 func TestLevelChangesSeldom(t *testing.T) {
-	testkit.Check(t, 200, func(t *rapid.T) {
+	testkit.CheckProperty(t, 200, func(t *rapid.T) {
 		s := new(Shedder)
 		now, last, changes := time.Duration(0), time.Duration(-time.Hour), 0
 		wave := time.Duration(rapid.IntRange(15, 30).Draw(t, "wave")) * time.Second
--- a/internal/decide/timeline/load.go
+++ b/internal/decide/timeline/load.go
@@ -30,7 +30,7 @@
 	}
 	list = make([]second, int((c.to-first)/time.Second)+1)
 	for _, b := range c.boxes {
-		for _, l := range b.Lives {
+		for _, l := range b.Incarnations {
 			for _, e := range l.Events {
 				if e.Kind != Second || e.At < first {
 					continue
@@ -39,7 +39,7 @@
 				s.boxes++
 				s.read += e.Read
 				s.retries += e.Retries
-				s.rejected += e.Refused
+				s.rejected += e.Rejected
 				s.served += e.Served
 				s.inAim += e.InAim
 				s.failed += e.Failed
@@ -80,7 +80,7 @@
 	}
 	secondStart := func(i int) time.Duration { return first + time.Duration(i)*time.Second }
 	report := func(kind Kind, holds func(int) bool, evidence func(from, to int) string) {
-		for _, s := range ranges(len(list), c.settings.Sustain, holds) {
+		for _, s := range ranges(len(list), c.settings.MinSeconds, holds) {
 			from, to := secondStart(s[0]), secondStart(s[1])
 			f := Finding{Kind: kind, From: from, To: to, Boxes: all, Evidence: []string{evidence(s[0], s[1])}, Confidence: 0.9, Open: s[1] == len(list)}
 			if n := c.missingIn(from, to); n > 0 {
@@ -94,7 +94,7 @@
 	// receive their share of the load, and when the records of some boxes are missing, the total falls.
 	base, basePerBox := c.baseline(list, second.firstAttempts), c.baseline(list, second.firstAttemptsPerBox)
 	report(Burst, func(i int) bool {
-		return base[i] > 0 && list[i].firstAttempts() >= c.settings.Burst*base[i] && list[i].firstAttemptsPerBox() >= c.settings.Burst*basePerBox[i]
+		return base[i] > 0 && list[i].firstAttempts() >= c.settings.BurstRatio*base[i] && list[i].firstAttemptsPerBox() >= c.settings.BurstRatio*basePerBox[i]
 	}, func(from, to int) string {
 		peak := 0.0
 		for i := from; i < to; i++ {
@@ -128,9 +128,9 @@
 // limit returns the share of the reads from which on part is reported.
 func (c *analysis) limit(part func(second) int) float64 {
 	if part(second{retries: 1}) > 0 {
-		return c.settings.Retries
+		return c.settings.RetryShare
 	}
-	return c.settings.Refused
+	return c.settings.RejectedShare
 }
 
 // baseline returns the baseline for each second: the median of the preceding seconds that were not part of a burst, so that
@@ -145,7 +145,7 @@
 			base[i] = sorted[len(sorted)/2]
 		}
 		v := value(s)
-		if s.boxes > 0 && (base[i] == 0 || v < c.settings.Burst*base[i]) {
+		if s.boxes > 0 && (base[i] == 0 || v < c.settings.BurstRatio*base[i]) {
 			if window = append(window, v); len(window) > baseWindow {
 				window = window[1:]
 			}
@@ -158,7 +158,7 @@
 func (c *analysis) missingIn(from, to time.Duration) (n int) {
 	for _, b := range c.boxes {
 		hit := false
-		for _, l := range b.Lives {
+		for _, l := range b.Incarnations {
 			for _, g := range l.Gaps {
 				hit = hit || g.To != 0 && g.From <= to && g.To >= from
 			}
@@ -201,8 +201,8 @@
 		}
 	}
 	for b, box := range c.boxes {
-		for _, s := range ranges(n, c.settings.Sustain+1, func(i int) bool {
-			return median[i] > 0 && speeds[b][i] > 0 && !cold[b][i] && speeds[b][i] < c.settings.Slow*median[i]
+		for _, s := range ranges(n, c.settings.MinSeconds+1, func(i int) bool {
+			return median[i] > 0 && speeds[b][i] > 0 && !cold[b][i] && speeds[b][i] < c.settings.SlowRatio*median[i]
 		}) {
 			worst := 1.0
 			for i := s[0]; i < s[1]; i++ {
@@ -212,8 +212,8 @@
 			}
 			f := Finding{Kind: SlowBox, From: first + time.Duration(s[0])*time.Second, To: first + time.Duration(s[1])*time.Second, Boxes: []string{box.Name},
 				Evidence: []string{fmt.Sprintf("it answers %.2f times as many requests per running request as its peers", worst)}, Confidence: 0.85, Open: s[1] == n}
-			for i := range box.Lives {
-				factor, evidence := box.Lives[i].confidenceAcross(f.From, f.To)
+			for i := range box.Incarnations {
+				factor, evidence := box.Incarnations[i].confidenceAcross(f.From, f.To)
 				f.Confidence *= factor
 				f.Evidence = append(f.Evidence, evidence...)
 			}
@@ -226,7 +226,7 @@
 // that second.
 func (c *analysis) speeds(b int, first time.Duration, n int) ([]float64, []bool) {
 	served, running, cold := make([]float64, n), make([]float64, n), make([]bool, n)
-	for _, l := range c.boxes[b].Lives {
+	for _, l := range c.boxes[b].Incarnations {
 		isCold := false
 		for _, e := range l.Events {
 			i := int((e.At - first) / time.Second)
--- a/internal/decide/timeline/timeline.go
+++ b/internal/decide/timeline/timeline.go
@@ -36,19 +36,19 @@
 	Cold bool // for Started: the cores were cold
 
 	// For Second:
-	Read, Retries, Refused, Served, InAim, Failed int
-	Running                                       int
+	Read, Retries, Rejected, Served, InAim, Failed int
+	Running                                        int
 }
 
 // Gap is an interval without records, between two records or after the last one.
 type Gap struct {
-	From, To time.Duration // To is 0 if the gap follows the last record
-	Absent   uint64        // number of missing records, 0 if unknown
-	Why      string        // "dropped", "cut" or "absent"
+	From, To       time.Duration // To is 0 if the gap follows the last record
+	MissingRecords uint64        // number of missing records, 0 if unknown
+	Reason         string        // "dropped", "cut" or "absent"
 }
 
-// Life is the records of one process start of a box.
-type Life struct {
+// Incarnation is the records of one process start of a box.
+type Incarnation struct {
 	Name, Build string
 	Events      []Event // ordered by record number
 	Gaps        []Gap
@@ -56,8 +56,8 @@
 
 // Box is the records of one box.
 type Box struct {
-	Name  string
-	Lives []Life
+	Name         string
+	Incarnations []Incarnation
 }
 
 // Kind is the kind of a finding.
@@ -95,14 +95,14 @@
 
 // Settings are the thresholds for findings. A zero value selects the default.
 type Settings struct {
-	Skew     time.Duration // maximum difference between the clocks; findings of several boxes are widened by it
-	Wave     time.Duration // maximum time between drains or crashes of one wave
-	Burst    float64       // multiple of the baseline of first attempts
-	Refused  float64       // minimum share of the reads
-	Retries  float64       // minimum share of the reads
-	Slow     float64       // share of the peers' answers per running request
-	Sustain  int           // minimum consecutive seconds
-	Expected []string      // boxes that should have records
+	MaxSkew       time.Duration // maximum difference between the clocks; findings of several boxes are widened by it
+	MaxWaveGap    time.Duration // maximum time between drains or crashes of one wave
+	BurstRatio    float64       // multiple of the baseline of first attempts
+	RejectedShare float64       // minimum share of the reads
+	RetryShare    float64       // minimum share of the reads
+	SlowRatio     float64       // share of the peers' answers per running request
+	MinSeconds    int           // minimum consecutive seconds
+	Expected      []string      // boxes that should have records
 }
 
 func (s Settings) defaults() Settings {
@@ -111,15 +111,15 @@
 			*v = d
 		}
 	}
-	def(&s.Burst, 1.25)
-	def(&s.Refused, 0.10)
-	def(&s.Retries, 0.30)
-	def(&s.Slow, 0.45)
-	if s.Wave == 0 {
-		s.Wave = 12 * time.Second
+	def(&s.BurstRatio, 1.25)
+	def(&s.RejectedShare, 0.10)
+	def(&s.RetryShare, 0.30)
+	def(&s.SlowRatio, 0.45)
+	if s.MaxWaveGap == 0 {
+		s.MaxWaveGap = 12 * time.Second
 	}
-	if s.Sustain == 0 {
-		s.Sustain = 2
+	if s.MinSeconds == 0 {
+		s.MinSeconds = 2
 	}
 	return s
 }
@@ -136,7 +136,7 @@
 func Find(boxes []Box, set Settings) []Finding {
 	c := &analysis{settings: set.defaults(), boxes: boxes, from: 1<<63 - 1}
 	for _, b := range boxes {
-		for _, l := range b.Lives {
+		for _, l := range b.Incarnations {
 			for _, e := range l.Events { // a clock may step back within a life
 				c.from, c.to = min(c.from, e.At), max(c.to, e.At)
 			}
@@ -157,8 +157,8 @@
 
 func (c *analysis) add(f Finding) {
 	if len(f.Boxes) > 1 {
-		f.From -= c.settings.Skew
-		f.To += c.settings.Skew
+		f.From -= c.settings.MaxSkew
+		f.To += c.settings.MaxSkew
 	}
 	c.findings = append(c.findings, f)
 }
@@ -183,15 +183,15 @@
 func (c *analysis) missingRecords() {
 	hasRecords := map[string]bool{}
 	for _, b := range c.boxes {
-		hasRecords[b.Name] = len(b.Lives) > 0
-		for _, l := range b.Lives {
+		hasRecords[b.Name] = len(b.Incarnations) > 0
+		for _, l := range b.Incarnations {
 			for _, g := range l.Gaps {
 				if g.To == 0 { // a missing tail is reported with the end of the life
 					continue
 				}
-				text := fmt.Sprintf("%s: records are %s", l.Name, g.Why)
-				if g.Absent > 0 {
-					text = fmt.Sprintf("%s: %d records are %s", l.Name, g.Absent, g.Why)
+				text := fmt.Sprintf("%s: records are %s", l.Name, g.Reason)
+				if g.MissingRecords > 0 {
+					text = fmt.Sprintf("%s: %d records are %s", l.Name, g.MissingRecords, g.Reason)
 				}
 				c.add(Finding{Kind: Missing, From: g.From, To: g.To, Boxes: []string{b.Name}, Evidence: []string{text}, Confidence: 1})
 			}
@@ -205,7 +205,7 @@
 }
 
 // last returns the last event of a kind, or nil.
-func (l *Life) last(k EventKind) *Event {
+func (l *Incarnation) last(k EventKind) *Event {
 	for i := len(l.Events) - 1; i >= 0; i-- {
 		if l.Events[i].Kind == k {
 			return &l.Events[i]
@@ -215,7 +215,7 @@
 }
 
 // confidenceAcross returns the factor by which the gaps of a life within an interval reduce a confidence, and the evidence for it.
-func (l *Life) confidenceAcross(from, to time.Duration) (factor float64, evidence []string) {
+func (l *Incarnation) confidenceAcross(from, to time.Duration) (factor float64, evidence []string) {
 	factor = 1
 	for _, g := range l.Gaps {
 		if g.To != 0 && g.From <= to && g.To >= from {
@@ -232,8 +232,8 @@
 
 // lives reports how each life of a box began and ended: drained, killed during a drain, crashed, or still alive.
 func (c *analysis) lives(b Box) {
-	for i := range b.Lives {
-		l := &b.Lives[i]
+	for i := range b.Incarnations {
+		l := &b.Incarnations[i]
 		if len(l.Events) == 0 {
 			continue
 		}
@@ -254,25 +254,25 @@
 		case drain != nil:
 			f.Kind, f.From = KilledDrain, drain.At
 			f.Evidence = []string{"the drain notice was received", "no end was recorded"}
-			if c.to-final.At < aliveFor && i == len(b.Lives)-1 {
+			if c.to-final.At < aliveFor && i == len(b.Incarnations)-1 {
 				continue // the drain may still be in progress
 			}
 		case end != nil:
 			continue
-		case i == len(b.Lives)-1 && c.to-final.At < aliveFor:
+		case i == len(b.Incarnations)-1 && c.to-final.At < aliveFor:
 			continue // still alive
 		default:
 			f.Kind, f.From = Crash, final.At
 			f.Evidence = []string{"its records stop without a drain notice or an end"}
-			if i+1 < len(b.Lives) {
-				f.Evidence = append(f.Evidence, "it restarted as "+b.Lives[i+1].Name)
+			if i+1 < len(b.Incarnations) {
+				f.Evidence = append(f.Evidence, "it restarted as "+b.Incarnations[i+1].Name)
 			} else {
 				f.Confidence = 0.6
 				f.Evidence = append(f.Evidence, "it did not restart, so its records may merely be truncated")
 			}
 		}
 		for _, g := range l.Gaps {
-			if g.To == 0 && g.Why == "cut" {
+			if g.To == 0 && g.Reason == "cut" {
 				f.Confidence *= 0.7
 				f.Evidence = append(f.Evidence, "its last records are truncated, so what happened afterwards is not known")
 			}
@@ -283,8 +283,8 @@
 
 // states reports the intervals in which a box had no engine or no catalog, and its reloads.
 func (c *analysis) states(b Box) {
-	for i := range b.Lives {
-		l := &b.Lives[i]
+	for i := range b.Incarnations {
+		l := &b.Incarnations[i]
 		away := map[EventKind]time.Duration{}
 		names := map[EventKind]Kind{Link: NoEngine, Catalog: NoCatalog}
 		for _, e := range l.Events {
@@ -325,7 +325,7 @@
 	slices.SortFunc(list, func(a, b Finding) int { return cmp.Compare(a.From, b.From) })
 	for from := 0; from < len(list); {
 		to := from + 1
-		for to < len(list) && list[to].From-list[to-1].To <= c.settings.Wave {
+		for to < len(list) && list[to].From-list[to-1].To <= c.settings.MaxWaveGap {
 			to++
 		}
 		if wave := list[from:to]; len(wave) > 1 {
--- a/internal/decide/timeline/timeline_test.go
+++ b/internal/decide/timeline/timeline_test.go
@@ -36,13 +36,13 @@
 	var list []Box
 	for b := range d.boxes {
 		box := Box{Name: fmt.Sprintf("n%d", b)}
-		life := &Life{Name: "a"}
+		life := &Incarnation{Name: "a"}
 		at := func(t int) time.Duration {
-			return testkit.Start + time.Duration(t)*s + time.Duration(b)*37*time.Millisecond
+			return testkit.StartTime + time.Duration(t)*s + time.Duration(b)*37*time.Millisecond
 		}
 		add := func(e Event) { life.Events = append(life.Events, e) }
 		add(Event{At: at(0), Kind: Started})
-		end := func() { box.Lives = append(box.Lives, *life) }
+		end := func() { box.Incarnations = append(box.Incarnations, *life) }
 		down := false
 		for t := 1; t < d.seconds; t++ {
 			if c, ok := d.crash[b]; ok {
@@ -51,7 +51,7 @@
 					down = true
 				}
 				if t == c[1] {
-					life, down = &Life{Name: "b"}, false
+					life, down = &Incarnation{Name: "b"}, false
 					add(Event{At: at(t), Kind: Started, Cold: true})
 					add(Event{At: at(t + 10), Kind: Warmed})
 				}
@@ -68,7 +68,7 @@
 					down = true
 				}
 				if t == c[2] {
-					life, down = &Life{Name: "c"}, false
+					life, down = &Incarnation{Name: "c"}, false
 					add(Event{At: at(t), Kind: Started})
 				}
 			}
@@ -90,9 +90,9 @@
 				e.Read *= 2
 			}
 			if within(t, d.reject) {
-				e.Refused = e.Read / 3
+				e.Rejected = e.Read / 3
 			}
-			e.Served = e.Read - e.Refused
+			e.Served = e.Read - e.Rejected
 			if within(t, d.slow[b]) {
 				e.Served /= 6
 			}
@@ -100,7 +100,7 @@
 			if !within(t, d.silent[b]) {
 				add(e)
 			} else if t == d.silent[b][1]-1 {
-				life.Gaps = append(life.Gaps, Gap{From: at(d.silent[b][0] - 1), To: at(t + 1), Absent: uint64(d.silent[b][1] - d.silent[b][0]), Why: "absent"})
+				life.Gaps = append(life.Gaps, Gap{From: at(d.silent[b][0] - 1), To: at(t + 1), MissingRecords: uint64(d.silent[b][1] - d.silent[b][0]), Reason: "absent"})
 			}
 		}
 		if !down {
@@ -118,7 +118,7 @@
 		if len(f.Boxes) > 3 {
 			who = fmt.Sprint(len(f.Boxes), " boxes")
 		}
-		out = append(out, fmt.Sprintf("%s %s %.0f-%.0f", f.Kind, who, (f.From-testkit.Start).Seconds(), (f.To-testkit.Start).Seconds()))
+		out = append(out, fmt.Sprintf("%s %s %.0f-%.0f", f.Kind, who, (f.From-testkit.StartTime).Seconds(), (f.To-testkit.StartTime).Seconds()))
 	}
 	return out
 }
@@ -197,8 +197,8 @@
 
 func TestBoxWithoutRecordsAndTruncatedTail(t *testing.T) {
 	boxes := scenario{boxes: 4, seconds: 60}.play(1)
-	boxes[1].Lives[0].Events = boxes[1].Lives[0].Events[:20]
-	boxes[1].Lives[0].Gaps = []Gap{{From: boxes[1].Lives[0].Events[19].At, Why: "cut"}}
+	boxes[1].Incarnations[0].Events = boxes[1].Incarnations[0].Events[:20]
+	boxes[1].Incarnations[0].Gaps = []Gap{{From: boxes[1].Incarnations[0].Events[19].At, Reason: "cut"}}
 	got := Find(boxes, Settings{Expected: []string{"n0", "n9"}})
 	if s := summaries(got); !slices.Equal(s, []string{"no records n9 0-59", "crash n1 19-19"}) {
 		t.Fatalf("%q", s)
@@ -211,7 +211,7 @@
 // TestSkewWidensFindingsOfSeveralBoxes checks that clock skew extends the intervals of findings of several boxes.
 func TestSkewWidensFindingsOfSeveralBoxes(t *testing.T) {
 	boxes := scenario{boxes: 8, seconds: 90, burst: [2]int{40, 47}, drain: map[int][3]int{1: {30, 33, 40}, 2: {34, 37, 44}}}.play(1)
-	plain, wide := Find(boxes, Settings{}), Find(boxes, Settings{Skew: 3 * s})
+	plain, wide := Find(boxes, Settings{}), Find(boxes, Settings{MaxSkew: 3 * s})
 	if len(plain) != len(wide) {
 		t.Fatalf("%d and %d findings", len(plain), len(wide))
 	}
@@ -242,31 +242,34 @@
 
 // TestRandomRecordsGiveOrderedFindings feeds random lives: no panic, valid and ordered findings, every gap reported.
 func TestRandomRecordsGiveOrderedFindings(t *testing.T) {
-	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
+	testkit.RunStateMachine(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		boxes := make([]Box, rapid.IntRange(1, 5).Draw(rt, "boxes"))
 		gaps := 0
 		for i := range boxes {
-			boxes[i] = Box{Name: fmt.Sprint("n", i), Lives: []Life{{Name: "a"}}}
+			boxes[i] = Box{Name: fmt.Sprint("n", i), Incarnations: []Incarnation{{Name: "a"}}}
 		}
-		now := testkit.Start
+		now := testkit.StartTime
 		pick := func(rt *rapid.T) *Box { return &boxes[rapid.IntRange(0, len(boxes)-1).Draw(rt, "box")] }
 		return map[string]func(*rapid.T){
 			"event": func(rt *rapid.T) {
 				b := pick(rt)
-				l := &b.Lives[len(b.Lives)-1]
+				l := &b.Incarnations[len(b.Incarnations)-1]
 				now += time.Duration(rapid.IntRange(-500, 3000).Draw(rt, "ms")) * time.Millisecond
 				l.Events = append(l.Events, Event{At: now, Kind: EventKind(rapid.IntRange(1, 8).Draw(rt, "kind")), OK: rapid.Bool().Draw(rt, "ok"),
 					Read: rapid.IntRange(0, 50).Draw(rt, "read"), Served: rapid.IntRange(0, 50).Draw(rt, "served"), Running: rapid.IntRange(0, 9).Draw(rt, "running")})
 			},
-			"life": func(rt *rapid.T) { b := pick(rt); b.Lives = append(b.Lives, Life{Name: fmt.Sprint(len(b.Lives))}) },
+			"life": func(rt *rapid.T) {
+				b := pick(rt)
+				b.Incarnations = append(b.Incarnations, Incarnation{Name: fmt.Sprint(len(b.Incarnations))})
+			},
 			"gap": func(rt *rapid.T) {
 				b := pick(rt)
-				l := &b.Lives[len(b.Lives)-1]
-				l.Gaps = append(l.Gaps, Gap{From: now, To: now + s, Why: "absent"})
+				l := &b.Incarnations[len(b.Incarnations)-1]
+				l.Gaps = append(l.Gaps, Gap{From: now, To: now + s, Reason: "absent"})
 				gaps++
 			},
 			"": func(rt *rapid.T) {
-				list, n := Find(boxes, Settings{Skew: s}), 0
+				list, n := Find(boxes, Settings{MaxSkew: s}), 0
 				for i, f := range list {
 					if i > 0 && f.From < list[i-1].From || len(f.Boxes) == 0 || len(f.Evidence) == 0 || f.Confidence <= 0 || f.Confidence > 1 {
 						rt.Fatalf("finding %+v", f)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -141,7 +141,7 @@
 
 // TestNoticesAreDeliveredOnceAcrossBreaks breaks the link at random positions of the stream.
 func TestNoticesAreDeliveredOnceAcrossBreaks(t *testing.T) {
-	testkit.Steps(t, func(*rapid.T) map[string]func(*rapid.T) {
+	testkit.RunStateMachine(t, func(*rapid.T) map[string]func(*rapid.T) {
 		mem := &linkMemory{}
 		var notices []string // notices of the engine, in the order of their numbers
 		var told []string
--- a/internal/engine/link.go
+++ b/internal/engine/link.go
@@ -135,7 +135,7 @@
 type connection struct {
 	netpoll.Connection
 	sess   *session
-	out    *outbox.Box
+	out    *outbox.Buffer
 	broken chan struct{} // closed when the link has ended
 	closed bool          // its descriptor is about to be closed or has been reused; guarded by the link's mu
 }
@@ -143,7 +143,7 @@
 // begin sets up a session on a connection that was accepted.
 func (l *Link) begin(conn netpoll.Connection) *connection {
 	c := &connection{Connection: conn, broken: make(chan struct{})}
-	c.out = outbox.New(conn, int(l.outputLimit.Load()), new(outbox.Account), func(error) { conn.Close() })
+	c.out = outbox.New(conn, int(l.outputLimit.Load()), new(outbox.SharedLimit), func(error) { conn.Close() })
 	c.sess = &session{memory: &l.memory, events: l.events, now: l.now, closeLink: func() { go conn.Close() }, send: func(encode func([]byte) []byte) {
 		if c.out.Put(encode) != nil {
 			go conn.Close() // in a goroutine: the close callbacks take locks that the sender may hold
@@ -213,7 +213,7 @@
 func (l *Link) read(sess *session, c netpoll.Connection) error {
 	defer func() {
 		if p := recover(); p != nil {
-			assert.Panicked("the link to the engine", p)
+			assert.CountPanic("the link to the engine", p)
 			c.Close()
 		}
 	}()
--- a/internal/engine/link_test.go
+++ b/internal/engine/link_test.go
@@ -75,9 +75,9 @@
 func accept(t *testing.T, ln net.Listener, last int) *testkit.Peer {
 	t.Helper()
 	c := testkit.Accept(t, ln)
-	c.Reads(fmt.Sprintf("ATTACH %d\r\n", last))
-	c.Says("HELLO running 5\r\n")
-	c.Reads("STAT g1\r\n")
+	c.ExpectRead(fmt.Sprintf("ATTACH %d\r\n", last))
+	c.Writef("HELLO running 5\r\n")
+	c.ExpectRead("STAT g1\r\n")
 	return c
 }
 
@@ -85,7 +85,7 @@
 func (w *linkHarness) attach(ln net.Listener, last int) (*testkit.Peer, time.Duration) {
 	w.t.Helper()
 	c := accept(w.t, ln, last)
-	c.Says("STATS g1 0 0 0 0\r\n")
+	c.Writef("STATS g1 0 0 0 0\r\n")
 	return c, <-w.attached
 }
 
@@ -107,15 +107,15 @@
 	if !w.Run("aa", "x", []byte("b")) {
 		t.Fatal("the link did not accept a run")
 	}
-	c.Reads("RUN aa x 1\r\nb\r\n")
-	c.Says("DONE 1 aa fine 3 2\r\nok\r\n")
+	c.ExpectRead("RUN aa x 1\r\nb\r\n")
+	c.Writef("DONE 1 aa fine 3 2\r\nok\r\n")
 	w.wantDone("aa ok")
 	c.Close()
 	c = accept(t, w.ln, 1)
 	if w.Run("bb", "x", nil) {
 		t.Error("a run was accepted before the missed notices were delivered")
 	}
-	c.Says("DONE 2 cc fine 3 0\r\n\r\nSTATS g1 0 0 0 0\r\n")
+	c.Writef("DONE 2 cc fine 3 0\r\n\r\nSTATS g1 0 0 0 0\r\n")
 	w.wantDone("cc ")
 	<-w.attached
 	if !w.Run("bb", "x", nil) {
@@ -133,17 +133,17 @@
 	w.Run("aa", "x", nil)
 	w.clock.Advance(time.Minute)
 	w.Move(next.Addr().String())
-	c.Reads("RUN aa x 0\r\n\r\nSTAT g2\r\n") // the write is not cut off, and the answer to the last STAT confirms that it was read
-	c.Ends()
+	c.ExpectRead("RUN aa x 0\r\n\r\nSTAT g2\r\n") // the write is not cut off, and the answer to the last STAT confirms that it was read
+	c.ExpectEOF()
 	if w.Run("bb", "x", nil) {
 		t.Error("the retired link accepted a run")
 	}
 	w.clock.Advance(time.Second)
-	c.Says("DONE 1 aa fine 3 2\r\nok\r\nSTATS g2 0 0 0 0\r\n")
+	c.Writef("DONE 1 aa fine 3 2\r\nok\r\nSTATS g2 0 0 0 0\r\n")
 	w.wantDone("aa ok")
 	c.Close()
-	if _, since := w.attach(next, 1); since != testkit.Start+time.Minute {
-		t.Errorf("writes before %v are confirmed, want those up to the move", since-testkit.Start)
+	if _, since := w.attach(next, 1); since != testkit.StartTime+time.Minute {
+		t.Errorf("writes before %v are confirmed, want those up to the move", since-testkit.StartTime)
 	}
 	if !w.Run("bb", "x", nil) {
 		t.Error("the new link takes no run")
@@ -156,27 +156,27 @@
 	defer w.stop()
 	c := accept(t, w.ln, 0)
 	w.clock.Advance(time.Minute) // the engine takes long to send the missed notices: the answer is still awaited
-	c.Says("STATS g1 0 0 0 0\r\n")
+	c.Writef("STATS g1 0 0 0 0\r\n")
 	<-w.attached
 	if !w.RequestGauges() {
 		t.Fatal("the gauges were not requested")
 	}
-	c.Reads("STAT g2\r\n")
+	c.ExpectRead("STAT g2\r\n")
 	w.clock.Advance(maxSilence)
-	c.Says("DONE 1 aa fine 3 2\r\nok\r\n") // any input counts, not only the gauges
+	c.Writef("DONE 1 aa fine 3 2\r\nok\r\n") // any input counts, not only the gauges
 	w.wantDone("aa ok")
 	if w.clock.Advance(maxSilence); !w.RequestGauges() {
 		t.Fatal("the link was closed although the engine sends notices")
 	}
-	c.Reads("STAT g3\r\n")
+	c.ExpectRead("STAT g3\r\n")
 	if w.clock.Advance(time.Millisecond); w.RequestGauges() {
 		t.Error("a silent engine was sent another request")
 	}
-	c.Ends()
+	c.ExpectEOF()
 	c = accept(t, w.ln, 1) // silent again, before all missed notices have been delivered
 	w.clock.Advance(maxSilence + time.Millisecond)
 	w.RequestGauges()
-	c.Ends()
+	c.ExpectEOF()
 	accept(t, w.ln, 1)
 	if n := w.counters.Get("engine_links_silent").Load(); n != 2 {
 		t.Errorf("%d links closed as silent, want 2", n)
@@ -191,18 +191,18 @@
 	hangs := func(last int, patience time.Duration) {
 		t.Helper()
 		c := testkit.Accept(t, w.ln)
-		c.Reads(fmt.Sprintf("ATTACH %d\r\n", last))
+		c.ExpectRead(fmt.Sprintf("ATTACH %d\r\n", last))
 		w.clock.Advance(patience)
 		w.RequestGauges()
-		c.Stays()
+		c.ExpectOpen()
 		w.clock.Advance(time.Millisecond)
 		w.RequestGauges()
-		c.Ends()
+		c.ExpectEOF()
 	}
 	hangs(0, 4*maxSilence)
 	hangs(0, 8*maxSilence)
 	c, _ := w.attach(w.ln, 0)
-	c.Says("DONE 1 aa fine 3 0\r\n\r\n")
+	c.Writef("DONE 1 aa fine 3 0\r\n\r\n")
 	w.wantDone("aa ")
 	c.Close()
 	for _, patience := range []time.Duration{1, 2, 4, 8, 16, 16} {
@@ -220,13 +220,13 @@
 	w.clock.Advance(time.Second)
 	asked := w.clock.Now()
 	w.RequestGauges()
-	c.Reads("STAT g2\r\n")
+	c.ExpectRead("STAT g2\r\n")
 	w.clock.Advance(time.Second)
 	w.RequestGauges() // the engine does not read this request
-	c.Says("STATS g2 0 0 0 0\r\nDONE 1 aa fine 3 0\r\n\r\n")
+	c.Writef("STATS g2 0 0 0 0\r\nDONE 1 aa fine 3 0\r\n\r\n")
 	w.wantDone("aa ")
 	w.clock.Advance(time.Second) // the engine is heard again long after
-	c.Says("DONE 2 bb fine 3 0\r\n\r\n")
+	c.Writef("DONE 2 bb fine 3 0\r\n\r\n")
 	w.wantDone("bb ")
 	c.Close()
 	if _, since := w.attach(w.ln, 2); since != asked {
@@ -268,5 +268,5 @@
 	w := newLinkHarness(t, unchanged)
 	c := accept(t, w.ln, 0)
 	w.stop()
-	c.Ends()
+	c.ExpectEOF()
 }
--- a/internal/standin/authority/authority.go
+++ b/internal/fake/authority/authority.go
@@ -35,58 +35,58 @@
 
 // The kinds of calls.
 const (
-	OpDirectory Op = "directory"
-	OpNonce     Op = "nonce"
-	OpAccount   Op = "account"
-	OpOrder     Op = "order"
-	OpLook      Op = "look" // fetch an order or an authorization
-	OpChallenge Op = "challenge"
-	OpFinalize  Op = "finalize"
-	OpFetch     Op = "fetch"  // download a certificate
-	OpWindow    Op = "window" // renewal information
-	OpRevoke    Op = "revoke"
-	OpKey       Op = "key-change"
+	OpDirectory   Op = "directory"
+	OpNonce       Op = "nonce"
+	OpAccount     Op = "account"
+	OpOrder       Op = "order"
+	OpGet         Op = "look" // fetch an order or an authorization
+	OpChallenge   Op = "challenge"
+	OpFinalize    Op = "finalize"
+	OpDownload    Op = "fetch"  // download a certificate
+	OpRenewalInfo Op = "window" // renewal information
+	OpRevoke      Op = "revoke"
+	OpKeyChange   Op = "key-change"
 )
 
 // Fault is a fault that is injected into a call or into the validation or issuance that the call starts. The zero value is no fault.
 type Fault struct {
-	Down       bool          // closes the connection without a response; the call has no effect
-	Lost       bool          // closes the connection without a response after the call has taken effect
-	Slow       bool          // sends no response until the client closes the connection; the call has no effect
-	Status     int           // HTTP status of an error response
-	BadNonce   bool          // rejects the nonce
-	RetryAfter time.Duration // Retry-After of the error response; 0 for none
-	Problem    string        // ACME error type of an error response, such as "caa"; the status is Status, or 403 if that is 0
-
-	Pending time.Duration // delay of the validation or issuance
-	Invalid bool          // makes the validation fail
-	Replace bool          // rejects an order that names a certificate to replace
-	Rubbish Rubbish       // makes the issued certificate unusable
+	DropRequest  bool          // closes the connection without a response; the call has no effect
+	DropResponse bool          // closes the connection without a response after the call has taken effect
+	Hang         bool          // sends no response until the client closes the connection; the call has no effect
+	Status       int           // HTTP status of an error response
+	BadNonce     bool          // rejects the nonce
+	RetryAfter   time.Duration // Retry-After of the error response; 0 for none
+	Problem      string        // ACME error type of an error response, such as "caa"; the status is Status, or 403 if that is 0
+
+	Delay          time.Duration // delay of the validation or issuance
+	FailValidation bool          // makes the validation fail
+	RejectReplaces bool          // rejects an order that names a certificate to replace
+	Defect         CertDefect    // makes the issued certificate unusable
 }
 
-// Rubbish is a defect of an issued certificate for which a client must not use it.
-type Rubbish string
+// CertDefect is a defect of an issued certificate for which a client must not use it.
+type CertDefect string
 
 // The kinds of defects.
 const (
-	WrongName   Rubbish = "wrong name"
-	AlreadyOver Rubbish = "expired"
-	OtherKey    Rubbish = "other key"
-	BrokenChain Rubbish = "broken chain"
-	NoPEM       Rubbish = "no certificate"
+	WrongName   CertDefect = "wrong name"
+	Expired     CertDefect = "expired"
+	OtherKey    CertDefect = "other key"
+	BrokenChain CertDefect = "broken chain"
+	InvalidDER  CertDefect = "no certificate"
 )
 
 // Config is the configuration of an authority.
 type Config struct {
-	Name     string
-	Now      func() time.Time
-	Lifetime time.Duration                                         // of issued certificates
-	Resolve  func(name string, port int) string                    // returns the address for validating a name, in place of DNS
-	Fault    func(now time.Time, op Op) Fault                      // returns the fault to inject into a call; nil for no faults
-	Window   func(*x509.Certificate) (from, to time.Time, ok bool) // overrides the suggested renewal window if ok; nil for the default
-	EAB      map[string][]byte                                     // MAC keys by key ID; if there are any, new accounts need a binding
-	PerHour  int                                                   // limit on orders of an account in an hour; 0 for none
-	PerName  int                                                   // limit on certificates for the same set of names in a week; 0 for none
+	Name          string
+	Now           func() time.Time
+	Lifetime      time.Duration                                         // of issued certificates
+	Resolve       func(name string, port int) string                    // returns the address for validating a name, in place of DNS
+	Fault         func(now time.Time, op Op) Fault                      // returns the fault to inject into a call; nil for no faults
+	RenewalWindow func(*x509.Certificate) (from, to time.Time, ok bool) // overrides the suggested renewal window if ok; nil for the default
+	EAB           map[string][]byte                                     // MAC keys by key ID; if there are any, new accounts need a binding
+	OrdersPerHour int                                                   // limit on orders of an account in an hour; 0 for none
+	CertsPerWeek  int                                                   // limit on certificates for the same set of names in a week; 0 for none
 }
 
 // Authority is a running fake authority.
@@ -141,7 +141,7 @@
 	chains   [][]byte  // the default and the alternate chain, as PEM
 	issueAt  time.Time // when the certificate is issued, once the order is processing
 	csr      *x509.CertificateRequest
-	defect   Rubbish
+	defect   CertDefect
 	expires  time.Time
 }
 
@@ -213,13 +213,13 @@
 		}
 		return nil
 	}))
-	mux.HandleFunc("/window/{id}", a.handlePlain(OpWindow, a.renewalInfo))
+	mux.HandleFunc("/window/{id}", a.handlePlain(OpRenewalInfo, a.renewalInfo))
 	for path, handler := range map[string]struct {
 		op     Op
 		handle func(*http.Request, *signedRequest) (response, error)
-	}{"/account": {OpAccount, a.newAccount}, "/account/{id}": {OpAccount, a.updateAccount}, "/order": {OpOrder, a.newOrder}, "/order/{id}": {OpLook, a.getOrder},
-		"/authz/{id}": {OpLook, a.getAuthz}, "/challenge/{id}/{kind}": {OpChallenge, a.startChallenge}, "/finalize/{id}": {OpFinalize, a.finalize},
-		"/cert/{id}/{chain}": {OpFetch, a.downloadCert}, "/revoke": {OpRevoke, a.revoke}, "/key": {OpKey, a.changeKey}} {
+	}{"/account": {OpAccount, a.newAccount}, "/account/{id}": {OpAccount, a.updateAccount}, "/order": {OpOrder, a.newOrder}, "/order/{id}": {OpGet, a.getOrder},
+		"/authz/{id}": {OpGet, a.getAuthz}, "/challenge/{id}/{kind}": {OpChallenge, a.startChallenge}, "/finalize/{id}": {OpFinalize, a.finalize},
+		"/cert/{id}/{chain}": {OpDownload, a.downloadCert}, "/revoke": {OpRevoke, a.revoke}, "/key": {OpKeyChange, a.changeKey}} {
 		mux.HandleFunc("POST "+path, a.handleSigned(handler.op, handler.handle))
 	}
 	a.server = &http.Server{Handler: mux, TLSConfig: &tls.Config{Certificates: []tls.Certificate{serverCert}}, ErrorLog: discardLog()}
@@ -233,11 +233,13 @@
 // Roots returns the certificate pool for verifying the authority's own TLS certificate and issued certificates.
 func (a *Authority) Roots() *x509.CertPool { return a.roots }
 
-// Certificates returns the root certificates of the default chain and of the alternate chain, in this order.
-func (a *Authority) Certificates() []*x509.Certificate { return []*x509.Certificate{a.root, a.altRoot} }
+// RootCertificates returns the root certificates of the default chain and of the alternate chain, in this order.
+func (a *Authority) RootCertificates() []*x509.Certificate {
+	return []*x509.Certificate{a.root, a.altRoot}
+}
 
-// OtherRoots returns a certificate pool that trusts only the alternate chain.
-func (a *Authority) OtherRoots() *x509.CertPool {
+// AltRoots returns a certificate pool that trusts only the alternate chain.
+func (a *Authority) AltRoots() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.altRoot)
 	return pool
@@ -246,8 +248,8 @@
 // Close closes the listener and all connections.
 func (a *Authority) Close() error { return a.server.Close() }
 
-// Calls returns the number of calls received of the given kind, or of all kinds if op is empty.
-func (a *Authority) Calls(op Op) int {
+// CallCount returns the number of calls received of the given kind, or of all kinds if op is empty.
+func (a *Authority) CallCount(op Op) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if op == "" {
@@ -256,8 +258,8 @@
 	return a.callsByOp[op]
 }
 
-// MostInAnHour returns the highest number of calls within any 60 minutes.
-func (a *Authority) MostInAnHour() (most int) {
+// MaxCallsPerHour returns the highest number of calls within any 60 minutes.
+func (a *Authority) MaxCallsPerHour() (most int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for from, to := 0, 0; to < len(a.calls); to++ {
@@ -269,8 +271,8 @@
 	return most
 }
 
-// Issued returns the number of issued certificates, those with a defect included.
-func (a *Authority) Issued() int {
+// IssuedCount returns the number of issued certificates, those with a defect included.
+func (a *Authority) IssuedCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.issued)
@@ -339,10 +341,10 @@
 // error.
 func injectFault(w http.ResponseWriter, r *http.Request, f Fault) bool {
 	switch {
-	case f.Slow:
+	case f.Hang:
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
-	case f.Down:
+	case f.DropRequest:
 		panic(http.ErrAbortHandler)
 	case f.Status != 0 || f.Problem != "":
 		problemType, status := f.Problem, f.Status
@@ -425,8 +427,8 @@
 	lifetime := issued.cert.NotAfter.Sub(issued.cert.NotBefore)
 	from := issued.cert.NotAfter.Add(-lifetime / 3)
 	to := from.Add(lifetime / 48)
-	if a.cfg.Window != nil {
-		if f, t, ok := a.cfg.Window(issued.cert); ok {
+	if a.cfg.RenewalWindow != nil {
+		if f, t, ok := a.cfg.RenewalWindow(issued.cert); ok {
 			from, to = f, t
 		}
 	}
--- a/internal/standin/authority/authority_test.go
+++ b/internal/fake/authority/authority_test.go
@@ -49,7 +49,7 @@
 func newClient(t *testing.T, cfg Config) *client {
 	t.Helper()
 	c := &client{t: t, clock: testkit.NewClock(), fault: func(Op) Fault { return Fault{} }}
-	cfg.Name, cfg.Now, cfg.Lifetime = "test", c.clock.Unix, 90*24*time.Hour
+	cfg.Name, cfg.Now, cfg.Lifetime = "test", c.clock.Time, 90*24*time.Hour
 	cfg.Fault = func(_ time.Time, op Op) Fault { return c.fault(op) }
 	var err error
 	if c.httpListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -171,7 +171,7 @@
 			intermediates.AddCert(cert)
 		}
 		for _, name := range []string{"site.example", "www.site.example"} {
-			if _, err := leaf.Verify(x509.VerifyOptions{DNSName: name, Roots: c.authority.Roots(), Intermediates: intermediates, CurrentTime: c.clock.Unix()}); err != nil {
+			if _, err := leaf.Verify(x509.VerifyOptions{DNSName: name, Roots: c.authority.Roots(), Intermediates: intermediates, CurrentTime: c.clock.Time()}); err != nil {
 				t.Errorf("%s: %v", kind, err)
 			}
 		}
@@ -211,7 +211,7 @@
 	if err := c.register(&acme.ExternalAccountBinding{KID: "kid-1", Key: []byte("a shared secret of thirty-two byt")}); err != nil {
 		t.Fatal(err)
 	}
-	c.fault = func(op Op) Fault { return Fault{Invalid: op == OpChallenge} }
+	c.fault = func(op Op) Fault { return Fault{FailValidation: op == OpChallenge} }
 	if _, _, err := c.obtain("http-01", newKey(t), "site.example"); err == nil {
 		t.Error("certificate issued after a failed validation")
 	}
@@ -252,14 +252,14 @@
 		fault     Fault
 		wantError string
 	}{
-		"down":      {OpOrder, Fault{Down: true}, "EOF"},
+		"down":      {OpOrder, Fault{DropRequest: true}, "EOF"},
 		"error":     {OpOrder, Fault{Status: 503, RetryAfter: time.Minute}, "503"},
 		"limit":     {OpOrder, Fault{Status: 429, Problem: "rateLimited", RetryAfter: time.Hour}, "rateLimited"},
 		"rejection": {OpOrder, Fault{Problem: "caa"}, "caa"},
 		"bad nonce": {OpOrder, Fault{BadNonce: true}, "badNonce"},
-		"lost":      {OpOrder, Fault{Lost: true}, "EOF"},
-		"unusable":  {OpFinalize, Fault{Rubbish: NoPEM}, "x509"},
-		"invalid":   {OpChallenge, Fault{Invalid: true}, "played by the script"},
+		"lost":      {OpOrder, Fault{DropResponse: true}, "EOF"},
+		"unusable":  {OpFinalize, Fault{Defect: InvalidDER}, "x509"},
+		"invalid":   {OpChallenge, Fault{FailValidation: true}, "played by the script"},
 	} {
 		c := newClient(t, Config{})
 		if err := c.register(nil); err != nil {
@@ -279,11 +279,11 @@
 			t.Errorf("%s: error %v, want one that contains %q", name, err, k.wantError)
 		}
 		c.fault = func(Op) Fault { return Fault{} }
-		before := c.authority.Calls(OpOrder)
+		before := c.authority.CallCount(OpOrder)
 		if _, _, err := c.obtain("http-01", newKey(t), "site.example"); err != nil && name != "unusable" {
 			t.Errorf("order after fault %s: %v", name, err)
 		}
-		if c.authority.Calls(OpOrder) == before {
+		if c.authority.CallCount(OpOrder) == before {
 			t.Errorf("after fault %s: no order call was counted", name)
 		}
 	}
@@ -292,11 +292,11 @@
 // TestRepeatedOrderReturnsOpenOrder checks that a client that repeats an order whose response was lost gets the open order and not a
 // second one, which would count against the rate limit.
 func TestRepeatedOrderReturnsOpenOrder(t *testing.T) {
-	c := newClient(t, Config{PerHour: 1})
+	c := newClient(t, Config{OrdersPerHour: 1})
 	if err := c.register(nil); err != nil {
 		t.Fatal(err)
 	}
-	c.fault = func(op Op) Fault { return Fault{Lost: op == OpOrder} }
+	c.fault = func(op Op) Fault { return Fault{DropResponse: op == OpOrder} }
 	if _, err := c.AuthorizeOrder(context.Background(), acme.DomainIDs("site.example")); err == nil {
 		t.Fatal("order succeeded, want its response lost")
 	}
@@ -323,7 +323,7 @@
 	}
 	c.fault = func(op Op) Fault {
 		if op == OpChallenge {
-			return Fault{Pending: 5 * time.Hour}
+			return Fault{Delay: 5 * time.Hour}
 		}
 		return Fault{}
 	}
@@ -364,7 +364,7 @@
 			c.clock.Advance(30 * time.Minute)
 		}
 	}
-	if got := c.authority.MostInAnHour(); got != 4 {
+	if got := c.authority.MaxCallsPerHour(); got != 4 {
 		t.Errorf("MostInAnHour returned %d, want 4", got)
 	}
 }
--- a/internal/standin/authority/calls.go
+++ b/internal/fake/authority/handlers.go
@@ -59,7 +59,7 @@
 		if err == nil {
 			resp, err = handle(r, s)
 		}
-		if fault.Lost {
+		if fault.DropResponse {
 			panic(http.ErrAbortHandler)
 		}
 		var p *problem
@@ -295,7 +295,7 @@
 	if req.Replaces != "" {
 		replaced := a.issued[req.Replaces]
 		switch {
-		case s.fault.Replace || replaced == nil || replaced.account != s.account:
+		case s.fault.RejectReplaces || replaced == nil || replaced.account != s.account:
 			return response{}, newProblem(http.StatusBadRequest, "malformed", "replaces %q, which is not one of yours", req.Replaces)
 		case replaced.replaced:
 			return response{}, newProblem(http.StatusConflict, "alreadyReplaced", "%q was replaced before", req.Replaces)
@@ -307,19 +307,19 @@
 		}
 	}
 	s.account.orders = slices.DeleteFunc(s.account.orders, func(t time.Time) bool { return now.Sub(t) >= time.Hour })
-	if a.cfg.PerHour > 0 && len(s.account.orders) >= a.cfg.PerHour {
+	if a.cfg.OrdersPerHour > 0 && len(s.account.orders) >= a.cfg.OrdersPerHour {
 		p := newProblem(http.StatusTooManyRequests, "rateLimited", "%d orders in an hour", len(s.account.orders))
 		p.retryAfter = s.account.orders[0].Add(time.Hour).Sub(now) + time.Second
 		return response{}, p
 	}
-	if a.cfg.PerName > 0 && req.Replaces == "" {
+	if a.cfg.CertsPerWeek > 0 && req.Replaces == "" {
 		recent := 0
 		for _, issued := range a.issued {
 			if issued.nameKey == nameKey(requestedNames) && now.Sub(issued.cert.NotBefore) < 7*24*time.Hour {
 				recent++
 			}
 		}
-		if recent >= a.cfg.PerName {
+		if recent >= a.cfg.CertsPerWeek {
 			p := newProblem(http.StatusTooManyRequests, "rateLimited", "%d certificates for these names in a week", recent)
 			p.retryAfter = 24 * time.Hour
 			return response{}, p
@@ -466,7 +466,7 @@
 		return response{}, newProblem(http.StatusNotFound, "malformed", "no such challenge")
 	}
 	if z.status == pending && z.challengeType == "" && len(s.payload) > 0 {
-		z.challengeType, z.validateAt, z.forceInvalid = challengeType, a.cfg.Now().Add(s.fault.Pending), s.fault.Invalid
+		z.challengeType, z.validateAt, z.forceInvalid = challengeType, a.cfg.Now().Add(s.fault.Delay), s.fault.FailValidation
 	}
 	return response{status: http.StatusOK, body: z.challengeBody(a, challengeType), links: []string{`<` + z.url + `>;rel="up"`}}, nil
 }
@@ -505,7 +505,7 @@
 	if nameKey(csr.DNSNames) != nameKey(o.names) {
 		return response{}, newProblem(http.StatusBadRequest, "badCSR", "for %v in place of %v", csr.DNSNames, o.names)
 	}
-	o.csr, o.status, o.issueAt, o.defect = csr, processing, a.cfg.Now().Add(s.fault.Pending), s.fault.Rubbish
+	o.csr, o.status, o.issueAt, o.defect = csr, processing, a.cfg.Now().Add(s.fault.Delay), s.fault.Defect
 	a.updateOrder(o)
 	return response{status: http.StatusOK, location: o.url, body: o.body(a)}, nil
 }
@@ -521,7 +521,7 @@
 	switch o.defect {
 	case WrongName:
 		template.DNSNames = []string{"somebody.else.example"}
-	case AlreadyOver:
+	case Expired:
 		template.NotBefore, template.NotAfter = template.NotBefore.Add(-2*a.cfg.Lifetime), template.NotAfter.Add(-2*a.cfg.Lifetime)
 	case OtherKey:
 		otherKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -545,7 +545,7 @@
 	switch o.defect {
 	case BrokenChain:
 		o.chains[0] = pemChain(der, a.altRoot.Raw)
-	case NoPEM:
+	case InvalidDER:
 		o.chains[0] = []byte("-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n")
 	}
 	o.status = valid
--- a/internal/standin/catalog/catalog.go
+++ b/internal/fake/catalog/catalog.go
@@ -65,22 +65,22 @@
 // String returns the address as host:port.
 func (c *Catalog) String() string { return c.ln.Addr().String() }
 
-// Down sets whether the catalog rejects all reports with status 503.
-func (c *Catalog) Down(on bool) {
+// SetDown sets whether the catalog rejects all reports with status 503.
+func (c *Catalog) SetDown(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = on
 }
 
-// Came returns the number of reports received, rejected ones included.
-func (c *Catalog) Came() int {
+// ReportCount returns the number of reports received, rejected ones included.
+func (c *Catalog) ReportCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.received
 }
 
-// Last returns the last accepted report of a replica, and false if there is none.
-func (c *Catalog) Last(name string) (Report, bool) {
+// LastReport returns the last accepted report of a replica, and false if there is none.
+func (c *Catalog) LastReport(name string) (Report, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r, ok := c.lastReports[name]
--- a/internal/standin/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -37,20 +37,20 @@
 
 // New returns an engine whose runs take as long as duration returns.
 func New(duration func(id string) time.Duration) *Engine {
-	return On(func(id, _ string, done func(time.Duration)) {
+	return NewWithExecutor(func(id, _ string, done func(time.Duration)) {
 		took := duration(id)
 		time.AfterFunc(took, func() { done(took) })
 	}, nil)
 }
 
-// On returns an engine whose runs are carried out by execute, which calls done when a run has ended. demand returns the demand for
+// NewWithExecutor returns an engine whose runs are carried out by execute, which calls done when a run has ended. demand returns the demand for
 // cores that STAT reports; if it is nil, STAT reports the number of runs at work.
-func On(execute func(id, body string, done func(took time.Duration)), demand func() int) *Engine {
+func NewWithExecutor(execute func(id, body string, done func(took time.Duration)), demand func() int) *Engine {
 	return &Engine{execute: execute, demand: demand, runs: map[string][]Run{}, begun: map[string]int{}}
 }
 
-// Born sets the engine's start time, from which HELLO reports the engine's age. Without it the age is one minute.
-func (e *Engine) Born(at time.Time) {
+// SetStartTime sets the engine's start time, from which HELLO reports the engine's age. Without it the age is one minute.
+func (e *Engine) SetStartTime(at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.startedAt = at
@@ -66,15 +66,15 @@
 	return time.Since(e.startedAt).Milliseconds()
 }
 
-// Began reports whether a run with the given id was begun.
-func (e *Engine) Began(id string) bool {
+// HasRun reports whether a run with the given id was begun.
+func (e *Engine) HasRun(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.begun[id] > 0
 }
 
-// Ran returns the number of runs that were begun with the given body.
-func (e *Engine) Ran(body string) int {
+// RunCount returns the number of runs that were begun with the given body.
+func (e *Engine) RunCount(body string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.runs[body])
@@ -93,8 +93,8 @@
 	return e.runs[body]
 }
 
-// Most returns the highest number of runs that were at work at the same time.
-func (e *Engine) Most() int {
+// MaxRunning returns the highest number of runs that were at work at the same time.
+func (e *Engine) MaxRunning() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.maxRunning
@@ -158,8 +158,8 @@
 	}
 }
 
-// Cut sets whether the address rejects links. Turning it on closes the current link and each new one as soon as it is accepted.
-func (a *Address) Cut(on bool) {
+// RejectLinks sets whether the address rejects links. Turning it on closes the current link and each new one as soon as it is accepted.
+func (a *Address) RejectLinks(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.rejectLinks = on; on && a.link != nil {
@@ -167,8 +167,8 @@
 	}
 }
 
-// Dials returns the number of accepted connections, rejected ones included.
-func (a *Address) Dials() int {
+// DialCount returns the number of accepted connections, rejected ones included.
+func (a *Address) DialCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.dials
--- a/internal/standin/engine/calls.go
+++ b/internal/fake/engine/index_calls.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"cairnlane/internal/standin/index"
+	"cairnlane/internal/fake/index"
 )
 
 // callTimeout is how long a run waits for its index call. The real engine ends a waiting run when its request is over, but this fake
@@ -22,15 +22,15 @@
 	expiry *time.Timer
 }
 
-// Calls sets whether each run makes one index call before its work.
-func (e *Engine) Calls(on bool) {
+// SetIndexCalls sets whether each run makes one index call before its work.
+func (e *Engine) SetIndexCalls(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.callsIndex = on
 }
 
-// Fed returns the number of calls that got the expected reply, of calls that were skipped, and of calls that got a wrong reply.
-func (e *Engine) Fed() (fed, skipped, wrong int) {
+// CallCounts returns the number of calls that got the expected reply, of calls that were skipped, and of calls that got a wrong reply.
+func (e *Engine) CallCounts() (fed, skipped, wrong int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.fed, e.skipped, e.wrong
--- a/internal/standin/index/index.go
+++ b/internal/fake/index/index.go
@@ -46,15 +46,15 @@
 // String returns the address as host:port.
 func (x *Index) String() string { return x.ln.Addr().String() }
 
-// Calls returns the number of calls received, and how many of them were abandoned by their callers.
-func (x *Index) Calls() (calls, abandoned int) {
+// CallCounts returns the number of calls received, and how many of them were abandoned by their callers.
+func (x *Index) CallCounts() (calls, abandoned int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.calls, x.abandoned
 }
 
-// Shed makes the index reject, with SHED, each call for which reject returns true. Calls are numbered from 1.
-func (x *Index) Shed(reject func(call int) bool) {
+// RejectIf makes the index reject, with SHED, each call for which reject returns true. Calls are numbered from 1.
+func (x *Index) RejectIf(reject func(call int) bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.shed = reject
--- a/internal/standin/index/index_test.go
+++ b/internal/fake/index/index_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	defer x.Close()
-	x.Shed(func(call int) bool { return call == 2 })
+	x.RejectIf(func(call int) bool { return call == 2 })
 	conn, err := net.Dial("tcp", x.String())
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 			t.Fatalf("after %q: read %q, %v, want %q", send, got, err, want)
 		}
 	}
-	if calls, abandoned := x.Calls(); calls != 3 || abandoned != 0 {
+	if calls, abandoned := x.CallCounts(); calls != 3 || abandoned != 0 {
 		t.Errorf("%d calls, %d of them abandoned, want 3 and 0", calls, abandoned)
 	}
 }
@@ -52,7 +52,7 @@
 		t.Errorf("read %q, %v, want no reply", got, err)
 	}
 	<-served
-	if calls, abandoned := x.Calls(); calls != 2 || abandoned != 2 {
+	if calls, abandoned := x.CallCounts(); calls != 2 || abandoned != 2 {
 		t.Errorf("%d calls, %d of them abandoned, want 2 and 2", calls, abandoned)
 	}
 }
--- a/internal/standin/resource/resource.go
+++ b/internal/fake/resource/resource.go
@@ -19,15 +19,15 @@
 type Effect struct {
 	Thing string
 	Ticket
-	Box    string
-	Pid    int
-	Called time.Duration // time of the announcement; the box has checked that it may act before it
-	Begin  time.Duration // 0 if the effect was rejected or has not begun
-	End    time.Duration // 0 while the effect is in progress; the time of the rejection if it was rejected
-	Fenced bool          // ended by an effect with a newer token
-	Stale  bool          // rejected: its token is older than one that was seen
-	Low    bool          // rejected: its version is below the lowest allowed version reported with an effect
-	Trap   bool          // the function set by Trap acted between announcement and begin, such as by stopping the box's process
+	Box         string
+	Pid         int
+	AnnouncedAt time.Duration // time of the announcement; the box has checked that it may act before it
+	Begin       time.Duration // 0 if the effect was rejected or has not begun
+	End         time.Duration // 0 while the effect is in progress; the time of the rejection if it was rejected
+	Fenced      bool          // ended by an effect with a newer token
+	Stale       bool          // rejected: its token is older than one that was seen
+	BelowLowest bool          // rejected: its version is below the lowest allowed version reported with an effect
+	Intercepted bool          // the function set by Trap acted between announcement and begin, such as by stopping the box's process
 }
 
 // Ticket is the authority for an effect: the lease's token, the version of the configuration that the box acts on, and the lowest
@@ -92,8 +92,8 @@
 // Now returns the time since the start of the resource.
 func (r *Resource) Now() time.Duration { return time.Since(r.started) }
 
-// Trap makes the resource call f with each announced effect, before it replies to the announcement, until f returns true.
-func (r *Resource) Trap(f func(Effect) bool) {
+// OnAnnounce makes the resource call f with each announced effect, before it replies to the announcement, until f returns true.
+func (r *Resource) OnAnnounce(f func(Effect) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.trap = f
@@ -136,7 +136,7 @@
 		reply := "what"
 		switch request {
 		case "about":
-			e := &Effect{Called: r.Now()}
+			e := &Effect{AnnouncedAt: r.Now()}
 			if _, err := fmt.Sscan(args, &e.Thing, &e.Token, &e.Version, &e.Lowest, &e.Box, &e.Pid); err != nil {
 				break
 			}
@@ -144,7 +144,7 @@
 			r.effects = append(r.effects, e)
 			open = e
 			if r.trap != nil && r.trap(*e) {
-				r.trap, e.Trap = nil, true
+				r.trap, e.Intercepted = nil, true
 			}
 			r.mu.Unlock()
 			reply = "go"
@@ -183,7 +183,7 @@
 			return "stale"
 		}
 		if e.Version < r.lowestVersion[e.Thing] {
-			e.Low, e.End = true, now
+			e.BelowLowest, e.End = true, now
 			return "low"
 		}
 		if e.Token > r.newestToken[e.Thing] {
@@ -256,8 +256,8 @@
 	return reply == "ok", err
 }
 
-// Note reports an event of one of the box's leases to the resource.
-func (c *Client) Note(what, task string, token uint64, box string, pid int) error {
+// ReportNote reports an event of one of the box's leases to the resource.
+func (c *Client) ReportNote(what, task string, token uint64, box string, pid int) error {
 	_, err := c.request(fmt.Sprintf("note %s %s %d %s %d", what, task, token, box, pid))
 	return err
 }
--- a/internal/standin/router/router.go
+++ b/internal/fake/router/router.go
@@ -19,20 +19,20 @@
 
 // Request is an attempt to send.
 type Request struct {
-	Txn, Class, Tenant, Unique, Item string
-	Body                             string
-	Limit                            time.Duration // time limit, from Door
-	Retry                            bool
-	Rank                             float64   // the router's rank of the request, sent as standing; 0 stands for 0.5
-	Door                             time.Time // arrival time at the router; zero stands for the time of sending
+	Txn, Class, Tenant, IdempotencyKey, Item string
+	Body                                     string
+	TimeLimit                                time.Duration // time limit, from Door
+	Retry                                    bool
+	Rank                                     float64   // the router's rank of the request, sent as standing; 0 stands for 0.5
+	ArrivedAt                                time.Time // arrival time at the router; zero stands for the time of sending
 }
 
 // arrivedAt returns Door or its default.
 func (q *Request) arrivedAt() time.Time {
-	if q.Door.IsZero() {
+	if q.ArrivedAt.IsZero() {
 		return time.Now()
 	}
-	return q.Door
+	return q.ArrivedAt
 }
 
 // rank returns Rank or its default. It is limited to 0.9999, the highest value below 1 in the four digits that are sent.
@@ -43,38 +43,38 @@
 	return min(q.Rank, 0.9999)
 }
 
-// End is the kind of outcome of an attempt.
-type End int
+// OutcomeKind is the kind of outcome of an attempt.
+type OutcomeKind int
 
 // The kinds of outcomes.
 const (
-	Served     End = iota
-	Refused        // rejected by the replica
-	Failed         // the reply was an exception, malformed, or without success
-	Lost           // the connection ended without a reply; the replica may have read the request
-	TurnedBack     // no connection accepted the request, so that no replica can have read it
+	Served      OutcomeKind = iota
+	Rejected                // rejected by the replica
+	Failed                  // the reply was an exception, malformed, or without success
+	Lost                    // the connection ended without a reply; the replica may have read the request
+	NotAccepted             // no connection accepted the request, so that no replica can have read it
 )
 
 // Outcome is the outcome of an attempt.
 type Outcome struct {
-	End  End
+	Kind OutcomeKind
 	Body string
 	Took time.Duration
 	// Fields of the reply's map.
-	Later    time.Duration // retry-after delay
-	GiveUp   bool          // do not retry
-	Feedback float64
-	Told     bool // the reply had a valid Feedback
+	RetryAfter  time.Duration // retry-after delay
+	DoNotRetry  bool          // do not retry
+	Feedback    float64
+	HasFeedback bool // the reply had a valid Feedback
 }
 
 // readFields sets the outcome's fields from the map of a reply.
 func (o *Outcome) readFields(fields map[string]string) {
 	if ms, err := strconv.ParseInt(fields["later"], 10, 64); err == nil {
-		o.Later = time.Duration(ms) * time.Millisecond
+		o.RetryAfter = time.Duration(ms) * time.Millisecond
 	}
-	o.GiveUp = fields["giveup"] == "1"
+	o.DoNotRetry = fields["giveup"] == "1"
 	if v, err := strconv.ParseFloat(fields["feedback"], 64); err == nil {
-		o.Feedback, o.Told = v, true
+		o.Feedback, o.HasFeedback = v, true
 	}
 }
 
@@ -85,8 +85,8 @@
 type Router struct {
 	Addr   string
 	Number int // the router's number, sent with each request
-	// Twice is called with the sequence number of a reply that matches no open request: a second reply or an unsolicited one.
-	Twice func(seq int32)
+	// OnUnexpectedReply is called with the sequence number of a reply that matches no open request: a second reply or an unsolicited one.
+	OnUnexpectedReply func(seq int32)
 
 	mu   sync.Mutex
 	conn *conn // the connection for new requests; nil until the first one
@@ -122,14 +122,14 @@
 	for attempt := 0; ; attempt++ {
 		c, err := r.connection()
 		if err != nil {
-			done(Outcome{End: TurnedBack, Took: time.Since(started)})
+			done(Outcome{Kind: NotAccepted, Took: time.Since(started)})
 			return
 		}
 		if c.send(r, &call{request: q, started: started, done: done, resent: resent}) {
 			return
 		}
 		if attempt == 2 {
-			done(Outcome{End: TurnedBack, Took: time.Since(started)})
+			done(Outcome{Kind: NotAccepted, Took: time.Since(started)})
 			return
 		}
 	}
@@ -172,8 +172,8 @@
 func (c *conn) send(r *Router, pending *call) bool {
 	q := &pending.request
 	fields := [][2]string{{"verb", q.Class}, {"txn", q.Txn}, {"door", strconv.FormatInt(q.arrivedAt().UnixMilli(), 10)}, {"lb", strconv.Itoa(r.Number)},
-		{"team", q.Tenant}, {"limit", strconv.FormatInt(q.Limit.Milliseconds(), 10)}, {"ram", "9"}, {"standing", strconv.FormatFloat(q.rank(), 'f', 4, 64)}}
-	for name, value := range map[string]string{"unique": q.Unique, "item": q.Item} {
+		{"team", q.Tenant}, {"limit", strconv.FormatInt(q.TimeLimit.Milliseconds(), 10)}, {"ram", "9"}, {"standing", strconv.FormatFloat(q.rank(), 'f', 4, 64)}}
+	for name, value := range map[string]string{"unique": q.IdempotencyKey, "item": q.Item} {
 		if value != "" {
 			fields = append(fields, [2]string{name, value})
 		}
@@ -223,7 +223,7 @@
 			r.send(pending.request, pending.started, pending.done, true)
 			continue
 		}
-		pending.done(Outcome{End: Lost, Took: time.Since(pending.started)})
+		pending.done(Outcome{Kind: Lost, Took: time.Since(pending.started)})
 	}
 }
 
@@ -249,7 +249,7 @@
 	drained := c.draining && len(c.open) == 0
 	c.mu.Unlock()
 	if pending == nil {
-		r.Twice(h.Seq)
+		r.OnUnexpectedReply(h.Seq)
 		return !drained
 	}
 	out.Took = time.Since(pending.started)
@@ -260,25 +260,25 @@
 // readResult reads the result of a serve call.
 func readResult(rd *thrift.Reader, h thrift.Header) Outcome {
 	if h.Type != thrift.Reply {
-		return Outcome{End: Failed}
+		return Outcome{Kind: Failed}
 	}
 	var out Outcome
 	switch _, id := rd.Field(); id {
 	case 0:
 		body, success := readAnswer(rd, &out)
 		if rd.Err() != nil || !success {
-			return Outcome{End: Failed}
+			return Outcome{Kind: Failed}
 		}
-		out.End, out.Body = Served, body
+		out.Kind, out.Body = Served, body
 		return out
 	case 1:
 		if t, id := rd.Field(); t == thrift.Map && id == 1 {
 			out.readFields(rd.StringMap())
 		}
-		out.End = Refused
+		out.Kind = Rejected
 		return out
 	}
-	return Outcome{End: Failed}
+	return Outcome{Kind: Failed}
 }
 
 // readAnswer reads the Thrift struct Answer into out and returns its body and its success flag.
@@ -320,9 +320,9 @@
 	return payload, err
 }
 
-// Check makes one health check of the replica on a new connection and returns its result. timeout limits the connecting, and again
+// CheckHealth makes one health check of the replica on a new connection and returns its result. timeout limits the connecting, and again
 // the check.
-func Check(addr string, timeout time.Duration) (good bool, err error) {
+func CheckHealth(addr string, timeout time.Duration) (good bool, err error) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return false, err
--- a/internal/faultfs/faultfs.go
+++ b/internal/faultfs/faultfs.go
@@ -87,8 +87,8 @@
 // NewFaulty returns a file system with no faults set.
 func NewFaulty() *Faulty { return &Faulty{killAt: -1, space: -1, fullAt: map[int]bool{}} }
 
-// FullAt makes the nth changing operation, counted from 0, fail with ENOSPC after half of its bytes were written.
-func (f *Faulty) FullAt(n int) { f.mu.Lock(); defer f.mu.Unlock(); f.fullAt[n] = true }
+// NoSpaceAt makes the nth changing operation, counted from 0, fail with ENOSPC after half of its bytes were written.
+func (f *Faulty) NoSpaceAt(n int) { f.mu.Lock(); defer f.mu.Unlock(); f.fullAt[n] = true }
 
 // KillAt simulates the death of the process at the nth changing operation, counted from 0. At most written bytes of that operation
 // reach the disk.
@@ -98,11 +98,11 @@
 	f.killAt, f.tornBytes = n, written
 }
 
-// Room limits the bytes that may still be written to the disk; a negative number removes the limit.
-func (f *Faulty) Room(bytes int) { f.mu.Lock(); defer f.mu.Unlock(); f.space = bytes }
+// LimitSpace limits the bytes that may still be written to the disk; a negative number removes the limit.
+func (f *Faulty) LimitSpace(bytes int) { f.mu.Lock(); defer f.mu.Unlock(); f.space = bytes }
 
-// Ops returns the number of changing operations so far.
-func (f *Faulty) Ops() int { f.mu.Lock(); defer f.mu.Unlock(); return f.ops }
+// OpCount returns the number of changing operations so far.
+func (f *Faulty) OpCount() int { f.mu.Lock(); defer f.mu.Unlock(); return f.ops }
 
 // beginOp counts one changing operation that writes the given number of bytes. It returns how many of them may be written, and
 // the injected error or nil. name is the operation's name in the error.
@@ -162,8 +162,8 @@
 	return f.Disk.SyncDir(path)
 }
 
-// Dead reports whether the operation set by KillAt was reached.
-func (f *Faulty) Dead() bool {
+// Killed reports whether the operation set by KillAt was reached.
+func (f *Faulty) Killed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.killAt >= 0 && f.ops > f.killAt
--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -36,7 +36,7 @@
 }
 
 func (f *Fleet) writeAudit(e audit.Entry) uint64 {
-	n, err := f.cfg.Audit.Write(e)
+	n, err := f.cfg.Audit.Append(e)
 	if err != nil {
 		f.cfg.Logf("%v", err)
 	}
@@ -58,7 +58,7 @@
 		return
 	}
 	f.auditedPhase, f.auditedSession, f.auditedStanding = h.Phase(), h.Session(), stands
-	f.recordAuditLocked(audit.Entry{Kind: audit.Standing, Text: f.auditedPhase.String() + ", " + stands.String()})
+	f.recordAuditLocked(audit.Entry{Kind: audit.FleetStatus, Text: f.auditedPhase.String() + ", " + stands.String()})
 }
 
 // reportAuditHeads reports the head of the audit chain to the ledger. It reports only synced entries: entries lost in a power failure must not
@@ -110,9 +110,9 @@
 }
 
 // DecodeAuditHead decodes a chain head recorded in the ledger.
-func DecodeAuditHead(m lease.Mark) (audit.Mark, error) {
+func DecodeAuditHead(m lease.Mark) (audit.ChainHead, error) {
 	raw, err := hex.DecodeString(m.Sum)
-	out := audit.Mark{Chain: m.Chain, N: m.N, Index: m.Index >> ledger.CommandBits, First: m.First}
+	out := audit.ChainHead{Chain: m.Chain, N: m.N, Index: m.Index >> ledger.CommandBits, First: m.First}
 	copy(out.Sum[:], raw)
 	return out, err
 }
--- a/internal/fleet/command/command_test.go
+++ b/internal/fleet/command/command_test.go
@@ -107,7 +107,7 @@
 	} {
 		d := &fakeDesk{answer: c.say, beginErr: c.begin}
 		var out bytes.Buffer
-		code := Run(d, Config{Request: lease.Request{Task: "x", Slots: 1}, Wait: 30 * time.Millisecond, Grace: 50 * time.Millisecond, Command: []string{"bash", "-c", c.command}, Now: clock.Boot, Stderr: &out})
+		code := Run(d, Config{Request: lease.Request{Task: "x", Slots: 1}, Wait: 30 * time.Millisecond, Grace: 50 * time.Millisecond, Command: []string{"bash", "-c", c.command}, Now: clock.SinceBoot, Stderr: &out})
 		if code != c.want || !strings.Contains(out.String(), c.says) || d.ended != (c.begin == nil) {
 			t.Errorf("%s: code %d, want %d; slot given back: %v; output %q", name, code, c.want, d.ended, out.String())
 		}
@@ -115,7 +115,7 @@
 			t.Errorf("%s: processes of the command are left", name)
 		}
 	}
-	if code := Run(&fakeDesk{answer: heldForever}, Config{Command: []string{filepath.Join(dir, "none")}, Now: clock.Boot, Stderr: new(bytes.Buffer)}); code != NotStarted {
+	if code := Run(&fakeDesk{answer: heldForever}, Config{Command: []string{filepath.Join(dir, "none")}, Now: clock.SinceBoot, Stderr: new(bytes.Buffer)}); code != NotStarted {
 		t.Errorf("missing command: exit code %d", code)
 	}
 }
@@ -124,7 +124,7 @@
 func TestRemainingChildrenAreKilled(t *testing.T) {
 	at := filepath.Join(t.TempDir(), "child")
 	d := &fakeDesk{answer: heldForever}
-	code := Run(d, Config{Command: []string{"bash", "-c", `sleep 60 & echo $! > ` + at}, Grace: time.Second, Now: clock.Boot, Stderr: os.Stderr})
+	code := Run(d, Config{Command: []string{"bash", "-c", `sleep 60 & echo $! > ` + at}, Grace: time.Second, Now: clock.SinceBoot, Stderr: os.Stderr})
 	raw, err := os.ReadFile(at)
 	if err != nil || code != 0 {
 		t.Fatal(code, err)
@@ -143,7 +143,7 @@
 	at := filepath.Join(t.TempDir(), "began")
 	d := &fakeDesk{answer: heldForever}
 	early := &startProbe{fakeDesk: d, at: at}
-	if code := Run(early, Config{Command: []string{"bash", "-c", "echo > " + at}, Grace: time.Second, Now: clock.Boot, Stderr: os.Stderr}); code != 0 || early.startedEarly {
+	if code := Run(early, Config{Command: []string{"bash", "-c", "echo > " + at}, Grace: time.Second, Now: clock.SinceBoot, Stderr: os.Stderr}); code != 0 || early.startedEarly {
 		t.Errorf("exit code %d, started before the desk knew it: %v", code, early.startedEarly)
 	}
 	if _, err := os.Stat(at); err != nil {
--- a/internal/fleet/config_transfers.go
+++ b/internal/fleet/config_transfers.go
@@ -164,7 +164,7 @@
 // Store implements Configs. The audit entry precedes every effect under the new version: the fleet's lock is held from the entry to
 // the end of the change, and Act needs that lock to check an effect.
 func (v *configTransfers) Store(r rollout.Version, at LedgerPosition) error {
-	if err := v.store.Enter(configs.InForce{N: r.N, Digest: r.Digest, Fleet: at.Fleet, Index: at.Index}); err != nil {
+	if err := v.store.SetInForce(configs.InForce{N: r.N, Digest: r.Digest, Fleet: at.Fleet, Index: at.Index}); err != nil {
 		return err
 	}
 	acts := v.fleet.cfg.AuditBuild
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -44,7 +44,9 @@
 	return needs, r, err
 }
 
-func (a *soloFleet) now() time.Duration { return clock.Boot() + time.Duration(a.clockOffset.Load()) }
+func (a *soloFleet) now() time.Duration {
+	return clock.SinceBoot() + time.Duration(a.clockOffset.Load())
+}
 
 var testTerms = lease.Terms{Term: 2 * time.Second, Drift: 0.01}
 
@@ -193,14 +195,14 @@
 		if e.Kind == audit.Effect && (e.Token != token || e.Task != "x" || e.Index == 0 || e.Session == 0) {
 			t.Errorf("%+v", e)
 		}
-		if e.Kind == audit.Done {
+		if e.Kind == audit.EffectDone {
 			kinds[0] += map[bool]int{true: 1}[e.OK]
 		}
 	}
-	if kinds[audit.Effect] != 7 || kinds[audit.Done] != 7 || kinds[0] != 5 || kinds[audit.Version] != 1 || kinds[audit.Drain] != 1 || kinds[audit.Standing] == 0 {
+	if kinds[audit.Effect] != 7 || kinds[audit.EffectDone] != 7 || kinds[0] != 5 || kinds[audit.Version] != 1 || kinds[audit.Drain] != 1 || kinds[audit.FleetStatus] == 0 {
 		t.Errorf("%v", kinds)
 	}
-	var marks []audit.Mark
+	var marks []audit.ChainHead
 	for _, m := range a.AuditHeads()["a"] {
 		mark, err := DecodeAuditHead(m)
 		if err != nil {
@@ -208,7 +210,7 @@
 		}
 		marks = append(marks, mark)
 	}
-	if proven, _ := book.Against(marks); proven != 1 || len(book.Faults) > 0 {
+	if proven, _ := book.VerifyMarks(marks); proven != 1 || len(book.Faults) > 0 {
 		t.Errorf("%d proven, %v", proven, book.Faults)
 	}
 	list, _ := filepath.Glob(filepath.Join(a.dir, "*.aud"))
@@ -221,7 +223,7 @@
 		t.Fatal(err)
 	}
 	cut, _ := audit.Read(a.dir)
-	if cut.Against(marks); len(cut.Faults) == 0 {
+	if cut.VerifyMarks(marks); len(cut.Faults) == 0 {
 		t.Error("half of the audit file was removed, but no fault was found")
 	}
 }
--- a/internal/fleet/task.go
+++ b/internal/fleet/task.go
@@ -124,14 +124,14 @@
 	p := Permit{Token: t.ask.Token, Left: t.f.node.Holder().ActDeadline() - now, Version: t.f.node.InForce(), Lowest: t.f.node.Lowest()}
 	t.f.mu.Unlock()
 	if err != nil {
-		t.f.recordAudit(audit.Entry{Kind: audit.Done, Task: ask.Task, Token: ask.Token, Ref: ref, Text: "not made: " + err.Error()})
+		t.f.recordAudit(audit.Entry{Kind: audit.EffectDone, Task: ask.Task, Token: ask.Token, Ref: ref, Text: "not made: " + err.Error()})
 		return err
 	}
 	err = effect(p)
 	if t.f.cfg.Now()-now > need {
 		t.f.overtimeEffects.Inc()
 	}
-	done := audit.Entry{Kind: audit.Done, Task: ask.Task, Token: ask.Token, Ref: ref, OK: err == nil}
+	done := audit.Entry{Kind: audit.EffectDone, Task: ask.Task, Token: ask.Token, Ref: ref, OK: err == nil}
 	if err != nil {
 		done.Text = err.Error()
 	}
--- a/internal/fleet/view/view_test.go
+++ b/internal/fleet/view/view_test.go
@@ -87,7 +87,7 @@
 
 // TestFalseSummaryMovesSumsWithinLimits checks that one box of n, whatever it reports, moves the sums by no more than the limits for one box.
 func TestFalseSummaryMovesSumsWithinLimits(t *testing.T) {
-	testkit.Check(t, 400, func(t *rapid.T) {
+	testkit.CheckProperty(t, 400, func(t *rapid.T) {
 		n := rapid.IntRange(3, 40).Draw(t, "boxes")
 		var v View
 		for i := range n - 1 {
--- a/internal/front/ends.go
+++ b/internal/front/closing.go
@@ -40,7 +40,7 @@
 	if reason == conns.None {
 		return c.ending.Step(c.now(), v)
 	}
-	return c.ending.Want(c.now(), reason, v)
+	return c.ending.Request(c.now(), reason, v)
 }
 
 // observe fills in the fields of a view that are outside of the session.
@@ -140,11 +140,11 @@
 	return false
 }
 
-// SetMost changes the maximum number of connections, closes the least used ones above it and returns how many
+// SetMaxConnections changes the maximum number of connections, closes the least used ones above it and returns how many
 // connections are left. Connections in use stay open above the maximum until they are quiet.
-func (s *Server) SetMost(maxConns int) (left int) {
+func (s *Server) SetMaxConnections(maxConns int) (left int) {
 	s.mu.Lock()
-	s.table.SetMost(maxConns)
+	s.table.SetMax(maxConns)
 	s.mu.Unlock()
 	s.shrink()
 	return s.Connections()
@@ -153,7 +153,7 @@
 // shrink closes connections while the table holds more than its maximum.
 func (s *Server) shrink() {
 	s.mu.Lock()
-	over := s.table.Over()
+	over := s.table.Excess()
 	s.mu.Unlock()
 	for range over {
 		s.mu.Lock()
@@ -276,11 +276,11 @@
 	}
 }
 
-// Leave stops listening, so that new connections are rejected at once, and sends goaway on the open ones. The
+// Drain stops listening, so that new connections are rejected at once, and sends goaway on the open ones. The
 // listening socket is shut down rather than closed: netpoll closes its descriptor twice, and the second close could
 // hit a connection that has got the same descriptor in between. Connections that the kernel has accepted are accepted
 // first: they may carry complete requests, and a shutdown would reset them.
-func (s *Server) Leave() {
+func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true // add sends goaway on connections from now on
 	s.mu.Unlock()
@@ -327,9 +327,9 @@
 	return err == nil && n > 0 && fds[0].Revents&unix.POLLIN != 0
 }
 
-// Close closes all quiet connections and reports whether none is left. The caller repeats it until then or until
+// CloseQuiet closes all quiet connections and reports whether none is left. The caller repeats it until then or until
 // its deadline.
-func (s *Server) Close() bool {
+func (s *Server) CloseQuiet() bool {
 	s.sweep(true)
 	return s.Connections() == 0
 }
--- a/internal/front/closing_test.go
+++ b/internal/front/closing_test.go
@@ -230,7 +230,7 @@
 	if n := st.count.ended[conns.Idle].Load(); n != 0 {
 		t.Errorf("%d connections are closed while the poller may hold input of theirs", n)
 	}
-	if st.Close() {
+	if st.CloseQuiet() {
 		t.Error("Close closes a connection with a request in the kernel")
 	}
 	st.gate.mu.Unlock()
@@ -253,7 +253,7 @@
 	router := dial(t, st.Server)
 	router.Write(callMessage("serve", 1, requestFields(), "body"))
 	left := make(chan struct{})
-	go func() { st.Leave(); close(left) }()
+	go func() { st.Drain(); close(left) }()
 	for { // open the gate only once Leave has begun
 		st.mu.Lock()
 		leaving := st.draining
@@ -295,7 +295,7 @@
 	st.waitAcked()
 	for st.Connections() > 0 {
 		st.sweep(false)
-		if st.clock.Now() > testkit.Start+3*time.Second {
+		if st.clock.Now() > testkit.StartTime+3*time.Second {
 			t.Fatal("the connection is open for over 3 s")
 		}
 		st.clock.Advance(sweepPeriod)
@@ -359,7 +359,7 @@
 	if _, ok := receive(t, router); !ok {
 		t.Error("the router's connection is evicted before the silent ones")
 	}
-	st.clock.Advance(conns.CallTime)
+	st.clock.Advance(conns.FirstCallTimeout)
 	st.sweep(false)
 	if n := st.Connections(); n != 1 {
 		t.Errorf("%d connections after the silent ones are overdue, want 1", n)
@@ -422,7 +422,7 @@
 		if c.transport.(polledTransport).RemoteAddr().String() == p.LocalAddr().String() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return c.ending.Takes()
+			return c.ending.AcceptsCalls()
 		}
 	}
 	return false
@@ -434,7 +434,7 @@
 	st := newControlledServer(t, 4)
 	st.CloseIdle(3 * time.Second)
 	var peers []*testPeer
-	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
+	testkit.RunStateMachine(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		runner.release()
 		for _, p := range peers {
 			p.Close()
--- a/internal/front/inherit_test.go
+++ b/internal/front/inherit_test.go
@@ -108,7 +108,7 @@
 	addr, dup := sharedSocket(t)
 	old := inheritedServer(t, dup(), "old")
 	go old.Serve()
-	old.Leave()
+	old.Drain()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -60,7 +60,7 @@
 	sweepNow       chan struct{} // requests a sweep before the next tick
 	backlogTimeout time.Duration // the longest wait for connections that the kernel has accepted
 
-	output outbox.Account // the unsent output of all connections
+	output outbox.SharedLimit // the unsent output of all connections
 
 	mu          sync.Mutex
 	conns       map[*conn]struct{}
@@ -75,7 +75,7 @@
 type conn struct {
 	*session
 	transport transport
-	out       *outbox.Box
+	out       *outbox.Buffer
 	entry     conns.Conn // its entry in the table
 	closing   bool       // the transport is being closed; guarded by the session's lock
 }
@@ -117,7 +117,7 @@
 	}
 	s := &Server{core: core, now: now, maxConns: maxConns, ln: ln, conns: map[*conn]struct{}{},
 		table: conns.NewTable(conns.DefaultLimits(maxConns)), sweepNow: make(chan struct{}, 1), backlogTimeout: backlogTimeout, garbageLog: rate.Sometimes{First: 3, Interval: time.Second}}
-	s.Waits(0)
+	s.SetMaxWait(0)
 	for r := range s.count.ended {
 		s.count.ended[r] = set.Get("connections_ended_" + conns.Reason(r).String())
 	}
@@ -179,7 +179,7 @@
 			s.count.bytesOut.Add(len(dst) - before)
 			return dst
 		})
-		if err != nil && c.ending.Want(s.now(), conns.Deaf, conns.View{}) == conns.Close {
+		if err != nil && c.ending.Request(s.now(), conns.SlowReader, conns.View{}) == conns.Close {
 			s.wakeSweep() // closing here could deadlock, as the sender may hold locks that a close takes
 		}
 	}}
@@ -210,7 +210,7 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			assert.Panicked("a router connection", p)
+			assert.CountPanic("a router connection", p)
 			s.requestClose(c, conns.Broken)
 		}
 	}()
@@ -234,9 +234,9 @@
 	c.exit()
 	if err != nil { // malformed input closes this connection only
 		s.garbageLog.Do(func() {
-			log.Printf("router connection %v: %v; closing it (%d connections closed for malformed input so far)", from, err, s.count.ended[conns.Garbage].Load())
+			log.Printf("router connection %v: %v; closing it (%d connections closed for malformed input so far)", from, err, s.count.ended[conns.Malformed].Load())
 		})
-		s.requestClose(c, conns.Garbage)
+		s.requestClose(c, conns.Malformed)
 	}
 	return err
 }
@@ -266,14 +266,14 @@
 	s.idleTimeout = after
 }
 
-// Waits sets the write timeout from the longest time that a router waits for an answer, so that a router that
+// SetMaxWait sets the write timeout from the longest time that a router waits for an answer, so that a router that
 // reads slowly is not disconnected while it still waits.
-func (s *Server) Waits(longest time.Duration) {
+func (s *Server) SetMaxWait(longest time.Duration) {
 	s.writeTimeout.Store(int64(max(minWriteTimeout, 2*longest)))
 }
 
-// BoundOutput sets how many bytes of unsent output all connections may hold together.
-func (s *Server) BoundOutput(maxBytes int) { s.output.Bound(maxBytes) }
+// LimitOutput sets how many bytes of unsent output all connections may hold together.
+func (s *Server) LimitOutput(maxBytes int) { s.output.SetBound(maxBytes) }
 
 // Connections returns the number of open router connections.
 func (s *Server) Connections() int {
--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -82,7 +82,7 @@
 	if _, ok := receive(t, garbage); ok {
 		t.Error("garbage is answered")
 	}
-	s.Leave()
+	s.Drain()
 	if h, ok := receive(t, c); !ok || h.Name != "goaway" || h.Type != thrift.Oneway {
 		t.Errorf("message after Leave: %+v, %v", h, ok)
 	}
@@ -179,7 +179,7 @@
 	if n, err := syscall.GetsockoptInt(s.ln.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF); err != nil || n > 2*readBuffer {
 		t.Errorf("the kernel's receive buffer has %d bytes (%v)", n, err)
 	}
-	if in := s.count.bytesIn.Load(); in > maxFeed || s.count.ended[conns.Garbage].Load() != 1 {
+	if in := s.count.bytesIn.Load(); in > maxFeed || s.count.ended[conns.Malformed].Load() != 1 {
 		t.Errorf("%d of %d sent bytes were parsed", in, sent)
 	}
 }
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -33,7 +33,7 @@
 	partialSince time.Duration // when the incomplete frame began; 0 if there is none
 	kind         conns.Kind    // the best kind of call received
 	feeding      bool          // input is being read or parsed
-	ending       conns.Ending
+	ending       conns.Closing
 	goawaySent   bool
 	closed       bool // the connection is closed; nothing more is sent
 }
@@ -43,7 +43,7 @@
 func (s *session) enter() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.feeding = !s.closed && s.ending.Takes()
+	s.feeding = !s.closed && s.ending.AcceptsCalls()
 	return s.feeding
 }
 
@@ -265,7 +265,7 @@
 	if s.ending.State() != conns.Serving {
 		return s.ending.Reason()
 	}
-	return conns.Stay{Kind: s.kind, Began: s.acceptedAt, Used: s.lastUsed, Frame: s.partialSince, Busy: s.open > 0 || s.feeding}.Due(s.now(), closeIdle)
+	return conns.Lifetime{Kind: s.kind, AcceptedAt: s.acceptedAt, LastUsed: s.lastUsed, FrameStart: s.partialSince, Busy: s.open > 0 || s.feeding}.CloseReason(s.now(), closeIdle)
 }
 
 // view completes a view of the connection with the state of the session. s.mu has been held since the view was begun.
--- a/internal/front/session_test.go
+++ b/internal/front/session_test.go
@@ -230,7 +230,7 @@
 // the connection is idle, and whether it is overdue. Clients that send nothing, or a frame that never ends, must not
 // keep their connection.
 func TestConnectionStates(t *testing.T) {
-	testkit.Steps(t, func(*rapid.T) map[string]func(*rapid.T) {
+	testkit.RunStateMachine(t, func(*rapid.T) map[string]func(*rapid.T) {
 		r := newTestRouter()
 		open := map[int32]replica.Reply{}
 		var unread []byte  // written by the router, not yet read by the session
@@ -312,8 +312,8 @@
 				}
 				switch idle := now - lastUsed; {
 				case len(open) > 0:
-				case kind == conns.Silent && partialSince == 0 && now >= acceptedAt+conns.CallTime, kind == conns.Silent && now >= acceptedAt+conns.WriteTime,
-					partialSince > 0 && now >= partialSince+conns.WriteTime:
+				case kind == conns.Silent && partialSince == 0 && now >= acceptedAt+conns.FirstCallTimeout, kind == conns.Silent && now >= acceptedAt+conns.FrameTimeout,
+					partialSince > 0 && now >= partialSince+conns.FrameTimeout:
 					due = conns.Overdue
 				case idle >= 3*time.Second:
 					due = conns.Idle
--- a/internal/front/tls_test.go
+++ b/internal/front/tls_test.go
@@ -174,10 +174,10 @@
 		t.Error("the plain connection is not evicted")
 	}
 	other.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
-	if !connectionEnded(other) || s.count.ended[conns.Garbage].Load() != 1 {
+	if !connectionEnded(other) || s.count.ended[conns.Malformed].Load() != 1 {
 		t.Error("malformed input does not close the connection")
 	}
-	s.Leave()
+	s.Drain()
 	s.cert.Store(certificate(t, 2)) // a swap during the drain: a new connection gets the new certificate and a goaway
 	late := s.dialTLS(t, nil)
 	if h, ok := receive(t, late); !ok || h.Name != "goaway" || serial(late) != 2 {
@@ -193,7 +193,7 @@
 	if !names["goaway"] || !names["serve"] {
 		t.Errorf("the busy connection receives %v during the drain", names)
 	}
-	for !s.Close() {
+	for !s.CloseQuiet() {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/handover/codec.go
+++ b/internal/handover/codec.go
@@ -43,7 +43,7 @@
 	dst = append(dst, 0, 0, 0, 0, byte(m.Kind), flags)
 	dst = binary.AppendUvarint(dst, m.Seq)
 	dst = binary.AppendVarint(dst, int64(m.Until))
-	dst = binary.AppendVarint(dst, int64(m.Later))
+	dst = binary.AppendVarint(dst, int64(m.RetryAfter))
 	dst = binary.AppendVarint(dst, m.N)
 	dst = append(dst, m.Digest[:]...)
 	dst = append(binary.AppendUvarint(dst, uint64(len(m.Key))), m.Key...)
@@ -67,7 +67,7 @@
 	r := fieldReader{buf: buf[headerBytes : headerBytes+int(n)]}
 	head := r.take(2)
 	m.Seq = r.uvarint()
-	m.Until, m.Later = time.Duration(r.varint()), time.Duration(r.varint())
+	m.Until, m.RetryAfter = time.Duration(r.varint()), time.Duration(r.varint())
 	m.N = r.varint()
 	copy(m.Digest[:], r.take(len(m.Digest)))
 	m.Key = string(r.take(int(r.length())))
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -32,10 +32,10 @@
 
 // Events receives the events of a link. The calls come one at a time, from one goroutine.
 type Events interface {
-	Joined(guest bool)        // the link is up; guest is true if this process is the guest, so that the other one owns the claims
-	Told(m *handover.Message) // a message was received; m is only valid during the call
-	Parted()                  // the link is down
-	TookOver(all bool)        // the owner has ended and this process owns the claims; all is true if it received all state
+	LinkUp(guest bool)                   // the link is up; guest is true if this process is the guest, so that the other one owns the claims
+	MessageReceived(m *handover.Message) // a message was received; m is only valid during the call
+	LinkDown()                           // the link is down
+	OwnerEnded(all bool)                 // the owner has ended and this process owns the claims; all is true if it received all state
 }
 
 // Link is one process's end of the link. There is one owner, which holds a lock on a file in the folder, and at
@@ -67,21 +67,21 @@
 	markCleanExit byte = 'e'
 )
 
-// Past describes the previous process, as found in the folder.
-type Past int
+// Previous describes the previous process, as found in the folder.
+type Previous int
 
 // The values of Past.
 const (
-	Fresh   Past = iota // there was no process, or the last one has exited in order
-	Follows             // the previous process is still running
-	Died                // the last process crashed, and which requests it ran is unknown
+	NonePrevious Previous = iota // there was no process, or the last one has exited in order
+	Running                      // the previous process is still running
+	Crashed                      // the last process crashed, and which requests it ran is unknown
 )
 
 // Open prepares a link in a folder that both processes share, and returns what it finds there.
-func Open(dir string) (l *Link, past Past, err error) {
+func Open(dir string) (l *Link, past Previous, err error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, Fresh, fmt.Errorf("hand-over: %w", err)
+		return nil, NonePrevious, fmt.Errorf("hand-over: %w", err)
 	}
 	l = &Link{dir: dir, lock: f, bound: maxQueue}
 	got, err := l.tryLock(false)
@@ -94,28 +94,28 @@
 	}
 	if err != nil {
 		f.Close()
-		return nil, Fresh, fmt.Errorf("hand-over: %w", err)
+		return nil, NonePrevious, fmt.Errorf("hand-over: %w", err)
 	}
 	switch {
 	case !got:
-		return l, Follows, nil
+		return l, Running, nil
 	case l.readMark() != markCleanExit:
-		return l, Died, nil
+		return l, Crashed, nil
 	}
-	return l, Fresh, nil
+	return l, NonePrevious, nil
 }
 
-// Bound sets how many bytes may wait for the other process, at most maxQueue. The limit must allow for all results
+// SetQueueLimit sets how many bytes may wait for the other process, at most maxQueue. The limit must allow for all results
 // that are kept.
-func (l *Link) Bound(most int) {
+func (l *Link) SetQueueLimit(most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.bound = min(most, maxQueue)
 }
 
-// End records that this process exits in order, so that no key is in doubt for the next one. If there is a guest,
+// MarkCleanExit records that this process exits in order, so that no key is in doubt for the next one. If there is a guest,
 // the mark is left unchanged: the guest takes over and reads from it whether it received all state.
-func (l *Link) End() {
+func (l *Link) MarkCleanExit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
@@ -167,12 +167,12 @@
 	l.mark = m
 }
 
-// Keep maintains the link until ctx ends, and releases the lock before it returns, so that the other process need
+// Run maintains the link until ctx ends, and releases the lock before it returns, so that the other process need
 // not wait for the exit of this one, which may take long. past is the result of Open.
-func (l *Link) Keep(ctx context.Context, past Past, events Events) {
+func (l *Link) Run(ctx context.Context, past Previous, events Events) {
 	l.events = events
 	defer l.release()
-	if past == Follows {
+	if past == Running {
 		if !l.follow(ctx) {
 			return
 		}
@@ -273,7 +273,7 @@
 			log.Print("hand-over: ", err)
 		}
 		if got {
-			l.events.TookOver(all)
+			l.events.OwnerEnded(all)
 			return true
 		}
 		select {
@@ -314,11 +314,11 @@
 		}
 		l.mu.Unlock()
 		c.Close()
-		l.events.Parted()
+		l.events.LinkDown()
 	}()
 	if guest {
 		l.Send(&handover.Message{Kind: handover.Hello, N: handover.Version})
-		l.events.Joined(true)
+		l.events.LinkUp(true)
 	}
 	helloReceived := guest
 	err = readMessages(c, func(m *handover.Message) error {
@@ -326,12 +326,12 @@
 		switch {
 		case m.Kind == handover.Hello && !helloReceived && m.N == handover.Version:
 			helloReceived = true
-			l.events.Joined(false)
+			l.events.LinkUp(false)
 		case m.Kind == handover.Hello, !helloReceived:
 			return fmt.Errorf("%w: kind %d with number %d where a hello of version %d is expected", ErrMalformed, m.Kind, m.N, handover.Version)
 		default:
 			synced = synced || m.Kind == handover.Synced
-			l.events.Told(m)
+			l.events.MessageReceived(m)
 		}
 		return nil
 	})
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -25,21 +25,21 @@
 	events chan string
 	cancel context.CancelFunc
 	ended  chan struct{}
-	past   Past
+	past   Previous
 }
 
-func (p *process) Joined(guest bool) {
+func (p *process) LinkUp(guest bool) {
 	p.events <- fmt.Sprint("joined ", guest)
 	if !guest {
 		p.Send(&handover.Message{Kind: handover.Entry, Key: "u k", Body: []byte("result")})
 		p.Send(&handover.Message{Kind: handover.Synced})
 	}
 }
-func (p *process) Told(m *handover.Message) {
+func (p *process) MessageReceived(m *handover.Message) {
 	p.events <- fmt.Sprintf("told %d %s%s", m.Kind, m.Key, m.Body)
 }
-func (p *process) Parted()           { p.events <- "parted" }
-func (p *process) TookOver(all bool) { p.events <- fmt.Sprint("took over ", all) }
+func (p *process) LinkDown()           { p.events <- "parted" }
+func (p *process) OwnerEnded(all bool) { p.events <- fmt.Sprint("took over ", all) }
 
 func startProcess(t *testing.T, dir string) *process {
 	t.Helper()
@@ -50,7 +50,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &process{Link: l, events: make(chan string, 1000), cancel: cancel, ended: make(chan struct{}), past: past}
 	go func() {
-		p.Keep(ctx, past, p) // releases the lock when it returns
+		p.Run(ctx, past, p) // releases the lock when it returns
 		close(p.ended)
 	}()
 	t.Cleanup(p.end)
@@ -84,11 +84,11 @@
 func TestGuestTakesOverFromOwner(t *testing.T) {
 	dir := t.TempDir()
 	old := startProcess(t, dir)
-	if old.past != Fresh {
+	if old.past != NonePrevious {
 		t.Fatal("the first process finds a previous one")
 	}
 	next := startProcess(t, dir)
-	if next.past != Follows {
+	if next.past != Running {
 		t.Fatal("the second process does not find the first one")
 	}
 	next.expect(t, "joined true", entryEvent, syncedEvent)
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	again := startProcess(t, dir)
-	if again.past != Died {
+	if again.past != Crashed {
 		t.Errorf("past is %v, want Died", again.past)
 	}
 	startProcess(t, dir).expect(t, "joined true", entryEvent, syncedEvent)
@@ -227,9 +227,9 @@
 	for old.readMark() != markPartial { // wait until it owns the claims
 		time.Sleep(time.Millisecond)
 	}
-	old.End()
+	old.MarkCleanExit()
 	old.end()
-	if next := startProcess(t, dir); next.past != Fresh {
+	if next := startProcess(t, dir); next.past != NonePrevious {
 		t.Errorf("past is %v, want Fresh", next.past)
 	}
 }
@@ -306,7 +306,7 @@
 var sampleMessages = []handover.Message{
 	{Kind: handover.Hello, N: handover.Version},
 	{Kind: handover.Entry, Key: "u 5c0f", Seq: 7, Digest: handover.Digest{1, 2, 3}, Until: 1 << 60, Over: true, OK: true, Stored: true, Body: []byte("result")},
-	{Kind: handover.Drop, Key: "u 5c0f", Seq: 1 << 40, Later: time.Second, GiveUp: true},
+	{Kind: handover.Drop, Key: "u 5c0f", Seq: 1 << 40, RetryAfter: time.Second, GiveUp: true},
 	{Kind: handover.Share, N: -1},
 }
 
--- a/internal/handover/replace/process.go
+++ b/internal/handover/replace/process.go
@@ -14,7 +14,7 @@
 
 	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/operator"
-	"cairnlane/internal/standin/engine"
+	"cairnlane/internal/fake/engine"
 	"slices"
 )
 
@@ -101,10 +101,10 @@
 // callOperator sends a call to a process's operators' listener.
 func (tr *trial) callOperator(p *process, call string) (string, error) {
 	began := time.Now()
-	a, err := operator.Ask(p.controlAddr, call, operatorTimeout)
+	a, err := operator.Call(p.controlAddr, call, operatorTimeout)
 	if err == nil {
 		tr.figures.mu.Lock()
-		tr.figures.DoorMost = max(tr.figures.DoorMost, time.Since(began))
+		tr.figures.MaxOperatorTime = max(tr.figures.MaxOperatorTime, time.Since(began))
 		tr.figures.mu.Unlock()
 	}
 	return a, err
@@ -116,11 +116,11 @@
 	began := time.Now()
 	for time.Since(began) < readyTimeout {
 		if _, err := tr.callOperator(p, "check"); err == nil {
-			tr.figures.ReadyMost = max(tr.figures.ReadyMost, time.Since(began))
+			tr.figures.MaxReadyTime = max(tr.figures.MaxReadyTime, time.Since(began))
 			return true
 		}
 		select {
-		case <-p.Ended():
+		case <-p.Done():
 			return false
 		case <-time.After(2 * time.Millisecond):
 		}
@@ -167,13 +167,13 @@
 		time.Sleep(delay)
 		if killPoint == newBeforeReady {
 			tr.kill(next)
-			tr.figures.GivenUp++
+			tr.figures.Abandoned++
 			return nil // the old process continues alone
 		}
 		tr.kill(old)
 	}
 	if !tr.waitReady(next) {
-		return fmt.Errorf("replacement %d: the new process does not accept clients: %v %s", tr.figures.Replacements, next.Err(), next.Log())
+		return fmt.Errorf("replacement %d: the new process does not accept clients: %v %s", tr.figures.Replacements, next.Err(), next.Output())
 	}
 	switch killPoint {
 	case oldBeforeReady:
@@ -181,7 +181,7 @@
 	case newAfterReady:
 		time.Sleep(delay)
 		tr.kill(next)
-		tr.figures.GivenUp++
+		tr.figures.Abandoned++
 		return nil
 	case oldAfterReady:
 		time.Sleep(delay)
@@ -198,17 +198,17 @@
 		return nil
 	}
 	select {
-	case <-old.Ended():
-		tr.figures.HandOverMost = max(tr.figures.HandOverMost, time.Since(began))
+	case <-old.Done():
+		tr.figures.MaxHandOverTime = max(tr.figures.MaxHandOverTime, time.Since(began))
 	case <-time.After(deadline + killMargin):
 		atomic.AddInt64(&tr.figures.Exits, 1)
-		tr.figures.note("the old process did not exit in time and was killed: %s", old.Log())
+		tr.figures.note("the old process did not exit in time and was killed: %s", old.Output())
 		tr.kill(old)
 		return nil
 	}
-	if old.Err() != nil || !bytes.Contains([]byte(old.Log()), []byte("invariants_broken=0")) {
+	if old.Err() != nil || !bytes.Contains([]byte(old.Output()), []byte("invariants_broken=0")) {
 		atomic.AddInt64(&tr.figures.Exits, 1)
-		tr.figures.note("the old process ended with %v: %s", old.Err(), old.Log())
+		tr.figures.note("the old process ended with %v: %s", old.Err(), old.Output())
 	}
 	return nil
 }
--- a/internal/handover/replace/replace.go
+++ b/internal/handover/replace/replace.go
@@ -16,10 +16,10 @@
 
 	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/operator"
-	"cairnlane/internal/standin/catalog"
-	"cairnlane/internal/standin/engine"
-	"cairnlane/internal/standin/index"
-	"cairnlane/internal/standin/router"
+	"cairnlane/internal/fake/catalog"
+	"cairnlane/internal/fake/engine"
+	"cairnlane/internal/fake/index"
+	"cairnlane/internal/fake/router"
 )
 
 // Config holds the settings of a trial.
@@ -33,17 +33,17 @@
 	Progress     io.Writer
 }
 
-// Figures are the results of a trial.
-type Figures struct {
+// Results are the results of a trial.
+type Results struct {
 	rig.Tally
-	Replacements, Kills, GivenUp      int
-	DescriptorsMax, Limit             int
-	Checks, HealthGaps                int64
-	FiguresWrong, Exits               int64
-	ReadyMost, DoorMost, HandOverMost time.Duration
-	Took                              time.Duration
-	Notes                             []string
-	mu                                sync.Mutex
+	Replacements, Kills, Abandoned                 int
+	DescriptorsMax, Limit                          int
+	Checks, HealthGaps                             int64
+	FiguresWrong, Exits                            int64
+	MaxReadyTime, MaxOperatorTime, MaxHandOverTime time.Duration
+	Duration                                       time.Duration
+	Notes                                          []string
+	mu                                             sync.Mutex
 }
 
 // The limits of the platform.
@@ -60,7 +60,7 @@
 // trial holds one trial with the services that a replica uses.
 type trial struct {
 	cfg         Config
-	figures     *Figures
+	figures     *Results
 	rand        *rand.Rand
 	ln          *net.TCPListener
 	engine      *engine.Engine
@@ -81,7 +81,7 @@
 	started int // processes started so far; numbers the configuration files
 }
 
-func (f *Figures) note(format string, a ...any) {
+func (f *Results) note(format string, a ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.Notes) < 20 {
@@ -90,7 +90,7 @@
 }
 
 // Run runs a trial.
-func Run(cfg Config) (*Figures, error) {
+func Run(cfg Config) (*Results, error) {
 	tr, err := newTrial(cfg)
 	if err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 
 // newTrial starts the stand-ins, the first process and the load. The caller must close the trial.
 func newTrial(cfg Config) (*trial, error) {
-	tr := &trial{cfg: cfg, figures: &Figures{Limit: cfg.Sockets}, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), startedAt: time.Now()}
+	tr := &trial{cfg: cfg, figures: &Results{Limit: cfg.Sockets}, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), startedAt: time.Now()}
 	work := rand.New(rand.NewPCG(cfg.Seed, 2))
 	var workMu sync.Mutex
 	tr.engine = engine.New(func(string) time.Duration {
@@ -126,29 +126,29 @@
 		ln.Close()
 		return nil, err
 	}
-	traffic, err := rig.TrafficOf(cfg.Site)
+	traffic, err := rig.ReadTraffic(cfg.Site)
 	if err == nil && traffic.Calls {
-		tr.engine.Calls(true)
-		tr.index, err = index.Start(rig.CallTakes)
+		tr.engine.SetIndexCalls(true)
+		tr.index, err = index.Start(rig.IndexCallTime)
 	}
 	if err != nil {
 		tr.close()
 		return nil, err
 	}
-	tr.load = &rig.Load{Seed: cfg.Seed, Traffic: traffic, Limit: deadline * 3 / 4, Pause: 8 * time.Millisecond, Spread: true, Engines: func() []*engine.Engine { return []*engine.Engine{tr.engine} },
+	tr.load = &rig.Load{Seed: cfg.Seed, Traffic: traffic, Timeout: deadline * 3 / 4, MeanInterval: 8 * time.Millisecond, RetryOnOtherRouters: true, Engines: func() []*engine.Engine { return []*engine.Engine{tr.engine} },
 		Excused: func(_ int, began time.Time) bool { return tr.killing.Load() || began.UnixNano() <= tr.lastKill.Load() }}
 	for range 4 {
 		tr.load.Routers = append(tr.load.Routers, &router.Router{Addr: ln.Addr().String()})
 	}
 	first, err := tr.startProcess()
 	if err == nil && !tr.waitReady(first) {
-		err = fmt.Errorf("the first process does not accept clients: %s", first.Log())
+		err = fmt.Errorf("the first process does not accept clients: %s", first.Output())
 	}
 	if err != nil {
 		tr.close()
 		return nil, err
 	}
-	tr.load.Begin()
+	tr.load.Start()
 	tr.background.Add(2)
 	go tr.pollHealth()
 	go tr.watchDescriptors()
@@ -156,16 +156,16 @@
 }
 
 // finish stops the load and returns the results of the trial.
-func (tr *trial) finish() *Figures {
+func (tr *trial) finish() *Results {
 	tr.stop.Store(true)
 	tr.background.Wait()
-	tr.load.End()
+	tr.load.Stop()
 	tr.figures.Tally = tr.load.Tally
-	_, _, wrong := tr.engine.Fed()
+	_, _, wrong := tr.engine.CallCounts()
 	tr.figures.Wrong += int64(wrong)
 	tr.figures.Notes = append(tr.figures.Notes, tr.load.Notes()...)
 	tr.checkGauges()
-	tr.figures.Took = time.Since(tr.startedAt)
+	tr.figures.Duration = time.Since(tr.startedAt)
 	return tr.figures
 }
 
@@ -190,7 +190,7 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	for _, p := range tr.alive {
-		v, err := operator.Ask(p.controlAddr, "vars", operatorTimeout)
+		v, err := operator.Call(p.controlAddr, "vars", operatorTimeout)
 		if err != nil || !strings.Contains(v, "edge_relay_in_progress 0\n") {
 			tr.figures.FiguresWrong++
 			tr.figures.note("figures at rest: %v %q", err, v)
@@ -207,7 +207,7 @@
 			continue
 		}
 		kills, drained := tr.kills.Load(), tr.drained.Load()
-		healthy, err := router.Check(tr.ln.Addr().String(), time.Second)
+		healthy, err := router.CheckHealth(tr.ln.Addr().String(), time.Second)
 		if kills == tr.kills.Load() && drained == tr.drained.Load() && !tr.pauseHealth.Load() {
 			atomic.AddInt64(&tr.figures.Checks, 1)
 			if err != nil || healthy == drained {
@@ -237,17 +237,17 @@
 }
 
 // String returns the results as one line.
-func (f *Figures) String() string {
+func (f *Results) String() string {
 	return fmt.Sprintf("figures: replacements=%d kills=%d given_up=%d requests=%d served=%d refused=%d failed=%d killed=%d lost=%d ended_twice=%d double_runs=%d wrong=%d late=%d turned_back=%d repeats=%d repeats_served=%d descriptors_max=%d limit=%d health_checks=%d health_gaps=%d figures_wrong=%d bad_exits=%d ready_ms=%d door_ms=%d handover_ms=%d seconds=%.1f",
-		f.Replacements, f.Kills, f.GivenUp, f.Requests, f.Served, f.Refused, f.Failed, f.Killed, f.Lost, f.EndedTwice, f.DoubleRuns, f.Wrong, f.Late, f.TurnedBack,
-		f.Repeats, f.RepeatsServed, f.DescriptorsMax, f.Limit, f.Checks, f.HealthGaps, f.FiguresWrong, f.Exits,
-		f.ReadyMost.Milliseconds(), f.DoorMost.Milliseconds(), f.HandOverMost.Milliseconds(), f.Took.Seconds())
+		f.Replacements, f.Kills, f.Abandoned, f.Requests, f.Served, f.Rejected, f.Failed, f.Killed, f.Lost, f.EndedTwice, f.DoubleRuns, f.Wrong, f.Late, f.ConnectionRefused,
+		f.Retries, f.RetriesServed, f.DescriptorsMax, f.Limit, f.Checks, f.HealthGaps, f.FiguresWrong, f.Exits,
+		f.MaxReadyTime.Milliseconds(), f.MaxOperatorTime.Milliseconds(), f.MaxHandOverTime.Milliseconds(), f.Duration.Seconds())
 }
 
-// Missed returns the bounds that were not met.
-func (f *Figures) Missed() (list []string) {
+// FailedBounds returns the bounds that were not met.
+func (f *Results) FailedBounds() (list []string) {
 	for name, n := range map[string]int64{"lost": f.Lost, "ended twice": f.EndedTwice, "double runs": f.DoubleRuns, "wrong results": f.Wrong,
-		"late": f.Late, "turned back": max(0, f.TurnedBack-int64(2*f.Replacements)), "health gaps": f.HealthGaps, "figures wrong": f.FiguresWrong, "bad exits": f.Exits} {
+		"late": f.Late, "turned back": max(0, f.ConnectionRefused-int64(2*f.Replacements)), "health gaps": f.HealthGaps, "figures wrong": f.FiguresWrong, "bad exits": f.Exits} {
 		if n > 0 {
 			list = append(list, fmt.Sprintf("%s: %d", name, n))
 		}
@@ -255,7 +255,7 @@
 	if f.DescriptorsMax > f.Limit {
 		list = append(list, fmt.Sprintf("descriptors: %d of %d", f.DescriptorsMax, f.Limit))
 	}
-	if f.DoorMost > operatorTimeout || f.ReadyMost > readyTimeout {
+	if f.MaxOperatorTime > operatorTimeout || f.MaxReadyTime > readyTimeout {
 		list = append(list, "an operator call or a start took too long")
 	}
 	if f.Served < f.Requests/2 {
--- a/internal/handover/replace/replace_test.go
+++ b/internal/handover/replace/replace_test.go
@@ -26,7 +26,7 @@
 	if os.Getenv("RELAY_INHERITED_FD") == "" {
 		os.Exit(m.Run())
 	}
-	os.Stderr.WriteString(daemon.Platform().Error())
+	os.Stderr.WriteString(daemon.RunFromEnvironment().Error())
 	os.Exit(1)
 }
 
@@ -53,7 +53,7 @@
 	old := tr.alive[0]
 	next, err := tr.startProcess()
 	if err != nil || !tr.waitReady(next) {
-		t.Fatal(err, next.Log())
+		t.Fatal(err, next.Output())
 	}
 	call := func(p *process, call string) {
 		t.Helper()
@@ -62,7 +62,7 @@
 		}
 	}
 	logContains := func(p *process, words string) func() bool {
-		return func() bool { return strings.Contains(p.Log(), words) }
+		return func() bool { return strings.Contains(p.Output(), words) }
 	}
 	waitForChecks := func() { // answered by either process
 		n := atomic.LoadInt64(&tr.figures.Checks)
@@ -93,12 +93,12 @@
 	tr.pauseHealth.Store(false)
 	waitForChecks()
 	old.Signal(syscall.SIGTERM)
-	<-old.Ended()
-	if !strings.Contains(old.Log(), "to handing over") || old.Err() != nil {
-		t.Errorf("the old process ended with %v: %s", old.Err(), old.Log())
+	<-old.Done()
+	if !strings.Contains(old.Output(), "to handing over") || old.Err() != nil {
+		t.Errorf("the old process ended with %v: %s", old.Err(), old.Output())
 	}
 	f := tr.finish()
-	if missed := f.Missed(); len(missed) > 0 {
+	if missed := f.FailedBounds(); len(missed) > 0 {
 		t.Errorf("missed %s\n%s\n%s", strings.Join(missed, ", "), f, strings.Join(f.Notes, "\n"))
 	}
 }
@@ -144,7 +144,7 @@
 			}
 		})
 	}
-	for i := range 3 * operator.Most {
+	for i := range 3 * operator.MaxConnections {
 		c, err := net.Dial("tcp", p.controlAddr)
 		if err != nil {
 			t.Fatal(err)
@@ -166,9 +166,9 @@
 	stop.Store(true)
 	floods.Wait()
 	tr.finish()
-	t.Logf("figures: worst_door_ms=%.1f cores_busy=%.2f", float64(tr.figures.DoorMost.Microseconds())/1e3, busy)
-	if tr.figures.DoorMost >= operatorTimeout {
-		t.Errorf("the slowest answer took %v, limit %v", tr.figures.DoorMost, operatorTimeout)
+	t.Logf("figures: worst_door_ms=%.1f cores_busy=%.2f", float64(tr.figures.MaxOperatorTime.Microseconds())/1e3, busy)
+	if tr.figures.MaxOperatorTime >= operatorTimeout {
+		t.Errorf("the slowest answer took %v, limit %v", tr.figures.MaxOperatorTime, operatorTimeout)
 	}
 }
 
@@ -200,12 +200,12 @@
 	}
 	f := tr.finish()
 	// The share of served requests depends on the load of the machine; rejecting requests under overload is allowed.
-	missed := slices.DeleteFunc(f.Missed(), func(bound string) bool { return bound == servedTooFew })
+	missed := slices.DeleteFunc(f.FailedBounds(), func(bound string) bool { return bound == servedTooFew })
 	if len(missed) > 0 || f.Kills == 0 || f.Served < 100 {
 		t.Errorf("missed %s\n%s\n%s", strings.Join(missed, ", "), f, strings.Join(f.Notes, "\n"))
 	}
-	calls, _ := tr.index.Calls()
-	fed, skipped, wrong := tr.engine.Fed()
+	calls, _ := tr.index.CallCounts()
+	fed, skipped, wrong := tr.engine.CallCounts()
 	if calls < 100 || fed < 100 || wrong > 0 {
 		t.Errorf("%d calls, %d fed, %d skipped, %d with the reply of a different call", calls, fed, skipped, wrong)
 	}
@@ -218,7 +218,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if missed := f.Missed(); len(missed) > 0 || f.Kills == 0 {
+	if missed := f.FailedBounds(); len(missed) > 0 || f.Kills == 0 {
 		t.Errorf("missed %s\n%s\n%s", strings.Join(missed, ", "), f, strings.Join(f.Notes, "\n"))
 	}
 	t.Log(f)
--- a/internal/lab/actor/actor.go
+++ b/internal/lab/actor/actor.go
@@ -13,7 +13,7 @@
 
 	"cairnlane/internal/decide/lease"
 	"cairnlane/internal/fleet"
-	"cairnlane/internal/standin/resource"
+	"cairnlane/internal/fake/resource"
 )
 
 // Slots returns how many boxes may act on a thing at the same time: two if its name begins with "double", otherwise one.
@@ -24,8 +24,8 @@
 	return 1
 }
 
-// Compares reports whether a thing compares tokens, which it does if its name begins with "checked".
-func Compares(thing string) bool { return strings.HasPrefix(thing, "checked") }
+// ComparesTokens reports whether a thing compares tokens, which it does if its name begins with "checked".
+func ComparesTokens(thing string) bool { return strings.HasPrefix(thing, "checked") }
 
 // Config configures how a box acts.
 type Config struct {
@@ -90,7 +90,7 @@
 
 // holdOnce acquires the slot, acts a random number of times and releases it. It returns an error only if the fake resource fails.
 func (a *actor) holdOnce(ctx context.Context) error {
-	if err := a.client.Note("asked", a.thing, 0, a.cfg.Box, os.Getpid()); err != nil {
+	if err := a.client.ReportNote("asked", a.thing, 0, a.cfg.Box, os.Getpid()); err != nil {
 		return err
 	}
 	wait, cancel := context.WithTimeout(ctx, acquireTimeout)
@@ -106,7 +106,7 @@
 		var resourceErr error
 		err := t.Act(duration+callAllowance, func(p fleet.Permit) error {
 			if first {
-				if resourceErr = a.client.Note("granted", a.thing, p.Token, a.cfg.Box, os.Getpid()); resourceErr != nil {
+				if resourceErr = a.client.ReportNote("granted", a.thing, p.Token, a.cfg.Box, os.Getpid()); resourceErr != nil {
 					return resourceErr
 				}
 				first = false
@@ -127,9 +127,9 @@
 	return nil
 }
 
-// Command acts on a thing repeatedly for a span, as a command that runs under a lease does: with the token from its environment and
+// RunCommand acts on a thing repeatedly for a span, as a command that runs under a lease does: with the token from its environment and
 // without checking a permit.
-func Command(addr, thing, box string, span time.Duration) error {
+func RunCommand(addr, thing, box string, span time.Duration) error {
 	var ticket resource.Ticket
 	var err error
 	if ticket.Token, err = strconv.ParseUint(os.Getenv("CAIRNLANE_TOKEN"), 10, 64); err != nil {
--- a/internal/lab/actor/part.go
+++ b/internal/lab/actor/part.go
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// Leave implements daemon.Part.
-func (p *Part) Leave() {}
+// StopIntake implements daemon.Part.
+func (p *Part) StopIntake() {}
 
 // Close implements daemon.Part.
 func (p *Part) Close() {
--- a/internal/lab/actor/trial.go
+++ b/internal/lab/actor/things.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"cairnlane/internal/standin/resource"
+	"cairnlane/internal/fake/resource"
 )
 
 // Things lists the things on which boxes act: two that compare tokens, one that does not, and one with two slots.
@@ -15,10 +15,10 @@
 	return []string{EnvResource + "=" + res.String(), EnvThings + "=" + strings.Join(Things, ","), fmt.Sprintf("%s=%d", EnvSeed, seed*100+uint64(box))}
 }
 
-// Traps stops boxes between a permit's check and its effect, through the fake resource, at things that compare tokens.
-type Traps struct{ Resource *resource.Resource }
+// EffectTrap stops boxes between a permit's check and its effect, through the fake resource, at things that compare tokens.
+type EffectTrap struct{ Resource *resource.Resource }
 
-// Stop implements rig.Traps.
-func (t Traps) Stop(stop func(box string) bool) {
-	t.Resource.Trap(func(e resource.Effect) bool { return Compares(e.Thing) && stop(e.Box) })
+// StopNext implements rig.Traps.
+func (t EffectTrap) StopNext(stop func(box string) bool) {
+	t.Resource.OnAnnounce(func(e resource.Effect) bool { return ComparesTokens(e.Thing) && stop(e.Box) })
 }
--- a/internal/lab/audits/audits.go
+++ b/internal/lab/audits/audits.go
@@ -19,57 +19,57 @@
 	"cairnlane/internal/decide/rollout"
 	"cairnlane/internal/lab/actor"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/standin/resource"
+	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/state/audit"
 )
 
 // Config configures a trial.
 type Config struct {
-	Seed     uint64
-	Boxes    int
-	Faults   int
-	Span     time.Duration // the time over which the faults are spread
-	Kinds    []rig.Kind
-	Schedule rig.Schedule // faults to inject in place of random ones
-	Scripts  []Script
-	Refuses  bool                                   // boxes reject configurations that name them; needs a trial build
-	Serve    func(box int, config string) *exec.Cmd // boxes may run different builds
-	Old      int                                    // how many boxes, counted from the last, run an older build
-	Example  string
-	Dir      string
-	Terms    lease.Terms
-	Election time.Duration
-	Progress io.Writer
+	Seed          uint64
+	Boxes         int
+	Faults        int
+	Span          time.Duration // the time over which the faults are spread
+	Kinds         []rig.Kind
+	Schedule      rig.Schedule // faults to inject in place of random ones
+	Scripts       []Script
+	CanReject     bool                                   // boxes reject configurations that name them; needs a trial build
+	Command       func(box int, config string) *exec.Cmd // boxes may run different builds
+	OldBuildBoxes int                                    // how many boxes, counted from the last, run an older build
+	SettingsFile  string
+	Dir           string
+	Terms         lease.Terms
+	Election      time.Duration
+	Progress      io.Writer
 }
 
 // Kinds are the kinds of faults that are drawn: all but rig.Mute, rig.Choke and rig.Cold. Cold empties the disks of nearly all boxes,
 // which leaves no audits to compare.
-var Kinds = []rig.Kind{rig.Kill, rig.Empty, rig.OldCopy, rig.Stop, rig.StopAct, rig.Leader, rig.StopLead, rig.Full, rig.Twin, rig.OneWay, rig.Deaf, rig.Isolate, rig.Split, rig.Hold, rig.Slow,
-	rig.Break, rig.Refuse, rig.Flap, rig.Wall, rig.Key, rig.All}
+var Kinds = []rig.Kind{rig.Kill, rig.EmptyDisk, rig.OldCopy, rig.Stop, rig.StopInAct, rig.KillLeader, rig.StopLeader, rig.FullDisk, rig.Twin, rig.OneWay, rig.DropIncoming, rig.Isolate, rig.Split, rig.Hold, rig.Slow,
+	rig.Break, rig.Refuse, rig.Flap, rig.WallClockJump, rig.RotateKey, rig.KillAll}
 
 // Script describes one rollout: the configuration, what is done during the rollout, and the wanted end.
 type Script struct {
-	Name   string
-	Refuse string // names of the boxes that reject it, or all
-	Needs  uint64
-	Leave  bool // boxes that are shut out leave service
-	Turned int
-	Do     string        // "", "kill" or "stop" the conductor, "abort", "supersede", or "two" for two operators at the same time
-	Rest   time.Duration // a pause afterwards, so that boxes that are behind are shut out
-	Want   string        // the wanted end: done, returned or superseded; "" if the faults decide it
+	Name             string
+	RejectedBy       string // names of the boxes that reject it, or all
+	Needs            uint64
+	DrainWhenShutOut bool // boxes that are shut out leave service
+	MaxRejected      int
+	Disturbance      string        // "", "kill" or "stop" the conductor, "abort", "supersede", or "two" for two operators at the same time
+	PauseAfter       time.Duration // a pause afterwards, so that boxes that are behind are shut out
+	WantedEnd        string        // the wanted end: done, returned or superseded; "" if the faults decide it
 }
 
 // Scripts are the rollouts of a full trial: accepted ones, rejected ones, one that half of the boxes accept, and some that are disturbed.
 var Scripts = []Script{
-	{Name: "good", Want: "done"},
-	{Name: "the conductor is killed", Do: "kill"},
-	{Name: "rejected by all", Refuse: "all", Want: "returned"},
-	{Name: "the conductor is stopped", Do: "stop"},
-	{Name: "accepted by half", Refuse: "n1,n3,n5,n7", Turned: 9, Rest: gracePeriod + 7*time.Second},
+	{Name: "good", WantedEnd: "done"},
+	{Name: "the conductor is killed", Disturbance: "kill"},
+	{Name: "rejected by all", RejectedBy: "all", WantedEnd: "returned"},
+	{Name: "the conductor is stopped", Disturbance: "stop"},
+	{Name: "accepted by half", RejectedBy: "n1,n3,n5,n7", MaxRejected: 9, PauseAfter: gracePeriod + 7*time.Second},
 	{Name: "brings stragglers up"},
-	{Name: "two operators at once", Do: "two"},
-	{Name: "superseded", Do: "supersede"},
-	{Name: "aborted", Do: "abort"},
+	{Name: "two operators at once", Disturbance: "two"},
+	{Name: "superseded", Disturbance: "supersede"},
+	{Name: "aborted", Disturbance: "abort"},
 	{Name: "needs a later build", Needs: 3},
 	{Name: "good again"},
 }
@@ -116,15 +116,15 @@
 		cfg.Progress = io.Discard
 	}
 	began := time.Now()
-	res, err := resource.Start(actor.Compares)
+	res, err := resource.Start(actor.ComparesTokens)
 	if err != nil {
 		return nil, err
 	}
 	defer res.Close()
 	t := &trial{cfg: cfg, res: res, figures: &Figures{Processes: cfg.Boxes}, rand: rand.New(rand.NewPCG(cfg.Seed, 11)), clockStart: time.Now().Add(-res.Now()),
 		samples: map[int][]sample{}, lowestSeenAt: map[uint64]time.Duration{}, progress: map[uint64]rolloutProgress{}, finished: map[uint64]rollout.Rollout{}, shutOut: map[string]rollout.ShutOutBox{}}
-	t.site, err = rig.NewSite(rig.SiteConfig{Seed: cfg.Seed, Dir: cfg.Dir, Boxes: cfg.Boxes, Voters: []int{0, 1, 2}, Terms: cfg.Terms, Election: cfg.Election, Example: cfg.Example,
-		Serve: func(path string) *exec.Cmd { return cfg.Serve(boxOf(cfg.Dir, path), path) }, Load: true, Env: func(box int) []string {
+	t.site, err = rig.NewSite(rig.SiteConfig{Seed: cfg.Seed, Dir: cfg.Dir, Boxes: cfg.Boxes, Voters: []int{0, 1, 2}, Terms: cfg.Terms, Election: cfg.Election, SettingsFile: cfg.SettingsFile,
+		Command: func(path string) *exec.Cmd { return cfg.Command(boxOf(cfg.Dir, path), path) }, Load: true, Env: func(box int) []string {
 			return actor.Env(res, cfg.Seed, box)
 		}})
 	if err != nil {
@@ -145,24 +145,24 @@
 		schedule = rig.Draw(t.rand, cfg.Kinds, cfg.Faults, cfg.Boxes, cfg.Span)
 	}
 	t.figures.Schedule = schedule
-	var played rig.Played
+	var played rig.InjectedFaults
 	var faultErr error
 	faults := make(chan struct{})
 	go func() {
 		defer close(faults)
-		played, faultErr = t.site.Play(schedule, actor.Traps{Resource: res})
+		played, faultErr = t.site.Inject(schedule, actor.EffectTrap{Resource: res})
 	}()
 	for _, s := range cfg.Scripts {
 		if err := t.runScript(s); err != nil {
 			t.note("%s: %v", s.Name, err)
 		}
-		time.Sleep(s.Rest)
+		time.Sleep(s.PauseAfter)
 	}
 	<-faults
 	if faultErr != nil {
 		return nil, faultErr
 	}
-	t.figures.Faults, t.figures.Kinds = t.figures.Faults+played.Sum(), len(played)
+	t.figures.Faults, t.figures.Kinds = t.figures.Faults+played.Total(), len(played)
 	fmt.Fprintf(cfg.Progress, "%d faults of %d kinds, %d effects\n", t.figures.Faults, t.figures.Kinds, len(res.Effects()))
 	if err := t.rollOutToAll(); err != nil {
 		t.note("%v", err)
@@ -170,13 +170,13 @@
 	}
 	close(stop)
 	samplers.Wait()
-	t.site.Load.End()
+	t.site.Load.Stop()
 	t.figures.Tally = t.site.Load.Tally
 	t.figures.Notes = append(t.figures.Notes, t.site.Load.Notes()...)
 	if err := t.evaluate(); err != nil {
 		return nil, err
 	}
-	t.figures.Took = time.Since(began)
+	t.figures.Duration = time.Since(began)
 	return t.figures, nil
 }
 
@@ -251,14 +251,14 @@
 		previous, known := t.progress[roll.ID]
 		// The table at the higher index is the later one. If its wave is lower, or the rollout is active again, a step was repeated.
 		if known && r.Index > previous.index && (roll.Wave < previous.wave || previous.finished && !finished) {
-			t.figures.StepsTwice++
+			t.figures.StepsRepeated++
 		}
 		if !known || r.Index >= previous.index {
 			t.progress[roll.ID] = rolloutProgress{r.Index, roll.Wave, finished}
 		}
 		if finished {
 			if was, ok := t.finished[roll.ID]; ok && was.Phase != roll.Phase {
-				t.figures.StepsTwice++
+				t.figures.StepsRepeated++
 			}
 			t.finished[roll.ID] = roll
 		}
@@ -318,19 +318,19 @@
 
 var errStop = errors.New("no further attempts")
 
-func (t *trial) runsNewBuild(b *rig.Box) bool { return b.Index < len(t.site.Boxes)-t.cfg.Old }
+func (t *trial) runsNewBuild(b *rig.Box) bool { return b.Index < len(t.site.Boxes)-t.cfg.OldBuildBoxes }
 func anyBox(*rig.Box) bool                    { return true }
 
 // putConfig stores a configuration in the fleet and returns its version.
 func (t *trial) putConfig(s Script, name string) (n uint64, err error) {
 	var source strings.Builder
 	// Each configuration turns on fleet-wide shedding, so that requests depend on the version in force from their arrival to their answer.
-	fmt.Fprintf(&source, "needs = %d\noverload {\n tries = 0.2\n}\n", max(s.Needs, config.OverloadNeeds))
+	fmt.Fprintf(&source, "needs = %d\noverload {\n tries = 0.2\n}\n", max(s.Needs, config.OverloadMinBuild))
 	fmt.Fprintf(&source, "values = {\n NAME = %q\n", name)
-	if s.Refuse != "" {
-		fmt.Fprintf(&source, " TRIAL_REFUSE = %q\n", s.Refuse)
+	if s.RejectedBy != "" {
+		fmt.Fprintf(&source, " TRIAL_REFUSE = %q\n", s.RejectedBy)
 	}
-	fmt.Fprintf(&source, "}\nstragglers {\n grace = %q\n floor = %v\n leave_service = %v\n}\n", gracePeriod, shutOutFloor, s.Leave)
+	fmt.Fprintf(&source, "}\nstragglers {\n grace = %q\n floor = %v\n leave_service = %v\n}\n", gracePeriod, shutOutFloor, s.DrainWhenShutOut)
 	err = t.askUntil(20*time.Second, t.runsNewBuild, func(b *rig.Box) error {
 		n, err = b.Control().Fleet().PutConfig([]byte(source.String()))
 		return err
@@ -343,23 +343,23 @@
 // runScript starts the rollout of a script, disturbs it as the script says and waits for its end.
 func (t *trial) runScript(s Script) error {
 	plan := defaultPlan
-	plan.MaxRejected = s.Turned
+	plan.MaxRejected = s.MaxRejected
 	n, err := t.putConfig(s, s.Name)
 	if err != nil {
 		return err
 	}
 	var other uint64
-	if s.Do == "two" || s.Do == "supersede" {
+	if s.Disturbance == "two" || s.Disturbance == "supersede" {
 		if other, err = t.putConfig(Script{}, s.Name+", the other configuration"); err != nil {
 			return err
 		}
 	}
-	if s.Do == "supersede" || s.Do == "abort" || s.Do == "kill" || s.Do == "stop" {
+	if s.Disturbance == "supersede" || s.Disturbance == "abort" || s.Disturbance == "kill" || s.Disturbance == "stop" {
 		plan.ObserveFor = time.Second // leaves time to disturb the rollout
 	}
 	start := func(n uint64, p rollout.Plan) error {
 		return t.askUntil(20*time.Second, anyBox, func(b *rig.Box) error {
-			err := b.Control().Fleet().StartRoll(n, p)
+			err := b.Control().Fleet().StartRollout(n, p)
 			if r, e := queryRollouts(b); err != nil && e == nil && (r.Table.Current != nil && r.Table.Current.To >= n || r.Table.Target >= n) {
 				return nil // it was accepted and only the answer was lost, or a later rollout has replaced it
 			}
@@ -367,18 +367,18 @@
 		})
 	}
 	var wait sync.WaitGroup
-	if s.Do == "two" { // at the same time; the fleet accepts one, or the higher version supersedes the other
-		wait.Go(func() { t.site.Boxes[0].Control().Fleet().StartRoll(other, plan) })
+	if s.Disturbance == "two" { // at the same time; the fleet accepts one, or the higher version supersedes the other
+		wait.Go(func() { t.site.Boxes[0].Control().Fleet().StartRollout(other, plan) })
 	}
 	if err := start(n, plan); err != nil {
 		return err
 	}
 	wait.Wait()
-	switch s.Do {
+	switch s.Disturbance {
 	case "kill", "stop":
-		t.disruptConductor(s.Do)
+		t.disruptConductor(s.Disturbance)
 	case "abort":
-		t.askUntil(10*time.Second, anyBox, func(b *rig.Box) error { return b.Control().Fleet().ChangeRoll("abort", "a trial") })
+		t.askUntil(10*time.Second, anyBox, func(b *rig.Box) error { return b.Control().Fleet().ChangeRollout("abort", "a trial") })
 	case "supersede":
 		time.Sleep(500 * time.Millisecond)
 		p := defaultPlan
@@ -408,16 +408,16 @@
 	defer t.mu.Unlock()
 	if late != nil {
 		fmt.Fprintf(t.cfg.Progress, "%-26s %d: %v\n", s.Name, n, late)
-		if s.Want != "" && t.cfg.Faults == 0 {
-			t.figures.Notes = append(t.figures.Notes, fmt.Sprintf("%s: %v, not %s", s.Name, late, s.Want))
+		if s.WantedEnd != "" && t.cfg.Faults == 0 {
+			t.figures.Notes = append(t.figures.Notes, fmt.Sprintf("%s: %v, not %s", s.Name, late, s.WantedEnd))
 			t.figures.Unsettled++
 		}
 	}
 	for _, roll := range t.finished {
 		if roll.To == n {
 			fmt.Fprintf(t.cfg.Progress, "%-26s %d: %v %s\n", s.Name, n, roll.Phase, roll.Why)
-			if s.Want != "" && roll.Phase.String() != s.Want && t.cfg.Faults == 0 {
-				t.figures.Notes = append(t.figures.Notes, fmt.Sprintf("%s: %v, not %s", s.Name, roll.Phase, s.Want))
+			if s.WantedEnd != "" && roll.Phase.String() != s.WantedEnd && t.cfg.Faults == 0 {
+				t.figures.Notes = append(t.figures.Notes, fmt.Sprintf("%s: %v, not %s", s.Name, roll.Phase, s.WantedEnd))
 				t.figures.Unsettled++
 			}
 		}
@@ -429,9 +429,9 @@
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, b := range t.site.Boxes[:3] {
 			if r, err := queryRollouts(b); err == nil && r.Conducts {
-				if b.Harm(what == "kill", 3*time.Second) {
+				if b.InjectOutage(what == "kill", 3*time.Second) {
 					t.figures.Faults++
-					t.figures.Conductors++
+					t.figures.ConductorsHit++
 					return
 				}
 			}
@@ -444,7 +444,7 @@
 	if err := t.site.Settle(time.Minute); err != nil {
 		return err
 	}
-	if t.cfg.Refuses {
+	if t.cfg.CanReject {
 		if err := t.shutOutBox("n3"); err != nil {
 			return err
 		}
@@ -455,7 +455,7 @@
 	}
 	plan := defaultPlan
 	plan.Share = 1
-	if err := t.askUntil(20*time.Second, anyBox, func(b *rig.Box) error { return b.Control().Fleet().StartRoll(n, plan) }); err != nil {
+	if err := t.askUntil(20*time.Second, anyBox, func(b *rig.Box) error { return b.Control().Fleet().StartRollout(n, plan) }); err != nil {
 		return err
 	}
 	err = errors.New("no box was asked")
@@ -471,7 +471,7 @@
 			break
 		}
 	}
-	if err == nil && t.cfg.Refuses {
+	if err == nil && t.cfg.CanReject {
 		err = t.awaitService("n3", true)
 	}
 	if err == nil {
@@ -479,7 +479,7 @@
 	}
 	for _, b := range t.site.Boxes {
 		if st, e := b.Control().Status(); e == nil && st.Counters["invariants_broken"] > 0 {
-			t.note("%s reports broken invariants: %s", b.Name, b.Log())
+			t.note("%s reports broken invariants: %s", b.Name, b.Output())
 			t.figures.Mixed++ // a request that is handled under two versions breaks an invariant
 		}
 	}
@@ -493,13 +493,13 @@
 // shutOutBox rolls out a configuration that one box rejects and all others accept, and waits until that box is shut out. It runs after
 // the faults have ended: with some seeds they change the straggler detector so often that no box is shut out in time.
 func (t *trial) shutOutBox(box string) error {
-	n, err := t.putConfig(Script{Refuse: box, Leave: true}, "rejected by one box")
+	n, err := t.putConfig(Script{RejectedBy: box, DrainWhenShutOut: true}, "rejected by one box")
 	if err != nil {
 		return err
 	}
 	plan := defaultPlan
 	plan.Share, plan.MaxRejected = 1, 1
-	if err := t.askUntil(20*time.Second, anyBox, func(b *rig.Box) error { return b.Control().Fleet().StartRoll(n, plan) }); err != nil {
+	if err := t.askUntil(20*time.Second, anyBox, func(b *rig.Box) error { return b.Control().Fleet().StartRollout(n, plan) }); err != nil {
 		return err
 	}
 	err = t.askUntil(gracePeriod+40*time.Second, anyBox, func(b *rig.Box) error {
@@ -523,7 +523,7 @@
 	i := slices.IndexFunc(t.site.Boxes, func(b *rig.Box) bool { return b.Name == box })
 	drained := false
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(pollInterval) {
-		b, err := audit.Read(t.site.Boxes[i].Audits()[0])
+		b, err := audit.Read(t.site.Boxes[i].AuditDirs()[0])
 		if err != nil {
 			return err
 		}
--- a/internal/lab/audits/audits_test.go
+++ b/internal/lab/audits/audits_test.go
@@ -33,9 +33,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Run(Config{Seed: 1, Boxes: 5, Schedule: sched, Faults: len(sched), Example: "../../../examples/config.json", Dir: dir,
-		Scripts: []Script{{Name: "good"}, {Name: "the conductor is killed", Do: "kill"}, {Name: "superseded", Do: "supersede"}, {Name: "aborted", Do: "abort"}},
-		Serve:   func(_ int, path string) *exec.Cmd { return rigtest.Serve(path) },
+	f, err := Run(Config{Seed: 1, Boxes: 5, Schedule: sched, Faults: len(sched), SettingsFile: "../../../examples/config.json", Dir: dir,
+		Scripts: []Script{{Name: "good"}, {Name: "the conductor is killed", Disturbance: "kill"}, {Name: "superseded", Disturbance: "supersede"}, {Name: "aborted", Disturbance: "abort"}},
+		Command: func(_ int, path string) *exec.Cmd { return rigtest.Serve(path) },
 		Terms:   lease.Terms{Term: 1500 * time.Millisecond, Drift: 0.02}, Election: 500 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 		"no end in time, under faults": {"done", 3, nil, late, 0},
 	} {
 		tr := &trial{cfg: Config{Faults: x.faults, Progress: io.Discard}, figures: &Figures{}, finished: x.ends}
-		tr.checkEnd(Script{Name: name, Want: x.want}, 7, x.late)
+		tr.checkEnd(Script{Name: name, WantedEnd: x.want}, 7, x.late)
 		if tr.figures.Unsettled != x.unsettled || len(tr.figures.Notes) != x.unsettled {
 			t.Errorf("%s: got %d unsettled, want %d; notes %v", name, tr.figures.Unsettled, x.unsettled, tr.figures.Notes)
 		}
@@ -73,11 +73,11 @@
 
 // TestMissedInFullReportsEachBound checks that each bound can be missed: bad figures must be reported as such.
 func TestMissedInFullReportsEachBound(t *testing.T) {
-	good := Figures{Acts: 100, Answers: 100, Tampered: 5, TamperedFound: 5, Done: 3, Processes: 9, Rollouts: 8, Returned: 1, Superseded: 1, Conductors: 1, Stragglers: 1, ShutOut: 1}
+	good := Figures{Acts: 100, Answers: 100, TamperedCopies: 5, TamperedFound: 5, Done: 3, Processes: 9, Rollouts: 8, RolledBack: 1, Superseded: 1, ConductorsHit: 1, Stragglers: 1, ShutOut: 1}
 	if list := good.MissedInFull(); len(list) > 0 {
 		t.Errorf("figures within all bounds are reported as missing %v", list)
 	}
-	for name, change := range map[string]func(*Figures){"acts below": func(f *Figures) { f.ActsBelowFloor = 1 }, "mixed": func(f *Figures) { f.Mixed = 1 }, "steps": func(f *Figures) { f.StepsTwice = 1 },
+	for name, change := range map[string]func(*Figures){"acts below": func(f *Figures) { f.ActsBelowLowest = 1 }, "mixed": func(f *Figures) { f.Mixed = 1 }, "steps": func(f *Figures) { f.StepsRepeated = 1 },
 		"wrongly": func(f *Figures) { f.WronglyShutOut = 1 }, "answers": func(f *Figures) { f.AnswersWrong = 1 }, "tampered": func(f *Figures) { f.TamperedFound = 4 }, "gaps": func(f *Figures) { f.Gaps = 1 },
 		"not settled": func(f *Figures) { f.Unsettled = 1 }, "double": func(f *Figures) { f.DoubleRuns = 1 }, "too little": func(f *Figures) { f.Rollouts = 3 }} {
 		f := good
--- a/internal/lab/audits/judge.go
+++ b/internal/lab/audits/evaluate.go
@@ -12,7 +12,7 @@
 	"cairnlane/internal/fleet"
 	"cairnlane/internal/lab/actor"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/standin/resource"
+	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/state/audit"
 )
 
@@ -21,17 +21,17 @@
 // Figures are the results of a trial.
 type Figures struct {
 	rig.Tally
-	Processes, Rollouts, Done, Returned, Superseded int
-	Faults, Kinds, Conductors, Acts                 int
-	ActsBelowFloor, LowRefused, Mixed, StepsTwice   int
-	Stragglers, BroughtUp, ShutOut, WronglyShutOut  int
-	Answers, AnswersWrong, Gaps, GapsFound          int
-	Tampered, TamperedFound, Unsettled              int
-	WorstError                                      time.Duration
-	Took                                            time.Duration
-	Schedule                                        rig.Schedule
-	Notes                                           []string
-	stragglerBoxes                                  map[string]string
+	Processes, Rollouts, Done, RolledBack, Superseded  int
+	Faults, Kinds, ConductorsHit, Acts                 int
+	ActsBelowLowest, LowRejected, Mixed, StepsRepeated int
+	Stragglers, BroughtUp, ShutOut, WronglyShutOut     int
+	Answers, AnswersWrong, Gaps, GapsFound             int
+	TamperedCopies, TamperedFound, Unsettled           int
+	WorstError                                         time.Duration
+	Duration                                           time.Duration
+	Schedule                                           rig.Schedule
+	Notes                                              []string
+	stragglerBoxes                                     map[string]string
 }
 
 // evaluate compares the audits with the observations and fills in the figures. It runs after the load and the faults have ended.
@@ -44,7 +44,7 @@
 		case rollout.Done:
 			figures.Done++
 		case rollout.RolledBack:
-			figures.Returned++
+			figures.RolledBack++
 		case rollout.Superseded:
 			figures.Superseded++
 		}
@@ -54,10 +54,10 @@
 	}
 	t.countActsBelowLowest(effects)
 	// The audit of each box: the current one first, then those of state directories that it lost and of twins.
-	books := map[string][]*audit.Book{}
-	var all []*audit.Book
+	books := map[string][]*audit.FolderContents{}
+	var all []*audit.FolderContents
 	for _, b := range t.site.Boxes {
-		for i, dir := range b.Audits() {
+		for i, dir := range b.AuditDirs() {
 			book, err := audit.Read(dir)
 			if err != nil {
 				if i == 0 {
@@ -85,17 +85,17 @@
 
 // countActsOnFullDisk returns how many boxes acted while their disk was full, as the fake resource saw it, and counts those of them
 // whose audit records a gap.
-func (t *trial) countActsOnFullDisk(effects []resource.Effect, books map[string][]*audit.Book) (n int) {
+func (t *trial) countActsOnFullDisk(effects []resource.Effect, books map[string][]*audit.FolderContents) (n int) {
 	since := map[int]time.Time{}
 	full := map[string]bool{}
 	for _, h := range t.site.History() {
-		switch at := t.site.At(h); {
-		case strings.HasPrefix(h.What, "full for"):
+		switch at := t.site.TimeOf(h); {
+		case strings.HasPrefix(h.Text, "full for"):
 			since[h.Box] = at
-		case h.What == "full is over":
+		case h.Text == "full is over":
 			from, to := since[h.Box].Sub(t.clockStart)+50*time.Millisecond, at.Sub(t.clockStart)-50*time.Millisecond
 			for _, e := range effects {
-				if e.Box == t.site.Boxes[h.Box].Name && e.Begin > from && e.Called > from && e.Begin < to && e.Begin != 0 {
+				if e.Box == t.site.Boxes[h.Box].Name && e.Begin > from && e.AnnouncedAt > from && e.Begin < to && e.Begin != 0 {
 					full[e.Box] = true
 				}
 			}
@@ -113,7 +113,7 @@
 	return len(full)
 }
 
-func countGaps(b *audit.Book) (n int) {
+func countGaps(b *audit.FolderContents) (n int) {
 	for _, e := range b.Entries {
 		if e.Kind == audit.Gap {
 			n++
@@ -123,9 +123,9 @@
 }
 
 // auditHeads returns the audit heads in the ledger by box, as the first box reports them.
-func (t *trial) auditHeads() (map[string][]audit.Mark, error) {
-	heads := map[string][]audit.Mark{}
-	reported, err := t.site.Boxes[0].Control().Fleet().Marks()
+func (t *trial) auditHeads() (map[string][]audit.ChainHead, error) {
+	heads := map[string][]audit.ChainHead{}
+	reported, err := t.site.Boxes[0].Control().Fleet().AuditHeads()
 	if err != nil {
 		return nil, err
 	}
@@ -147,31 +147,31 @@
 	allowance := time.Duration(float64(t.cfg.Terms.Term)*(1+t.cfg.Terms.Drift)) + 100*time.Millisecond
 	seen := map[string]uint64{} // the lowest version that each thing has received
 	for _, e := range effects {
-		if e.Low {
-			t.figures.LowRefused++
+		if e.BelowLowest {
+			t.figures.LowRejected++
 		}
 		if e.Begin == 0 {
 			continue
 		}
 		t.figures.Acts++
 		if e.Version < e.Lowest {
-			t.figures.ActsBelowFloor++
+			t.figures.ActsBelowLowest++
 			t.note("%s acted on %s under version %d although it knew that %d is the lowest allowed", e.Box, e.Thing, e.Version, e.Lowest)
 		}
-		if actor.Compares(e.Thing) {
+		if actor.ComparesTokens(e.Thing) {
 			if e.Version < seen[e.Thing] {
-				t.figures.ActsBelowFloor++
+				t.figures.ActsBelowLowest++
 				t.note("%s acted on %s under version %d after the resource had been told that %d is the lowest allowed", e.Box, e.Thing, e.Version, seen[e.Thing])
 			}
 			seen[e.Thing] = max(seen[e.Thing], e.Lowest)
 		}
-		if e.Trap || t.wasOut(e) {
+		if e.Intercepted || t.wasOut(e) {
 			continue // it was stopped between check and effect, which only things that compare tokens guard against
 		}
 		for lowest, at := range t.lowestSeenAt {
-			if e.Version < lowest && e.Called > at+allowance {
-				t.figures.ActsBelowFloor++
-				t.note("%s acted on %s under version %d, %v after %d was seen as the lowest allowed", e.Box, e.Thing, e.Version, e.Called-at, lowest)
+			if e.Version < lowest && e.AnnouncedAt > at+allowance {
+				t.figures.ActsBelowLowest++
+				t.note("%s acted on %s under version %d, %v after %d was seen as the lowest allowed", e.Box, e.Thing, e.Version, e.AnnouncedAt-at, lowest)
 			}
 		}
 	}
@@ -181,7 +181,7 @@
 func (t *trial) wasOut(e resource.Effect) bool {
 	for _, b := range t.site.Boxes {
 		if b.Name == e.Box {
-			return b.Out(t.clockStart.Add(e.Called-time.Second), t.clockStart.Add(e.Begin))
+			return b.WasOut(t.clockStart.Add(e.AnnouncedAt-time.Second), t.clockStart.Add(e.Begin))
 		}
 	}
 	return false
@@ -196,7 +196,7 @@
 }
 
 // compareVersions checks which boxes acted under each version: the boxes that the fake resource saw must be in the audits.
-func (t *trial) compareVersions(effects []resource.Effect, index *audit.Index, all []*audit.Book) {
+func (t *trial) compareVersions(effects []resource.Effect, index *audit.Index, all []*audit.FolderContents) {
 	observed, recorded := map[uint64]map[string]bool{}, map[uint64]map[string]bool{}
 	add := func(m map[uint64]map[string]bool, n uint64, box string) {
 		if m[n] == nil {
@@ -214,7 +214,7 @@
 		newest = max(newest, n)
 	}
 	for n := range newest + 1 {
-		for _, r := range index.Version(n, 0) {
+		for _, r := range index.RunsOfConfig(n, 0) {
 			if r.Effects > 0 {
 				add(recorded, n, r.Box)
 			}
@@ -224,11 +224,11 @@
 		}
 		// An audit may hold more effects than were seen, because some were not made or were rejected by the resource.
 		scanned := 0
-		for _, r := range audit.ScanVersion(all, n) {
+		for _, r := range audit.ScanRunsOfConfig(all, n) {
 			scanned += r.Effects
 		}
 		indexed := 0
-		for _, r := range index.Version(n, 0) {
+		for _, r := range index.RunsOfConfig(n, 0) {
 			indexed += r.Effects
 		}
 		t.countAnswer(scanned == indexed, "the index has %d effects under version %d, and a scan finds %d", indexed, n, scanned)
@@ -238,7 +238,7 @@
 // mayLackEntries reports whether a box's audit may lack entries because its disk was full for a time.
 func (t *trial) mayLackEntries(box string) bool {
 	for _, h := range t.site.History() {
-		if h.What == "full is over" && t.site.Boxes[h.Box].Name == box {
+		if h.Text == "full is over" && t.site.Boxes[h.Box].Name == box {
 			return true
 		}
 	}
@@ -274,10 +274,10 @@
 }
 
 // compareSamples checks which version each box had in force at an index of the ledger, and when it changed to it.
-func (t *trial) compareSamples(books map[string][]*audit.Book, heads map[string][]audit.Mark) {
+func (t *trial) compareSamples(books map[string][]*audit.FolderContents, heads map[string][]audit.ChainHead) {
 	jumped := map[int]bool{}
 	for _, h := range t.site.History() {
-		if strings.HasPrefix(h.What, "wall for") {
+		if strings.HasPrefix(h.Text, "wall for") {
 			jumped[h.Box] = true
 		}
 	}
@@ -286,12 +286,12 @@
 			continue
 		}
 		index := audit.NewIndex(books[b.Name], heads)
-		runs := index.Runs(b.Name)
+		runs := index.RunsOf(b.Name)
 		highestIndex := uint64(0)
 		for i, s := range t.samples[b.Index] {
 			replaying := s.index < highestIndex // the box replays its ledger
 			highestIndex = max(highestIndex, s.index)
-			if i%10 == 0 && !replaying && !slices.ContainsFunc(runs, func(r audit.Run) bool { return r.From == s.index }) {
+			if i%10 == 0 && !replaying && !slices.ContainsFunc(runs, func(r audit.VersionRun) bool { return r.From == s.index }) {
 				answers := index.AtIndex(s.index)
 				if len(answers) == 1 {
 					t.countAnswer(answers[0].Version.Fleet == s.inForce, "%s had version %d in force at index %d, and its audit says %d", b.Name, s.inForce, s.index, answers[0].Version.Fleet)
@@ -316,7 +316,7 @@
 }
 
 // countMixed counts effects that an audit records under another version than the one that its box had in force by the same chain.
-func (t *trial) countMixed(all []*audit.Book) {
+func (t *trial) countMixed(all []*audit.FolderContents) {
 	for _, b := range all {
 		inForce, chain, unknown := uint64(0), "", false
 		for _, e := range b.Entries {
@@ -337,12 +337,12 @@
 }
 
 // verifyChains checks the audits against the heads in the ledger. The audits of all boxes whose disk was not replaced must be complete.
-func (t *trial) verifyChains(books map[string][]*audit.Book, heads map[string][]audit.Mark) {
+func (t *trial) verifyChains(books map[string][]*audit.FolderContents, heads map[string][]audit.ChainHead) {
 	for _, b := range t.site.Boxes {
 		diskReplaced := false
 		for _, h := range t.site.History() {
 			// With the disk its chain was lost, which the heads in the ledger show.
-			if h.Box == b.Index && (strings.HasPrefix(h.What, "old-copy for") || strings.HasPrefix(h.What, "empty for") || strings.HasPrefix(h.What, "twin for")) {
+			if h.Box == b.Index && (strings.HasPrefix(h.Text, "old-copy for") || strings.HasPrefix(h.Text, "empty for") || strings.HasPrefix(h.Text, "twin for")) {
 				diskReplaced = true
 			}
 		}
@@ -350,13 +350,13 @@
 			continue
 		}
 		book := books[b.Name][0]
-		book.Against(heads[b.Name])
+		book.VerifyMarks(heads[b.Name])
 		t.countAnswer(len(book.Faults) == 0, "%s: its audit is complete, and the check reports %v", b.Name, book.Faults)
 	}
 }
 
 // tamper alters copies of audits in several ways and counts how many alterations the heads in the ledger reveal.
-func (t *trial) tamper(heads map[string][]audit.Mark) error {
+func (t *trial) tamper(heads map[string][]audit.ChainHead) error {
 	methods := []func(dir string, names []string) error{
 		func(dir string, names []string) error { // flips a bit in the middle
 			return editFile(dir, names[len(names)/2], func(raw []byte) []byte { raw[len(raw)/2] ^= 1; return raw })
@@ -384,7 +384,7 @@
 	}
 	for i, b := range t.site.Boxes {
 		dir := filepath.Join(t.cfg.Dir, fmt.Sprintf("tampered-%d", i))
-		if err := os.CopyFS(dir, os.DirFS(b.Audits()[0])); err != nil {
+		if err := os.CopyFS(dir, os.DirFS(b.AuditDirs()[0])); err != nil {
 			return err
 		}
 		names, err := filepath.Glob(filepath.Join(dir, "*.aud"))
@@ -398,7 +398,7 @@
 		if err != nil {
 			return err
 		}
-		before.Against(heads[b.Name])
+		before.VerifyMarks(heads[b.Name])
 		if err := methods[i%len(methods)](dir, names); err != nil {
 			return err
 		}
@@ -406,8 +406,8 @@
 		if err != nil {
 			return err
 		}
-		after.Against(heads[b.Name])
-		t.figures.Tampered++
+		after.VerifyMarks(heads[b.Name])
+		t.figures.TamperedCopies++
 		if len(after.Faults) > len(before.Faults) {
 			t.figures.TamperedFound++
 		} else {
@@ -429,8 +429,8 @@
 // String returns the line of figures.
 func (f *Figures) String() string {
 	return fmt.Sprintf("figures: processes=%d rollouts=%d done=%d returned=%d superseded=%d faults=%d kinds=%d conductors_hit=%d acts=%d acts_below_floor=%d low_refused=%d mixed_requests=%d steps_twice=%d stragglers=%d brought_up=%d shut_out=%d wrongly_shut_out=%d answers=%d answers_wrong=%d gaps=%d gaps_found=%d tampered=%d tampered_found=%d worst_error_ms=%d unsettled=%d requests=%d served=%d killed=%d lost=%d ended_twice=%d double_runs=%d wrong=%d seconds=%.0f",
-		f.Processes, f.Rollouts, f.Done, f.Returned, f.Superseded, f.Faults, f.Kinds, f.Conductors, f.Acts, f.ActsBelowFloor, f.LowRefused, f.Mixed, f.StepsTwice, f.Stragglers, f.BroughtUp, f.ShutOut, f.WronglyShutOut,
-		f.Answers, f.AnswersWrong, f.Gaps, f.GapsFound, f.Tampered, f.TamperedFound, f.WorstError.Milliseconds(), f.Unsettled, f.Requests, f.Served, f.Killed, f.Lost, f.EndedTwice, f.DoubleRuns, f.Wrong, f.Took.Seconds())
+		f.Processes, f.Rollouts, f.Done, f.RolledBack, f.Superseded, f.Faults, f.Kinds, f.ConductorsHit, f.Acts, f.ActsBelowLowest, f.LowRejected, f.Mixed, f.StepsRepeated, f.Stragglers, f.BroughtUp, f.ShutOut, f.WronglyShutOut,
+		f.Answers, f.AnswersWrong, f.Gaps, f.GapsFound, f.TamperedCopies, f.TamperedFound, f.WorstError.Milliseconds(), f.Unsettled, f.Requests, f.Served, f.Killed, f.Lost, f.EndedTwice, f.DoubleRuns, f.Wrong, f.Duration.Seconds())
 }
 
 // Missed lists the missed bounds.
@@ -438,15 +438,15 @@
 	for _, c := range []struct {
 		name string
 		n    int64
-	}{{"acts below the lowest version", int64(f.ActsBelowFloor)}, {"mixed", int64(f.Mixed)}, {"steps repeated", int64(f.StepsTwice)}, {"wrongly shut out", int64(f.WronglyShutOut)},
-		{"answers wrong", int64(f.AnswersWrong)}, {"tampered copies not detected", int64(f.Tampered - f.TamperedFound)}, {"not settled", int64(f.Unsettled)}, {"gaps not recorded", int64(f.Gaps - f.GapsFound)},
+	}{{"acts below the lowest version", int64(f.ActsBelowLowest)}, {"mixed", int64(f.Mixed)}, {"steps repeated", int64(f.StepsRepeated)}, {"wrongly shut out", int64(f.WronglyShutOut)},
+		{"answers wrong", int64(f.AnswersWrong)}, {"tampered copies not detected", int64(f.TamperedCopies - f.TamperedFound)}, {"not settled", int64(f.Unsettled)}, {"gaps not recorded", int64(f.Gaps - f.GapsFound)},
 		{"lost", f.Lost}, {"ended twice", f.EndedTwice}, {"double runs", f.DoubleRuns}, {"wrong results", f.Wrong}} {
 		if c.n > 0 {
 			list = append(list, fmt.Sprintf("%s: %d", c.name, c.n))
 		}
 	}
-	if f.Acts < 20 || f.Answers < 10 || f.Tampered == 0 || f.Done == 0 {
-		list = append(list, fmt.Sprintf("too little to judge: %d acts, %d answers, %d tampered copies, %d rollouts done", f.Acts, f.Answers, f.Tampered, f.Done))
+	if f.Acts < 20 || f.Answers < 10 || f.TamperedCopies == 0 || f.Done == 0 {
+		list = append(list, fmt.Sprintf("too little to judge: %d acts, %d answers, %d tampered copies, %d rollouts done", f.Acts, f.Answers, f.TamperedCopies, f.Done))
 	}
 	return list
 }
@@ -454,7 +454,7 @@
 // MissedInFull lists the missed bounds of a full trial.
 func (f *Figures) MissedInFull() []string {
 	list := f.Missed()
-	if f.Processes < 9 || f.Rollouts < 8 || f.Returned == 0 || f.Superseded == 0 || f.Conductors == 0 || f.Stragglers == 0 || f.ShutOut == 0 {
+	if f.Processes < 9 || f.Rollouts < 8 || f.RolledBack == 0 || f.Superseded == 0 || f.ConductorsHit == 0 || f.Stragglers == 0 || f.ShutOut == 0 {
 		list = append(list, "too little to judge rollouts")
 	}
 	return list
--- a/internal/lab/fleetsim/cases_test.go
+++ b/internal/lab/fleetsim/cases_test.go
@@ -9,9 +9,9 @@
 )
 
 // newSettledFleet returns a simulation without drawn faults whose voters and members are complete.
-func newSettledFleet(boxes, voters int, change func(*Config)) *World {
+func newSettledFleet(boxes, voters int, change func(*Config)) *Simulation {
 	cfg := Default(7)
-	cfg.Boxes, cfg.Voters, cfg.Loss = boxes, voters, 0
+	cfg.Boxes, cfg.Voters, cfg.LossRate = boxes, voters, 0
 	if change != nil {
 		change(&cfg)
 	}
@@ -24,7 +24,7 @@
 }
 
 // settled reports whether all intended voters are full voters and every box is a member.
-func (w *World) settled() bool {
+func (w *Simulation) settled() bool {
 	for i, b := range w.boxes {
 		s := b.node.Ledger().State()
 		if len(s.Voters) < w.cfg.Voters || b.node.Holder().Phase() != lease.Joined {
@@ -38,7 +38,7 @@
 }
 
 // leaderNumber returns the number of the leading box, -1 if there is none.
-func (w *World) leaderNumber() int {
+func (w *Simulation) leaderNumber() int {
 	for i, b := range w.boxes {
 		if b.node != nil && b.node.Ledger().Leads(b.clock(w)) {
 			return i
@@ -48,7 +48,7 @@
 }
 
 // cutBox cuts all links of box i, or restores them.
-func (w *World) cutBox(i int, on bool) {
+func (w *Simulation) cutBox(i int, on bool) {
 	for k := range w.boxes {
 		if k != i {
 			w.cutLinks[[2]int{i, k}], w.cutLinks[[2]int{k, i}] = on, on
@@ -62,10 +62,10 @@
 	for name, c := range map[string]struct {
 		boxes, voters int
 		change        func(*Config)
-		do            func(w *World)
+		do            func(w *Simulation)
 	}{
-		"leader is paused and resumes": {4, 3, nil, func(w *World) { w.pause(w.leaderNumber(), 9*time.Second); w.Advance(w.now + 12*time.Second) }},
-		"leader receives but its messages are lost": {4, 3, nil, func(w *World) {
+		"leader is paused and resumes": {4, 3, nil, func(w *Simulation) { w.pause(w.leaderNumber(), 9*time.Second); w.Advance(w.now + 12*time.Second) }},
+		"leader receives but its messages are lost": {4, 3, nil, func(w *Simulation) {
 			i := w.leaderNumber()
 			for k := range w.boxes {
 				w.cutLinks[[2]int{i, k}] = true
@@ -75,7 +75,7 @@
 				w.recordViolation("box%d leads", l)
 			}
 		}},
-		"leader sends but receives nothing": {4, 3, nil, func(w *World) {
+		"leader sends but receives nothing": {4, 3, nil, func(w *Simulation) {
 			i := w.leaderNumber()
 			for k := range w.boxes {
 				w.cutLinks[[2]int{k, i}] = true
@@ -85,18 +85,18 @@
 				w.recordViolation("box%d leads", l)
 			}
 		}},
-		"leader's links have 200 ms more delay": {5, 3, nil, func(w *World) {
+		"leader's links have 200 ms more delay": {5, 3, nil, func(w *Simulation) {
 			i := w.leaderNumber()
 			for k := range w.boxes {
 				w.linkDelay[[2]int{i, k}], w.linkDelay[[2]int{k, i}] = 200*time.Millisecond, 200*time.Millisecond
 			}
-			acts := w.result.Acts
+			acts := w.result.Effects
 			w.Advance(w.now + 15*time.Second)
-			if w.result.Acts == acts {
+			if w.result.Effects == acts {
 				w.recordViolation("no effects")
 			}
 		}},
-		"links flap at the renewal interval": {4, 3, nil, func(w *World) {
+		"links flap at the renewal interval": {4, 3, nil, func(w *Simulation) {
 			for range 30 {
 				w.cutBox(3, true)
 				w.Advance(w.now + w.cfg.Terms.RenewInterval())
@@ -104,14 +104,14 @@
 				w.Advance(w.now + w.cfg.Terms.RenewInterval())
 			}
 		}},
-		"answers to renewals are lost": {4, 3, nil, func(w *World) {
+		"answers to renewals are lost": {4, 3, nil, func(w *Simulation) {
 			for k := range w.boxes {
 				w.cutLinks[[2]int{k, 3}] = true
 			}
 			w.Advance(w.now + 6*time.Second)
 		}},
-		"two boxes, one voter": {2, 1, nil, func(w *World) { w.kill(1); w.Advance(w.now + 4*time.Second); w.start(1) }},
-		"all boxes killed and restarted in another order": {5, 3, nil, func(w *World) {
+		"two boxes, one voter": {2, 1, nil, func(w *Simulation) { w.kill(1); w.Advance(w.now + 4*time.Second); w.start(1) }},
+		"all boxes killed and restarted in another order": {5, 3, nil, func(w *Simulation) {
 			for i := range w.boxes {
 				w.kill(i)
 			}
@@ -120,7 +120,7 @@
 				w.start(i)
 			}
 		}},
-		"box restarts with an old copy of its disk": {4, 3, nil, func(w *World) {
+		"box restarts with an old copy of its disk": {4, 3, nil, func(w *Simulation) {
 			old := w.boxes[1].disk.Copy()
 			w.Advance(w.now + 10*time.Second)
 			w.kill(1)
@@ -128,7 +128,7 @@
 			w.start(1)
 			w.Advance(w.now + 8*time.Second)
 		}},
-		"full disks during an election": {4, 3, nil, func(w *World) {
+		"full disks during an election": {4, 3, nil, func(w *Simulation) {
 			i := w.leaderNumber()
 			for k := range w.boxes {
 				w.boxes[k].disk.Full = k != i
@@ -140,7 +140,7 @@
 			}
 			w.start(i)
 		}},
-		"nearly all boxes replaced with empty disks": {20, 3, nil, func(w *World) {
+		"nearly all boxes replaced with empty disks": {20, 3, nil, func(w *Simulation) {
 			lost := (w.leaderNumber() + 1) % 3
 			for i := range w.boxes {
 				if i > 2 || i == lost {
@@ -160,10 +160,10 @@
 		w := newSettledFleet(c.boxes, c.voters, c.change)
 		c.do(w)
 		w.heal()
-		w.Advance(w.now + w.cfg.Settle)
+		w.Advance(w.now + w.cfg.RecoverySpan)
 		w.checkHealedFleet()
-		if len(w.result.Broken) > 0 || w.result.Acts < 20 {
-			t.Errorf("%s: %v\n%v", name, w.result, w.result.Broken)
+		if len(w.result.Violations) > 0 || w.result.Effects < 20 {
+			t.Errorf("%s: %v\n%v", name, w.result, w.result.Violations)
 		}
 	}
 }
--- a/internal/lab/fleetsim/cost.go
+++ b/internal/lab/fleetsim/cost.go
@@ -8,11 +8,11 @@
 	"cairnlane/internal/fleet/ledger"
 )
 
-// BringUp lets one box miss a number of configurations and returns the time from the end of its partition until it has the newest one in
+// CatchUpTime lets one box miss a number of configurations and returns the time from the end of its partition until it has the newest one in
 // force; 0 if it does not within a minute.
-func BringUp(missed int) time.Duration {
+func CatchUpTime(missed int) time.Duration {
 	cfg := Default(1)
-	cfg.Busy, cfg.Rollouts, cfg.Loss = false, 1000*time.Hour, 0
+	cfg.Busy, cfg.RolloutInterval, cfg.LossRate = false, 1000*time.Hour, 0
 	w := New(cfg)
 	w.Advance(5 * time.Second)
 	rollOut := func() {
@@ -54,9 +54,9 @@
 // status and audit heads.
 func AuditBytes(members int, span time.Duration) (without, with float64) {
 	bytesWritten := func(withReports bool) float64 {
-		cfg := Config{Seed: 1, Boxes: members, Voters: 3, Terms: lease.Terms{Term: 10 * time.Second, Drift: 0.01}, Timing: ledger.DefaultTiming, Tasks: 1, Delay: time.Millisecond}
+		cfg := Config{Seed: 1, Boxes: members, Voters: 3, Terms: lease.Terms{Term: 10 * time.Second, Drift: 0.01}, Timing: ledger.DefaultTiming, Tasks: 1, MeanDelay: time.Millisecond}
 		if withReports {
-			cfg.Rollouts = 1000 * time.Hour
+			cfg.RolloutInterval = 1000 * time.Hour
 		}
 		w := New(cfg)
 		w.Advance(30 * time.Second)
--- a/internal/lab/fleetsim/faults.go
+++ b/internal/lab/fleetsim/faults.go
@@ -12,7 +12,7 @@
 )
 
 // injectFault draws a fault and its duration, and starts it.
-func (w *World) injectFault() {
+func (w *Simulation) injectFault() {
 	if w.healed {
 		return
 	}
@@ -124,7 +124,7 @@
 
 // quorumWithout reports whether a quorum of voters with intact disks remains if box i loses its disk: every other voter runs under its
 // current identity, and no change of voters is in progress.
-func (w *World) quorumWithout(i int) bool {
+func (w *Simulation) quorumWithout(i int) bool {
 	for k, o := range w.boxes {
 		if o.node == nil {
 			if k != i {
@@ -149,7 +149,7 @@
 }
 
 // pause stops box i for a time. It then processes what came meanwhile.
-func (w *World) pause(i int, span time.Duration) {
+func (w *Simulation) pause(i int, span time.Duration) {
 	b := w.boxes[i]
 	if b.node == nil || b.paused {
 		return
@@ -174,7 +174,7 @@
 }
 
 // Advance processes all events up to and including until.
-func (w *World) Advance(until time.Duration) {
+func (w *Simulation) Advance(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
@@ -185,7 +185,7 @@
 }
 
 // heal ends all faults: it restores the network and the disks, and resumes or restarts the boxes.
-func (w *World) heal() {
+func (w *Simulation) heal() {
 	w.healed = true
 	clear(w.cutLinks)
 	clear(w.linkDelay)
@@ -215,13 +215,13 @@
 	w.Advance(3 * time.Second) // lets the voters form a quorum
 	begin := w.now
 	for range cfg.Faults {
-		w.after(time.Duration(w.rand.Int64N(int64(cfg.Span))), w.injectFault)
+		w.after(time.Duration(w.rand.Int64N(int64(cfg.FaultSpan))), w.injectFault)
 	}
-	w.Advance(begin + cfg.Span)
+	w.Advance(begin + cfg.FaultSpan)
 	w.heal()
-	w.Advance(w.now + cfg.Settle)
-	if cfg.Rollouts > 0 {
-		w.Advance(w.now + cfg.Settle) // lets a running rollout end
+	w.Advance(w.now + cfg.RecoverySpan)
+	if cfg.RolloutInterval > 0 {
+		w.Advance(w.now + cfg.RecoverySpan) // lets a running rollout end
 		w.checkRollouts()
 	}
 	w.checkHealedFleet()
@@ -230,7 +230,7 @@
 
 // checkHealedFleet checks what has to hold after all faults are healed: every box runs, is a member and has the same replicated state, and
 // leases are granted.
-func (w *World) checkHealedFleet() {
+func (w *Simulation) checkHealedFleet() {
 	requests := make([]*lease.TrackedRequest, len(w.boxes))
 	for i, b := range w.boxes {
 		if b.node == nil {
@@ -254,7 +254,7 @@
 			}
 		}
 		if all {
-			w.result.Agreed = w.now - began
+			w.result.AgreementTime = w.now - began
 			break
 		}
 	}
@@ -290,5 +290,5 @@
 
 // String returns the result as one line.
 func (r *Result) String() string {
-	return fmt.Sprintf("acts=%d takeovers=%d stale=%d fenced=%d messages=%d events=%d agreed=%v faults=%v broken=%d", r.Acts, r.Takeovers, r.Stale, r.Fenced, r.Messages, r.Events, r.Agreed, r.Faults, len(r.Broken))
+	return fmt.Sprintf("acts=%d takeovers=%d stale=%d fenced=%d messages=%d events=%d agreed=%v faults=%v broken=%d", r.Effects, r.Takeovers, r.StaleRejected, r.Fenced, r.Messages, r.Events, r.AgreementTime, r.Faults, len(r.Violations))
 }
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -10,28 +10,28 @@
 
 // MemberFigures measures failure detection by the sessions of the ledger. Messages and bytes are per box and second.
 type MemberFigures struct {
-	MessagesBox, BytesBox   float64
-	FirstNotices, AllNotice time.Duration
-	FalseAlarms             int
+	MessagesPerBox, BytesPerBox   float64
+	FirstDetection, FullDetection time.Duration
+	FalseAlarms                   int
 }
 
-// Members simulates a fleet, kills one box and measures how soon the others notice. Then it delays all messages to a fifth of the boxes by slowBy
+// MeasureFailureDetection simulates a fleet, kills one box and measures how soon the others notice. Then it delays all messages to a fifth of the boxes by slowBy
 // and counts the sessions that end although their boxes are alive.
-func Members(boxes int, term, slowBy time.Duration) (f MemberFigures) {
-	w := New(Config{Seed: 1, Boxes: boxes, Voters: 5, Terms: lease.Terms{Term: term, Drift: 0.01}, Timing: ledger.DefaultTiming, Tasks: 1, Delay: time.Millisecond})
+func MeasureFailureDetection(boxes int, term, slowBy time.Duration) (f MemberFigures) {
+	w := New(Config{Seed: 1, Boxes: boxes, Voters: 5, Terms: lease.Terms{Term: term, Drift: 0.01}, Timing: ledger.DefaultTiming, Tasks: 1, MeanDelay: time.Millisecond})
 	w.countBytes = true
 	w.Advance(20 * time.Second)
 	clear(w.traffic)
 	const span = 20 * time.Second
 	w.Advance(w.now + span)
 	for _, t := range w.traffic {
-		f.MessagesBox += float64(t.messages) / span.Seconds() / float64(boxes)
-		f.BytesBox += float64(t.bytes) / span.Seconds() / float64(boxes)
+		f.MessagesPerBox += float64(t.messages) / span.Seconds() / float64(boxes)
+		f.BytesPerBox += float64(t.bytes) / span.Seconds() / float64(boxes)
 	}
 	victim := boxes - 1
 	w.kill(victim)
 	killed := w.now
-	for f.AllNotice == 0 && w.now < killed+time.Minute {
+	for f.FullDetection == 0 && w.now < killed+time.Minute {
 		w.Advance(w.now + 50*time.Millisecond)
 		noticed := 0
 		for i, b := range w.boxes[:victim] {
@@ -41,15 +41,15 @@
 					break
 				}
 			}
-			if i == 0 && noticed == 0 && f.FirstNotices > 0 {
+			if i == 0 && noticed == 0 && f.FirstDetection > 0 {
 				break
 			}
 		}
-		if noticed > 0 && f.FirstNotices == 0 {
-			f.FirstNotices = w.now - killed
+		if noticed > 0 && f.FirstDetection == 0 {
+			f.FirstDetection = w.now - killed
 		}
 		if noticed == victim {
-			f.AllNotice = w.now - killed
+			f.FullDetection = w.now - killed
 		}
 	}
 	before := map[string]uint64{}
--- a/internal/lab/fleetsim/rollouts.go
+++ b/internal/lab/fleetsim/rollouts.go
@@ -12,7 +12,7 @@
 
 // configStore holds the configurations of a box. It outlives the box's process. It implements fleet.Configs.
 type configStore struct {
-	w       *World
+	w       *Simulation
 	b       *box
 	inForce uint64
 	since   fleet.LedgerPosition
@@ -54,8 +54,8 @@
 func (c *configStore) Served() (good, bad uint64) { return 0, 0 }
 
 // scheduleOperators makes operators submit rollout commands from time to time, at one or two boxes at once.
-func (w *World) scheduleOperators(r *rand.Rand) {
-	w.after(time.Duration(r.ExpFloat64()*float64(w.cfg.Rollouts)), func() {
+func (w *Simulation) scheduleOperators(r *rand.Rand) {
+	w.after(time.Duration(r.ExpFloat64()*float64(w.cfg.RolloutInterval)), func() {
 		if w.healed {
 			return
 		}
@@ -69,7 +69,7 @@
 }
 
 // submitOperatorCommand submits a random rollout command at a box: put, start, abort, or hold with a later resume.
-func (w *World) submitOperatorCommand(r *rand.Rand, b *box) {
+func (w *Simulation) submitOperatorCommand(r *rand.Rand, b *box) {
 	table := b.node.Ledger().State().Rollout
 	cmd := rollout.Command{Kind: rollout.Put, Rules: &rollout.Rules{Grace: 4 * time.Second, Floor: 0.4}}
 	if table != nil && table.Current != nil {
@@ -99,7 +99,7 @@
 }
 
 // observeRollouts checks the replicated rollout state at each new ledger index, on the box that reaches the index first.
-func (w *World) observeRollouts(b *box) {
+func (w *Simulation) observeRollouts(b *box) {
 	state := b.node.Ledger().State()
 	table := state.Rollout
 	if table == nil || state.Index <= w.watchedIndex {
@@ -123,7 +123,7 @@
 	for box := range w.shutOut {
 		if _, out := table.ShutOutBoxes[box]; !out {
 			delete(w.shutOut, box)
-			w.result.BackIn++
+			w.result.Readmitted++
 		}
 	}
 	for _, r := range table.Finished {
@@ -135,7 +135,7 @@
 }
 
 // checkRollouts checks what has to hold for configurations after all faults are healed and no commands are submitted any more.
-func (w *World) checkRollouts() {
+func (w *Simulation) checkRollouts() {
 	for _, b := range w.boxes {
 		if b.node == nil {
 			continue
--- a/internal/lab/fleetsim/sim.go
+++ b/internal/lab/fleetsim/simulation.go
@@ -23,39 +23,39 @@
 	Voters int
 	Terms  lease.Terms
 	Timing ledger.Timing
-	// Span is the time during which faults are injected. Then all faults are healed and the fleet has Settle to recover.
-	Span, Settle time.Duration
-	Faults       int
-	Tasks        int
-	Busy         bool          // boxes request tasks and perform effects under their leases
-	Delay        time.Duration // mean delay of a message
-	Loss         float64       // probability that a message is lost
-	Rollouts     time.Duration // mean time between operators' rollout commands; 0 for none
+	// FaultSpan is the time during which faults are injected. Then all faults are healed and the fleet has Settle to recover.
+	FaultSpan, RecoverySpan time.Duration
+	Faults                  int
+	Tasks                   int
+	Busy                    bool          // boxes request tasks and perform effects under their leases
+	MeanDelay               time.Duration // mean delay of a message
+	LossRate                float64       // probability that a message is lost
+	RolloutInterval         time.Duration // mean time between operators' rollout commands; 0 for none
 }
 
 // Default returns the parameters of a small fleet with many faults.
 func Default(seed uint64) Config {
-	return Config{Seed: seed, Boxes: 4, Voters: 3, Terms: lease.Terms{Term: 2 * time.Second, Drift: 0.02}, Span: 24 * time.Second, Settle: 12 * time.Second,
+	return Config{Seed: seed, Boxes: 4, Voters: 3, Terms: lease.Terms{Term: 2 * time.Second, Drift: 0.02}, FaultSpan: 24 * time.Second, RecoverySpan: 12 * time.Second,
 		Timing: ledger.Timing{Heartbeat: 250 * time.Millisecond, Election: time.Second, Poll: time.Second, BatchDelay: 20 * time.Millisecond},
-		Faults: 10, Tasks: 2, Busy: true, Delay: 5 * time.Millisecond, Loss: 0.01}
+		Faults: 10, Tasks: 2, Busy: true, MeanDelay: 5 * time.Millisecond, LossRate: 0.01}
 }
 
 // Result holds the outcome of a simulation. Broken lists the violated invariants.
 type Result struct {
-	Broken               []string
-	Faults               map[string]int
-	Acts, Fenced, Stale  int // effects started, ended by a newer token, rejected for an older token
-	Takeovers            int
-	Messages, Bytes      int64
-	Commands             int64
-	Agreed               time.Duration // time until all boxes hold a new lease after the faults are healed
-	Events               int
-	Trace                []string
-	Vacancy              time.Duration // longest time from the end of a session by the expiry detector until another box could act
-	DigestsDiffer, Alarm int
-	Rollouts             map[string]int // by final phase
-	ShutOut, BackIn      int
-	Below                int // effects with a version below the lowest allowed one, rejected by the resource
+	Violations                     []string
+	Faults                         map[string]int
+	Effects, Fenced, StaleRejected int // effects started, ended by a newer token, rejected for an older token
+	Takeovers                      int
+	Messages, Bytes                int64
+	Commands                       int64
+	AgreementTime                  time.Duration // time until all boxes hold a new lease after the faults are healed
+	Events                         int
+	Trace                          []string
+	Vacancy                        time.Duration // longest time from the end of a session by the expiry detector until another box could act
+	DigestsDiffer, Alarm           int
+	Rollouts                       map[string]int // by final phase
+	ShutOut, Readmitted            int
+	LowVersionRejected             int // effects with a version below the lowest allowed one, rejected by the resource
 }
 
 type event struct {
@@ -102,8 +102,8 @@
 	busyFor     time.Duration // duration of the effect that was started last
 }
 
-// World is a simulation: the boxes, the network between them and the resources on which they act.
-type World struct {
+// Simulation is a simulation: the boxes, the network between them and the resources on which they act.
+type Simulation struct {
 	cfg             Config
 	now             time.Duration
 	queue           events
@@ -140,33 +140,33 @@
 }
 
 // after schedules do to run d from now.
-func (w *World) after(d time.Duration, do func()) {
+func (w *Simulation) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + d, w.seq, do})
 }
 
 // recordViolation notes a violated invariant; the first 10 are kept.
-func (w *World) recordViolation(format string, args ...any) {
-	if len(w.result.Broken) < 10 {
-		w.result.Broken = append(w.result.Broken, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
+func (w *Simulation) recordViolation(format string, args ...any) {
+	if len(w.result.Violations) < 10 {
+		w.result.Violations = append(w.result.Violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 	}
 }
 
 // trace adds a line to the trace; the first 400 are kept.
-func (w *World) trace(format string, args ...any) {
+func (w *Simulation) trace(format string, args ...any) {
 	if len(w.result.Trace) < 400 {
 		w.result.Trace = append(w.result.Trace, fmt.Sprintf("%8.3fs ", w.now.Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
 // clock returns the reading of the box's clock.
-func (b *box) clock(w *World) time.Duration {
+func (b *box) clock(w *Simulation) time.Duration {
 	return b.clockBase + time.Duration(float64(w.now)*b.clockRate)
 }
 
 // New starts a fleet with drawn clocks and has its first box initialize it.
-func New(cfg Config) *World {
-	w := &World{cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), cutLinks: map[[2]int]bool{}, linkDelay: map[[2]int]time.Duration{}, resources: map[string]*resource{}, traffic: map[int]boxTraffic{},
+func New(cfg Config) *Simulation {
+	w := &Simulation{cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), cutLinks: map[[2]int]bool{}, linkDelay: map[[2]int]time.Duration{}, resources: map[string]*resource{}, traffic: map[int]boxTraffic{},
 		result: &Result{Faults: map[string]int{}, Rollouts: map[string]int{}}, shutOut: map[string]bool{}, rolloutEnds: map[uint64]string{}}
 	for i := range cfg.Boxes {
 		rate := 1 + cfg.Terms.Drift*[]float64{-1, 1, 0, 0.5}[w.rand.IntN(4)]
@@ -178,7 +178,7 @@
 	for i := range w.boxes {
 		w.start(i)
 	}
-	if cfg.Rollouts > 0 {
+	if cfg.RolloutInterval > 0 {
 		w.scheduleOperators(rand.New(rand.NewPCG(cfg.Seed, 5)))
 	}
 	var voters []string
@@ -196,7 +196,7 @@
 const maxSeeds = 8
 
 // start starts the process of box i. If it cannot start, it retries after 1 s.
-func (w *World) start(i int) {
+func (w *Simulation) start(i int) {
 	b := w.boxes[i]
 	var seeds []string
 	for j := range min(maxSeeds, len(w.boxes)) {
@@ -204,7 +204,7 @@
 	}
 	cfg := fleet.NodeConfig{Name: b.name, Build: "sim", Seeds: seeds, Timing: w.cfg.Timing, Rand: b.rand, Disk: b.disk,
 		Logf: func(format string, args ...any) { w.trace("%s: %s", b.name, fmt.Sprintf(format, args...)) }}
-	if w.cfg.Rollouts > 0 {
+	if w.cfg.RolloutInterval > 0 {
 		cfg.Configs, cfg.InForce, cfg.Since, cfg.BuildNumber = b.configs, b.configs.inForce, b.configs.since, 1
 	}
 	node, err := fleet.NewNode(b.clock(w), cfg)
@@ -228,14 +228,14 @@
 }
 
 // kill ends the process of box i. Its disk stays.
-func (w *World) kill(i int) {
+func (w *Simulation) kill(i int) {
 	b := w.boxes[i]
 	b.node, b.paused, b.backlog = nil, false, nil
 	b.incarnation++
 }
 
 // run calls do in a box's process if that is still alive. While the box is paused, do is kept in the backlog of up to 256 events.
-func (w *World) run(i, incarnation int, do func()) {
+func (w *Simulation) run(i, incarnation int, do func()) {
 	b := w.boxes[i]
 	switch {
 	case b.incarnation != incarnation || b.node == nil:
@@ -252,9 +252,9 @@
 }
 
 // flush sends the messages of box i and schedules its next tick.
-func (w *World) flush(i int) {
+func (w *Simulation) flush(i int) {
 	b := w.boxes[i]
-	if w.cfg.Rollouts > 0 {
+	if w.cfg.RolloutInterval > 0 {
 		w.observeRollouts(b)
 	}
 	for _, e := range b.node.TakeMessages() {
@@ -274,7 +274,7 @@
 }
 
 // index returns the number of the box with the name, -1 if there is none.
-func (w *World) index(name string) int {
+func (w *Simulation) index(name string) int {
 	var i int
 	if _, err := fmt.Sscanf(name, "box%d", &i); err != nil || i >= len(w.boxes) {
 		return -1
@@ -286,7 +286,7 @@
 const frameBytes = 21
 
 // send delivers a message unless it is lost or its link is cut, at the time of sending or of delivery.
-func (w *World) send(from int, e ledger.Envelope) {
+func (w *Simulation) send(from int, e ledger.Envelope) {
 	w.messagesSent++
 	if w.countBytes {
 		raw, _ := cbor.Marshal(e.Message)
@@ -294,11 +294,11 @@
 		w.traffic[from] = boxTraffic{t.messages + 1, t.bytes + int64(len(raw)) + frameBytes}
 	}
 	to := w.index(e.To)
-	if to < 0 || w.cutLinks[[2]int{from, to}] || w.rand.Float64() < w.cfg.Loss && !w.healed {
+	if to < 0 || w.cutLinks[[2]int{from, to}] || w.rand.Float64() < w.cfg.LossRate && !w.healed {
 		return
 	}
 	w.result.Messages++
-	delay := w.cfg.Delay/2 + time.Duration(w.rand.ExpFloat64()*float64(w.cfg.Delay)/2) + w.linkDelay[[2]int{from, to}]
+	delay := w.cfg.MeanDelay/2 + time.Duration(w.rand.ExpFloat64()*float64(w.cfg.MeanDelay)/2) + w.linkDelay[[2]int{from, to}]
 	incarnation, name := w.boxes[to].incarnation, w.boxes[from].name
 	w.after(delay, func() {
 		if w.cutLinks[[2]int{from, to}] {
@@ -309,7 +309,7 @@
 }
 
 // requestTasks makes a box request the lease of a random task from time to time.
-func (w *World) requestTasks(i, incarnation int) {
+func (w *Simulation) requestTasks(i, incarnation int) {
 	b := w.boxes[i]
 	w.after(time.Duration(b.rand.ExpFloat64()*float64(1500*time.Millisecond)), func() {
 		if b.incarnation != incarnation {
@@ -333,7 +333,7 @@
 }
 
 // continueTask makes a box start effects under its lease request, one after the other, and then release it.
-func (w *World) continueTask(i, incarnation int, request *lease.TrackedRequest) {
+func (w *Simulation) continueTask(i, incarnation int, request *lease.TrackedRequest) {
 	b := w.boxes[i]
 	delay := time.Duration(20+b.rand.IntN(100)) * time.Millisecond
 	if work := b.requests[request]; work != nil {
@@ -368,7 +368,7 @@
 
 // startEffect performs an effect that has just passed its check: it starts 100 µs later, or much later if the box is paused in between. Only such
 // a delayed effect may collide with another holder's or come with an old token, which the lease alone cannot exclude.
-func (w *World) startEffect(i, incarnation int, task string, token uint64, need time.Duration) {
+func (w *Simulation) startEffect(i, incarnation int, task string, token uint64, need time.Duration) {
 	checked := w.now
 	b := w.boxes[i]
 	version, lowest := b.node.InForce(), b.node.Lowest()
@@ -394,11 +394,11 @@
 				if !delayed {
 					w.recordViolation("%s acts on %s under token %d after token %d was used", b.name, task, token, res.token)
 				}
-				w.result.Stale++
+				w.result.StaleRejected++
 				return
 			}
 			if version < res.lowest { // the box may not know of the higher lowest version yet; the resource does, and rejects the effect
-				if w.result.Below++; version < lowest {
+				if w.result.LowVersionRejected++; version < lowest {
 					w.recordViolation("%s acts on %s under version %d although it knows that %d is the lowest allowed one", b.name, task, version, lowest)
 				}
 				return
@@ -413,7 +413,7 @@
 			if res.holder != "" && res.holder != b.name {
 				w.result.Takeovers++
 			}
-			w.result.Acts++
+			w.result.Effects++
 			res.token, res.effectEnd, res.holder, res.delayed = token, w.now+duration, b.name, delayed
 		})
 	})
--- a/internal/lab/fleetsim/sim_test.go
+++ b/internal/lab/fleetsim/simulation_test.go
@@ -22,15 +22,15 @@
 	for seed := from; seed < from+n; seed++ {
 		cfg := Default(uint64(seed))
 		if seed%2 == 0 {
-			cfg.Rollouts = 2 * time.Second
+			cfg.RolloutInterval = 2 * time.Second
 		}
 		r := Run(cfg)
-		acts, stale = acts+r.Acts, stale+r.Stale
-		if len(r.Broken) == 0 {
+		acts, stale = acts+r.Effects, stale+r.StaleRejected
+		if len(r.Violations) == 0 {
 			continue
 		}
 		if failed++; failed < 3 {
-			t.Errorf("seed %d: %v\n%v", seed, r, r.Broken)
+			t.Errorf("seed %d: %v\n%v", seed, r, r.Violations)
 			for _, l := range r.Trace {
 				t.Log(l)
 			}
--- a/internal/lab/leases/check.go
+++ b/internal/lab/leases/check.go
@@ -9,7 +9,7 @@
 
 	"cairnlane/internal/lab/actor"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/standin/resource"
+	"cairnlane/internal/fake/resource"
 )
 
 // evaluate checks the history that the fake resource recorded.
@@ -24,7 +24,7 @@
 				if end == 0 {
 					end = now
 				}
-				return e.Trap || b.Out(began.Add(e.Called), began.Add(end))
+				return e.Intercepted || b.WasOut(began.Add(e.AnnouncedAt), began.Add(end))
 			}
 		}
 		return false
@@ -46,12 +46,12 @@
 	f.Linearizable = true
 	for thing, list := range byThing {
 		f.countOverlaps(thing, list, stopped)
-		if actor.Compares(thing) {
+		if actor.ComparesTokens(thing) {
 			f.countStale(list)
-			f.Linearizable = f.Linearizable && Register(list, now)
+			f.Linearizable = f.Linearizable && EffectsLinearizable(list, now)
 		}
 	}
-	f.Linearizable = f.Linearizable && Sequence(notes, now)
+	f.Linearizable = f.Linearizable && GrantsLinearizable(notes, now)
 	f.countTokenRegressions(notes)
 }
 
@@ -83,7 +83,7 @@
 		}
 		switch {
 		case len(tokens) <= actor.Slots(thing):
-		case excused && !actor.Compares(thing):
+		case excused && !actor.ComparesTokens(thing):
 			f.Unguarded++
 		default:
 			f.Overlaps++
@@ -149,7 +149,7 @@
 	for i, g := range list {
 		for _, earlier := range list[:i] {
 			if earlier.task == g.task && earlier.answeredAt < g.requestedAt && earlier.token >= g.token {
-				f.TokensBack++
+				f.TokenRegressions++
 				f.note("%s: token %d was granted after %d", g.task, g.token, earlier.token)
 				break
 			}
@@ -160,9 +160,9 @@
 // checkTimeout bounds the time of one linearizability check.
 const checkTimeout = 20 * time.Second
 
-// Register reports whether the effects on a thing that compares tokens are linearizable. The model is a register that holds the newest
+// EffectsLinearizable reports whether the effects on a thing that compares tokens are linearizable. The model is a register that holds the newest
 // token and accepts no lower one; each effect takes place at one moment between its announcement and its end.
-func Register(list []resource.Effect, now time.Duration) bool {
+func EffectsLinearizable(list []resource.Effect, now time.Duration) bool {
 	type output struct{ known, taken bool }
 	model := porcupine.Model{
 		Init: func() any { return uint64(0) },
@@ -187,14 +187,14 @@
 		if e.Begin == 0 && !e.Stale {
 			continue // announced, but neither begun nor rejected
 		}
-		ops = append(ops, porcupine.Operation{ClientId: i, Input: e.Token, Call: int64(e.Called), Output: output{true, e.Begin != 0}, Return: int64(end)})
+		ops = append(ops, porcupine.Operation{ClientId: i, Input: e.Token, Call: int64(e.AnnouncedAt), Output: output{true, e.Begin != 0}, Return: int64(end)})
 	}
 	return porcupine.CheckOperationsTimeout(model, ops, checkTimeout) == porcupine.Ok
 }
 
-// Sequence reports whether the grants are linearizable. The model is a sequencer per task whose tokens increase; each grant takes place
+// GrantsLinearizable reports whether the grants are linearizable. The model is a sequencer per task whose tokens increase; each grant takes place
 // at one moment between its request and its answer.
-func Sequence(notes []resource.Note, now time.Duration) bool {
+func GrantsLinearizable(notes []resource.Note, now time.Duration) bool {
 	model := porcupine.Model{
 		Partition: func(history []porcupine.Operation) (parts [][]porcupine.Operation) {
 			byTask := map[string][]porcupine.Operation{}
--- a/internal/lab/leases/crowd.go
+++ b/internal/lab/leases/large_fleet.go
@@ -15,36 +15,36 @@
 	"cairnlane/internal/lab/rig"
 )
 
-// CrowdFigures are the figures of a fleet of many processes on one machine.
-type CrowdFigures struct {
+// LargeFleetFigures are the figures of a fleet of many processes on one machine.
+type LargeFleetFigures struct {
 	Processes                 int
-	AllIn                     time.Duration
+	AllJoined                 time.Duration
 	MessagesBox, BytesBox     float64 // sent a second, on average per box
 	MessagesVoter, BytesVoter float64 // sent a second, by the busiest voter
 	Renewals                  float64 // a second
 	MemoryMedian, MemoryMax   int64   // resident memory in KB
 	AgreeAfterLoss            time.Duration
-	Lost                      int
+	SessionsLost              int
 }
 
-// Crowd starts a fleet of many boxes that request no leases, measures its messages over a span, kills the leader and measures how
+// MeasureLargeFleet starts a fleet of many boxes that request no leases, measures its messages over a span, kills the leader and measures how
 // soon a box is granted a lease after that.
-func Crowd(cfg Config, span time.Duration) (*CrowdFigures, error) {
+func MeasureLargeFleet(cfg Config, span time.Duration) (*LargeFleetFigures, error) {
 	if cfg.Progress == nil {
 		cfg.Progress = io.Discard
 	}
-	site, err := rig.NewSite(rig.SiteConfig{Seed: 1, Dir: cfg.Dir, Boxes: cfg.Boxes, Voters: []int{0, 1, 2}, Terms: cfg.Terms, Election: cfg.Election, Example: cfg.Example, Serve: cfg.Serve, Sparse: true})
+	site, err := rig.NewSite(rig.SiteConfig{Seed: 1, Dir: cfg.Dir, Boxes: cfg.Boxes, Voters: []int{0, 1, 2}, Terms: cfg.Terms, Election: cfg.Election, SettingsFile: cfg.SettingsFile, Command: cfg.Command, VotersOnlyPeers: true})
 	if err != nil {
 		return nil, err
 	}
 	defer site.Close()
-	f := &CrowdFigures{Processes: cfg.Boxes}
+	f := &LargeFleetFigures{Processes: cfg.Boxes}
 	began := time.Now()
 	if err := site.Start(); err != nil {
 		return nil, err
 	}
-	f.AllIn = time.Since(began)
-	fmt.Fprintf(cfg.Progress, "%d boxes have joined the fleet after %v\n", cfg.Boxes, f.AllIn.Round(time.Millisecond))
+	f.AllJoined = time.Since(began)
+	fmt.Fprintf(cfg.Progress, "%d boxes have joined the fleet after %v\n", cfg.Boxes, f.AllJoined.Round(time.Millisecond))
 	time.Sleep(cfg.Terms.RenewInterval())
 	type box struct {
 		messages, bytes int64
@@ -83,7 +83,7 @@
 			f.MessagesVoter, f.BytesVoter = max(f.MessagesVoter, m), max(f.BytesVoter, b)
 		}
 		if second[i].session != first[i].session {
-			f.Lost++
+			f.SessionsLost++
 		}
 	}
 	f.Renewals = float64(second[0].commands-first[0].commands) / seconds
@@ -128,7 +128,7 @@
 	return 0
 }
 
-func (f *CrowdFigures) String() string {
+func (f *LargeFleetFigures) String() string {
 	return fmt.Sprintf("figures: processes=%d all_in_ms=%d messages_box=%.1f bytes_box=%.0f messages_voter=%.0f bytes_voter=%.0f renewals_s=%.1f memory_median_kb=%d memory_max_kb=%d agree_after_loss_ms=%d sessions_lost=%d",
-		f.Processes, f.AllIn.Milliseconds(), f.MessagesBox, f.BytesBox, f.MessagesVoter, f.BytesVoter, f.Renewals, f.MemoryMedian, f.MemoryMax, f.AgreeAfterLoss.Milliseconds(), f.Lost)
+		f.Processes, f.AllJoined.Milliseconds(), f.MessagesBox, f.BytesBox, f.MessagesVoter, f.BytesVoter, f.Renewals, f.MemoryMedian, f.MemoryMax, f.AgreeAfterLoss.Milliseconds(), f.SessionsLost)
 }
--- a/internal/lab/leases/leases.go
+++ b/internal/lab/leases/leases.go
@@ -16,26 +16,26 @@
 	"cairnlane/internal/decide/lease"
 	"cairnlane/internal/lab/actor"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/standin/resource"
+	"cairnlane/internal/fake/resource"
 )
 
 // Config configures a trial.
 type Config struct {
-	Seed     uint64
-	Boxes    int
-	Faults   int
-	Span     time.Duration // the time over which the faults are spread
-	Kinds    []rig.Kind
-	Schedule rig.Schedule // faults to inject in place of random ones
-	Clean    int          // how many holders are killed with no other fault active, to measure how soon another box acts
-	Clocks   bool         // run the boxes' clocks fast and slow; needs a trial build
-	Serve    func(config string) *exec.Cmd
-	Ctl      string // path of cairnctl, which runs commands under a lease; "" for no commands
-	Example  string
-	Dir      string
-	Terms    lease.Terms
-	Election time.Duration
-	Progress io.Writer
+	Seed           uint64
+	Boxes          int
+	Faults         int
+	Span           time.Duration // the time over which the faults are spread
+	Kinds          []rig.Kind
+	Schedule       rig.Schedule // faults to inject in place of random ones
+	CleanTakeovers int          // how many holders are killed with no other fault active, to measure how soon another box acts
+	SkewClocks     bool         // run the boxes' clocks fast and slow; needs a trial build
+	Command        func(config string) *exec.Cmd
+	Cairnctl       string // path of cairnctl, which runs commands under a lease; "" for no commands
+	SettingsFile   string
+	Dir            string
+	Terms          lease.Terms
+	Election       time.Duration
+	Progress       io.Writer
 }
 
 // commandThing is the task of the commands that run through cairnctl, and the thing on which they act.
@@ -44,19 +44,19 @@
 // Figures are the results of a trial.
 type Figures struct {
 	rig.Tally
-	Seed                        uint64
-	Processes, Faults, Kinds    int
-	Acts, Takeovers, Commands   int
-	Overlaps, Unguarded, Fenced int
-	StaleTried, StaleAccepted   int
-	TokensBack, DigestsDiffer   int
-	Linearizable                bool
-	VacancyMax, VacancyBound    time.Duration
-	Vacancies                   int
-	Took                        time.Duration
-	Played                      rig.Played
-	Schedule                    rig.Schedule
-	Notes                       []string
+	Seed                            uint64
+	Processes, Faults, Kinds        int
+	Acts, Takeovers, Commands       int
+	Overlaps, Unguarded, Fenced     int
+	StaleTried, StaleAccepted       int
+	TokenRegressions, DigestsDiffer int
+	Linearizable                    bool
+	VacancyMax, VacancyBound        time.Duration
+	Vacancies                       int
+	Duration                        time.Duration
+	Injected                        rig.InjectedFaults
+	Schedule                        rig.Schedule
+	Notes                           []string
 }
 
 // takeoverAllowance is how long a takeover may take in addition to the term.
@@ -68,14 +68,14 @@
 		cfg.Progress = io.Discard
 	}
 	began := time.Now()
-	res, err := resource.Start(actor.Compares)
+	res, err := resource.Start(actor.ComparesTokens)
 	if err != nil {
 		return nil, err
 	}
 	defer res.Close()
 	voters := []int{0, 1, 2}
-	site, err := rig.NewSite(rig.SiteConfig{Seed: cfg.Seed, Dir: cfg.Dir, Boxes: cfg.Boxes, Voters: voters, Terms: cfg.Terms, Election: cfg.Election, Example: cfg.Example, Serve: cfg.Serve,
-		Clocks: cfg.Clocks, Load: true, Env: func(box int) []string {
+	site, err := rig.NewSite(rig.SiteConfig{Seed: cfg.Seed, Dir: cfg.Dir, Boxes: cfg.Boxes, Voters: voters, Terms: cfg.Terms, Election: cfg.Election, SettingsFile: cfg.SettingsFile, Command: cfg.Command,
+		SkewClocks: cfg.SkewClocks, Load: true, Env: func(box int) []string {
 			return actor.Env(res, cfg.Seed, box)
 		}})
 	if err != nil {
@@ -94,16 +94,16 @@
 		schedule = rig.Draw(random, cfg.Kinds, cfg.Faults, cfg.Boxes, cfg.Span)
 	}
 	f := &Figures{Seed: cfg.Seed, Processes: cfg.Boxes, Schedule: schedule, VacancyBound: cfg.Terms.Term + takeoverAllowance}
-	if f.Played, err = site.Play(schedule, actor.Traps{Resource: res}); err != nil {
+	if f.Injected, err = site.Inject(schedule, actor.EffectTrap{Resource: res}); err != nil {
 		return nil, err
 	}
-	f.Faults, f.Kinds = f.Played.Sum(), len(f.Played)
+	f.Faults, f.Kinds = f.Injected.Total(), len(f.Injected)
 	fmt.Fprintf(cfg.Progress, "%d faults of %d kinds, %d effects\n", f.Faults, f.Kinds, len(res.Effects()))
 	if err := site.Settle(time.Minute); err != nil {
 		f.note("%v", err)
 		f.DigestsDiffer++ // the fleet must agree again once the faults are over
 	}
-	for range cfg.Clean {
+	for range cfg.CleanTakeovers {
 		if err := f.measureTakeover(cfg, site, res); err != nil {
 			return nil, err
 		}
@@ -115,16 +115,16 @@
 	f.compareDigests(site)
 	commands.close()
 	f.Commands = commands.succeeded
-	site.Load.End()
+	site.Load.Stop()
 	f.Tally = site.Load.Tally
 	f.Notes = append(f.Notes, site.Load.Notes()...)
 	if f.DoubleRuns > 0 { // adds the times of the faults, to compare them with those of the runs
 		for _, h := range site.History() {
-			f.Notes = append(f.Notes, fmt.Sprintf("%s n%d %s", site.At(h).Format("05.000"), h.Box, h.What))
+			f.Notes = append(f.Notes, fmt.Sprintf("%s n%d %s", site.TimeOf(h).Format("05.000"), h.Box, h.Text))
 		}
 	}
 	f.evaluate(site, res)
-	f.Took = time.Since(began)
+	f.Duration = time.Since(began)
 	return f, nil
 }
 
@@ -209,7 +209,7 @@
 
 func newCommands(cfg Config, site *rig.Site, res *resource.Resource) *commands {
 	c := &commands{stop: make(chan struct{}), running: map[*exec.Cmd]bool{}}
-	if cfg.Ctl == "" {
+	if cfg.Cairnctl == "" {
 		return c
 	}
 	for _, b := range site.Boxes {
@@ -230,8 +230,8 @@
 
 func (c *commands) loop(cfg Config, b *rig.Box, res *resource.Resource) {
 	for !c.stopped() {
-		cmd := exec.Command(cfg.Ctl, "--socket", b.Socket(), "fleet", "run", commandThing, "--grace", "200ms", "--wait", "20s", "--",
-			cfg.Ctl, "trial", "act", "--resource", res.String(), "--thing", commandThing, "--box", b.Name, "--for", "1500ms")
+		cmd := exec.Command(cfg.Cairnctl, "--socket", b.Socket(), "fleet", "run", commandThing, "--grace", "200ms", "--wait", "20s", "--",
+			cfg.Cairnctl, "trial", "act", "--resource", res.String(), "--thing", commandThing, "--box", b.Name, "--for", "1500ms")
 		cmd.Env = os.Environ()
 		c.mu.Lock()
 		if c.stopped() {
@@ -280,8 +280,8 @@
 		lin = 1
 	}
 	return fmt.Sprintf("figures: processes=%d faults=%d kinds=%d acts=%d takeovers=%d overlaps=%d unguarded=%d fenced=%d stale_tried=%d stale_accepted=%d tokens_back=%d linearizable=%d digests_differ=%d commands=%d vacancy_max_ms=%d vacancy_bound_ms=%d vacancies=%d requests=%d served=%d refused=%d failed=%d killed=%d lost=%d ended_twice=%d double_runs=%d wrong=%d seconds=%.0f",
-		f.Processes, f.Faults, f.Kinds, f.Acts, f.Takeovers, f.Overlaps, f.Unguarded, f.Fenced, f.StaleTried, f.StaleAccepted, f.TokensBack, lin, f.DigestsDiffer, f.Commands,
-		f.VacancyMax.Milliseconds(), f.VacancyBound.Milliseconds(), f.Vacancies, f.Requests, f.Served, f.Refused, f.Failed, f.Killed, f.Lost, f.EndedTwice, f.DoubleRuns, f.Wrong, f.Took.Seconds())
+		f.Processes, f.Faults, f.Kinds, f.Acts, f.Takeovers, f.Overlaps, f.Unguarded, f.Fenced, f.StaleTried, f.StaleAccepted, f.TokenRegressions, lin, f.DigestsDiffer, f.Commands,
+		f.VacancyMax.Milliseconds(), f.VacancyBound.Milliseconds(), f.Vacancies, f.Requests, f.Served, f.Rejected, f.Failed, f.Killed, f.Lost, f.EndedTwice, f.DoubleRuns, f.Wrong, f.Duration.Seconds())
 }
 
 // Missed lists the missed bounds other than those on times.
@@ -289,7 +289,7 @@
 	for _, c := range []struct {
 		name string
 		n    int64
-	}{{"overlaps", int64(f.Overlaps)}, {"stale tokens accepted", int64(f.StaleAccepted)}, {"tokens not increasing", int64(f.TokensBack)}, {"digests differ", int64(f.DigestsDiffer)},
+	}{{"overlaps", int64(f.Overlaps)}, {"stale tokens accepted", int64(f.StaleAccepted)}, {"tokens not increasing", int64(f.TokenRegressions)}, {"digests differ", int64(f.DigestsDiffer)},
 		{"lost", f.Lost}, {"ended twice", f.EndedTwice}, {"double runs", f.DoubleRuns}, {"wrong results", f.Wrong}} {
 		if c.n > 0 {
 			list = append(list, fmt.Sprintf("%s: %d", c.name, c.n))
