--- a/internal/lab/leases/leases_test.go
+++ b/internal/lab/leases/leases_test.go
@@ -9,7 +9,7 @@
 	"cairnlane/internal/decide/lease"
 	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/lab/rigtest"
-	"cairnlane/internal/standin/resource"
+	"cairnlane/internal/fake/resource"
 )
 
 func TestMain(m *testing.M) { rigtest.Main(m) }
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Run(Config{Seed: 1, Boxes: 4, Schedule: sched, Serve: rigtest.Serve, Example: "../../../examples/config.json", Dir: dir,
+	f, err := Run(Config{Seed: 1, Boxes: 4, Schedule: sched, Command: rigtest.Serve, SettingsFile: "../../../examples/config.json", Dir: dir,
 		Terms: lease.Terms{Term: 1500 * time.Millisecond, Drift: 0.02}, Election: 500 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -42,14 +42,14 @@
 	if missed := f.Missed(); len(missed) > 0 {
 		t.Errorf("missed bounds: %s\n%s", strings.Join(missed, ", "), strings.Join(f.Notes, "\n"))
 	}
-	t.Log(f, f.Played)
+	t.Log(f, f.Injected)
 }
 
 // TestCheckFindsEachViolation runs the check on histories that each contain one violation, and on one that contains none.
 func TestCheckFindsEachViolation(t *testing.T) {
 	ms := time.Millisecond
 	eff := func(thing string, token uint64, box string, called, begin, end time.Duration) resource.Effect {
-		return resource.Effect{Thing: thing, Ticket: resource.Ticket{Token: token}, Box: box, Called: called * ms, Begin: begin * ms, End: end * ms}
+		return resource.Effect{Thing: thing, Ticket: resource.Ticket{Token: token}, Box: box, AnnouncedAt: called * ms, Begin: begin * ms, End: end * ms}
 	}
 	stale := func(e resource.Effect) resource.Effect { e.Begin, e.Stale = 0, true; return e }
 	note := func(what string, token uint64, pid int, at time.Duration) resource.Note {
@@ -67,8 +67,8 @@
 		"three tokens on two slots":          {[]resource.Effect{eff("double", 1, "a", 1, 2, 9), eff("double", 2, "b", 3, 4, 9), eff("double", 3, "c", 4, 5, 9)}, nil, func(f *Figures) bool { return f.Overlaps == 0 }},
 		"an older token accepted":            {[]resource.Effect{eff("checked", 2, "a", 1, 2, 3), eff("checked", 1, "b", 4, 5, 6)}, nil, func(f *Figures) bool { return f.StaleAccepted == 0 || f.Linearizable }},
 		"a newer token rejected":             {[]resource.Effect{eff("checked", 1, "a", 1, 2, 3), stale(eff("checked", 2, "b", 4, 0, 5)), eff("checked", 3, "c", 7, 8, 9)}, nil, func(f *Figures) bool { return f.Linearizable }},
-		"a token granted twice":              {nil, []resource.Note{note("asked", 0, 1, 1), note("granted", 5, 1, 2), note("asked", 0, 2, 3), note("granted", 5, 2, 4)}, func(f *Figures) bool { return f.TokensBack == 0 || f.Linearizable }},
-		"a token granted after a higher one": {nil, []resource.Note{note("asked", 0, 1, 1), note("granted", 5, 1, 2), note("asked", 0, 2, 3), note("granted", 4, 2, 4)}, func(f *Figures) bool { return f.TokensBack == 0 || f.Linearizable }},
+		"a token granted twice":              {nil, []resource.Note{note("asked", 0, 1, 1), note("granted", 5, 1, 2), note("asked", 0, 2, 3), note("granted", 5, 2, 4)}, func(f *Figures) bool { return f.TokenRegressions == 0 || f.Linearizable }},
+		"a token granted after a higher one": {nil, []resource.Note{note("asked", 0, 1, 1), note("granted", 5, 1, 2), note("asked", 0, 2, 3), note("granted", 4, 2, 4)}, func(f *Figures) bool { return f.TokenRegressions == 0 || f.Linearizable }},
 	} {
 		f := new(Figures)
 		f.check(c.effects, c.notes, 100*ms, func(resource.Effect) bool { return false })
--- a/internal/lab/members/members.go
+++ b/internal/lab/members/members.go
@@ -19,17 +19,17 @@
 
 // Figures are the measurements of one way at one fleet size.
 type Figures struct {
-	Way          string
-	Names        int
+	Method       string
+	Boxes        int
 	MessagesBox  float64       // sent messages a second and box
 	BytesBox     float64       // sent bytes a second and box
-	FirstNotices time.Duration // from a box's death until the first other box notices it
-	AllNotice    time.Duration // and until the last one notices it
+	FirstNoticed time.Duration // from a box's death until the first other box notices it
+	AllNoticed   time.Duration // and until the last one notices it
 	FalseAlarms  int           // live boxes that some box took for dead while a fifth of the boxes was slow
 }
 
 func (f Figures) String() string {
-	return fmt.Sprintf("way=%s names=%d messages_box=%.1f bytes_box=%.0f first_notices_ms=%d all_notice_ms=%d false_alarms=%d", f.Way, f.Names, f.MessagesBox, f.BytesBox, f.FirstNotices.Milliseconds(), f.AllNotice.Milliseconds(), f.FalseAlarms)
+	return fmt.Sprintf("way=%s names=%d messages_box=%.1f bytes_box=%.0f first_notices_ms=%d all_notice_ms=%d false_alarms=%d", f.Method, f.Boxes, f.MessagesBox, f.BytesBox, f.FirstNoticed.Milliseconds(), f.AllNoticed.Milliseconds(), f.FalseAlarms)
 }
 
 // slowDelay is the delay of all packets from a slow box.
@@ -145,7 +145,7 @@
 
 // Gossip measures memberlist with its default settings for a local network.
 func Gossip(names int, span time.Duration) (f Figures, err error) {
-	f = Figures{Way: "memberlist", Names: names}
+	f = Figures{Method: "memberlist", Boxes: names}
 	transport := &network{boxes: map[string]*box{}}
 	watch := &deathWatch{suspected: map[string]bool{}}
 	var boxes []*box
@@ -187,11 +187,11 @@
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		watch.mu.Lock()
 		n := len(watch.notices)
-		if n > 0 && f.FirstNotices == 0 {
-			f.FirstNotices = watch.notices[0]
+		if n > 0 && f.FirstNoticed == 0 {
+			f.FirstNoticed = watch.notices[0]
 		}
 		if n >= names-1 {
-			f.AllNotice = watch.notices[n-1]
+			f.AllNoticed = watch.notices[n-1]
 			watch.mu.Unlock()
 			break
 		}
@@ -212,8 +212,8 @@
 
 // Sessions measures the ledger's sessions in virtual time, with the given term of leases.
 func Sessions(names int, term time.Duration) Figures {
-	s := fleetsim.Members(names, term, slowDelay)
-	return Figures{Way: "sessions", Names: names, MessagesBox: s.MessagesBox, BytesBox: s.BytesBox, FirstNotices: s.FirstNotices, AllNotice: s.AllNotice, FalseAlarms: s.FalseAlarms}
+	s := fleetsim.MeasureFailureDetection(names, term, slowDelay)
+	return Figures{Method: "sessions", Boxes: names, MessagesBox: s.MessagesPerBox, BytesBox: s.BytesPerBox, FirstNoticed: s.FirstDetection, AllNoticed: s.FullDetection, FalseAlarms: s.FalseAlarms}
 }
 
 // Terms are the default terms of leases.
--- a/internal/lab/model/chart.go
+++ b/internal/lab/model/chart.go
@@ -9,8 +9,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Chart draws the gain of the fleet over boxes alone into an SVG file: one point per case, with its 95% interval over paired seeds.
-func Chart(path string, rows []Row) error {
+// WriteChart draws the gain of the fleet over boxes alone into an SVG file: one point per case, with its 95% interval over paired seeds.
+func WriteChart(path string, rows []Row) error {
 	p := plot.New()
 	p.Title.Text = "Gain in a day's worth: boxes as a fleet over boxes alone"
 	p.X.Label.Text = "gain with its 95% interval over paired seeds"
@@ -25,7 +25,7 @@
 		y := float64(len(rows) - 1 - i)
 		points = append(points, plotter.XY{X: gain, Y: y})
 		errs = append(errs, struct{ Low, High float64 }{half, half})
-		names = append([]string{fmt.Sprintf("%d boxes, %.0f%%: %s", r.Boxes, 100*r.Of, r.Name)}, names...)
+		names = append([]string{fmt.Sprintf("%d boxes, %.0f%%: %s", r.Boxes, 100*r.LoadFactor, r.Name)}, names...)
 	}
 	bars, err := plotter.NewXErrorBars(struct {
 		plotter.XYer
--- a/internal/lab/model/cores.go
+++ b/internal/lab/model/cores.go
@@ -9,7 +9,7 @@
 // Machine describes the cores of a box, including properties that the box's software cannot see.
 type Machine struct {
 	Cores    int
-	Read     time.Duration // processor time for reading one request, also if it is then rejected
+	ReadWork time.Duration // processor time for reading one request, also if it is then rejected
 	ThrashAt float64       // jobs per core above which the total throughput falls
 	Thrash   float64       // fraction of the speed that is left far above ThrashAt
 	ColdFrom float64       // fraction of its speed at which a cold box starts
@@ -105,11 +105,11 @@
 	return c.advancedTo + min(max(need, 1), maxRateStep), true
 }
 
-// Demand returns the number of jobs on the cores.
-func (c *Cores) Demand() int { return len(c.jobs) }
+// JobCount returns the number of jobs on the cores.
+func (c *Cores) JobCount() int { return len(c.jobs) }
 
-// Slow sets the speed factor; 1 is full speed.
-func (c *Cores) Slow(now time.Duration, speed float64) {
+// SetSpeed sets the speed factor; 1 is full speed.
+func (c *Cores) SetSpeed(now time.Duration, speed float64) {
 	c.Advance(now)
 	c.speed = speed
 }
--- a/internal/lab/model/events.go
+++ b/internal/lab/model/event_loop.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// World is an event loop in virtual time: it runs events ordered by time, and those of the same time in the order in which they were
+// EventLoop is an event loop in virtual time: it runs events ordered by time, and those of the same time in the order in which they were
 // scheduled. It implements replica.Clock.
-type World struct {
+type EventLoop struct {
 	now     time.Duration
 	queue   events
 	lastSeq uint64
@@ -35,19 +35,19 @@
 }
 
 // Now implements replica.Clock.
-func (w *World) Now() time.Duration { return w.now }
+func (w *EventLoop) Now() time.Duration { return w.now }
 
 // AfterFunc implements replica.Clock.
-func (w *World) AfterFunc(d time.Duration, f func()) { w.At(w.now+max(d, 0), f) }
+func (w *EventLoop) AfterFunc(d time.Duration, f func()) { w.Schedule(w.now+max(d, 0), f) }
 
-// At schedules do at a time, or now if the time is past.
-func (w *World) At(at time.Duration, do func()) {
+// Schedule schedules do at a time, or now if the time is past.
+func (w *EventLoop) Schedule(at time.Duration, do func()) {
 	w.lastSeq++
 	heap.Push(&w.queue, event{max(at, w.now), w.lastSeq, do})
 }
 
-// Run processes all events up to and including until.
-func (w *World) Run(until time.Duration) {
+// RunUntil processes all events up to and including until.
+func (w *EventLoop) RunUntil(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
--- a/internal/lab/model/index.go
+++ b/internal/lab/model/index.go
@@ -27,7 +27,7 @@
 
 // add queues a call, which times out after timeout.
 func (x *index) add(c *indexCall, timeout time.Duration) {
-	x.sim.At(x.sim.now+timeout, func() { c.end(policy.TimedOut) })
+	x.sim.Schedule(x.sim.now+timeout, func() { c.end(policy.TimedOut) })
 	x.waiting = append(x.waiting, c)
 	x.startCalls()
 }
@@ -41,7 +41,7 @@
 			continue
 		}
 		x.running++
-		x.sim.At(x.sim.now+x.sim.day.Index.Takes, func() {
+		x.sim.Schedule(x.sim.now+x.sim.day.Index.CallDuration, func() {
 			x.running--
 			x.served++
 			c.end(policy.Succeeded)
@@ -76,7 +76,7 @@
 	c := &indexCall{box: i.box, incarnation: i.incarnation, txn: txn, startedAt: i.box.sim.now, body: append([]byte(nil), body...)}
 	i.box.openCalls[txn] = c
 	sim := i.box.sim
-	sim.At(sim.now+networkDelay, func() {
+	sim.Schedule(sim.now+networkDelay, func() {
 		if !c.ended {
 			sim.index.add(c, wait)
 		}
@@ -110,7 +110,7 @@
 
 // callCount returns how many index calls a request makes: the mean of its class, rounded up or down by a hash of the request's number.
 func (s Site) callCount(q Request) int {
-	mean := s.Classes[q.Class].Calls
+	mean := s.Classes[q.Class].MeanIndexCalls
 	n := int(mean)
 	if phaseOf(q.N) < mean-float64(n) {
 		n++
@@ -121,7 +121,7 @@
 // advance makes a run request its next index call or, after the last one, start its work. It does so in an event of its own.
 func (e boxEngine) advance(txn string, r *engineRun) {
 	b := e.box
-	b.sim.At(b.sim.now, func() {
+	b.sim.Schedule(b.sim.now, func() {
 		switch {
 		case b.dead || b.incarnation != e.incarnation:
 		case r.callsLeft == 0:
@@ -145,7 +145,7 @@
 	}
 	r.waiting = false
 	if skipped {
-		e.box.sim.result.Skipped++
+		e.box.sim.result.SkippedCalls++
 	} else if string(reply) != txn {
 		e.box.sim.recordViolation("run of %s received the index reply %q", txn, reply)
 	}
--- a/internal/lab/model/day.go
+++ b/internal/lab/model/load.go
@@ -14,8 +14,8 @@
 	"cairnlane/internal/decide/shed"
 )
 
-// Order returns the classes in the order in which the fleet sheds them.
-func (s Site) Order() []int {
+// SheddingOrder returns the classes in the order in which the fleet sheds them.
+func (s Site) SheddingOrder() []int {
 	return shed.SheddingOrder(len(s.Classes), func(i int) float64 { return s.Classes[i].Worth }, func(i int) time.Duration { return s.Classes[i].Aim })
 }
 
@@ -40,34 +40,34 @@
 	Rank   float64 // 0 to 1, higher for classes of higher worth
 }
 
-// Due returns the request's deadline, at which the client gives up.
-func (s Site) Due(q Request) time.Duration { return q.At + s.Classes[q.Class].Deadline }
+// RequestDeadline returns the request's deadline, at which the client gives up.
+func (s Site) RequestDeadline(q Request) time.Duration { return q.At + s.Classes[q.Class].Deadline }
 
 // Load describes the client load of a day.
 type Load struct {
-	Seed     uint64
-	Of       float64 // mean load outside bursts, as a factor of the capacity of all boxes
-	Boxes    int
-	Routers  int
-	Span     time.Duration
-	Hot      int     // index of the tenant whose load is above its share
-	HotTimes float64 // factor on the hot tenant's share of the requests; 1 for none
-	Bursts   []Burst
+	Seed       uint64
+	LoadFactor float64 // mean load outside bursts, as a factor of the capacity of all boxes
+	Boxes      int
+	Routers    int
+	Span       time.Duration
+	HotTenant  int     // index of the tenant whose load is above its share
+	HotFactor  float64 // factor on the hot tenant's share of the requests; 1 for none
+	Bursts     []Burst
 	// OneRouter sends all requests of the hot tenant through one router.
 	OneRouter bool
 }
 
 // Burst is a time span in which the load is multiplied by Times.
 type Burst struct {
-	From, For time.Duration
-	Times     float64
+	From, Duration time.Duration
+	Factor         float64
 }
 
 // burstFactor returns the factor on the load at a time.
 func (l Load) burstFactor(at time.Duration) float64 {
 	for _, b := range l.Bursts {
-		if at >= b.From && at < b.From+b.For {
-			return b.Times
+		if at >= b.From && at < b.From+b.Duration {
+			return b.Factor
 		}
 	}
 	return 1
@@ -87,18 +87,18 @@
 
 func stream(seed, which uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, which)) }
 
-// Draw returns all requests of a day, ordered by time. The same seed gives the same requests, whatever serves them.
-func (s Site) Draw(l Load) (list []Request) {
+// DrawRequests returns all requests of a day, ordered by time. The same seed gives the same requests, whatever serves them.
+func (s Site) DrawRequests(l Load) (list []Request) {
 	rng := stream(l.Seed, streamClients)
 	maxFactor := 1.0
 	for _, b := range l.Bursts {
-		maxFactor = max(maxFactor, b.Times)
+		maxFactor = max(maxFactor, b.Factor)
 	}
 	tenantWeights := make([]float64, len(s.Tenants))
 	for i, t := range s.Tenants {
 		tenantWeights[i] = t.Share
-		if i == l.Hot && l.HotTimes > 0 {
-			tenantWeights[i] *= l.HotTimes
+		if i == l.HotTenant && l.HotFactor > 0 {
+			tenantWeights[i] *= l.HotFactor
 		}
 	}
 	classWeights := make([]float64, len(s.Classes))
@@ -110,7 +110,7 @@
 		routerWeights[i] = 0.5 + rng.Float64()
 	}
 	ranges := s.rankRanges()
-	rate := l.Of * s.Capacity(l.Boxes) * maxFactor
+	rate := l.LoadFactor * s.Capacity(l.Boxes) * maxFactor
 	for at := 0.0; ; {
 		at += rng.ExpFloat64() / rate
 		q := Request{N: len(list), At: time.Duration(at * 1e9), Class: pickWeighted(rng, classWeights), Tenant: pickWeighted(rng, tenantWeights), Router: pickWeighted(rng, routerWeights), Key: uint64(45000 * math.Pow(rng.Float64(), 3))}
@@ -118,7 +118,7 @@
 		if q.At >= l.Span {
 			return list
 		}
-		if l.OneRouter && q.Tenant == l.Hot {
+		if l.OneRouter && q.Tenant == l.HotTenant {
 			q.Router = 0
 		}
 		c := s.Classes[q.Class]
--- a/internal/lab/model/router.go
+++ b/internal/lab/model/router.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Habit describes how a router picks boxes and which hints in answers it complies with.
-type Habit struct {
-	Choice  Choice
-	Tries   int  // maximum number of attempts; 0 means one per box of its list
-	Later   bool // complies with the retry-after delay
-	GiveUp  bool // does not retry when asked not to
-	Signal  bool // sends no request whose rank is below the published value
-	Patient bool // waits for a box to be free again instead of rejecting by itself
+// RouterBehavior describes how a router picks boxes and which hints in answers it complies with.
+type RouterBehavior struct {
+	Choice            Choice
+	MaxAttempts       int  // maximum number of attempts; 0 means one per box of its list
+	FollowsRetryAfter bool // complies with the retry-after delay
+	FollowsDoNotRetry bool // does not retry when asked not to
+	FollowsSignal     bool // sends no request whose rank is below the published value
+	Patient           bool // waits for a box to be free again instead of rejecting by itself
 }
 
 // Choice is a router's way of picking a box.
@@ -21,40 +21,40 @@
 
 // The ways of picking a box.
 const (
-	Round Choice = iota // round robin
-	Least               // fewest requests in flight from this router
-	Two                 // of two random boxes, the one with fewer requests in flight from this router
-	ByKey               // by rendezvous hashing of the request's key
+	RoundRobin    Choice = iota // round robin
+	LeastInFlight               // fewest requests in flight from this router
+	BestOfTwo                   // of two random boxes, the one with fewer requests in flight from this router
+	ByKey                       // by rendezvous hashing of the request's key
 	choiceCount
 )
 
-// Habits draws the habits of n routers. One router in five complies with none of the hints, as the
+// DrawRouterBehaviors draws the habits of n routers. One router in five complies with none of the hints, as the
 // requirements of the platform assume.
-func Habits(seed uint64, n int) []Habit {
+func DrawRouterBehaviors(seed uint64, n int) []RouterBehavior {
 	r := stream(seed, streamRouters)
-	list := make([]Habit, n)
+	list := make([]RouterBehavior, n)
 	nonCompliant := r.IntN(5)
 	for i := range list {
-		h := Habit{Choice: Choice(r.IntN(int(choiceCount))), Tries: []int{3, 3, 0}[r.IntN(3)], Later: true, GiveUp: true, Signal: true}
+		h := RouterBehavior{Choice: Choice(r.IntN(int(choiceCount))), MaxAttempts: []int{3, 3, 0}[r.IntN(3)], FollowsRetryAfter: true, FollowsDoNotRetry: true, FollowsSignal: true}
 		if i%5 == nonCompliant {
-			h = Habit{Choice: h.Choice, Tries: 0}
+			h = RouterBehavior{Choice: h.Choice, MaxAttempts: 0}
 		}
 		list[i] = h
 	}
 	return list
 }
 
-// Told holds the hints that a router reads from an answer.
-type Told struct {
-	Later  time.Duration
-	GiveUp bool
-	Signal float64
-	Set    bool // Signal is valid
+// Hints holds the hints that a router reads from an answer.
+type Hints struct {
+	RetryAfter time.Duration
+	DoNotRetry bool
+	Signal     float64
+	HasSignal  bool // Signal is valid
 }
 
 // Router is the state of one router. It does no I/O and has no clock. It is not safe for concurrent use.
 type Router struct {
-	Habit
+	RouterBehavior
 	signalLifetime time.Duration
 	rand           *rand.Rand
 	boxes          []int // known boxes
@@ -71,12 +71,12 @@
 }
 
 // NewRouter returns a router without boxes. It complies with a published value for the time signalLifetime.
-func NewRouter(h Habit, heeded time.Duration, r *rand.Rand) *Router {
-	return &Router{Habit: h, signalLifetime: heeded, rand: r, state: map[int]*boxState{}, roundRobin: r.IntN(1 << 16)}
+func NewRouter(h RouterBehavior, heeded time.Duration, r *rand.Rand) *Router {
+	return &Router{RouterBehavior: h, signalLifetime: heeded, rand: r, state: map[int]*boxState{}, roundRobin: r.IntN(1 << 16)}
 }
 
-// List sets the boxes that the router knows of.
-func (r *Router) List(boxes []int) { r.boxes = slices.Clone(boxes) }
+// SetBoxes sets the boxes that the router knows of.
+func (r *Router) SetBoxes(boxes []int) { r.boxes = slices.Clone(boxes) }
 
 func (r *Router) stateOf(box int) *boxState {
 	t := r.state[box]
@@ -92,7 +92,7 @@
 	var candidates []int
 	for _, b := range r.boxes {
 		state := r.stateOf(b)
-		if slices.Contains(excluded, b) || r.Later && now < state.avoidUntil || r.Signal && now-state.minRankAt < r.signalLifetime && q.Rank < state.minRank {
+		if slices.Contains(excluded, b) || r.FollowsRetryAfter && now < state.avoidUntil || r.FollowsSignal && now-state.minRankAt < r.signalLifetime && q.Rank < state.minRank {
 			continue
 		}
 		candidates = append(candidates, b)
@@ -101,9 +101,9 @@
 		return 0, false
 	}
 	switch r.Choice {
-	case Least:
+	case LeastInFlight:
 		return slices.MinFunc(candidates, func(a, b int) int { return r.stateOf(a).inFlight - r.stateOf(b).inFlight }), true
-	case Two:
+	case BestOfTwo:
 		a, b := candidates[r.rand.IntN(len(candidates))], candidates[r.rand.IntN(len(candidates))]
 		if r.stateOf(b).inFlight < r.stateOf(a).inFlight {
 			a = b
@@ -130,19 +130,19 @@
 // Sent counts an attempt that was sent to a box.
 func (r *Router) Sent(box int) { r.stateOf(box).inFlight++ }
 
-// Heard processes the hints of an answer, or, with empty hints, the end of an attempt that gets no answer.
-func (r *Router) Heard(now time.Duration, box int, t Told) {
+// HandleAnswer processes the hints of an answer, or, with empty hints, the end of an attempt that gets no answer.
+func (r *Router) HandleAnswer(now time.Duration, box int, t Hints) {
 	state := r.stateOf(box)
 	state.inFlight--
-	if t.Later > 0 {
-		state.avoidUntil = now + t.Later
+	if t.RetryAfter > 0 {
+		state.avoidUntil = now + t.RetryAfter
 	}
-	if t.Set {
+	if t.HasSignal {
 		state.minRank, state.minRankAt = t.Signal, now
 	}
 }
 
-// Again reports whether a rejected request is retried at another box. attempts is the number of attempts that it had.
-func (r *Router) Again(attempts int, t Told) bool {
-	return (!r.GiveUp || !t.GiveUp) && (r.Tries == 0 && attempts < len(r.boxes) || attempts < r.Tries)
+// ShouldRetry reports whether a rejected request is retried at another box. attempts is the number of attempts that it had.
+func (r *Router) ShouldRetry(attempts int, t Hints) bool {
+	return (!r.FollowsDoNotRetry || !t.DoNotRetry) && (r.MaxAttempts == 0 && attempts < len(r.boxes) || attempts < r.MaxAttempts)
 }
--- a/internal/lab/model/play.go
+++ b/internal/lab/model/simulation.go
@@ -22,66 +22,66 @@
 
 // The modes.
 const (
-	Alone Mode = "alone" // each box decides by itself
-	Fleet Mode = "fleet" // boxes exchange load summaries and follow the fleet advice
-	Cut   Mode = "cut"   // as Fleet, but every message between boxes is lost
+	Alone        Mode = "alone" // each box decides by itself
+	Fleet        Mode = "fleet" // boxes exchange load summaries and follow the fleet advice
+	Disconnected Mode = "cut"   // as Fleet, but every message between boxes is lost
 )
 
-// Kind is the kind of a fault.
-type Kind string
+// FaultKind is the kind of a fault.
+type FaultKind string
 
 // The kinds of faults.
 const (
-	Kill      Kind = "kill"      // boxes are killed and restart cold
-	Slow      Kind = "slow"      // the cores of boxes are slower by the factor Times
-	Partition Kind = "partition" // boxes and the rest of the fleet cannot exchange messages; routers reach all boxes
-	Late      Kind = "late"      // messages from boxes are delayed by 2 s
-	Lose      Kind = "lose"      // half of the messages from boxes are lost
-	Reorder   Kind = "reorder"   // messages from boxes are reordered and duplicated
-	Lie       Kind = "lie"       // boxes report 100 times the requests they served and no offered load
-	Nothing   Kind = "nothing"   // boxes report that they serve nothing and reject all requests
-	Catalog   Kind = "catalog"   // the catalog is down
+	Kill            FaultKind = "kill"      // boxes are killed and restart cold
+	SlowDown        FaultKind = "slow"      // the cores of boxes are slower by the factor Times
+	Partition       FaultKind = "partition" // boxes and the rest of the fleet cannot exchange messages; routers reach all boxes
+	DelayMessages   FaultKind = "late"      // messages from boxes are delayed by 2 s
+	LoseMessages    FaultKind = "lose"      // half of the messages from boxes are lost
+	ReorderMessages FaultKind = "reorder"   // messages from boxes are reordered and duplicated
+	ReportTooMuch   FaultKind = "lie"       // boxes report 100 times the requests they served and no offered load
+	ReportNothing   FaultKind = "nothing"   // boxes report that they serve nothing and reject all requests
+	CatalogDown     FaultKind = "catalog"   // the catalog is down
 )
 
-// Trouble is a fault with its start, duration and, where the kind has them, the boxes it hits (nil for all) and the slowdown factor.
-type Trouble struct {
-	Kind  Kind
-	From  time.Duration
-	For   time.Duration
-	Boxes []int
-	Times float64
+// Fault is a fault with its start, duration and, where the kind has them, the boxes it hits (nil for all) and the slowdown factor.
+type Fault struct {
+	Kind     FaultKind
+	From     time.Duration
+	Duration time.Duration
+	Boxes    []int
+	Slowdown float64
 }
 
 // activeAt reports whether t is a fault of the given kind that hits box at now, counted from the start of the day.
-func (t Trouble) activeAt(now time.Duration, kind Kind, box int) bool {
-	return t.Kind == kind && now >= t.From && now < t.From+t.For && (t.Boxes == nil || slices.Contains(t.Boxes, box))
+func (t Fault) activeAt(now time.Duration, kind FaultKind, box int) bool {
+	return t.Kind == kind && now >= t.From && now < t.From+t.Duration && (t.Boxes == nil || slices.Contains(t.Boxes, box))
 }
 
-// Day is a scenario to simulate: site, client load, mode and faults.
-type Day struct {
+// Scenario is a scenario to simulate: site, client load, mode and faults.
+type Scenario struct {
 	Site
 	Load
-	Mode     Mode
-	Tries    float64 // retry budget in the fleet's rules; 0 for the default
-	Troubles []Trouble
-	Relays   int // number of relays; 0 means 3
+	Mode        Mode
+	RetryBudget float64 // retry budget in the fleet's rules; 0 for the default
+	Faults      []Fault
+	Relays      int // number of relays; 0 means 3
 }
 
 // Result holds what a simulated day yielded.
 type Result struct {
-	Worth
-	Lost, Twice, DoubleRuns int
-	Levels                  []time.Duration // times at which the first box's shedding level changed
-	LevelChanges            int             // maximum number of level changes of one box within 10 s
-	Probes                  float64         // reports to the catalog per second while it was down
-	Reports                 float64         // the same while it was up
-	Blind                   time.Duration   // longest time from the catalog's return to a box's next report
-	Messages, Bytes         float64         // messages between boxes, per second and box
-	GaveUp                  int             // rejections that asked the router not to retry
-	Wrongly                 int             // those sent while another box was mostly idle
-	Calls, Skipped          int             // index calls: served by the index; skipped by the replica, so that the run continued without a reply
-	Events                  uint64
-	Broken                  []string
+	Score
+	Lost, AnsweredTwice, DoubleRuns int
+	FirstBoxLevelChanges            []time.Duration // times at which the first box's shedding level changed
+	MaxLevelChanges                 int             // maximum number of level changes of one box within 10 s
+	ReportRateDown                  float64         // reports to the catalog per second while it was down
+	ReportRateUp                    float64         // the same while it was up
+	MaxReportDelay                  time.Duration   // longest time from the catalog's return to a box's next report
+	Messages, Bytes                 float64         // messages between boxes, per second and box
+	DoNotRetry                      int             // rejections that asked the router not to retry
+	DoNotRetryWhileIdle             int             // those sent while another box was mostly idle
+	IndexCalls, SkippedCalls        int             // index calls: served by the index; skipped by the replica, so that the run continued without a reply
+	Events                          uint64
+	Violations                      []string
 }
 
 // startTime is the virtual time at which a day begins. It is not 0, so that a zero time stands for "never".
@@ -97,8 +97,8 @@
 
 // simulation is the state of one simulated day.
 type simulation struct {
-	World
-	day              Day
+	EventLoop
+	day              Scenario
 	boxes            []*box
 	names            []string
 	relays           []string
@@ -106,7 +106,7 @@
 	rules            *shed.Rules
 	messageRand      *rand.Rand
 	result           Result
-	outcomes         []Fate
+	outcomes         []RequestOutcome
 	keyedRuns        map[string]int // runs by box, incarnation and keyed request
 	messagesSent     int
 	bytesSent        int
@@ -148,15 +148,15 @@
 	txn             string // of the current attempt
 }
 
-// Play simulates a day.
-func Play(day Day) Result {
+// Simulate simulates a day.
+func Simulate(day Scenario) Result {
 	sim := &simulation{day: day, messageRand: stream(day.Seed, streamMessages), keyedRuns: map[string]int{}, knownDead: make([]bool, day.Boxes)}
 	sim.now, sim.index = startTime, &index{sim: sim}
 	if day.Relays == 0 {
 		sim.day.Relays = 3
 	}
 	if day.Mode != Alone {
-		sim.rules = &shed.Rules{Version: 1, Tries: day.Tries, Shares: day.Shares(day.Quota), Order: day.Order()}
+		sim.rules = &shed.Rules{Version: 1, Tries: day.RetryBudget, Shares: day.Shares(day.Quota), Order: day.SheddingOrder()}
 	}
 	for i := range day.Boxes {
 		sim.names = append(sim.names, fmt.Sprintf("n%04d", i))
@@ -165,47 +165,47 @@
 	}
 	sim.relays = sim.names[:min(sim.day.Relays, day.Boxes)]
 	src := stream(day.Seed, streamRouters)
-	for _, h := range Habits(day.Seed, day.Routers) {
-		r := NewRouter(h, day.Heeded, src)
+	for _, h := range DrawRouterBehaviors(day.Seed, day.Routers) {
+		r := NewRouter(h, day.SignalLifetime, src)
 		sim.routers = append(sim.routers, r)
 	}
 	sim.updateRouterLists()
-	for _, q := range day.Draw(day.Load) {
-		sim.At(startTime+q.At, func() { sim.sendAttempt(&requestState{request: q}) })
+	for _, q := range day.DrawRequests(day.Load) {
+		sim.Schedule(startTime+q.At, func() { sim.sendAttempt(&requestState{request: q}) })
 	}
-	for _, t := range day.Troubles {
+	for _, t := range day.Faults {
 		sim.scheduleFault(t)
 	}
-	sim.Run(startTime + day.Span)
-	sim.Run(startTime + day.Span + 12*time.Second) // lets open requests finish
+	sim.RunUntil(startTime + day.Span)
+	sim.RunUntil(startTime + day.Span + 12*time.Second) // lets open requests finish
 	for _, b := range sim.boxes {
-		sim.result.LevelChanges = max(sim.result.LevelChanges, Most(b.levelChanges, 10*time.Second))
+		sim.result.MaxLevelChanges = max(sim.result.MaxLevelChanges, MaxWithin(b.levelChanges, 10*time.Second))
 		for _, state := range b.attempts {
 			if !state.finished {
 				sim.result.Lost++
 			}
 		}
 	}
-	sim.result.Levels = sim.boxes[0].levelChanges
-	sim.result.Worth = day.Judge(day.Load, sim.outcomes)
+	sim.result.FirstBoxLevelChanges = sim.boxes[0].levelChanges
+	sim.result.Score = day.Evaluate(day.Load, sim.outcomes)
 	seconds := day.Span.Seconds() * float64(day.Boxes)
 	sim.result.Messages, sim.result.Bytes = float64(sim.messagesSent)/seconds, float64(sim.bytesSent)/seconds
 	outage := 0.0
-	for _, t := range day.Troubles {
-		if t.Kind == Catalog {
-			outage += t.For.Seconds()
+	for _, t := range day.Faults {
+		if t.Kind == CatalogDown {
+			outage += t.Duration.Seconds()
 		}
 	}
 	if outage > 0 {
-		sim.result.Probes = float64(sim.reportsWhileDown) / outage
+		sim.result.ReportRateDown = float64(sim.reportsWhileDown) / outage
 	}
-	sim.result.Reports = float64(sim.reportsWhileUp) / (day.Span.Seconds() + 12 - outage)
-	sim.result.Events, sim.result.Calls = sim.lastSeq, sim.index.served
+	sim.result.ReportRateUp = float64(sim.reportsWhileUp) / (day.Span.Seconds() + 12 - outage)
+	sim.result.Events, sim.result.IndexCalls = sim.lastSeq, sim.index.served
 	return sim.result
 }
 
-// Most returns the largest number of times that lie within one span. The times are ascending.
-func Most(times []time.Duration, span time.Duration) (n int) {
+// MaxWithin returns the largest number of times that lie within one span. The times are ascending.
+func MaxWithin(times []time.Duration, span time.Duration) (n int) {
 	for i := range times {
 		k := 0
 		for _, t := range times[i:] {
@@ -227,25 +227,25 @@
 		}
 	}
 	for _, r := range sim.routers {
-		r.List(alive)
+		r.SetBoxes(alive)
 	}
 }
 
 // scheduleFault queues the begin and end of a fault that changes a box or the catalog; the others are looked up when a message is sent.
-func (sim *simulation) scheduleFault(t Trouble) {
+func (sim *simulation) scheduleFault(t Fault) {
 	switch t.Kind {
 	case Kill:
 		for _, i := range t.Boxes {
-			sim.At(startTime+t.From, func() { sim.boxes[i].kill() })
-			sim.At(startTime+t.From+t.For, func() { sim.boxes[i].start(true) })
+			sim.Schedule(startTime+t.From, func() { sim.boxes[i].kill() })
+			sim.Schedule(startTime+t.From+t.Duration, func() { sim.boxes[i].start(true) })
 		}
-	case Slow:
+	case SlowDown:
 		for _, i := range t.Boxes {
-			sim.At(startTime+t.From, func() { sim.boxes[i].setSpeed(1 / t.Times) })
-			sim.At(startTime+t.From+t.For, func() { sim.boxes[i].setSpeed(1) })
+			sim.Schedule(startTime+t.From, func() { sim.boxes[i].setSpeed(1 / t.Slowdown) })
+			sim.Schedule(startTime+t.From+t.Duration, func() { sim.boxes[i].setSpeed(1) })
 		}
-	case Catalog:
-		sim.At(startTime+t.From+t.For, func() {
+	case CatalogDown:
+		sim.Schedule(startTime+t.From+t.Duration, func() {
 			for _, b := range sim.boxes {
 				b.catalogBackAt = sim.now
 			}
@@ -254,8 +254,8 @@
 }
 
 // faultActive reports whether a fault of the given kind hits box now.
-func (sim *simulation) faultActive(kind Kind, box int) bool {
-	for _, t := range sim.day.Troubles {
+func (sim *simulation) faultActive(kind FaultKind, box int) bool {
+	for _, t := range sim.day.Faults {
 		if t.activeAt(sim.now-startTime, kind, box) {
 			return true
 		}
@@ -283,15 +283,15 @@
 	rep.Attached(0, func() {})
 	rep.Started(0)
 	b.load = view.Load{}
-	sim.result.LevelChanges = max(sim.result.LevelChanges, Most(b.levelChanges, 10*time.Second)) // of the previous process
+	sim.result.MaxLevelChanges = max(sim.result.MaxLevelChanges, MaxWithin(b.levelChanges, 10*time.Second)) // of the previous process
 	b.levelChanges, b.level = nil, 0
 	b.reportSchedule = probes.Schedule{Self: sim.names[b.number], BaseInterval: reportInterval, MaxInterval: maxReportInterval, CostPerBox: reportCostPerBox, Place: phaseOf(b.number)}
 	incarnation := b.incarnation
 	sim.repeat(view.ExchangeInterval, phaseOf(b.number), func() bool { return b.incarnation == incarnation && !b.dead }, b.exchangeLoad)
 	sim.repeat(reportInterval/8, phaseOf(b.number), func() bool { return b.incarnation == incarnation && !b.dead }, b.reportIfDue)
 	if b.incarnation > 1 {
-		sim.At(sim.now+sim.day.ListLag, sim.updateRouterLists)
-		sim.At(sim.now+ledgerDelay/5, func() { sim.knownDead[b.number] = false })
+		sim.Schedule(sim.now+sim.day.ListDelay, sim.updateRouterLists)
+		sim.Schedule(sim.now+ledgerDelay/5, func() { sim.knownDead[b.number] = false })
 	}
 }
 
@@ -304,10 +304,10 @@
 	next = func() {
 		if while() {
 			do()
-			sim.At(sim.now+interval, next)
+			sim.Schedule(sim.now+interval, next)
 		}
 	}
-	sim.At(sim.now+time.Duration(phase*float64(interval)), next)
+	sim.Schedule(sim.now+time.Duration(phase*float64(interval)), next)
 }
 
 // processClock is the clock of one process. Its timers do not fire once the process is dead.
@@ -337,12 +337,12 @@
 		sim.loseConnection(b.attempts[txn])
 	}
 	b.attempts = map[string]*requestState{}
-	sim.At(sim.now+sim.day.ListLag, sim.updateRouterLists)
-	sim.At(sim.now+ledgerDelay, func() { sim.knownDead[b.number] = b.dead })
+	sim.Schedule(sim.now+sim.day.ListDelay, sim.updateRouterLists)
+	sim.Schedule(sim.now+ledgerDelay, func() { sim.knownDead[b.number] = b.dead })
 }
 
 func (b *box) setSpeed(speed float64) {
-	b.cores.Slow(b.sim.now, speed)
+	b.cores.SetSpeed(b.sim.now, speed)
 	b.armTimer()
 }
 
@@ -350,7 +350,7 @@
 func (b *box) addWork(work time.Duration, do func()) {
 	incarnation := b.incarnation
 	b.cores.Add(b.sim.now, work, func() {
-		b.sim.At(b.sim.now, func() {
+		b.sim.Schedule(b.sim.now, func() {
 			if !b.dead && b.incarnation == incarnation {
 				do()
 			}
@@ -367,7 +367,7 @@
 	}
 	b.timerSeq++
 	n, incarnation := b.timerSeq, b.incarnation
-	b.sim.At(at, func() {
+	b.sim.Schedule(at, func() {
 		if n == b.timerSeq && incarnation == b.incarnation && !b.dead {
 			b.cores.Advance(b.sim.now)
 			b.armTimer()
@@ -403,7 +403,7 @@
 	}
 	run := &engineRun{callsLeft: b.sim.day.callCount(q), startWork: work}
 	b.waitingRuns[txn] = run
-	b.sim.At(startTime+b.sim.day.Due(q), func() { // a run that still waits for a call is cancelled at its request's deadline
+	b.sim.Schedule(startTime+b.sim.day.RequestDeadline(q), func() { // a run that still waits for a call is cancelled at its request's deadline
 		if b.waitingRuns[txn] == run && !b.dead && b.incarnation == e.incarnation {
 			delete(b.waitingRuns, txn)
 			b.rep.Done(txn, policy.Cancelled, b.sim.now-startedAt, nil)
@@ -416,9 +416,9 @@
 // RequestGauges implements replica.Engine.
 func (e boxEngine) RequestGauges() bool {
 	b := e.box
-	b.sim.At(b.sim.now, func() {
+	b.sim.Schedule(b.sim.now, func() {
 		if !b.dead && b.incarnation == e.incarnation {
-			b.rep.Gauges([]float64{float64(b.cores.Demand())})
+			b.rep.Gauges([]float64{float64(b.cores.JobCount())})
 		}
 	})
 	return true
@@ -428,7 +428,7 @@
 func (sim *simulation) sendAttempt(state *requestState) {
 	r := sim.routers[state.request.Router]
 	now := sim.now - startTime
-	if now >= sim.day.Due(state.request) {
+	if now >= sim.day.RequestDeadline(state.request) {
 		sim.finish(state, false)
 		return
 	}
@@ -440,7 +440,7 @@
 	state.triedBoxes = append(state.triedBoxes, target)
 	b := sim.boxes[target]
 	if b.dead {
-		sim.At(sim.now+2*networkDelay, func() { sim.sendAttempt(state) }) // a refused connection is not an attempt: no box reads the request
+		sim.Schedule(sim.now+2*networkDelay, func() { sim.sendAttempt(state) }) // a refused connection is not an attempt: no box reads the request
 		return
 	}
 	r.Sent(target)
@@ -450,12 +450,12 @@
 	state.finished = false
 	b.attempts[state.txn] = state
 	arrivedAt := sim.now
-	b.addWork(sim.day.Read, func() { b.handOver(state, arrivedAt) })
+	b.addWork(sim.day.ReadWork, func() { b.handOver(state, arrivedAt) })
 	txn := state.txn
-	sim.At(startTime+sim.day.Due(state.request), func() { // the client gives up at its deadline
+	sim.Schedule(startTime+sim.day.RequestDeadline(state.request), func() { // the client gives up at its deadline
 		if state.txn == txn && !state.finished {
 			state.finished = true
-			r.Heard(sim.now, target, Told{})
+			r.HandleAnswer(sim.now, target, Hints{})
 			sim.finish(state, false)
 		}
 	})
@@ -466,7 +466,7 @@
 	sim, q := b.sim, state.request
 	class := sim.day.Classes[q.Class]
 	in := replica.Request{Txn: state.txn, Class: class.Name, Tenant: sim.day.Tenants[q.Tenant].Name, Body: []byte(fmt.Sprint(q.N)), Caller: q.Router, Retry: state.attempts > 1,
-		KB: 16, Rank: q.Rank, ArrivedAt: time.Unix(0, int64(arrivedAt)), WaitLimit: startTime + sim.day.Due(q) - arrivedAt, Reply: &reply{b, state, state.txn}}
+		KB: 16, Rank: q.Rank, ArrivedAt: time.Unix(0, int64(arrivedAt)), WaitLimit: startTime + sim.day.RequestDeadline(q) - arrivedAt, Reply: &reply{b, state, state.txn}}
 	if class.Semantics == policy.Keyed {
 		in.IdempotencyKey = fmt.Sprintf("%032x", q.N)
 	}
@@ -486,8 +486,8 @@
 
 // recordViolation notes a broken invariant; the first 20 are kept.
 func (sim *simulation) recordViolation(format string, a ...any) {
-	if len(sim.result.Broken) < 20 {
-		sim.result.Broken = append(sim.result.Broken, fmt.Sprintf("%v: ", sim.now-startTime)+fmt.Sprintf(format, a...))
+	if len(sim.result.Violations) < 20 {
+		sim.result.Violations = append(sim.result.Violations, fmt.Sprintf("%v: ", sim.now-startTime)+fmt.Sprintf(format, a...))
 	}
 }
 
@@ -503,7 +503,7 @@
 	b, state := r.box, r.state
 	sim := b.sim
 	if b.attempts[r.txn] == nil {
-		sim.result.Twice++
+		sim.result.AnsweredTwice++
 		return
 	}
 	delete(b.attempts, r.txn)
@@ -511,19 +511,19 @@
 		state.arriving = false // rejected as soon as it was read
 	}
 	if a.GiveUp {
-		sim.result.GaveUp++
+		sim.result.DoNotRetry++
 		if sim.day.Mode == Fleet && sim.otherBoxIdle(b) {
-			sim.result.Wrongly++
+			sim.result.DoNotRetryWhileIdle++
 		}
 	}
-	hints := Told{Later: a.RetryAfter, GiveUp: a.GiveUp, Signal: a.Signal.Value, Set: a.Signal.Set}
-	sim.At(sim.now+networkDelay, func() { sim.handleAnswer(state, r.txn, b.number, a.Kind, hints) })
+	hints := Hints{RetryAfter: a.RetryAfter, DoNotRetry: a.GiveUp, Signal: a.Signal.Value, HasSignal: a.Signal.Set}
+	sim.Schedule(sim.now+networkDelay, func() { sim.handleAnswer(state, r.txn, b.number, a.Kind, hints) })
 }
 
 // otherBoxIdle reports whether some live box other than except runs at full speed with over three quarters of its cores free.
 func (sim *simulation) otherBoxIdle(except *box) bool {
 	for _, b := range sim.boxes {
-		if b != except && !b.dead && b.cores.speed == 1 && b.cores.Demand() < sim.day.Cores/4 {
+		if b != except && !b.dead && b.cores.speed == 1 && b.cores.JobCount() < sim.day.Cores/4 {
 			return true
 		}
 	}
@@ -531,17 +531,17 @@
 }
 
 // handleAnswer processes the answer of an attempt at its router, which may retry.
-func (sim *simulation) handleAnswer(state *requestState, txn string, box int, kind replica.Kind, hints Told) {
+func (sim *simulation) handleAnswer(state *requestState, txn string, box int, kind replica.Kind, hints Hints) {
 	if state.txn != txn || state.finished {
 		return // the client has given up
 	}
 	state.finished = true
 	r := sim.routers[state.request.Router]
-	r.Heard(sim.now, box, hints)
+	r.HandleAnswer(sim.now, box, hints)
 	switch {
 	case kind == replica.Served:
 		sim.finish(state, true)
-	case kind == replica.Rejected && r.Again(state.attempts, hints):
+	case kind == replica.Rejected && r.ShouldRetry(state.attempts, hints):
 		sim.sendAttempt(state)
 	default:
 		sim.finish(state, false)
@@ -554,9 +554,9 @@
 		return
 	}
 	state.finished = true
-	sim.routers[state.request.Router].Heard(sim.now, state.box.number, Told{})
-	if sim.day.Classes[state.request.Class].Semantics == policy.Safe && sim.routers[state.request.Router].Again(state.attempts, Told{}) {
-		sim.At(sim.now+networkDelay, func() { sim.sendAttempt(state) })
+	sim.routers[state.request.Router].HandleAnswer(sim.now, state.box.number, Hints{})
+	if sim.day.Classes[state.request.Class].Semantics == policy.Safe && sim.routers[state.request.Router].ShouldRetry(state.attempts, Hints{}) {
+		sim.Schedule(sim.now+networkDelay, func() { sim.sendAttempt(state) })
 		return
 	}
 	sim.finish(state, false)
@@ -565,7 +565,7 @@
 // finish records the outcome of a request.
 func (sim *simulation) finish(state *requestState, served bool) {
 	state.finished = true
-	sim.outcomes = append(sim.outcomes, Fate{Request: state.request, Served: served, Took: sim.now - startTime - state.request.At, Tries: state.attempts, Let: state.admittedRetries})
+	sim.outcomes = append(sim.outcomes, RequestOutcome{Request: state.request, Served: served, Latency: sim.now - startTime - state.request.At, Attempts: state.attempts, AdmittedRetries: state.admittedRetries})
 }
 
 // exchangeLoad runs one step of the fleet's load exchange: the box publishes its totals, applies the advice and sends what is due.
@@ -575,13 +575,13 @@
 		return
 	}
 	t := view.TotalsOf(b.rep.Figures(), b.rep.Level())
-	if sim.faultActive(Lie, b.number) {
+	if sim.faultActive(ReportTooMuch, b.number) {
 		t.Served, t.First, t.Further = t.Served*100, 0, 0
 	}
-	if sim.faultActive(Nothing, b.number) {
+	if sim.faultActive(ReportNothing, b.number) {
 		t.Served, t.RejectedLocally, t.Busy = 0, t.First, 1
 	}
-	out := b.load.Tick(sim.now, view.TickInputs{Membership: sim.membership(b), Totals: t, Rules: sim.rules, MaxRetryDelay: sim.day.MaxLater, Finding: b.findingReport()})
+	out := b.load.Tick(sim.now, view.TickInputs{Membership: sim.membership(b), Totals: t, Rules: sim.rules, MaxRetryDelay: sim.day.MaxRetryAfter, Finding: b.findingReport()})
 	b.rep.Advise(b.load.Advice)
 	if l := b.load.Advice.Level; l != b.level {
 		b.level = l
@@ -637,16 +637,16 @@
 	fmt.Sscanf(o.To, "n%d", &receiver)
 	to := sim.boxes[receiver]
 	delay, copies := networkDelay, 1
-	cut := sim.day.Mode == Cut
-	for _, t := range sim.day.Troubles {
+	cut := sim.day.Mode == Disconnected
+	for _, t := range sim.day.Faults {
 		switch {
-		case t.Kind == Partition && sim.now-startTime >= t.From && sim.now-startTime < t.From+t.For:
+		case t.Kind == Partition && sim.now-startTime >= t.From && sim.now-startTime < t.From+t.Duration:
 			cut = cut || slices.Contains(t.Boxes, from.number) != slices.Contains(t.Boxes, receiver)
-		case t.activeAt(sim.now-startTime, Late, from.number):
+		case t.activeAt(sim.now-startTime, DelayMessages, from.number):
 			delay = 2 * time.Second
-		case t.activeAt(sim.now-startTime, Lose, from.number):
+		case t.activeAt(sim.now-startTime, LoseMessages, from.number):
 			cut = cut || sim.messageRand.IntN(2) == 0
-		case t.activeAt(sim.now-startTime, Reorder, from.number):
+		case t.activeAt(sim.now-startTime, ReorderMessages, from.number):
 			delay = time.Duration(sim.messageRand.IntN(600)) * time.Millisecond
 			copies = 1 + sim.messageRand.IntN(2)
 		}
@@ -655,7 +655,7 @@
 		return
 	}
 	for range copies {
-		sim.At(sim.now+delay, func() {
+		sim.Schedule(sim.now+delay, func() {
 			if !to.dead {
 				to.load.Take(sim.now, sim.names[from.number], o.Message, sim.membership(to))
 			}
@@ -669,11 +669,11 @@
 	if !b.reportSchedule.Due(sim.now) {
 		return
 	}
-	up := !sim.faultActive(Catalog, -1)
+	up := !sim.faultActive(CatalogDown, -1)
 	if up {
 		sim.reportsWhileUp++
 		if b.catalogBackAt > 0 {
-			sim.result.Blind = max(sim.result.Blind, sim.now-b.catalogBackAt)
+			sim.result.MaxReportDelay = max(sim.result.MaxReportDelay, sim.now-b.catalogBackAt)
 			b.catalogBackAt = 0
 		}
 	} else {
--- a/internal/lab/model/site.go
+++ b/internal/lab/model/site.go
@@ -16,10 +16,10 @@
 // Class is a class of requests with its part of the client load.
 type Class struct {
 	policy.Class
-	Share float64       // of all requests
-	Work  time.Duration // mean processor time of a request
-	CV    float64       // coefficient of variation of the work
-	Calls float64       // mean number of calls to the shared index per request
+	Share          float64       // of all requests
+	Work           time.Duration // mean processor time of a request
+	CV             float64       // coefficient of variation of the work
+	MeanIndexCalls float64       // mean number of calls to the shared index per request
 }
 
 // Tenant is one of the tenants that share the fleet.
@@ -31,15 +31,15 @@
 // Site describes what all days of a site have in common.
 type Site struct {
 	Machine
-	Classes  []Class
-	Tenants  []Tenant
-	Hot      int           // index of the tenant whose load is above its share, on days that have one
-	Quota    float64       // part of the capacity that is divided into the tenants' shares
-	Over     float64       // factor on the worth of traffic over a tenant's share
-	MaxLater time.Duration // longest retry-after delay that routers comply with
-	Heeded   time.Duration // how long a router complies with a published value
-	ListLag  time.Duration // until routers learn of a box that started or died
-	Index    Index         // unused if the settings have no dependency
+	Classes        []Class
+	Tenants        []Tenant
+	HotTenant      int           // index of the tenant whose load is above its share, on days that have one
+	Quota          float64       // part of the capacity that is divided into the tenants' shares
+	OverShareWorth float64       // factor on the worth of traffic over a tenant's share
+	MaxRetryAfter  time.Duration // longest retry-after delay that routers comply with
+	SignalLifetime time.Duration // how long a router complies with a published value
+	ListDelay      time.Duration // until routers learn of a box that started or died
+	Index          Index         // unused if the settings have no dependency
 
 	readShare float64 // cost of reading a request, as a fraction of the mean work
 	settings  settings.Settings
@@ -47,15 +47,15 @@
 
 // Index describes the dependency that all boxes call.
 type Index struct {
-	Slots int           // calls served at a time; further ones are queued
-	Takes time.Duration // duration of a call
+	Slots        int           // calls served at a time; further ones are queued
+	CallDuration time.Duration // duration of a call
 }
 
-// WorldFile is the file name of a site's description, which stands in the folder of the site's configuration.
-const WorldFile = "world.json"
+// DescriptionFile is the file name of a site's description, which stands in the folder of the site's configuration.
+const DescriptionFile = "world.json"
 
-// ErrWorld is returned for a description that does not match the site's settings.
-var ErrWorld = errors.New(WorldFile)
+// ErrDescription is returned for a description that does not match the site's settings.
+var ErrDescription = errors.New(DescriptionFile)
 
 // description is the content of a WorldFile: the properties of clients, machines and dependency that the settings do not have.
 type description struct {
@@ -88,7 +88,7 @@
 	if err != nil {
 		return Site{}, err
 	}
-	raw, err := os.ReadFile(filepath.Join(filepath.Dir(config), WorldFile))
+	raw, err := os.ReadFile(filepath.Join(filepath.Dir(config), DescriptionFile))
 	if err != nil {
 		return Site{}, err
 	}
@@ -96,11 +96,11 @@
 	in := json.NewDecoder(bytes.NewReader(raw))
 	in.DisallowUnknownFields()
 	if err := in.Decode(&desc); err != nil {
-		return Site{}, fmt.Errorf("%w: %w", ErrWorld, err)
+		return Site{}, fmt.Errorf("%w: %w", ErrDescription, err)
 	}
 	if len(desc.Settings) > 0 {
 		if err := json.Unmarshal(desc.Settings, base); err != nil {
-			return Site{}, fmt.Errorf("%w: settings: %w", ErrWorld, err)
+			return Site{}, fmt.Errorf("%w: settings: %w", ErrDescription, err)
 		}
 	}
 	return desc.build(base)
@@ -112,34 +112,34 @@
 // build combines the description with the settings.
 func (w description) build(base *settings.Settings) (Site, error) {
 	c := base.Policy(0)
-	s := Site{Quota: w.Quota, Over: w.Over, MaxLater: c.MaxHoldOff, Heeded: c.SignalLifetime, ListLag: millis(w.ListLagMS), Hot: -1, readShare: w.Read, settings: *base,
-		Index:   Index{Slots: w.Index.Slots, Takes: millis(w.Index.TakesMS)},
+	s := Site{Quota: w.Quota, OverShareWorth: w.Over, MaxRetryAfter: c.MaxHoldOff, SignalLifetime: c.SignalLifetime, ListDelay: millis(w.ListLagMS), HotTenant: -1, readShare: w.Read, settings: *base,
+		Index:   Index{Slots: w.Index.Slots, CallDuration: millis(w.Index.TakesMS)},
 		Machine: Machine{Cores: c.Cores, ThrashAt: w.ThrashAt, Thrash: w.Thrash, ColdFrom: c.ColdFrom, ColdFor: c.ColdFor}}
 	for _, k := range c.Classes {
 		described, ok := w.Classes[k.Name]
 		if !ok || !(described.WorkMS > 0) || !(described.Share > 0) {
-			return Site{}, fmt.Errorf("%w: class %q needs a share above 0 and a work_ms above 0", ErrWorld, k.Name)
+			return Site{}, fmt.Errorf("%w: class %q needs a share above 0 and a work_ms above 0", ErrDescription, k.Name)
 		}
-		s.Classes = append(s.Classes, Class{Class: k, Share: described.Share, Work: millis(described.WorkMS), CV: described.CV, Calls: described.Calls})
+		s.Classes = append(s.Classes, Class{Class: k, Share: described.Share, Work: millis(described.WorkMS), CV: described.CV, MeanIndexCalls: described.Calls})
 	}
 	for i, t := range c.Tenants {
 		share, ok := w.Tenants[t.Name]
 		if !ok {
-			return Site{}, fmt.Errorf("%w: tenant %q has no share", ErrWorld, t.Name)
+			return Site{}, fmt.Errorf("%w: tenant %q has no share", ErrDescription, t.Name)
 		}
 		if s.Tenants = append(s.Tenants, Tenant{t.Name, share}); t.Name == w.Hot {
-			s.Hot = i
+			s.HotTenant = i
 		}
 	}
 	switch {
 	case len(w.Classes) != len(s.Classes) || len(w.Tenants) != len(s.Tenants):
-		return Site{}, fmt.Errorf("%w: has %d classes and %d tenants, some of which the settings do not know", ErrWorld, len(w.Classes), len(w.Tenants))
-	case s.Hot < 0:
-		return Site{}, fmt.Errorf("%w: the settings have no tenant %q, which is named as the hot one", ErrWorld, w.Hot)
-	case s.callsIndex() && (s.Index.Slots <= 0 || s.Index.Takes <= 0):
-		return Site{}, fmt.Errorf("%w: the settings have an index dependency, but the index has no slots or no call duration", ErrWorld)
+		return Site{}, fmt.Errorf("%w: has %d classes and %d tenants, some of which the settings do not know", ErrDescription, len(w.Classes), len(w.Tenants))
+	case s.HotTenant < 0:
+		return Site{}, fmt.Errorf("%w: the settings have no tenant %q, which is named as the hot one", ErrDescription, w.Hot)
+	case s.callsIndex() && (s.Index.Slots <= 0 || s.Index.CallDuration <= 0):
+		return Site{}, fmt.Errorf("%w: the settings have an index dependency, but the index has no slots or no call duration", ErrDescription)
 	}
-	s.Read = s.readWork()
+	s.ReadWork = s.readWork()
 	return s, nil
 }
 
@@ -149,9 +149,9 @@
 // readWork returns the processor time for reading one request.
 func (s Site) readWork() time.Duration { return time.Duration(s.readShare * float64(s.MeanWork())) }
 
-// Faster returns the site with all times of requests, clients, routers, cold boxes and the index divided by times. Times that the
+// SpedUp returns the site with all times of requests, clients, routers, cold boxes and the index divided by times. Times that the
 // platform's rules set, such as ListLag, stay.
-func (s Site) Faster(times float64) Site {
+func (s Site) SpedUp(times float64) Site {
 	span := func(d time.Duration) time.Duration { return millis(float64(d) / float64(time.Millisecond) / times) }
 	classes := make([]Class, len(s.Classes))
 	for i, c := range s.Classes {
@@ -159,8 +159,8 @@
 		classes[i] = c
 	}
 	s.Classes = classes
-	s.MaxLater, s.Heeded, s.ColdFor, s.Index.Takes = span(s.MaxLater), span(s.Heeded), span(s.ColdFor), span(s.Index.Takes)
-	s.Read = s.readWork()
+	s.MaxRetryAfter, s.SignalLifetime, s.ColdFor, s.Index.CallDuration = span(s.MaxRetryAfter), span(s.SignalLifetime), span(s.ColdFor), span(s.Index.CallDuration)
+	s.ReadWork = s.readWork()
 	return s
 }
 
@@ -175,13 +175,13 @@
 
 // Capacity returns the maximum number of requests per second that warm boxes serve, if each request is read once.
 func (s Site) Capacity(boxes int) float64 {
-	return float64(boxes*s.Cores) / (s.MeanWork() + s.Read).Seconds()
+	return float64(boxes*s.Cores) / (s.MeanWork() + s.ReadWork).Seconds()
 }
 
 // Policy returns the configuration of a box's policy module at the site.
 func (s Site) Policy(seed int64, routers int) policy.Config {
 	c := s.settings.Policy(seed)
-	c.Cores, c.ColdFrom, c.ColdFor, c.Callers, c.SignalLifetime, c.MaxHoldOff = s.Cores, s.ColdFrom, s.ColdFor, routers, s.Heeded, s.MaxLater
+	c.Cores, c.ColdFrom, c.ColdFor, c.Callers, c.SignalLifetime, c.MaxHoldOff = s.Cores, s.ColdFrom, s.ColdFor, routers, s.SignalLifetime, s.MaxRetryAfter
 	c.Classes = nil
 	for _, k := range s.Classes {
 		c.Classes = append(c.Classes, k.Class)
--- a/internal/lab/mutants/crossings.go
+++ b/internal/lab/mutants/concurrency.go
@@ -1,7 +1,7 @@
 package mutants
 
-// Crossings are the mutants of the guarantees for concurrent events in docs/crossings.md.
-var Crossings = []Mutant{
+// Concurrency are the mutants of the guarantees for concurrent events in docs/crossings.md.
+var Concurrency = []Mutant{
 	{"keyed run in doubt resent", "internal/replica/policy_host.go", "lost && req.class.Semantics == policy.Safe {", "lost {", "./internal/replica", "TestOnlySafeRunsAreResentAfterLinkLoss"},
 	{"keyed run in doubt resent, random steps", "internal/replica/policy_host.go", "lost && req.class.Semantics == policy.Safe {", "lost {", "./internal/replica", "TestInvariantsHoldOverRandomSteps"},
 	{"run in doubt never ends", "internal/replica/policy_host.go", "	case req.inDoubt: // nobody", "	case false: // nobody", "./internal/replica", "TestOnlySafeRunsAreResentAfterLinkLoss"},
@@ -26,11 +26,11 @@
 	{"link without messages revokes a report", "internal/handover/link.go", "if all, received := l.run(ctx, c, true); received {", "if all, received := l.run(ctx, c, true); received || true {", "./internal/handover", "TestSilentLinkKeepsSyncedState"},
 	{"partial report leaves the earlier one valid", "internal/handover/link.go", "			if all, received := l.run(ctx, c, true); received {", "			if all, received := l.run(ctx, c, true); received && all {", "./internal/handover", "TestSilentLinkKeepsSyncedState"},
 	{"move waits for the old catalog", "internal/catalog/catalog.go", "		(*end)()\n", "		_ = end\n", "./internal/catalog", "TestMoveCancelsReportToOldCatalog"},
-	{"partial request keeps its connection open", "internal/decide/conns/ending.go", "return v.Kernel == 0 && ", "return !v.Partial && v.Kernel == 0 && ", "./cmd/cairnlane", "TestPartialRequestDoesNotLoseLastAnswer"},
-	{"signals caught only after the configuration", "cmd/cairnlane/main.go", "	daemon.Catch()\n", "", "./cmd/cairnlane", "TestSignalsWhileConfigurationIsRead"},
+	{"partial request keeps its connection open", "internal/decide/conns/closing.go", "return v.Kernel == 0 && ", "return !v.Partial && v.Kernel == 0 && ", "./cmd/cairnlane", "TestPartialRequestDoesNotLoseLastAnswer"},
+	{"signals caught only after the configuration", "cmd/cairnlane/main.go", "	daemon.CatchSignals()\n", "", "./cmd/cairnlane", "TestSignalsWhileConfigurationIsRead"},
 	{"drain notice waits for a file", "internal/daemon/daemon.go", "			reload, read = nil, s.readConfig()\n", "			r := <-s.readConfig()\n			s.applyConfig(r.next, r.err)\n", "./cmd/cairnlane", "TestDrainNoticeDoesNotWaitForReload"},
 	{"unknown run outcome of the engine accepted", "internal/engine/codec.go", "		if !known {", "		if false && !known {", "./internal/engine", "TestMalformedInputEndsLink"},
-	{"connection close carried out twice", "internal/front/ends.go", "	case conns.Close:\n		c.mu.Lock()\n		first := !c.closing", "	case conns.Close:\n		c.mu.Lock()\n		first := true", "./internal/front", "TestConnectionIsClosedOnce"},
+	{"connection close carried out twice", "internal/front/closing.go", "	case conns.Close:\n		c.mu.Lock()\n		first := !c.closing", "	case conns.Close:\n		c.mu.Lock()\n		first := true", "./internal/front", "TestConnectionIsClosedOnce"},
 	{"address in use ends the start", "internal/daemon/daemon.go", "if !errors.Is(err, syscall.EADDRINUSE) || ", "if err == nil || errors.Is(err, syscall.EADDRINUSE) || ", "./cmd/cairnlane", "TestStartWaitsForAddressInUse"},
 	{"claims given up before the engine", "internal/daemon/daemon.go", "		s.stopEngine()\n		if s.index != nil {\n			s.index.Close()\n		}\n		s.stopPeer()\n", "		s.stopPeer()\n		s.stopEngine()\n		if s.index != nil {\n			s.index.Close()\n		}\n", "./internal/daemon", "TestClaimsAreReleasedAfterEngineLinkStops"},
 }
--- a/internal/lab/overloads/cost.go
+++ b/internal/lab/overloads/cost.go
@@ -15,14 +15,14 @@
 	"cairnlane/internal/decide/rollout"
 	"cairnlane/internal/lab/model"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/standin/engine"
-	"cairnlane/internal/standin/router"
+	"cairnlane/internal/fake/engine"
+	"cairnlane/internal/fake/router"
 )
 
 // CostConfig holds the parameters for measuring the cost of a request.
 type CostConfig struct {
 	Rounds, Requests int // requests per round and variant
-	Example, Dir     string
+	ConfigFile, Dir  string
 	Serve            func(config string) *exec.Cmd
 	Progress         io.Writer
 }
@@ -39,10 +39,10 @@
 	tenant      string
 }
 
-// Cost measures the processor time of a request over sockets, from router to engine and back: without fleet advice, with it, and with the flight
+// MeasureCost measures the processor time of a request over sockets, from router to engine and back: without fleet advice, with it, and with the flight
 // recorder. The variants run in turn, in an order that is drawn anew each round.
-func Cost(cfg CostConfig) (CostFigures, error) {
-	traffic, err := rig.TrafficOf(cfg.Example)
+func MeasureCost(cfg CostConfig) (CostFigures, error) {
+	traffic, err := rig.ReadTraffic(cfg.ConfigFile)
 	if err != nil {
 		return CostFigures{}, err
 	}
@@ -70,7 +70,7 @@
 		}
 	}
 	f := CostFigures{Rounds: cfg.Rounds, Requests: cfg.Rounds * cfg.Requests}
-	f.Off, _ = model.Interval(variants[0].cpuMicros)
+	f.BaselineMicros, _ = model.Interval(variants[0].cpuMicros)
 	f.Advised, f.AdvisedHalf = relativeIncrease(variants[1].cpuMicros, variants[0].cpuMicros)
 	f.Recorder, f.RecorderHalf = relativeIncrease(variants[2].cpuMicros, variants[0].cpuMicros)
 	return f, nil
@@ -87,9 +87,9 @@
 
 // start starts the fleet and, for a variant with rules, waits until the fleet advice is in effect.
 func (v *variant) start(cfg CostConfig) (err error) {
-	v.site, err = rig.NewSite(rig.SiteConfig{Seed: 1, Dir: fleetDir(cfg.Dir, v.name), Boxes: 2, Voters: []int{0}, Terms: terms, Election: 400 * time.Millisecond, Example: cfg.Example, Serve: cfg.Serve, Extra: v.extra,
+	v.site, err = rig.NewSite(rig.SiteConfig{Seed: 1, Dir: fleetDir(cfg.Dir, v.name), Boxes: 2, Voters: []int{0}, Terms: terms, Election: 400 * time.Millisecond, SettingsFile: cfg.ConfigFile, Command: cfg.Serve, ExtraConfig: v.extra,
 		Engine: func(int) *engine.Engine {
-			return engine.On(func(_, _ string, done func(time.Duration)) { go done(time.Millisecond) }, nil)
+			return engine.NewWithExecutor(func(_, _ string, done func(time.Duration)) { go done(time.Millisecond) }, nil)
 		}})
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 		return err
 	}
 	for range 4 {
-		v.connections = append(v.connections, &router.Router{Addr: v.site.Boxes[0].Addr(), Twice: func(int32) {}})
+		v.connections = append(v.connections, &router.Router{Addr: v.site.Boxes[0].RequestAddr(), OnUnexpectedReply: func(int32) {}})
 	}
 	if !v.rules {
 		return nil
@@ -106,7 +106,7 @@
 	c := v.site.Boxes[0].Control().Fleet()
 	n, err := c.PutConfig(fmt.Appendf(nil, "needs = 2\noverload {\n shares = { %q = 0.5 }\n}\n", v.tenant))
 	if err == nil {
-		err = c.StartRoll(n, rollout.Plan{Canaries: 1, Share: 1, Timeout: 12 * time.Second, Slots: 2})
+		err = c.StartRollout(n, rollout.Plan{Canaries: 1, Share: 1, Timeout: 12 * time.Second, Slots: 2})
 	}
 	if err == nil {
 		_, err = v.round(2000) // gives the fleet a measured capacity
@@ -135,8 +135,8 @@
 	for i := range n {
 		slots <- struct{}{}
 		pending.Add(1)
-		v.connections[i%len(v.connections)].Send(router.Request{Txn: fmt.Sprintf("%08x%08x", time.Now().UnixNano()&0xffffffff, i), Class: v.class, Tenant: v.tenant, Body: "x", Limit: 700 * time.Millisecond, Rank: 0.99}, func(o router.Outcome) {
-			if o.End != router.Served {
+		v.connections[i%len(v.connections)].Send(router.Request{Txn: fmt.Sprintf("%08x%08x", time.Now().UnixNano()&0xffffffff, i), Class: v.class, Tenant: v.tenant, Body: "x", TimeLimit: 700 * time.Millisecond, Rank: 0.99}, func(o router.Outcome) {
+			if o.Kind != router.Served {
 				mu.Lock()
 				notServed++
 				mu.Unlock()
@@ -177,7 +177,7 @@
 // CostFigures holds the measured cost of a request.
 type CostFigures struct {
 	Rounds, Requests       int
-	Off                    float64 // processor time of a request in microseconds
+	BaselineMicros         float64 // processor time of a request in microseconds
 	Advised, AdvisedHalf   float64 // relative increase with fleet advice, and the half-width of its 95% interval
 	Recorder, RecorderHalf float64 // the same with the flight recorder
 }
@@ -195,5 +195,5 @@
 
 // String returns the figures as one line.
 func (f CostFigures) String() string {
-	return fmt.Sprintf("figures: rounds=%d requests=%d request_us=%.1f advised_more=%.4f advised_half=%.4f recorder_more=%.4f recorder_half=%.4f", f.Rounds, f.Requests, f.Off, f.Advised, f.AdvisedHalf, f.Recorder, f.RecorderHalf)
+	return fmt.Sprintf("figures: rounds=%d requests=%d request_us=%.1f advised_more=%.4f advised_half=%.4f recorder_more=%.4f recorder_half=%.4f", f.Rounds, f.Requests, f.BaselineMicros, f.Advised, f.AdvisedHalf, f.Recorder, f.RecorderHalf)
 }
--- a/internal/lab/overloads/machine.go
+++ b/internal/lab/overloads/machine.go
@@ -62,7 +62,7 @@
 }
 
 func (c *machine) setSpeed(speed float64) {
-	c.withCores(func(now time.Duration) { c.cores.Slow(now, speed) })
+	c.withCores(func(now time.Duration) { c.cores.SetSpeed(now, speed) })
 }
 
 // restart drops all work and starts with fresh cores, cold or warm.
@@ -77,5 +77,5 @@
 func (c *machine) demand() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cores.Demand()
+	return c.cores.JobCount()
 }
--- a/internal/lab/overloads/overloads_test.go
+++ b/internal/lab/overloads/overloads_test.go
@@ -22,20 +22,20 @@
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	f, err := Trial{Seed: 1, Seeds: 1, Boxes: 4, Loads: []float64{1.3}, Modes: []model.Mode{model.Fleet}, Span: 7 * time.Second, Outage: 1500 * time.Millisecond, Example: "../../../examples/config.json", Dir: dir, Serve: rigtest.Serve,
-		Faults: func(d *model.Day) {
-			d.Troubles = append(d.Troubles, model.Trouble{Kind: model.Slow, From: time.Second, For: time.Second, Boxes: []int{2}, Times: 8}, model.Trouble{Kind: model.Kill, From: 2 * time.Second, For: 500 * time.Millisecond, Boxes: []int{3}},
-				model.Trouble{Kind: model.Partition, From: 4 * time.Second, For: time.Second, Boxes: []int{0, 1}}, model.Trouble{Kind: model.Catalog, From: 2 * time.Second, For: time.Second})
+	f, err := Trial{Seed: 1, Seeds: 1, Boxes: 4, Loads: []float64{1.3}, Modes: []model.Mode{model.Fleet}, Span: 7 * time.Second, Outage: 1500 * time.Millisecond, ConfigFile: "../../../examples/config.json", Dir: dir, Serve: rigtest.Serve,
+		AddFaults: func(d *model.Scenario) {
+			d.Faults = append(d.Faults, model.Fault{Kind: model.SlowDown, From: time.Second, Duration: time.Second, Boxes: []int{2}, Slowdown: 8}, model.Fault{Kind: model.Kill, From: 2 * time.Second, Duration: 500 * time.Millisecond, Boxes: []int{3}},
+				model.Fault{Kind: model.Partition, From: 4 * time.Second, Duration: time.Second, Boxes: []int{0, 1}}, model.Fault{Kind: model.CatalogDown, From: 2 * time.Second, Duration: time.Second})
 		}}.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if missed := f.Rules(); len(missed) > 0 {
-		t.Errorf("missed %s\n%s", strings.Join(missed, ", "), strings.Join(f.Notes, "\n"))
+	if missed := f.MissedInvariants(); len(missed) > 0 {
+		t.Errorf("missed %s\n%s", strings.Join(missed, ", "), strings.Join(f.Log, "\n"))
 	}
-	r := f.Got[1.3][model.Fleet][0]
-	if r.Requests < 500 || r.Over == 0 {
-		t.Errorf("too little load: %d requests, %d rejected over share", r.Requests, r.Over)
+	r := f.Results[1.3][model.Fleet][0]
+	if r.Requests < 500 || r.RejectedOverShare == 0 {
+		t.Errorf("too little load: %d requests, %d rejected over share", r.Requests, r.RejectedOverShare)
 	}
 	t.Log(f)
 }
@@ -60,13 +60,13 @@
 // TestMissedListsEachBound checks that good figures miss no bound and that each bad one is listed.
 func TestMissedListsEachBound(t *testing.T) {
 	day := func(of float64) *Result {
-		return &Result{Worth: model.Worth{Asked: 1, Got: of, Requests: 100, Tries: 105, LetIn: 5}}
+		return &Result{Score: model.Score{Offered: 1, Earned: of, Requests: 100, Attempts: 105, AdmittedRetries: 5}}
 	}
 	good := func() *Figures {
-		f := &Figures{Trial: Trial{Seeds: 1, Boxes: 8, Loads: []float64{0.9, 1.1, 1.5}, Modes: []model.Mode{model.Fleet, model.Alone, model.Cut}, Outage: time.Second}, Got: map[float64]map[model.Mode][]*Result{}}
+		f := &Figures{Trial: Trial{Seeds: 1, Boxes: 8, Loads: []float64{0.9, 1.1, 1.5}, Modes: []model.Mode{model.Fleet, model.Alone, model.Disconnected}, Outage: time.Second}, Results: map[float64]map[model.Mode][]*Result{}}
 		for _, l := range f.Loads {
-			f.Got[l] = map[model.Mode][]*Result{model.Fleet: {day(0.8)}, model.Alone: {day(0.7)}, model.Cut: {day(0.7)}}
-			f.Got[l][model.Alone][0].Probes = 9
+			f.Results[l] = map[model.Mode][]*Result{model.Fleet: {day(0.8)}, model.Alone: {day(0.7)}, model.Disconnected: {day(0.7)}}
+			f.Results[l][model.Alone][0].ProbeRate = 9
 		}
 		return f
 	}
@@ -77,12 +77,12 @@
 		t.Error(s)
 	}
 	for name, change := range map[string]func(f *Figures, r *Result){
-		"lost": func(_ *Figures, r *Result) { r.Lost = 1 }, "ended twice": func(_ *Figures, r *Result) { r.Twice = 1 }, "double runs": func(_ *Figures, r *Result) { r.DoubleRuns = 1 }, "wrong": func(_ *Figures, r *Result) { r.Wrong = 1 },
-		"invariants": func(_ *Figures, r *Result) { r.Invariants = 1 }, "level": func(_ *Figures, r *Result) { r.LevelChanges = 2 }, "late": func(_ *Figures, r *Result) { r.Late = 1 },
-		"admitted retries": func(_ *Figures, r *Result) { r.LetIn = 40 }, "gain at 110": func(_ *Figures, r *Result) { r.Got = 0.72 }, "probes": func(f *Figures, _ *Result) { f.Got[0.9][model.Fleet][0].Probes = 10 },
-		"gain at 90": func(f *Figures, _ *Result) { f.Got[0.9][model.Fleet][0].Got = 0.69 }, "messages cut": func(f *Figures, _ *Result) { f.Got[1.5][model.Cut][0].Got = 0.6 }} {
+		"lost": func(_ *Figures, r *Result) { r.Lost = 1 }, "ended twice": func(_ *Figures, r *Result) { r.AnsweredTwice = 1 }, "double runs": func(_ *Figures, r *Result) { r.DoubleRuns = 1 }, "wrong": func(_ *Figures, r *Result) { r.WrongResults = 1 },
+		"invariants": func(_ *Figures, r *Result) { r.InvariantsBroken = 1 }, "level": func(_ *Figures, r *Result) { r.MaxLevelChanges = 2 }, "late": func(_ *Figures, r *Result) { r.Late = 1 },
+		"admitted retries": func(_ *Figures, r *Result) { r.AdmittedRetries = 40 }, "gain at 110": func(_ *Figures, r *Result) { r.Earned = 0.72 }, "probes": func(f *Figures, _ *Result) { f.Results[0.9][model.Fleet][0].ProbeRate = 10 },
+		"gain at 90": func(f *Figures, _ *Result) { f.Results[0.9][model.Fleet][0].Earned = 0.69 }, "messages cut": func(f *Figures, _ *Result) { f.Results[1.5][model.Disconnected][0].Earned = 0.6 }} {
 		f := good()
-		change(f, f.Got[1.1][model.Fleet][0])
+		change(f, f.Results[1.1][model.Fleet][0])
 		if !strings.Contains(strings.Join(f.Missed(), "; "), name) {
 			t.Errorf("%s is not listed among the missed bounds %v", name, f.Missed())
 		}
--- a/internal/lab/overloads/play.go
+++ b/internal/lab/overloads/run.go
@@ -17,31 +17,31 @@
 	"cairnlane/internal/decide/rollout"
 	"cairnlane/internal/lab/model"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/standin/engine"
-	"cairnlane/internal/standin/router"
+	"cairnlane/internal/fake/engine"
+	"cairnlane/internal/fake/router"
 	"cairnlane/policy"
 )
 
 // Config holds the parameters of one fleet's run of a day.
 type Config struct {
-	Day     model.Day
-	Dir     string
-	Example string
-	Serve   func(config string) *exec.Cmd
-	Outage  time.Duration // after the day, the catalog and the links to all engines are down for this long; 0 for no outage
-	Note    func(format string, a ...any)
+	Scenario   model.Scenario
+	Dir        string
+	ConfigFile string
+	Serve      func(config string) *exec.Cmd
+	Outage     time.Duration // after the day, the catalog and the links to all engines are down for this long; 0 for no outage
+	Logf       func(format string, a ...any)
 }
 
 // Result holds what a day yielded.
 type Result struct {
-	model.Worth
-	Lost, Twice, DoubleRuns, Late, Wrong int64
-	Refused, Sent                        int64         // rejections, and attempts that were read
-	LevelChanges                         int           // maximum number of level changes of one process within 10 s
-	Invariants                           int64         // broken invariants, as counted by the boxes
-	Probes                               float64       // reports and dials to catalog and engines per second while both were down
-	Back                                 time.Duration // time from the end of the outage until all boxes had reported to the catalog again
-	Over, Low, Beyond                    int64         // rejected by fleet advice: over share, of a low class, over the retry budget
+	model.Score
+	Lost, AnsweredTwice, DoubleRuns, Late, WrongResults     int64
+	Rejected, AttemptsRead                                  int64         // rejections, and attempts that were read
+	MaxLevelChanges                                         int           // maximum number of level changes of one process within 10 s
+	InvariantsBroken                                        int64         // broken invariants, as counted by the boxes
+	ProbeRate                                               float64       // reports and dials to catalog and engines per second while both were down
+	ReportRecovery                                          time.Duration // time from the end of the outage until all boxes had reported to the catalog again
+	RejectedOverShare, RejectedLowClass, RejectedOverBudget int64         // rejected by fleet advice: over share, of a low class, over the retry budget
 }
 
 // trialRun is the state of one fleet's run of a day.
@@ -56,7 +56,7 @@
 	mu           sync.Mutex // guards the routers' state and the fields below
 	routers      []*model.Router
 	alive        []bool
-	outcomes     []model.Fate
+	outcomes     []model.RequestOutcome
 	keyedRuns    map[string][]keyedRun // runs of keyed requests, by body
 	openRequests sync.WaitGroup
 	result       Result
@@ -75,9 +75,9 @@
 // terms are short, so that the fleet of a trial is ready soon.
 var terms = lease.Terms{Term: 2 * time.Second, Drift: 0.02}
 
-// Play runs a day.
-func Play(cfg Config) (*Result, error) {
-	d := cfg.Day
+// RunScenario runs a day.
+func RunScenario(cfg Config) (*Result, error) {
+	d := cfg.Scenario
 	run := &trialRun{cfg: cfg, alive: make([]bool, d.Boxes), incarnations: make([]atomic.Int64, d.Boxes), keyedRuns: map[string][]keyedRun{}, levelChanges: make([][]time.Duration, d.Boxes), levels: make([]int, d.Boxes), cold: make([]bool, d.Boxes)}
 	for i := range d.Boxes {
 		run.machines = append(run.machines, newMachine(d.Machine))
@@ -85,7 +85,7 @@
 	}
 	voters := []int{0, 1, 2}[:min(3, d.Boxes)]
 	var err error
-	run.rig, err = rig.NewSite(rig.SiteConfig{Seed: d.Seed, Dir: cfg.Dir, Boxes: d.Boxes, Voters: voters, Terms: terms, Election: 400 * time.Millisecond, Example: cfg.Example, Serve: cfg.Serve, Shape: run.applySite, Engine: run.newEngine})
+	run.rig, err = rig.NewSite(rig.SiteConfig{Seed: d.Seed, Dir: cfg.Dir, Boxes: d.Boxes, Voters: voters, Terms: terms, Election: 400 * time.Millisecond, SettingsFile: cfg.ConfigFile, Command: cfg.Serve, EditSettings: run.applySite, Engine: run.newEngine})
 	if err != nil {
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 			return nil, err
 		}
 	}
-	if d.Mode == model.Cut {
+	if d.Mode == model.Disconnected {
 		run.setLinksCut(func(a, b int) bool { return true }, true)
 		time.Sleep(adviceExpiry) // until no box trusts the advice that it has
 	}
@@ -108,7 +108,7 @@
 	background.Go(func() { run.pollLevels(stop) })
 	run.startedAt = time.Now()
 	run.injectFaults(&background)
-	for _, q := range d.Draw(d.Load) {
+	for _, q := range d.DrawRequests(d.Load) {
 		time.Sleep(time.Until(run.startedAt.Add(q.At)))
 		run.openRequests.Add(1)
 		run.workByBody.Store(run.body(q), q.Work)
@@ -129,14 +129,14 @@
 
 // applySite writes the site's figures into a box's configuration.
 func (run *trialRun) applySite(box int, config map[string]any) {
-	d := run.cfg.Day
+	d := run.cfg.Scenario
 	us := func(t time.Duration) int64 { return t.Microseconds() }
 	set := config["settings"].(map[string]any)
 	family := set["family-info"].(map[string]any)
-	family["cores"], family["cold"], family["heeded"], family["upstreams"] = d.Cores, run.cold[box], us(d.Heeded), d.Routers
+	family["cores"], family["cold"], family["heeded"], family["upstreams"] = d.Cores, run.cold[box], us(d.SignalLifetime), d.Routers
 	guarantees := set["guarantees"].(map[string]any)
 	guarantees["cold"], guarantees["cold-from"] = us(d.ColdFor), d.ColdFrom
-	set["policy-limits"].(map[string]any)["max-retry-after"] = us(d.MaxLater)
+	set["policy-limits"].(map[string]any)["max-retry-after"] = us(d.MaxRetryAfter)
 	for i, l := range set["lanes"].([]any) { // the day's classes stand in the order of the settings
 		class, lane := d.Classes[i], l.(map[string]any)
 		lane["aim"], lane["deadline"], lane["dedup-window"] = us(class.Aim), us(class.Deadline), us(class.DedupWindow)
@@ -146,11 +146,11 @@
 // newEngine returns the fake engine of a box, whose runs use the cores of the box's machine.
 func (run *trialRun) newEngine(box int) *engine.Engine {
 	m := run.machines[box]
-	return engine.On(func(_, body string, done func(time.Duration)) {
+	return engine.NewWithExecutor(func(_, body string, done func(time.Duration)) {
 		work, ok := run.workByBody.Load(body)
 		if !ok {
-			run.cfg.Note("engine of n%d got the unknown body %q", box, body)
-			atomic.AddInt64(&run.result.Wrong, 1)
+			run.cfg.Logf("engine of n%d got the unknown body %q", box, body)
+			atomic.AddInt64(&run.result.WrongResults, 1)
 			return
 		}
 		if strings.HasPrefix(body, keyedBody) {
@@ -167,14 +167,14 @@
 func (run *trialRun) rolloutRules() error {
 	var src strings.Builder
 	src.WriteString("needs = 2\noverload {\n shares = {\n")
-	for name, s := range run.cfg.Day.Shares(run.cfg.Day.Quota) {
+	for name, s := range run.cfg.Scenario.Shares(run.cfg.Scenario.Quota) {
 		fmt.Fprintf(&src, "  %q = %.3f\n", name, s)
 	}
 	src.WriteString(" }\n}\n")
 	c := run.rig.Boxes[0].Control().Fleet()
 	n, err := c.PutConfig([]byte(src.String()))
 	if err == nil {
-		err = c.StartRoll(n, rollout.Plan{Canaries: 1, Share: 1, Timeout: 12 * time.Second, Slots: run.cfg.Day.Boxes})
+		err = c.StartRollout(n, rollout.Plan{Canaries: 1, Share: 1, Timeout: 12 * time.Second, Slots: run.cfg.Scenario.Boxes})
 	}
 	if err != nil {
 		return fmt.Errorf("overloads: rolling out the overload rules failed: %w", err)
@@ -182,7 +182,7 @@
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(pollInterval) {
 		err = nil
 		for _, b := range run.rig.Boxes {
-			if l, e := b.Control().Fleet().Load(); e != nil || l.Advice == nil || l.Advice.Trust < 1 && len(run.rig.Boxes) > 1 && run.cfg.Day.Mode == model.Fleet && l.Fleet.Boxes < len(run.rig.Boxes) {
+			if l, e := b.Control().Fleet().Load(); e != nil || l.Advice == nil || l.Advice.Trust < 1 && len(run.rig.Boxes) > 1 && run.cfg.Scenario.Mode == model.Fleet && l.Fleet.Boxes < len(run.rig.Boxes) {
 				err = fmt.Errorf("overloads: %s does not follow the overload rules: load %+v, error %v", b.Name, l, e)
 			}
 		}
@@ -200,7 +200,7 @@
 	for a := range run.rig.Boxes {
 		for b := range run.rig.Boxes {
 			if a != b && between(a, b) {
-				run.rig.Net.Set(a, b, func(f *rig.Flow) { f.Cut = on })
+				run.rig.Net.SetFlow(a, b, func(f *rig.Flow) { f.Drop = on })
 			}
 		}
 	}
@@ -208,19 +208,19 @@
 
 // createRouters creates the routers, each with a client for every box.
 func (run *trialRun) createRouters() {
-	d := run.cfg.Day
+	d := run.cfg.Scenario
 	all := make([]int, d.Boxes)
 	for i := range all {
 		all[i] = i
 	}
 	src := model.Stream(d.Seed)
-	for i, h := range model.Habits(d.Seed, d.Routers) {
-		r := model.NewRouter(h, d.Heeded, src)
-		r.List(all)
+	for i, h := range model.DrawRouterBehaviors(d.Seed, d.Routers) {
+		r := model.NewRouter(h, d.SignalLifetime, src)
+		r.SetBoxes(all)
 		run.routers = append(run.routers, r)
 		var connections []*router.Router
 		for _, b := range run.rig.Boxes {
-			connections = append(connections, &router.Router{Addr: b.Addr(), Number: i, Twice: func(int32) { atomic.AddInt64(&run.result.Twice, 1) }})
+			connections = append(connections, &router.Router{Addr: b.RequestAddr(), Number: i, OnUnexpectedReply: func(int32) { atomic.AddInt64(&run.result.AnsweredTwice, 1) }})
 		}
 		run.connections = append(run.connections, connections)
 	}
@@ -244,7 +244,7 @@
 
 // body returns the body of a request. Its prefix tells the fake engine whether the request is keyed and may run only once.
 func (run *trialRun) body(q model.Request) string {
-	if run.cfg.Day.Classes[q.Class].Semantics == policy.Keyed {
+	if run.cfg.Scenario.Classes[q.Class].Semantics == policy.Keyed {
 		return keyedBody + fmt.Sprint(q.N)
 	}
 	return fmt.Sprintf("body %d", q.N)
@@ -252,10 +252,10 @@
 
 // sendAttempt sends a request to the box that its router picks, or finishes it as not served if the deadline has passed or no box may be sent to.
 func (run *trialRun) sendAttempt(state *requestState) {
-	d := run.cfg.Day
+	d := run.cfg.Scenario
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	due := run.startedAt.Add(d.Due(state.request))
+	due := run.startedAt.Add(d.RequestDeadline(state.request))
 	if state.ended {
 		return
 	}
@@ -274,9 +274,9 @@
 	state.openAttempt = state.attempts
 	attempt, arrivedAt, incarnation := state.attempts, time.Now(), run.incarnations[box].Load()
 	txn := fmt.Sprintf("%08x%08x", state.request.N, attempt)
-	run.result.Sent++
+	run.result.AttemptsRead++
 	time.AfterFunc(time.Until(due), func() { run.abandonAttempt(state, attempt, box) })
-	run.machines[box].add(d.Read, func() { run.forward(state, attempt, txn, box, incarnation, arrivedAt) })
+	run.machines[box].add(d.ReadWork, func() { run.forward(state, attempt, txn, box, incarnation, arrivedAt) })
 }
 
 // abandonAttempt ends a request at its deadline if the attempt is still open.
@@ -284,15 +284,15 @@
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	if state.openAttempt == attempt && !state.ended {
-		run.routers[state.request.Router].Heard(run.now(), box, model.Told{})
+		run.routers[state.request.Router].HandleAnswer(run.now(), box, model.Hints{})
 		run.finish(state, false)
 	}
 }
 
 // forward sends an attempt to the box's process once its reading cost has been paid.
 func (run *trialRun) forward(state *requestState, attempt int, txn string, box int, incarnation int64, arrivedAt time.Time) {
-	d := run.cfg.Day
-	limit := d.Due(state.request) - arrivedAt.Sub(run.startedAt)
+	d := run.cfg.Scenario
+	limit := d.RequestDeadline(state.request) - arrivedAt.Sub(run.startedAt)
 	run.mu.Lock()
 	ended := state.ended || state.openAttempt != attempt
 	run.mu.Unlock()
@@ -300,22 +300,22 @@
 		return
 	}
 	class := d.Classes[state.request.Class]
-	q := router.Request{Txn: txn, Class: class.Name, Tenant: d.Tenants[state.request.Tenant].Name, Body: run.body(state.request), Limit: limit, Retry: attempt > 1, Rank: state.request.Rank, Door: arrivedAt}
+	q := router.Request{Txn: txn, Class: class.Name, Tenant: d.Tenants[state.request.Tenant].Name, Body: run.body(state.request), TimeLimit: limit, Retry: attempt > 1, Rank: state.request.Rank, ArrivedAt: arrivedAt}
 	if class.Semantics == policy.Keyed {
-		q.Unique = fmt.Sprintf("%032x", state.request.N)
+		q.IdempotencyKey = fmt.Sprintf("%032x", state.request.N)
 	}
 	run.connections[state.request.Router][box].Send(q, func(o router.Outcome) {
 		died := run.incarnations[box].Load() != incarnation
 		if o.Took = time.Since(arrivedAt); o.Took > limit+answerSlack && !died {
 			atomic.AddInt64(&run.result.Late, 1)
-			run.cfg.Note("%s to n%d was answered after %v, its limit was %v", txn, box, o.Took, limit)
+			run.cfg.Logf("%s to n%d was answered after %v, its limit was %v", txn, box, o.Took, limit)
 		}
-		if o.End == router.Served && o.Body != "did "+q.Body {
-			atomic.AddInt64(&run.result.Wrong, 1)
+		if o.Kind == router.Served && o.Body != "did "+q.Body {
+			atomic.AddInt64(&run.result.WrongResults, 1)
 		}
-		if o.End == router.Lost && !died {
+		if o.Kind == router.Lost && !died {
 			atomic.AddInt64(&run.result.Lost, 1)
-			run.cfg.Note("%s to n%d got no answer", txn, box)
+			run.cfg.Logf("%s to n%d got no answer", txn, box)
 		}
 		run.handleOutcome(state, attempt, box, txn, o)
 	})
@@ -329,23 +329,23 @@
 func (run *trialRun) handleOutcome(state *requestState, attempt, box int, txn string, o router.Outcome) {
 	run.mu.Lock()
 	retry := false
-	if attempt > 1 && run.rig.Boxes[box].Began(txn) {
+	if attempt > 1 && run.rig.Boxes[box].HasStartedRun(txn) {
 		state.admittedRetries++
 	}
-	if o.End == router.Refused {
-		run.result.Refused++
+	if o.Kind == router.Rejected {
+		run.result.Rejected++
 	}
 	if state.openAttempt == attempt && !state.ended {
 		r := run.routers[state.request.Router]
-		hints := model.Told{Later: o.Later, GiveUp: o.GiveUp, Signal: o.Feedback, Set: o.Told}
-		r.Heard(run.now(), box, hints)
+		hints := model.Hints{RetryAfter: o.RetryAfter, DoNotRetry: o.DoNotRetry, Signal: o.Feedback, HasSignal: o.HasFeedback}
+		r.HandleAnswer(run.now(), box, hints)
 		state.openAttempt = 0
-		safe := run.cfg.Day.Classes[state.request.Class].Semantics == policy.Safe
+		safe := run.cfg.Scenario.Classes[state.request.Class].Semantics == policy.Safe
 		switch {
-		case o.End == router.Served:
+		case o.Kind == router.Served:
 			run.finish(state, true)
-		case o.End == router.Refused || o.End == router.TurnedBack || o.End == router.Lost && safe:
-			if retry = r.Again(state.attempts, hints); !retry {
+		case o.Kind == router.Rejected || o.Kind == router.NotAccepted || o.Kind == router.Lost && safe:
+			if retry = r.ShouldRetry(state.attempts, hints); !retry {
 				run.finish(state, false)
 			}
 		default:
@@ -361,43 +361,43 @@
 // finish records the outcome of a request. The caller holds the mutex.
 func (run *trialRun) finish(state *requestState, served bool) {
 	state.ended = true
-	run.outcomes = append(run.outcomes, model.Fate{Request: state.request, Served: served, Took: time.Since(run.startedAt) - state.request.At, Tries: state.attempts, Let: state.admittedRetries})
+	run.outcomes = append(run.outcomes, model.RequestOutcome{Request: state.request, Served: served, Latency: time.Since(run.startedAt) - state.request.At, Attempts: state.attempts, AdmittedRetries: state.admittedRetries})
 	run.openRequests.Done()
 }
 
 // injectFaults schedules the day's faults. Routers learn of killed and restarted boxes after the site's list delay.
 func (run *trialRun) injectFaults(pending *sync.WaitGroup) {
-	d := run.cfg.Day
+	d := run.cfg.Scenario
 	at := func(t time.Duration, do func()) {
 		pending.Go(func() {
 			time.Sleep(time.Until(run.startedAt.Add(t)))
 			do()
 		})
 	}
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		switch t.Kind {
-		case model.Slow:
+		case model.SlowDown:
 			for _, b := range t.Boxes {
-				at(t.From, func() { run.machines[b].setSpeed(1 / t.Times) })
-				at(t.From+t.For, func() { run.machines[b].setSpeed(1) })
+				at(t.From, func() { run.machines[b].setSpeed(1 / t.Slowdown) })
+				at(t.From+t.Duration, func() { run.machines[b].setSpeed(1) })
 			}
 		case model.Kill:
 			for _, b := range t.Boxes {
 				at(t.From, func() { run.kill(b) })
-				at(t.From+d.ListLag, run.updateRouterLists)
-				at(t.From+t.For, func() { run.start(b) })
-				at(t.From+t.For+d.ListLag, run.updateRouterLists)
+				at(t.From+d.ListDelay, run.updateRouterLists)
+				at(t.From+t.Duration, func() { run.start(b) })
+				at(t.From+t.Duration+d.ListDelay, run.updateRouterLists)
 			}
 		case model.Partition:
-			if d.Mode == model.Cut {
+			if d.Mode == model.Disconnected {
 				continue
 			}
 			half := func(a, b int) bool { return slices.Contains(t.Boxes, a) != slices.Contains(t.Boxes, b) }
 			at(t.From, func() { run.setLinksCut(half, true) })
-			at(t.From+t.For, func() { run.setLinksCut(half, false) })
-		case model.Catalog:
-			at(t.From, func() { run.rig.Catalog().Down(true) })
-			at(t.From+t.For, func() { run.rig.Catalog().Down(false) })
+			at(t.From+t.Duration, func() { run.setLinksCut(half, false) })
+		case model.CatalogDown:
+			at(t.From, func() { run.rig.Catalog().SetDown(true) })
+			at(t.From+t.Duration, func() { run.rig.Catalog().SetDown(false) })
 		}
 	}
 }
@@ -415,13 +415,13 @@
 // start restarts the process of box b.
 func (run *trialRun) start(b int) {
 	run.machines[b].restart(true)
-	run.rig.Boxes[b].Born(time.Now())
-	err := run.rig.Boxes[b].Configure()
+	run.rig.Boxes[b].SetEngineStart(time.Now())
+	err := run.rig.Boxes[b].RewriteConfig()
 	if err == nil {
 		err = run.rig.Boxes[b].Start()
 	}
 	if err != nil {
-		run.cfg.Note("restarting n%d failed: %v", b, err)
+		run.cfg.Logf("restarting n%d failed: %v", b, err)
 		return
 	}
 	run.mu.Lock()
@@ -440,7 +440,7 @@
 		}
 	}
 	for _, r := range run.routers {
-		r.List(up)
+		r.SetBoxes(up)
 	}
 }
 
@@ -467,7 +467,7 @@
 			if load.Advice.Level != run.levels[i] && incarnation == run.incarnations[i].Load() {
 				run.levels[i] = load.Advice.Level
 				run.levelChanges[i] = append(run.levelChanges[i], run.now())
-				run.result.LevelChanges = max(run.result.LevelChanges, model.Most(run.levelChanges[i], levelSpan))
+				run.result.MaxLevelChanges = max(run.result.MaxLevelChanges, model.MaxWithin(run.levelChanges[i], levelSpan))
 			}
 			run.mu.Unlock()
 		}
@@ -482,37 +482,37 @@
 func (run *trialRun) outage() {
 	dials := func() (n int) {
 		for _, b := range run.rig.Boxes {
-			n += b.Engine().Dials()
+			n += b.EngineAddr().DialCount()
 		}
 		return n
 	}
-	run.rig.Catalog().Down(true)
+	run.rig.Catalog().SetDown(true)
 	for _, b := range run.rig.Boxes {
-		b.Engine().Cut(true)
+		b.EngineAddr().RejectLinks(true)
 	}
 	time.Sleep(run.cfg.Outage / 3) // time to detect the outage
-	before, from := run.rig.Catalog().Came()+dials(), time.Now()
+	before, from := run.rig.Catalog().ReportCount()+dials(), time.Now()
 	time.Sleep(run.cfg.Outage * 2 / 3)
-	run.result.Probes = float64(run.rig.Catalog().Came()+dials()-before) / time.Since(from).Seconds()
-	run.rig.Catalog().Down(false)
+	run.result.ProbeRate = float64(run.rig.Catalog().ReportCount()+dials()-before) / time.Since(from).Seconds()
+	run.rig.Catalog().SetDown(false)
 	for _, b := range run.rig.Boxes {
-		b.Engine().Cut(false)
+		b.EngineAddr().RejectLinks(false)
 	}
 	back := time.Now()
 	for _, b := range run.rig.Boxes {
 		for time.Since(back) < 10*time.Second {
-			if r, ok := run.rig.Catalog().Last(b.Name); ok && r.At.After(back) {
+			if r, ok := run.rig.Catalog().LastReport(b.Name); ok && r.At.After(back) {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	run.result.Back = time.Since(back)
+	run.result.ReportRecovery = time.Since(back)
 }
 
 // summarize computes the worth of the day, counts keyed requests that ran twice in one process, and reads the counters of the boxes.
 func (run *trialRun) summarize() {
-	d := run.cfg.Day
+	d := run.cfg.Scenario
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	for key, runs := range run.keyedRuns {
@@ -520,22 +520,22 @@
 		for _, r := range runs {
 			if seen[r] {
 				run.result.DoubleRuns++
-				run.cfg.Note("keyed request %q ran twice at n%d", key, r.box)
+				run.cfg.Logf("keyed request %q ran twice at n%d", key, r.box)
 			}
 			seen[r] = true
 		}
 	}
-	run.result.Worth = d.Judge(d.Load, run.outcomes)
+	run.result.Score = d.Evaluate(d.Load, run.outcomes)
 	for _, b := range run.rig.Boxes {
 		st, err := b.Control().Status()
 		if err != nil {
-			run.cfg.Note("%s did not answer the status query at the end: %v", b.Name, err)
+			run.cfg.Logf("%s did not answer the status query at the end: %v", b.Name, err)
 			continue
 		}
-		run.result.Invariants += st.Counters["invariants_broken"]
-		run.result.Over += st.Counters["refused_over_share"]
-		run.result.Low += st.Counters["refused_low_class"]
-		run.result.Beyond += st.Counters["refused_beyond_tries"]
+		run.result.InvariantsBroken += st.Counters["invariants_broken"]
+		run.result.RejectedOverShare += st.Counters["refused_over_share"]
+		run.result.RejectedLowClass += st.Counters["refused_low_class"]
+		run.result.RejectedOverBudget += st.Counters["refused_beyond_tries"]
 	}
 	for _, list := range run.connections {
 		for _, w := range list {
--- a/internal/lab/overloads/site_test.go
+++ b/internal/lab/overloads/site_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &trialRun{cfg: Config{Day: model.Day{Site: s}}}
+	p := &trialRun{cfg: Config{Scenario: model.Scenario{Site: s}}}
 	for i, c := range s.Classes {
 		if b := p.body(model.Request{N: 7, Class: i}); strings.HasPrefix(b, keyedBody) != (c.Semantics == policy.Keyed) {
 			t.Errorf("class %s (%v) has the body %q", c.Name, c.Semantics, b)
@@ -46,7 +46,7 @@
 	if err := json.Unmarshal(raw, &c); err != nil {
 		t.Fatal(err)
 	}
-	p := &trialRun{cfg: Config{Day: model.Day{Site: s, Load: model.Load{Boxes: 1, Routers: 5}}}, cold: make([]bool, 1)}
+	p := &trialRun{cfg: Config{Scenario: model.Scenario{Site: s, Load: model.Load{Boxes: 1, Routers: 5}}}, cold: make([]bool, 1)}
 	p.applySite(0, c)
 	if raw, err = json.Marshal(c["settings"]); err != nil {
 		t.Fatal(err)
@@ -76,17 +76,17 @@
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	f, err := Trial{Seed: 1, Seeds: 1, Boxes: 3, Loads: []float64{1.3}, Modes: []model.Mode{model.Fleet}, Span: 5 * time.Second, Example: indexConfig, Dir: dir, Serve: rigtest.Serve,
-		Faults: func(d *model.Day) {
-			d.Troubles = append(d.Troubles, model.Trouble{Kind: model.Kill, From: 2 * time.Second, For: 500 * time.Millisecond, Boxes: []int{2}})
+	f, err := Trial{Seed: 1, Seeds: 1, Boxes: 3, Loads: []float64{1.3}, Modes: []model.Mode{model.Fleet}, Span: 5 * time.Second, ConfigFile: indexConfig, Dir: dir, Serve: rigtest.Serve,
+		AddFaults: func(d *model.Scenario) {
+			d.Faults = append(d.Faults, model.Fault{Kind: model.Kill, From: 2 * time.Second, Duration: 500 * time.Millisecond, Boxes: []int{2}})
 		}}.Run()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if missed := f.Rules(); len(missed) > 0 {
-		t.Errorf("missed %s\n%s", strings.Join(missed, ", "), strings.Join(f.Notes, "\n"))
+	if missed := f.MissedInvariants(); len(missed) > 0 {
+		t.Errorf("missed %s\n%s", strings.Join(missed, ", "), strings.Join(f.Log, "\n"))
 	}
-	r := f.Got[1.3][model.Fleet][0]
+	r := f.Results[1.3][model.Fleet][0]
 	if r.Requests < 200 {
 		t.Errorf("too little load: %d requests", r.Requests)
 	}
--- a/internal/lab/rig/fault.go
+++ b/internal/lab/rig/fault.go
@@ -13,34 +13,34 @@
 
 // The kinds of faults. Where they apply, Box and Other name the boxes concerned and For the duration.
 const (
-	Kill     Kind = "kill"      // SIGKILL, then a restart in the same directory after For
-	Empty    Kind = "empty"     // SIGKILL, then a restart with an empty state directory
-	OldCopy  Kind = "old-copy"  // SIGKILL, then a restart from a copy of its state directory that was taken For earlier
-	Stop     Kind = "stop"      // SIGSTOP for For
-	StopAct  Kind = "stop-act"  // SIGSTOP of the next box that is between a permit's check and its effect
-	Leader   Kind = "leader"    // SIGKILL of the leader, then a restart after For
-	StopLead Kind = "stop-lead" // SIGSTOP of the leader for For
-	Full     Kind = "full"      // the box's disk is full for For (needs a trial build)
-	Twin     Kind = "twin"      // a second process runs from a copy of the box's state under the same name
-	OneWay   Kind = "one-way"   // bytes from Box to Other are dropped
-	Deaf     Kind = "deaf"      // bytes to Box are dropped
-	Mute     Kind = "mute"      // bytes from Box are dropped
-	Isolate  Kind = "isolate"   // bytes to and from Box are dropped
-	Split    Kind = "split"     // the boxes in the bit mask Other are partitioned from the rest
-	Hold     Kind = "hold"      // bytes between Box and Other are held back for For
-	Slow     Kind = "slow"      // bytes from Box are delayed by a tenth of For
-	Choke    Kind = "choke"     // bytes from Box are limited to 20 KB/s
-	Break    Kind = "break"     // the connection between Box and Other is closed in the middle of a frame
-	Refuse   Kind = "refuse"    // connections between Box and Other are rejected
-	Flap     Kind = "flap"      // Box is isolated repeatedly, alternating at the renewal interval
-	Wall     Kind = "wall"      // the box's wall clock is off by Other minus Box hours for For (needs a trial build)
-	Key      Kind = "key"       // the fleet's key is rotated one box at a time, breaking the box's connections after each step
-	Cold     Kind = "cold"      // nearly all boxes are killed at once and restarted with empty state; a majority of voters keeps running
-	All      Kind = "all"       // all boxes are killed at once and restarted in an order that depends on Other
+	Kill          Kind = "kill"      // SIGKILL, then a restart in the same directory after For
+	EmptyDisk     Kind = "empty"     // SIGKILL, then a restart with an empty state directory
+	OldCopy       Kind = "old-copy"  // SIGKILL, then a restart from a copy of its state directory that was taken For earlier
+	Stop          Kind = "stop"      // SIGSTOP for For
+	StopInAct     Kind = "stop-act"  // SIGSTOP of the next box that is between a permit's check and its effect
+	KillLeader    Kind = "leader"    // SIGKILL of the leader, then a restart after For
+	StopLeader    Kind = "stop-lead" // SIGSTOP of the leader for For
+	FullDisk      Kind = "full"      // the box's disk is full for For (needs a trial build)
+	Twin          Kind = "twin"      // a second process runs from a copy of the box's state under the same name
+	OneWay        Kind = "one-way"   // bytes from Box to Other are dropped
+	DropIncoming  Kind = "deaf"      // bytes to Box are dropped
+	DropOutgoing  Kind = "mute"      // bytes from Box are dropped
+	Isolate       Kind = "isolate"   // bytes to and from Box are dropped
+	Split         Kind = "split"     // the boxes in the bit mask Other are partitioned from the rest
+	Hold          Kind = "hold"      // bytes between Box and Other are held back for For
+	Slow          Kind = "slow"      // bytes from Box are delayed by a tenth of For
+	LimitRate     Kind = "choke"     // bytes from Box are limited to 20 KB/s
+	Break         Kind = "break"     // the connection between Box and Other is closed in the middle of a frame
+	Refuse        Kind = "refuse"    // connections between Box and Other are rejected
+	Flap          Kind = "flap"      // Box is isolated repeatedly, alternating at the renewal interval
+	WallClockJump Kind = "wall"      // the box's wall clock is off by Other minus Box hours for For (needs a trial build)
+	RotateKey     Kind = "key"       // the fleet's key is rotated one box at a time, breaking the box's connections after each step
+	ColdRestart   Kind = "cold"      // nearly all boxes are killed at once and restarted with empty state; a majority of voters keeps running
+	KillAll       Kind = "all"       // all boxes are killed at once and restarted in an order that depends on Other
 )
 
 // Kinds lists all kinds of faults.
-var Kinds = []Kind{Kill, Empty, OldCopy, Stop, StopAct, Leader, StopLead, Full, Twin, OneWay, Deaf, Mute, Isolate, Split, Hold, Slow, Choke, Break, Refuse, Flap, Wall, Key, Cold, All}
+var Kinds = []Kind{Kill, EmptyDisk, OldCopy, Stop, StopInAct, KillLeader, StopLeader, FullDisk, Twin, OneWay, DropIncoming, DropOutgoing, Isolate, Split, Hold, Slow, LimitRate, Break, Refuse, Flap, WallClockJump, RotateKey, ColdRestart, KillAll}
 
 // Fault is one fault of a schedule. It is a plain value that can be printed, parsed and injected again.
 type Fault struct {
--- a/internal/lab/rig/fault_test.go
+++ b/internal/lab/rig/fault_test.go
@@ -46,14 +46,14 @@
 
 // TestRelayAppliesFlows checks each setting of Flow, and that a setting for one direction does not affect the other.
 func TestRelayAppliesFlows(t *testing.T) {
-	network := NewNet()
+	network := NewNetwork()
 	defer network.Close()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	addr, err := network.Relay(0, 1, func() string { return ln.Addr().String() })
+	addr, err := network.AddRelay(0, 1, func() string { return ln.Addr().String() })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,30 +79,30 @@
 	caller, target := connect()
 	io.WriteString(caller, "there")
 	read(target, "there")
-	network.Set(0, 1, func(f *Flow) { f.Cut = true })
+	network.SetFlow(0, 1, func(f *Flow) { f.Drop = true })
 	io.WriteString(caller, "lost")
 	io.WriteString(target, "back") // the other direction is not affected
 	read(caller, "back")
-	for network.Lost() < len("lost") {
+	for network.DroppedBytes() < len("lost") {
 		time.Sleep(time.Millisecond)
 	}
-	network.Set(0, 1, func(f *Flow) { *f = Flow{Hold: true} })
+	network.SetFlow(0, 1, func(f *Flow) { *f = Flow{Hold: true} })
 	io.WriteString(caller, "held")
-	network.Set(0, 1, func(f *Flow) { f.Hold = false })
+	network.SetFlow(0, 1, func(f *Flow) { f.Hold = false })
 	read(target, "held") // and none of the dropped bytes
-	network.Set(1, 0, func(f *Flow) { f.Delay = 50 * time.Millisecond })
+	network.SetFlow(1, 0, func(f *Flow) { f.Delay = 50 * time.Millisecond })
 	began := time.Now()
 	io.WriteString(target, "late")
 	if read(caller, "late"); time.Since(began) < 50*time.Millisecond {
 		t.Error("the bytes arrived without the delay of 50 ms")
 	}
-	network.Set(0, 1, func(f *Flow) { f.Break = true })
+	network.SetFlow(0, 1, func(f *Flow) { f.Break = true })
 	io.WriteString(caller, "frame!")
 	read(target, "fra")
 	if size, err := target.Read(make([]byte, 1)); err == nil {
 		t.Errorf("read %d bytes after the connection was broken", size)
 	}
-	network.Set(0, 1, func(f *Flow) { *f = Flow{Refuse: true} })
+	network.SetFlow(0, 1, func(f *Flow) { *f = Flow{Reject: true} })
 	if caller, err = net.Dial("tcp", addr); err == nil {
 		if _, err = caller.Read(make([]byte, 1)); err == nil {
 			t.Error("the connection was not rejected")
--- a/internal/lab/rig/play.go
+++ b/internal/lab/rig/inject.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Traps lets faults of kind StopAct stop a box between a permit's check and its effect. The fake resource implements it.
-type Traps interface {
-	// Stop has stop called with each box that is about to act, before its effect begins, until stop returns true.
-	Stop(stop func(box string) bool)
+// EffectTrap lets faults of kind StopAct stop a box between a permit's check and its effect. The fake resource implements it.
+type EffectTrap interface {
+	// StopNext has stop called with each box that is about to act, before its effect begins, until stop returns true.
+	StopNext(stop func(box string) bool)
 }
 
-// Played counts the injected faults by kind.
-type Played map[Kind]int
+// InjectedFaults counts the injected faults by kind.
+type InjectedFaults map[Kind]int
 
-// Sum returns the number of injected faults.
-func (p Played) Sum() (n int) {
+// Total returns the number of injected faults.
+func (p InjectedFaults) Total() (n int) {
 	for _, k := range p {
 		n += k
 	}
 	return n
 }
 
-// Play injects the faults of a schedule and restores all boxes and links at its end. A fault is skipped if another one is active at
+// Inject injects the faults of a schedule and restores all boxes and links at its end. A fault is skipped if another one is active at
 // the box, and it is replaced by Kill if a majority of voters could lose their disks.
-func (s *Site) Play(sched Schedule, traps Traps) (Played, error) {
-	played := Played{}
+func (s *Site) Inject(sched Schedule, traps EffectTrap) (InjectedFaults, error) {
+	played := InjectedFaults{}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	errs := make(chan error, len(sched)+1)
@@ -81,8 +81,8 @@
 	return os.Rename(b.stateDir(), filepath.Join(b.dir, fmt.Sprintf("lost-%d", time.Now().UnixNano())))
 }
 
-// Audits lists the audit directories of a box: the current one first, then those of lost state directories and of twins.
-func (b *Box) Audits() (list []string) {
+// AuditDirs lists the audit directories of a box: the current one first, then those of lost state directories and of twins.
+func (b *Box) AuditDirs() (list []string) {
 	list = []string{filepath.Join(b.stateDir(), "audit")}
 	for _, pattern := range []string{"lost-*/audit", "twin-*/state/audit"} {
 		more, _ := filepath.Glob(filepath.Join(b.dir, pattern))
@@ -150,12 +150,12 @@
 var diskLossMu sync.Mutex
 
 // inject injects one fault and waits until it is over. It returns the kind that was injected, or "" if the fault was skipped.
-func (s *Site) inject(f Fault, traps Traps) (Kind, error) {
+func (s *Site) inject(f Fault, traps EffectTrap) (Kind, error) {
 	b, other := s.Boxes[f.Box%len(s.Boxes)], s.Boxes[f.Other%len(s.Boxes)]
 	n := len(s.Boxes)
 	both := func(change func(*Flow)) {
-		s.Net.Set(b.Index, other.Index, change)
-		s.Net.Set(other.Index, b.Index, change)
+		s.Net.SetFlow(b.Index, other.Index, change)
+		s.Net.SetFlow(other.Index, b.Index, change)
 	}
 	all := func(out, in bool, change func(*Flow)) {
 		for i := range n {
@@ -163,50 +163,50 @@
 				continue
 			}
 			if out {
-				s.Net.Set(b.Index, i, change)
+				s.Net.SetFlow(b.Index, i, change)
 			}
 			if in {
-				s.Net.Set(i, b.Index, change)
+				s.Net.SetFlow(i, b.Index, change)
 			}
 		}
 	}
-	cut, heal := func(f *Flow) { f.Cut = true }, func(f *Flow) { f.Cut = false }
+	cut, heal := func(f *Flow) { f.Drop = true }, func(f *Flow) { f.Drop = false }
 	kind := f.Kind
 	switch kind {
-	case Leader, StopLead:
+	case KillLeader, StopLeader:
 		if l := s.Leader(); l != nil {
 			b = l
 		}
 	}
 	switch kind { // faults of a box's process or disk
-	case Kill, Empty, OldCopy, Stop, Leader, StopLead, Full, Twin, Wall:
+	case Kill, EmptyDisk, OldCopy, Stop, KillLeader, StopLeader, FullDisk, Twin, WallClockJump:
 		if !b.reserve() {
 			return "", nil
 		}
 		defer b.unreserve()
 	}
-	if kind == Empty || kind == OldCopy || kind == Twin { // a twin may take over its box's vote, and is killed at the end
+	if kind == EmptyDisk || kind == OldCopy || kind == Twin { // a twin may take over its box's vote, and is killed at the end
 		diskLossMu.Lock()
 		if !s.mayLoseDisk(b) {
 			kind = Kill
 		}
 		diskLossMu.Unlock()
 	}
-	if kind != StopAct { // package audits parses the two texts below
+	if kind != StopInAct { // package audits parses the two texts below
 		s.record(b.Index, "%s for %v", kind, f.For)
 		defer s.record(b.Index, "%s is over", kind)
 	}
 	switch kind {
-	case Stop, StopLead:
+	case Stop, StopLeader:
 		b.setStopped(true)
 		time.Sleep(f.For)
 		b.setStopped(false)
-	case StopAct:
+	case StopInAct:
 		if traps == nil {
 			return "", nil
 		}
 		over := make(chan bool, 1)
-		traps.Stop(func(box string) bool {
+		traps.StopNext(func(box string) bool {
 			for _, t := range s.Boxes {
 				if t.Name == box && t.reserve() {
 					// Long enough for another box to be granted the slot and to act.
@@ -229,11 +229,11 @@
 		case <-time.After(2*s.cfg.Terms.Term + 10*time.Second):
 			return "", nil
 		}
-	case Kill, Leader:
+	case Kill, KillLeader:
 		b.Kill()
 		time.Sleep(f.For)
 		return kind, b.Start()
-	case Empty:
+	case EmptyDisk:
 		b.Kill()
 		time.Sleep(f.For)
 		if err := b.moveStateAside(); err != nil {
@@ -257,7 +257,7 @@
 			return kind, err
 		}
 		return kind, b.Start()
-	case Full:
+	case FullDisk:
 		if err := b.setDiskFull(true); err != nil {
 			return kind, err
 		}
@@ -266,19 +266,19 @@
 	case Twin:
 		return kind, s.runTwin(b, f.For)
 	case OneWay:
-		s.Net.Set(b.Index, other.Index, cut)
+		s.Net.SetFlow(b.Index, other.Index, cut)
 		time.Sleep(f.For)
-		s.Net.Set(b.Index, other.Index, heal)
-	case Deaf, Mute, Isolate:
-		all(kind != Deaf, kind != Mute, cut)
+		s.Net.SetFlow(b.Index, other.Index, heal)
+	case DropIncoming, DropOutgoing, Isolate:
+		all(kind != DropIncoming, kind != DropOutgoing, cut)
 		time.Sleep(f.For)
-		all(kind != Deaf, kind != Mute, heal)
+		all(kind != DropIncoming, kind != DropOutgoing, heal)
 	case Split:
 		set := func(change func(*Flow)) {
 			for i := range n {
 				for j := range n {
 					if i != j && f.Other>>i&1 != f.Other>>j&1 {
-						s.Net.Set(i, j, change)
+						s.Net.SetFlow(i, j, change)
 					}
 				}
 			}
@@ -294,16 +294,16 @@
 		all(true, false, func(l *Flow) { l.Delay = f.For / 10 })
 		time.Sleep(f.For)
 		all(true, false, func(l *Flow) { l.Delay = 0 })
-	case Choke:
+	case LimitRate:
 		all(true, false, func(l *Flow) { l.Rate = 20 << 10 })
 		time.Sleep(f.For)
 		all(true, false, func(l *Flow) { l.Rate = 0 })
 	case Break:
 		both(func(f *Flow) { f.Break = true })
 	case Refuse:
-		both(func(f *Flow) { f.Refuse, f.Break = true, true })
+		both(func(f *Flow) { f.Reject, f.Break = true, true })
 		time.Sleep(f.For)
-		both(func(f *Flow) { f.Refuse = false })
+		both(func(f *Flow) { f.Reject = false })
 	case Flap:
 		each := s.cfg.Terms.RenewInterval()
 		for end := time.Now().Add(f.For + 4*each); time.Now().Before(end); {
@@ -312,19 +312,19 @@
 			all(true, true, heal)
 			time.Sleep(each)
 		}
-	case Wall: // the box stays reserved, because a restart now would leave its clock off for good
+	case WallClockJump: // the box stays reserved, because a restart now would leave its clock off for good
 		if err := replaceFile(b.wallOffsetFile(), fmt.Sprint(time.Duration(other.Index-b.Index)*time.Hour)); err != nil {
 			return kind, err
 		}
 		time.Sleep(f.For)
 		return kind, os.Remove(b.wallOffsetFile())
-	case Key:
+	case RotateKey:
 		if !s.keyChangeMu.TryLock() {
 			return "", nil
 		}
 		defer s.keyChangeMu.Unlock()
 		return kind, s.changeKey(f.For)
-	case Cold, All:
+	case ColdRestart, KillAll:
 		return kind, s.killMany(kind, f)
 	}
 	return kind, nil
@@ -342,8 +342,8 @@
 			}
 			for _, other := range s.Boxes {
 				if other != b {
-					s.Net.Set(b.Index, other.Index, func(f *Flow) { f.Break = true })
-					s.Net.Set(other.Index, b.Index, func(f *Flow) { f.Break = true })
+					s.Net.SetFlow(b.Index, other.Index, func(f *Flow) { f.Break = true })
+					s.Net.SetFlow(other.Index, b.Index, func(f *Flow) { f.Break = true })
 				}
 			}
 			time.Sleep(span / time.Duration(2*len(s.Boxes)))
@@ -368,7 +368,7 @@
 	kept := 0
 	for _, b := range s.Boxes {
 		empty := false
-		if kind == Cold {
+		if kind == ColdRestart {
 			diskLossMu.Lock()
 			empty = s.mayLoseDisk(b)
 			diskLossMu.Unlock()
@@ -422,7 +422,7 @@
 	if err != nil {
 		return err
 	}
-	cmd := s.cfg.Serve(filepath.Join(dir, "a.hcl"))
+	cmd := s.cfg.Command(filepath.Join(dir, "a.hcl"))
 	if cmd.Env == nil {
 		cmd.Env = os.Environ()
 	}
@@ -439,9 +439,9 @@
 	return b.Start()
 }
 
-// Harm kills a box and restarts it after a span, or stops it with SIGSTOP for that span. It returns at once. While another fault is
+// InjectOutage kills a box and restarts it after a span, or stops it with SIGSTOP for that span. It returns at once. While another fault is
 // active at the box, it does nothing and returns false.
-func (b *Box) Harm(kill bool, span time.Duration) bool {
+func (b *Box) InjectOutage(kill bool, span time.Duration) bool {
 	if !b.reserve() {
 		return false
 	}
--- a/internal/lab/rig/load.go
+++ b/internal/lab/rig/load.go
@@ -8,19 +8,19 @@
 	"sync/atomic"
 	"time"
 
-	"cairnlane/internal/standin/engine"
-	"cairnlane/internal/standin/router"
+	"cairnlane/internal/fake/engine"
+	"cairnlane/internal/fake/router"
 )
 
 // Load sends requests from routers to replicas until it is stopped and counts violations of the invariants. A third of the requests
 // are keyed (all of them if the settings have no safe class), and some of those are sent several times.
 type Load struct {
-	Seed    uint64
-	Routers []*router.Router
-	Limit   time.Duration // the time limit of a request
-	Pause   time.Duration // the mean time between two requests of a router
-	Spread  bool          // retries go through other routers; otherwise each router belongs to one replica
-	Traffic Traffic       // the tenant and the classes of the requests
+	Seed                uint64
+	Routers             []*router.Router
+	Timeout             time.Duration // the time limit of a request
+	MeanInterval        time.Duration // the mean time between two requests of a router
+	RetryOnOtherRouters bool          // retries go through other routers; otherwise each router belongs to one replica
+	Traffic             Traffic       // the tenant and the classes of the requests
 	// Excused reports whether the router's replica was killed or stopped after began, so that requests open since then may be lost.
 	Excused func(router int, began time.Time) bool
 	Engines func() []*engine.Engine
@@ -37,11 +37,11 @@
 
 // Tally counts the outcomes of a load.
 type Tally struct {
-	Requests, Killed             int64
-	Served, Refused, Failed      int64
-	Lost, EndedTwice, Wrong      int64
-	TurnedBack, Late, DoubleRuns int64
-	Repeats, RepeatsServed       int64
+	Requests, Killed                    int64
+	Served, Rejected, Failed            int64
+	Lost, EndedTwice, Wrong             int64
+	ConnectionRefused, Late, DoubleRuns int64
+	Retries, RetriesServed              int64
 }
 
 // answerSlack is how much later than its limit a request may be answered, to allow for the delay on sockets.
@@ -49,19 +49,19 @@
 
 const maxOpen = 48 // open requests of a router or, with Spread, of four routers together
 
-// Begin starts the load.
-func (l *Load) Begin() {
+// Start starts the load.
+func (l *Load) Start() {
 	shared := make(chan struct{}, maxOpen*max(1, len(l.Routers)/4))
 	for i, r := range l.Routers {
 		slots := shared
-		if !l.Spread {
+		if !l.RetryOnOtherRouters {
 			slots = make(chan struct{}, maxOpen)
 		}
 		l.slots = append(l.slots, slots)
 		r.Number = i
-		r.Twice = func(seq int32) {
+		r.OnUnexpectedReply = func(seq int32) {
 			atomic.AddInt64(&l.EndedTwice, 1)
-			l.Note("call %d was answered although no request waits for it", seq)
+			l.AddNote("call %d was answered although no request waits for it", seq)
 		}
 	}
 	for i := range l.Routers {
@@ -69,8 +69,8 @@
 	}
 }
 
-// Note records a message for the reader of the figures. It keeps the first 20 messages.
-func (l *Load) Note(format string, a ...any) {
+// AddNote records a message for the reader of the figures. It keeps the first 20 messages.
+func (l *Load) AddNote(format string, a ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.notes) < 20 {
@@ -85,8 +85,8 @@
 	return l.notes
 }
 
-// End stops the load, waits for the outcome of every request and checks that no keyed request ran more than once.
-func (l *Load) End() {
+// Stop stops the load, waits for the outcome of every request and checks that no keyed request ran more than once.
+func (l *Load) Stop() {
 	if l.stop.Swap(true) {
 		return
 	}
@@ -101,7 +101,7 @@
 		}
 		if k := value.(*keyedRequest); len(runs) > 1 && !k.lost.Load() {
 			l.DoubleRuns++
-			l.Note("%s ran %d times: %s", body, len(runs), k.describe(runs))
+			l.AddNote("%s ran %d times: %s", body, len(runs), k.describe(runs))
 		}
 		return true
 	})
@@ -111,25 +111,25 @@
 	random := rand.New(rand.NewPCG(l.Seed, uint64(10+i)))
 	var outstanding sync.WaitGroup
 	for keyedSent := 0; !l.stop.Load(); {
-		request := router.Request{Class: l.Traffic.Safe, Tenant: l.Traffic.Tenant, Limit: l.Limit}
+		request := router.Request{Class: l.Traffic.Safe, Tenant: l.Traffic.Tenant, TimeLimit: l.Timeout}
 		attempts, retryWindow := 1, time.Duration(0)
 		if third := random.IntN(3) == 0; len(l.Traffic.Keyed) > 0 && (third || request.Class == "") {
 			class := l.Traffic.Keyed[keyedSent%len(l.Traffic.Keyed)]
 			keyedSent++
-			request.Class, request.Unique, retryWindow = class.Name, fmt.Sprintf("%032x", l.lastID.Add(1)), class.Window/2
+			request.Class, request.IdempotencyKey, retryWindow = class.Name, fmt.Sprintf("%032x", l.lastID.Add(1)), class.Window/2
 			if random.IntN(2) == 0 {
 				attempts += 1 + random.IntN(2)
 			}
 		}
 		request.Body = fmt.Sprintf("body %d of router %d", l.lastID.Add(1), i)
-		if request.Unique != "" {
+		if request.IdempotencyKey != "" {
 			l.keyedRequests.Store(request.Body, new(keyedRequest))
 		}
 		firstAt := time.Now()
 		for n := range attempts {
 			request.Retry = n > 0
 			to, step := i, n*(1+random.IntN(3))
-			if l.Spread {
+			if l.RetryOnOtherRouters {
 				to = (i + step) % len(l.Routers)
 			}
 			l.attempt(to, request, firstAt, retryWindow, &outstanding)
@@ -137,7 +137,7 @@
 				time.Sleep(time.Duration(random.IntN(40)) * time.Millisecond)
 			}
 		}
-		time.Sleep(time.Duration(random.ExpFloat64() * float64(l.Pause)))
+		time.Sleep(time.Duration(random.ExpFloat64() * float64(l.MeanInterval)))
 	}
 	outstanding.Wait()
 }
@@ -154,7 +154,7 @@
 	outstanding.Add(1)
 	atomic.AddInt64(&l.Requests, 1)
 	if request.Retry {
-		atomic.AddInt64(&l.Repeats, 1)
+		atomic.AddInt64(&l.Retries, 1)
 	}
 	began := time.Now()
 	var outcomes atomic.Int64
@@ -202,40 +202,40 @@
 // recordOutcome counts the outcome of an attempt. Attempts that were open when their replica was killed are counted separately.
 func (l *Load) recordOutcome(to int, request router.Request, outcome router.Outcome, began, firstAt time.Time) {
 	excused := l.Excused(to, began)
-	if request.Unique != "" && !l.Spread && l.Excused(to, firstAt) {
+	if request.IdempotencyKey != "" && !l.RetryOnOtherRouters && l.Excused(to, firstAt) {
 		l.keyedRequestOf(request).lost.Store(true) // the process may have been killed between two attempts, and its keys are lost then
 	}
-	if request.Unique != "" {
-		l.keyedRequestOf(request).addAttempt(fmt.Sprintf("try %s from %s to %s: %v", request.Txn, began.Format(clockLayout), time.Now().Format(clockLayout), outcome.End))
+	if request.IdempotencyKey != "" {
+		l.keyedRequestOf(request).addAttempt(fmt.Sprintf("try %s from %s to %s: %v", request.Txn, began.Format(clockLayout), time.Now().Format(clockLayout), outcome.Kind))
 	}
-	if outcome.Took > request.Limit+answerSlack && !excused {
+	if outcome.Took > request.TimeLimit+answerSlack && !excused {
 		atomic.AddInt64(&l.Late, 1)
-		l.Note("%s %s answered after %v", request.Class, request.Txn, outcome.Took)
+		l.AddNote("%s %s answered after %v", request.Class, request.Txn, outcome.Took)
 	}
-	switch outcome.End {
+	switch outcome.Kind {
 	case router.Served:
 		atomic.AddInt64(&l.Served, 1)
 		if request.Retry {
-			atomic.AddInt64(&l.RepeatsServed, 1)
+			atomic.AddInt64(&l.RetriesServed, 1)
 		}
 		if outcome.Body != "did "+request.Body {
 			atomic.AddInt64(&l.Wrong, 1)
-			l.Note("request %q was answered with %q", request.Body, outcome.Body)
+			l.AddNote("request %q was answered with %q", request.Body, outcome.Body)
 		}
-	case router.Refused:
-		atomic.AddInt64(&l.Refused, 1)
+	case router.Rejected:
+		atomic.AddInt64(&l.Rejected, 1)
 	case router.Failed:
 		atomic.AddInt64(&l.Failed, 1)
 	default:
 		switch {
 		case excused:
 			atomic.AddInt64(&l.Killed, 1)
-		case outcome.End == router.TurnedBack:
-			atomic.AddInt64(&l.TurnedBack, 1)
-			l.Note("%s was not sent: the connection was refused", request.Txn)
+		case outcome.Kind == router.NotAccepted:
+			atomic.AddInt64(&l.ConnectionRefused, 1)
+			l.AddNote("%s was not sent: the connection was refused", request.Txn)
 		default:
 			atomic.AddInt64(&l.Lost, 1)
-			l.Note("%s %s was lost after %v", request.Class, request.Txn, outcome.Took)
+			l.AddNote("%s %s was lost after %v", request.Class, request.Txn, outcome.Took)
 		}
 	}
 }
--- a/internal/lab/rig/load_test.go
+++ b/internal/lab/rig/load_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"cairnlane/internal/standin/engine"
-	"cairnlane/internal/standin/router"
+	"cairnlane/internal/fake/engine"
+	"cairnlane/internal/fake/router"
 )
 
 // TestStalledReplicaDoesNotBlockOthers checks that requests to other replicas go on while one replica reads requests and never answers,
@@ -38,9 +38,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &Load{Seed: 1, Limit: time.Second, Pause: 100 * time.Microsecond, Excused: func(int, time.Time) bool { return true }, Engines: func() []*engine.Engine { return nil },
+	l := &Load{Seed: 1, Timeout: time.Second, MeanInterval: 100 * time.Microsecond, Excused: func(int, time.Time) bool { return true }, Engines: func() []*engine.Engine { return nil },
 		Traffic: Traffic{Tenant: "a", Safe: "read", Keyed: []KeyedClass{{"write", 9600 * time.Millisecond}}}, Routers: []*router.Router{{Addr: stalled.Addr().String()}, {Addr: unused}}}
-	l.Begin()
+	l.Start()
 	const enough = 20 * maxOpen
 	for end := time.Now().Add(20 * time.Second); atomic.LoadInt64(&l.Requests) < enough && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
--- a/internal/lab/rig/process.go
+++ b/internal/lab/rig/process.go
@@ -60,15 +60,15 @@
 	return p, nil
 }
 
-// Log returns the last part of the process's output on standard error.
-func (p *Process) Log() string {
+// Output returns the last part of the process's output on standard error.
+func (p *Process) Output() string {
 	p.out.mu.Lock()
 	defer p.out.mu.Unlock()
 	return p.out.buf.String()
 }
 
-// Ended returns a channel that is closed when the process has exited; Err returns the result then.
-func (p *Process) Ended() <-chan struct{} { return p.ended }
+// Done returns a channel that is closed when the process has exited; Err returns the result then.
+func (p *Process) Done() <-chan struct{} { return p.ended }
 
 // Err returns the result of waiting for the process. It is valid once Ended is closed.
 func (p *Process) Err() error { return p.err }
--- a/internal/lab/rig/relay.go
+++ b/internal/lab/rig/relay.go
@@ -8,17 +8,17 @@
 
 // Flow describes how the bytes of one direction between two boxes are handled.
 type Flow struct {
-	Cut    bool          // bytes are read and dropped, and the connection stays open
+	Drop   bool          // bytes are read and dropped, and the connection stays open
 	Hold   bool          // bytes wait until this is reset
 	Delay  time.Duration // added latency
 	Rate   int           // bytes a second; 0 for no limit
-	Refuse bool          // new connections in this direction are closed at once
+	Reject bool          // new connections in this direction are closed at once
 	Break  bool          // only half of the next chunk is forwarded, then the connection is closed; resets itself
 }
 
-// Net holds the relays between boxes, one for each direction in which a box may connect to another. A process reaches a peer only
+// Network holds the relays between boxes, one for each direction in which a box may connect to another. A process reaches a peer only
 // through its relay. The Flow of a direction applies to all bytes in that direction, whichever box opened the connection.
-type Net struct {
+type Network struct {
 	mu           sync.Mutex
 	flows        map[[2]int]Flow
 	changed      chan struct{} // closed and replaced whenever flows changes
@@ -27,25 +27,25 @@
 	droppedBytes int // bytes
 }
 
-// Lost returns how many bytes were dropped.
-func (n *Net) Lost() int {
+// DroppedBytes returns how many bytes were dropped.
+func (n *Network) DroppedBytes() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.droppedBytes
 }
 
 type relay struct {
-	net      *Net
+	net      *Network
 	from, to int
 	ln       net.Listener
 	target   func() string
 }
 
-// NewNet returns a Net without relays.
-func NewNet() *Net { return &Net{flows: map[[2]int]Flow{}, changed: make(chan struct{})} }
+// NewNetwork returns a Net without relays.
+func NewNetwork() *Network { return &Network{flows: map[[2]int]Flow{}, changed: make(chan struct{})} }
 
-// Relay starts the relay from a box to another one and returns its address. The function target returns the other box's own address.
-func (n *Net) Relay(from, to int, target func() string) (addr string, err error) {
+// AddRelay starts the relay from a box to another one and returns its address. The function target returns the other box's own address.
+func (n *Network) AddRelay(from, to int, target func() string) (addr string, err error) {
 	r := &relay{net: n, from: from, to: to, target: target}
 	if r.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return "", err
@@ -57,8 +57,8 @@
 	return r.ln.Addr().String(), nil
 }
 
-// Set changes the Flow of a direction.
-func (n *Net) Set(from, to int, change func(*Flow)) {
+// SetFlow changes the Flow of a direction.
+func (n *Network) SetFlow(from, to int, change func(*Flow)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f := n.flows[[2]int{from, to}]
@@ -68,14 +68,14 @@
 	n.changed = make(chan struct{})
 }
 
-func (n *Net) flow(from, to int) (Flow, <-chan struct{}) {
+func (n *Network) flow(from, to int) (Flow, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.flows[[2]int{from, to}], n.changed
 }
 
 // Heal resets the flows of all directions.
-func (n *Net) Heal() {
+func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.flows)
@@ -84,7 +84,7 @@
 }
 
 // Close closes the listeners of all relays and resets all flows.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
 	list := n.relays
@@ -107,7 +107,7 @@
 
 func (r *relay) forward(caller net.Conn) {
 	defer caller.Close()
-	if f, _ := r.net.flow(r.from, r.to); f.Refuse {
+	if f, _ := r.net.flow(r.from, r.to); f.Reject {
 		return
 	}
 	target, err := net.DialTimeout("tcp", r.target(), time.Second)
@@ -128,7 +128,7 @@
 }
 
 // copyDirection copies the bytes of one direction. It reads on while chunks are delayed, up to the capacity of the channel.
-func (n *Net) copyDirection(from, to net.Conn, fromBox, toBox int) {
+func (n *Network) copyDirection(from, to net.Conn, fromBox, toBox int) {
 	chunks := make(chan chunk, 64)
 	ended := make(chan struct{})
 	go func() {
@@ -160,13 +160,13 @@
 			f, _ = n.flow(fromBox, toBox)
 		}
 		switch {
-		case f.Cut:
+		case f.Drop:
 			n.mu.Lock()
 			n.droppedBytes += len(c.data)
 			n.mu.Unlock()
 			continue
 		case f.Break:
-			n.Set(fromBox, toBox, func(f *Flow) { f.Break = false })
+			n.SetFlow(fromBox, toBox, func(f *Flow) { f.Break = false })
 			to.Write(c.data[:len(c.data)/2])
 			return
 		}
--- a/internal/lab/rig/site.go
+++ b/internal/lab/rig/site.go
@@ -20,37 +20,37 @@
 	"cairnlane/internal/control"
 	"cairnlane/internal/decide/lease"
 	"cairnlane/internal/fleet"
-	"cairnlane/internal/standin/catalog"
-	"cairnlane/internal/standin/engine"
-	"cairnlane/internal/standin/index"
-	"cairnlane/internal/standin/router"
+	"cairnlane/internal/fake/catalog"
+	"cairnlane/internal/fake/engine"
+	"cairnlane/internal/fake/index"
+	"cairnlane/internal/fake/router"
 )
 
 // SiteConfig configures a site of several boxes.
 type SiteConfig struct {
-	Seed     uint64
-	Dir      string // a short path, because the paths of Unix sockets are limited
-	Boxes    int
-	Voters   []int
-	Terms    lease.Terms
-	Election time.Duration
-	Example  string                        // the path of a settings file such as examples/config.json
-	Serve    func(config string) *exec.Cmd // returns the command that runs the program with a box's configuration
-	Env      func(box int) []string        // variables in addition to the environment of this process; may be nil
-	Clocks   bool                          // run the boxes' clocks fast and slow within the drift; needs a trial build
-	Sparse   bool                          // boxes that are not voters have only the voters as peers
-	Load     bool                          // routers send requests to all boxes
-	// Shape changes the settings of a box before they are written. Engine returns the fake engine of a box in place of the default. Both may be nil.
-	Shape  func(box int, site map[string]any)
-	Engine func(box int) *engine.Engine
-	Extra  string // text that is inserted into each box's configuration before its fleet block
+	Seed            uint64
+	Dir             string // a short path, because the paths of Unix sockets are limited
+	Boxes           int
+	Voters          []int
+	Terms           lease.Terms
+	Election        time.Duration
+	SettingsFile    string                        // the path of a settings file such as examples/config.json
+	Command         func(config string) *exec.Cmd // returns the command that runs the program with a box's configuration
+	Env             func(box int) []string        // variables in addition to the environment of this process; may be nil
+	SkewClocks      bool                          // run the boxes' clocks fast and slow within the drift; needs a trial build
+	VotersOnlyPeers bool                          // boxes that are not voters have only the voters as peers
+	Load            bool                          // routers send requests to all boxes
+	// EditSettings changes the settings of a box before they are written. Engine returns the fake engine of a box in place of the default. Both may be nil.
+	EditSettings func(box int, site map[string]any)
+	Engine       func(box int) *engine.Engine
+	ExtraConfig  string // text that is inserted into each box's configuration before its fleet block
 }
 
 // Site is a fleet of real processes, each with its own directory, fake engine and control socket. They reach each other only through
 // relays.
 type Site struct {
 	cfg         SiteConfig
-	Net         *Net
+	Net         *Network
 	Boxes       []*Box
 	Load        *Load
 	traffic     Traffic
@@ -62,14 +62,14 @@
 	outages     sync.WaitGroup
 
 	mu      sync.Mutex
-	history []Happening
+	history []Event
 }
 
-// Happening is something that the rig did, with the time since the site was created.
-type Happening struct {
+// Event is something that the rig did, with the time since the site was created.
+type Event struct {
 	At   time.Duration
 	Box  int
-	What string
+	Text string
 }
 
 // Box is one box of a site, with its process.
@@ -96,21 +96,21 @@
 
 type outage struct{ from, to time.Time } // to is zero until the outage ends
 
-// CallTakes is how long the fake index takes for a call in a trial.
-const CallTakes = 4 * time.Millisecond
+// IndexCallTime is how long the fake index takes for a call in a trial.
+const IndexCallTime = 4 * time.Millisecond
 
 // deadline is the deadline of all classes in a site, unless Shape changes it.
 const deadline = 800 * time.Millisecond
 
 // NewSite starts the fakes of a site and writes the configurations of its boxes. Start starts the boxes.
 func NewSite(cfg SiteConfig) (*Site, error) {
-	s := &Site{cfg: cfg, Net: NewNet(), began: time.Now(), key: newKey()}
+	s := &Site{cfg: cfg, Net: NewNetwork(), began: time.Now(), key: newKey()}
 	var err error
-	if s.traffic, err = TrafficOf(cfg.Example); err != nil {
+	if s.traffic, err = ReadTraffic(cfg.SettingsFile); err != nil {
 		return nil, err
 	}
 	if s.traffic.Calls {
-		if s.index, err = index.Start(CallTakes); err != nil {
+		if s.index, err = index.Start(IndexCallTime); err != nil {
 			return nil, err
 		}
 	}
@@ -124,7 +124,7 @@
 	random := mrand.New(mrand.NewPCG(cfg.Seed, 77))
 	for i := range cfg.Boxes {
 		b := &Box{Name: fmt.Sprintf("n%d", i), Index: i, site: s, dir: filepath.Join(cfg.Dir, fmt.Sprint(i)), requestAddr: addrs[2*i], fleetAddr: addrs[2*i+1], clockRate: 1}
-		if cfg.Clocks {
+		if cfg.SkewClocks {
 			b.clockRate = 1 + cfg.Terms.Drift*[]float64{-1, 1, 0.5, -0.5, 0}[random.IntN(5)]
 		}
 		runTimes := mrand.New(mrand.NewPCG(cfg.Seed, uint64(1000+i)))
@@ -137,7 +137,7 @@
 		if cfg.Engine != nil {
 			b.fakeEngine = cfg.Engine(i)
 		}
-		b.fakeEngine.Calls(s.traffic.Calls)
+		b.fakeEngine.SetIndexCalls(s.traffic.Calls)
 		if b.engineAddr, err = b.fakeEngine.Listen(); err != nil {
 			return nil, err
 		}
@@ -157,7 +157,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	raw, err := os.ReadFile(owner.cfg.Example)
+	raw, err := os.ReadFile(owner.cfg.SettingsFile)
 	if err != nil {
 		return err
 	}
@@ -177,21 +177,21 @@
 		lane["deadline"], lane["aim"] = deadline.Microseconds(), deadline.Microseconds()/2
 	}
 	settings["guarantees"].(map[string]any)["drain-grace"] = 100_000
-	if owner.cfg.Shape != nil {
-		owner.cfg.Shape(b.Index, site)
+	if owner.cfg.EditSettings != nil {
+		owner.cfg.EditSettings(b.Index, site)
 	}
 	if raw, err = json.Marshal(site); err != nil {
 		return err
 	}
 	var hcl strings.Builder
-	fmt.Fprintf(&hcl, "replica = \"site.json\"\nstate = \"state\"\n%s\nfleet {\n listen = %q\n key_file = %q\n election_ms = %d\n", owner.cfg.Extra, fleetAddr, b.keyFile(), owner.cfg.Election.Milliseconds())
+	fmt.Fprintf(&hcl, "replica = \"site.json\"\nstate = \"state\"\n%s\nfleet {\n listen = %q\n key_file = %q\n election_ms = %d\n", owner.cfg.ExtraConfig, fleetAddr, b.keyFile(), owner.cfg.Election.Milliseconds())
 	for _, peer := range owner.Boxes {
-		if owner.cfg.Sparse && peer != b && !owner.isVoter(b) && !owner.isVoter(peer) {
+		if owner.cfg.VotersOnlyPeers && peer != b && !owner.isVoter(b) && !owner.isVoter(peer) {
 			continue
 		}
 		address := peer.fleetAddr
 		if peer != b {
-			if address, err = owner.Net.Relay(b.Index, peer.Index, func() string { return peer.fleetAddr }); err != nil {
+			if address, err = owner.Net.AddRelay(b.Index, peer.Index, func() string { return peer.fleetAddr }); err != nil {
 				return err
 			}
 		}
@@ -210,17 +210,17 @@
 func (s *Site) record(box int, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history = append(s.history, Happening{time.Since(s.began), box, fmt.Sprintf(format, args...)})
+	s.history = append(s.history, Event{time.Since(s.began), box, fmt.Sprintf(format, args...)})
 }
 
-// At returns the time of an entry of the history.
-func (s *Site) At(h Happening) time.Time { return s.began.Add(h.At) }
+// TimeOf returns the time of an entry of the history.
+func (s *Site) TimeOf(h Event) time.Time { return s.began.Add(h.At) }
 
 // History returns what the rig has done so far.
-func (s *Site) History() []Happening {
+func (s *Site) History() []Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Happening(nil), s.history...)
+	return append([]Event(nil), s.history...)
 }
 
 // Start starts all boxes, initializes the fleet at the first voter, waits until all boxes have joined and starts the load if there is one.
@@ -236,13 +236,13 @@
 		names = append(names, s.Boxes[v].Name)
 	}
 	if err := retryUntil(20*time.Second, func() error { return first.Control().Fleet().Init(s.cfg.Terms, names) }); err != nil {
-		return fmt.Errorf("rig: the fleet could not be initialized: %w\n%s", err, first.Log())
+		return fmt.Errorf("rig: the fleet could not be initialized: %w\n%s", err, first.Output())
 	}
 	if err := s.Settle(30 * time.Second); err != nil {
 		return err
 	}
 	if s.cfg.Load {
-		s.Load = &Load{Seed: s.cfg.Seed, Traffic: s.traffic, Limit: deadline * 3 / 4, Pause: 20 * time.Millisecond, Excused: s.excused, Engines: func() (list []*engine.Engine) {
+		s.Load = &Load{Seed: s.cfg.Seed, Traffic: s.traffic, Timeout: deadline * 3 / 4, MeanInterval: 20 * time.Millisecond, Excused: s.excused, Engines: func() (list []*engine.Engine) {
 			for _, b := range s.Boxes {
 				list = append(list, b.fakeEngine)
 			}
@@ -251,7 +251,7 @@
 		for _, b := range s.Boxes {
 			s.Load.Routers = append(s.Load.Routers, &router.Router{Addr: b.requestAddr})
 		}
-		s.Load.Begin()
+		s.Load.Start()
 	}
 	return nil
 }
@@ -299,7 +299,7 @@
 // Close stops the load, kills all boxes and closes the relays and the fakes.
 func (s *Site) Close() {
 	if s.Load != nil {
-		s.Load.End()
+		s.Load.Stop()
 	}
 	for _, b := range s.Boxes {
 		b.mu.Lock()
@@ -334,8 +334,8 @@
 // recoveryTime is how long after an outage failures of requests are still excused.
 const recoveryTime = 300 * time.Millisecond
 
-// Out reports whether the box was killed or stopped at some time between from and to.
-func (b *Box) Out(from, to time.Time) bool {
+// WasOut reports whether the box was killed or stopped at some time between from and to.
+func (b *Box) WasOut(from, to time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, o := range b.outages {
@@ -359,7 +359,7 @@
 
 // Start starts the box's process and waits until it accepts clients.
 func (b *Box) Start() error {
-	cmd := b.site.cfg.Serve(filepath.Join(b.dir, "a.hcl"))
+	cmd := b.site.cfg.Command(filepath.Join(b.dir, "a.hcl"))
 	if cmd.Env == nil {
 		cmd.Env = os.Environ()
 	}
@@ -380,15 +380,15 @@
 	b.mu.Unlock()
 	err = retryUntil(10*time.Second, func() error {
 		select {
-		case <-p.Ended():
+		case <-p.Done():
 			return fmt.Errorf("the process has exited: %v", p.Err())
 		default:
 		}
-		_, err := b.Control().Ask("check")
+		_, err := b.Control().OperatorCall("check")
 		return err
 	})
 	if err != nil {
-		return fmt.Errorf("rig: %s does not accept clients: %w\n%s", b.Name, err, p.Log())
+		return fmt.Errorf("rig: %s does not accept clients: %w\n%s", b.Name, err, p.Output())
 	}
 	b.mu.Lock()
 	b.awaitingStart = false
@@ -397,19 +397,19 @@
 	return nil
 }
 
-// Addr is where the box listens for requests, and Engine where its fake engine listens.
-func (b *Box) Addr() string            { return b.requestAddr }
-func (b *Box) Engine() *engine.Address { return b.engineAddr }
+// RequestAddr is where the box listens for requests, and Engine where its fake engine listens.
+func (b *Box) RequestAddr() string         { return b.requestAddr }
+func (b *Box) EngineAddr() *engine.Address { return b.engineAddr }
 
-// Began reports whether the box's engine has started a run with an id. Born sets the time at which the engine reports to have started.
-func (b *Box) Began(id string) bool { return b.fakeEngine.Began(id) }
-func (b *Box) Born(at time.Time)    { b.fakeEngine.Born(at) }
+// HasStartedRun reports whether the box's engine has started a run with an id. Born sets the time at which the engine reports to have started.
+func (b *Box) HasStartedRun(id string) bool { return b.fakeEngine.HasRun(id) }
+func (b *Box) SetEngineStart(at time.Time)  { b.fakeEngine.SetStartTime(at) }
 
 // Catalog returns the fake catalog to which all boxes report.
 func (s *Site) Catalog() *catalog.Catalog { return s.catalog }
 
-// Configure rewrites the box's configuration with the current result of Shape. It takes effect at the next start.
-func (b *Box) Configure() error { return b.writeConfig(b.dir, b.requestAddr, b.fleetAddr) }
+// RewriteConfig rewrites the box's configuration with the current result of Shape. It takes effect at the next start.
+func (b *Box) RewriteConfig() error { return b.writeConfig(b.dir, b.requestAddr, b.fleetAddr) }
 
 // Kill sends SIGKILL to the box's process and waits until it has exited.
 func (b *Box) Kill() {
@@ -439,14 +439,14 @@
 	b.endOutages()
 }
 
-// Log returns the last part of the output of the box's process.
-func (b *Box) Log() string {
+// Output returns the last part of the output of the box's process.
+func (b *Box) Output() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.proc == nil {
 		return ""
 	}
-	return b.proc.Log()
+	return b.proc.Output()
 }
 
 // Pid returns the id of the box's process, or 0 if there is none.
--- a/internal/lab/rig/traffic.go
+++ b/internal/lab/rig/traffic.go
@@ -26,8 +26,8 @@
 // ErrNoTraffic is returned for settings without a class that a load can use.
 var ErrNoTraffic = errors.New("rig: no class usable for a load")
 
-// TrafficOf reads a replica's configuration file and selects the first tenant, the first safe class and all keyed classes.
-func TrafficOf(config string) (t Traffic, err error) {
+// ReadTraffic reads a replica's configuration file and selects the first tenant, the first safe class and all keyed classes.
+func ReadTraffic(config string) (t Traffic, err error) {
 	s, err := settings.Read(config)
 	if err != nil {
 		return t, err
--- a/internal/lab/rig/traffic_test.go
+++ b/internal/lab/rig/traffic_test.go
@@ -26,14 +26,14 @@
 		images:   {Tenant: "map-room", Safe: "view-scan", Keyed: []KeyedClass{{"save-label", 27600 * time.Millisecond}, {"move-scan", 18500 * time.Millisecond}}, Calls: true},
 		path:     {Keyed: []KeyedClass{{"b", 3 * time.Second}}},
 	} {
-		if got, err := TrafficOf(config); err != nil || !reflect.DeepEqual(got, want) {
+		if got, err := ReadTraffic(config); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: got %+v, %v; want %+v", config, got, err, want)
 		}
 	}
 	if err := os.WriteFile(path, []byte(`{"settings":{"lanes":[{"name":"c","semantics":"non_idempotent"}]}}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := TrafficOf(path); !errors.Is(err, ErrNoTraffic) {
+	if _, err := ReadTraffic(path); !errors.Is(err, ErrNoTraffic) {
 		t.Errorf("settings without a usable class: got error %v, want %v", err, ErrNoTraffic)
 	}
 }
--- a/internal/lab/rigtest/rigtest.go
+++ b/internal/lab/rigtest/rigtest.go
@@ -19,7 +19,7 @@
 	if path == "" {
 		os.Exit(m.Run())
 	}
-	err := appliance.Serve(path, os.Stderr, func(b *appliance.Box) daemon.Part {
+	err := appliance.Serve(path, os.Stderr, func(b *appliance.Box) daemon.Component {
 		return &actor.Part{Box: b.Name(), Fleet: b.Fleet().Running}
 	})
 	os.Stderr.WriteString(err.Error())
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -20,9 +20,9 @@
 	Format string // json or text; empty for text on a terminal and JSON elsewhere
 }
 
-// Start sets up the program's log and returns it. It uses the defaults for an unknown level or format, which package
+// Setup sets up the program's log and returns it. It uses the defaults for an unknown level or format, which package
 // config rejects when it reads the configuration.
-func Start(w io.Writer, c Config) zerolog.Logger {
+func Setup(w io.Writer, c Config) zerolog.Logger {
 	zerolog.TimeFieldFormat, zerolog.TimestampFunc = time.RFC3339Nano, clock.Wall
 	if c.Format == "text" || c.Format == "" && isTerminal(w) {
 		w = zerolog.ConsoleWriter{Out: w, TimeFormat: "15:04:05.000000"}
@@ -37,8 +37,8 @@
 	return l
 }
 
-// Check returns an error if the level or the format is unknown.
-func Check(c Config) error {
+// Validate returns an error if the level or the format is unknown.
+func Validate(c Config) error {
 	if _, err := zerolog.ParseLevel(c.Level); err != nil {
 		return fmt.Errorf("level %q; debug, info, warn and error are known", c.Level)
 	}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -12,10 +12,10 @@
 func TestStandardLogIsStructured(t *testing.T) {
 	defer func() { log.SetOutput(os.Stderr); log.SetFlags(log.LstdFlags) }()
 	var b bytes.Buffer
-	l := Start(&b, Config{Level: "warn"})
+	l := Setup(&b, Config{Level: "warn"})
 	l.Info().Msg("too low")
 	l.Warn().Str("k", "v").Msg("seen")
-	Start(&b, Config{})
+	Setup(&b, Config{})
 	log.Print("two\n")
 	var got []string
 	for _, line := range strings.Split(strings.TrimSpace(b.String()), "\n") {
@@ -29,7 +29,7 @@
 		t.Errorf("log: %s", s)
 	}
 	b.Reset()
-	Start(&b, Config{Format: "text"})
+	Setup(&b, Config{Format: "text"})
 	log.Print("readable")
 	if s := b.String(); strings.HasPrefix(s, "{") || !strings.Contains(s, "readable") {
 		t.Errorf("text: %q", s)
@@ -38,11 +38,11 @@
 
 func TestCheckRejectsUnknownValues(t *testing.T) {
 	for _, c := range []Config{{Level: "loud"}, {Format: "xml"}} {
-		if Check(c) == nil {
+		if Validate(c) == nil {
 			t.Errorf("%+v is accepted", c)
 		}
 	}
-	if err := Check(Config{Level: "debug", Format: "json"}); err != nil {
+	if err := Validate(Config{Level: "debug", Format: "json"}); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// ErrNo is wrapped by the error of a call that the replica has answered with NAK. The error contains the reason.
-var ErrNo = errors.New("the replica says no")
+// ErrRejected is wrapped by the error of a call that the replica has answered with NAK. The error contains the reason.
+var ErrRejected = errors.New("the replica says no")
 
-// Ask makes one call to the admin listener at addr. For vars it returns the metrics without the final line; for other
+// Call makes one call to the admin listener at addr. For vars it returns the metrics without the final line; for other
 // calls the text is empty.
-func Ask(addr, call string, timeout time.Duration) (string, error) {
+func Call(addr, call string, timeout time.Duration) (string, error) {
 	c, err := net.DialTimeout("tcp", addr, timeout)
 	if netErr := net.Error(nil); errors.As(err, &netErr) && netErr.Timeout() {
 		return "", fmt.Errorf("the replica at %s did not answer within %v: %w", addr, timeout, err)
@@ -30,7 +30,7 @@
 		return "", fmt.Errorf("call the replica at %s: %w", addr, err)
 	}
 	text, err := ReadAnswer(c)
-	if err != nil && !errors.Is(err, ErrNo) {
+	if err != nil && !errors.Is(err, ErrRejected) {
 		return "", fmt.Errorf("the replica at %s did not answer within %v: %w", addr, timeout, err)
 	}
 	return text, err
@@ -51,14 +51,14 @@
 		case strings.HasPrefix(line, "ACK") && text.Len() == 0:
 			return "", nil
 		case strings.HasPrefix(line, "NAK") && text.Len() == 0:
-			return "", fmt.Errorf("%w: %s", ErrNo, strings.TrimSpace(strings.TrimPrefix(line, "NAK")))
+			return "", fmt.Errorf("%w: %s", ErrRejected, strings.TrimSpace(strings.TrimPrefix(line, "NAK")))
 		}
 		text.WriteString(line)
 	}
 }
 
-// Values parses the metrics of a vars answer. The keys are the names as written, labels included.
-func Values(text string) (map[string]int64, error) {
+// ParseMetrics parses the metrics of a vars answer. The keys are the names as written, labels included.
+func ParseMetrics(text string) (map[string]int64, error) {
 	values := map[string]int64{}
 	for line := range strings.Lines(text) {
 		name, number, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "} ")
--- a/internal/operator/door.go
+++ b/internal/operator/listener.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// Most bounds the connections of the admin listener. A new connection above it evicts the oldest, so that unused
+	// MaxConnections bounds the connections of the admin listener. A new connection above it evicts the oldest, so that unused
 	// connections cannot lock out a caller.
-	Most = 16
+	MaxConnections = 16
 	// connectionTimeout bounds the lifetime of a connection, answered or not. Callers need milliseconds.
 	connectionTimeout = 10 * time.Second
 )
 
-// Door is the admin listener: it serves operators' calls at an address of its own.
-type Door struct {
+// Listener is the admin listener: it serves operators' calls at an address of its own.
+type Listener struct {
 	replica Replica
 	now     func() time.Duration
 	ln      netpoll.Listener
@@ -44,12 +44,12 @@
 type callerKey struct{}
 
 // Listen opens the admin listener at addr.
-func Listen(addr string, r Replica, now func() time.Duration, set *counters.Set) (*Door, error) {
+func Listen(addr string, r Replica, now func() time.Duration, set *counters.Set) (*Listener, error) {
 	ln, err := netpoll.CreateListener("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen for operators at %q (control): %w", addr, err)
 	}
-	d := &Door{replica: r, now: now, ln: ln}
+	d := &Listener{replica: r, now: now, ln: ln}
 	d.count.calls, d.count.rejected = set.Get("operator_calls"), set.Get("operator_calls_refused")
 	d.count.evicted, d.count.timedOut = set.Get("operator_callers_evicted"), set.Get("operator_callers_late")
 	if d.loop, err = netpoll.NewEventLoop(d.read, netpoll.WithOnPrepare(d.prepare)); err != nil {
@@ -60,17 +60,17 @@
 }
 
 // Addr returns the address of the listener.
-func (d *Door) Addr() string { return d.ln.Addr().String() }
+func (d *Listener) Addr() string { return d.ln.Addr().String() }
 
 // Serve accepts connections until Close.
-func (d *Door) Serve() error { return d.loop.Serve(d.ln) }
+func (d *Listener) Serve() error { return d.loop.Serve(d.ln) }
 
 // prepare registers a connection; the poller calls it.
-func (d *Door) prepare(nc netpoll.Connection) context.Context {
+func (d *Listener) prepare(nc netpoll.Connection) context.Context {
 	c := &caller{Connection: nc, acceptedAt: d.now()}
 	d.mu.Lock()
 	var oldest *caller
-	if len(d.callers) >= Most {
+	if len(d.callers) >= MaxConnections {
 		oldest = d.callers[0]
 		d.remove(oldest)
 	}
@@ -90,7 +90,7 @@
 }
 
 // remove removes a connection from the list; d.mu is held.
-func (d *Door) remove(c *caller) {
+func (d *Listener) remove(c *caller) {
 	for i, o := range d.callers {
 		if o == c {
 			d.callers = append(d.callers[:i], d.callers[i+1:]...)
@@ -100,11 +100,11 @@
 }
 
 // read is netpoll's callback for new input on a connection.
-func (d *Door) read(ctx context.Context, nc netpoll.Connection) error {
+func (d *Listener) read(ctx context.Context, nc netpoll.Connection) error {
 	c := ctx.Value(callerKey{}).(*caller)
 	defer func() {
 		if p := recover(); p != nil {
-			assert.Panicked("the admin listener", p)
+			assert.CountPanic("the admin listener", p)
 			nc.Close()
 		}
 	}()
@@ -139,7 +139,7 @@
 }
 
 // Sweep closes the connections that exceed their lifetime, until ctx is done.
-func (d *Door) Sweep(ctx context.Context) {
+func (d *Listener) Sweep(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -152,7 +152,7 @@
 	}
 }
 
-func (d *Door) sweep() {
+func (d *Listener) sweep() {
 	d.mu.Lock()
 	var expired []*caller
 	for len(d.callers) > 0 && d.now()-d.callers[0].acceptedAt >= connectionTimeout {
@@ -167,7 +167,7 @@
 }
 
 // Close closes the listener and all connections.
-func (d *Door) Close() {
+func (d *Listener) Close() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = d.loop.Shutdown(ctx)
--- a/internal/operator/listener_test.go
+++ b/internal/operator/listener_test.go
@@ -14,7 +14,7 @@
 	"cairnlane/internal/testkit"
 )
 
-func startListener(t *testing.T) (*Door, *testkit.Clock, *counters.Set) {
+func startListener(t *testing.T) (*Listener, *testkit.Clock, *counters.Set) {
 	t.Helper()
 	clock, set := testkit.NewClock(), new(counters.Set)
 	d, err := Listen("127.0.0.1:0", &fakeReplica{}, clock.Now, set)
@@ -26,7 +26,7 @@
 	return d, clock, set
 }
 
-func dial(t *testing.T, d *Door) net.Conn {
+func dial(t *testing.T, d *Listener) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Addr())
 	if err != nil {
@@ -71,7 +71,7 @@
 // occupying all connections.
 func TestSilentCallersAreEvicted(t *testing.T) {
 	d, _, set := startListener(t)
-	for i := range 5 * Most {
+	for i := range 5 * MaxConnections {
 		c := dial(t, d)
 		if i%2 == 0 {
 			io.WriteString(c, "che")
@@ -83,7 +83,7 @@
 	d.mu.Lock()
 	connections := len(d.callers)
 	d.mu.Unlock()
-	if connections > Most || set.Get("operator_callers_evicted").Load() < 4*Most {
+	if connections > MaxConnections || set.Get("operator_callers_evicted").Load() < 4*MaxConnections {
 		t.Errorf("%d connections, %d evicted", connections, set.Get("operator_callers_evicted").Load())
 	}
 }
@@ -119,12 +119,12 @@
 
 func TestAskErrors(t *testing.T) {
 	d, _, _ := startListener(t)
-	text, err := Ask(d.Addr(), "vars", 20*time.Second)
-	values, bad := Values(text)
+	text, err := Call(d.Addr(), "vars", 20*time.Second)
+	values, bad := ParseMetrics(text)
 	if err != nil || bad != nil || values["edge_relay_in_progress"] != 0 || len(values) != 2 {
 		t.Errorf("vars: %q, %v, %v, %v", text, err, values, bad)
 	}
-	if _, err := Ask(d.Addr(), "chek", 20*time.Second); !errors.Is(err, ErrNo) || !strings.Contains(err.Error(), "there are check") {
+	if _, err := Call(d.Addr(), "chek", 20*time.Second); !errors.Is(err, ErrRejected) || !strings.Contains(err.Error(), "there are check") {
 		t.Errorf("unknown call: %v", err)
 	}
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
@@ -132,15 +132,15 @@
 		t.Fatal(err)
 	}
 	for _, timeout := range []time.Duration{time.Nanosecond, time.Millisecond} { // the connection times out, and the answer times out
-		if _, err := Ask(silent.Addr().String(), "check", timeout); err == nil || !strings.Contains(err.Error(), "did not answer within") {
+		if _, err := Call(silent.Addr().String(), "check", timeout); err == nil || !strings.Contains(err.Error(), "did not answer within") {
 			t.Errorf("time-out of %v: %v", timeout, err)
 		}
 	}
 	silent.Close()
-	if _, err := Ask(silent.Addr().String(), "check", time.Second); err == nil || !strings.Contains(err.Error(), "is it running") {
+	if _, err := Call(silent.Addr().String(), "check", time.Second); err == nil || !strings.Contains(err.Error(), "is it running") {
 		t.Errorf("closed address: %v", err)
 	}
-	if _, err := Values("a x\n"); err == nil {
+	if _, err := ParseMetrics("a x\n"); err == nil {
 		t.Error("a metric without an integer value is accepted")
 	}
 }
--- a/internal/operator/session_test.go
+++ b/internal/operator/session_test.go
@@ -101,7 +101,7 @@
 // TestRandomInputGivesAtMostOneAnswer checks that on any input a session returns at most one answer, one line of ACK or NAK
 // unless the call is vars, and holds a bounded line.
 func TestRandomInputGivesAtMostOneAnswer(t *testing.T) {
-	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
+	testkit.RunStateMachine(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		s, answers := session{}, 0
 		return map[string]func(*rapid.T){
 			"feed": func(rt *rapid.T) {
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -17,23 +17,23 @@
 // ErrClosed is returned by Put after Close or a failed write.
 var ErrClosed = errors.New("outbox: closed")
 
-// Account counts the unsent bytes of several boxes together. The zero value has no bound.
-type Account struct{ size, bound atomic.Int64 }
+// SharedLimit counts the unsent bytes of several boxes together. The zero value has no bound.
+type SharedLimit struct{ size, bound atomic.Int64 }
 
-// Bound sets the bound on the bytes.
-func (a *Account) Bound(bytes int) { a.bound.Store(int64(bytes)) }
+// SetBound sets the bound on the bytes.
+func (a *SharedLimit) SetBound(bytes int) { a.bound.Store(int64(bytes)) }
 
-// Held returns the number of unsent bytes.
-func (a *Account) Held() int { return int(a.size.Load()) }
+// Size returns the number of unsent bytes.
+func (a *SharedLimit) Size() int { return int(a.size.Load()) }
 
 // maxSpare is the capacity of the largest buffer that is kept for the next batch.
 const maxSpare = 16 << 10
 
-// Box is a bounded output buffer in front of a blocking writer.
-type Box struct {
+// Buffer is a bounded output buffer in front of a blocking writer.
+type Buffer struct {
 	sink    io.Writer
 	bound   int
-	account *Account
+	account *SharedLimit
 	failed  func(error)
 
 	mu       sync.Mutex
@@ -46,22 +46,22 @@
 
 // New returns a box that holds about bound bytes at most and is counted in account, and starts its writer. If a write
 // fails, failed is called once, on the writer's goroutine.
-func New(sink io.Writer, bound int, account *Account, failed func(error)) *Box {
-	b := &Box{sink: sink, bound: bound, account: account, failed: failed}
+func New(sink io.Writer, bound int, account *SharedLimit, failed func(error)) *Buffer {
+	b := &Buffer{sink: sink, bound: bound, account: account, failed: failed}
 	b.wake.L = &b.mu
 	go b.write()
 	return b
 }
 
 // Put appends to the buffer with encode. It never waits for the peer.
-func (b *Box) Put(encode func(dst []byte) []byte) error {
+func (b *Buffer) Put(encode func(dst []byte) []byte) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	limits := conns.Output{Each: b.bound, All: int(b.account.bound.Load())}
+	limits := conns.OutputLimits{PerConnection: b.bound, Total: int(b.account.bound.Load())}
 	switch size := len(b.buffered) + b.writing; {
 	case b.closed:
 		return ErrClosed
-	case !limits.Takes(size, b.account.Held()):
+	case !limits.Allows(size, b.account.Size()):
 		return ErrFull
 	}
 	before := len(b.buffered)
@@ -72,27 +72,27 @@
 }
 
 // drop discards the buffered output and closes the box; b.mu is held.
-func (b *Box) drop() {
+func (b *Buffer) drop() {
 	b.account.size.Add(-int64(len(b.buffered)))
 	b.closed, b.buffered = true, nil
 }
 
 // Empty reports whether all output has been written.
-func (b *Box) Empty() bool {
+func (b *Buffer) Empty() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.buffered) == 0 && b.writing == 0
 }
 
 // Close stops the writer; output that is still buffered is dropped.
-func (b *Box) Close() {
+func (b *Buffer) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drop()
 	b.wake.Signal()
 }
 
-func (b *Box) write() {
+func (b *Buffer) write() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for {
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -25,7 +25,7 @@
 
 func TestPutsDuringWriteAreCombined(t *testing.T) {
 	g := &blockingSink{make(chan []byte), make(chan error)}
-	b := New(g, 8, new(Account), func(error) {})
+	b := New(g, 8, new(SharedLimit), func(error) {})
 	defer b.Close()
 	if err := b.Put(appendString("a")); err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 func TestFailedWriteClosesBox(t *testing.T) {
 	g := &blockingSink{make(chan []byte, 1), make(chan error, 1)}
 	failed := make(chan error)
-	b := New(g, 8, new(Account), func(err error) { failed <- err })
+	b := New(g, 8, new(SharedLimit), func(err error) { failed <- err })
 	broken := errors.New("broken")
 	g.result <- broken
 	if err := b.Put(appendString("a")); err != nil {
@@ -72,7 +72,7 @@
 // TestLargeBufferIsReleased checks that the buffer of one large batch is not kept for the connection's lifetime.
 func TestLargeBufferIsReleased(t *testing.T) {
 	g := &blockingSink{make(chan []byte), make(chan error)}
-	b := New(g, 1<<20, new(Account), func(error) {})
+	b := New(g, 1<<20, new(SharedLimit), func(error) {})
 	defer b.Close()
 	for _, n := range []int{maxSpare * 4, 1, 1} { // the third write begins when the second has ended
 		if err := b.Put(func(dst []byte) []byte { return append(dst, make([]byte, n)...) }); err != nil {
@@ -94,22 +94,22 @@
 // each, and that output to a peer that reads is not rejected because of them.
 func TestNonReadingPeersShareBound(t *testing.T) {
 	const bound, answer = 64 << 10, 4 << 10
-	var account Account
-	account.Bound(bound)
-	var boxes []*Box
+	var account SharedLimit
+	account.SetBound(bound)
+	var boxes []*Buffer
 	for range 20 {
 		g := &blockingSink{make(chan []byte, 1), make(chan error, 1)} // buffered, as the writer may end before it has written
 		b := New(g, 512<<10, &account, func(error) {})
 		boxes = append(boxes, b)
 		for b.Put(func(p []byte) []byte { return append(p, make([]byte, answer)...) }) == nil {
-			if held := account.Held(); held > bound+len(boxes)*(conns.Reading+2*answer) {
+			if held := account.Size(); held > bound+len(boxes)*(conns.AlwaysAllowed+2*answer) {
 				t.Fatalf("%d unsent bytes for %d peers", held, len(boxes))
 			}
 		}
 		defer func() { g.result <- errors.New("gone") }()
 	}
-	if account.Held() < bound {
-		t.Fatalf("only %d unsent bytes, the bound is not reached", account.Held())
+	if account.Size() < bound {
+		t.Fatalf("only %d unsent bytes, the bound is not reached", account.Size())
 	}
 	reader := &blockingSink{make(chan []byte, 1), make(chan error, 100)}
 	b := New(reader, 512<<10, &account, func(error) {})
@@ -127,7 +127,7 @@
 }
 
 func TestAccountReturnsToZero(t *testing.T) {
-	var account Account
+	var account SharedLimit
 	for _, err := range []error{nil, errors.New("gone")} {
 		g := &blockingSink{make(chan []byte), make(chan error)}
 		failed := make(chan struct{})
@@ -135,8 +135,8 @@
 		b.Put(appendString("first"))
 		<-g.entered
 		b.Put(appendString("second"))
-		if account.Held() != 11 {
-			t.Errorf("%d unsent bytes, want 11", account.Held())
+		if account.Size() != 11 {
+			t.Errorf("%d unsent bytes, want 11", account.Size())
 		}
 		g.result <- err
 		if err != nil {
@@ -146,7 +146,7 @@
 			g.result <- nil
 		}
 		b.Close()
-		for account.Held() != 0 { // until the writer has ended
+		for account.Size() != 0 { // until the writer has ended
 			runtime.Gosched()
 		}
 	}
--- a/internal/replica/peer.go
+++ b/internal/replica/peer.go
@@ -21,7 +21,7 @@
 // peerState is what a replica keeps about the other process. It is guarded by the replica's lock.
 type peerState struct {
 	enabled bool // there may be another process
-	claims  handover.Book
+	claims  handover.Claims
 	peer    PeerLink              // nil while there is no link
 	waiting map[string][]*request // attempts whose key is claimed, by key; the module does not know them yet
 }
@@ -53,22 +53,22 @@
 // sendDrop informs the peer that a key is free again because its attempt never ran.
 func (r *Replica) sendDrop(k *key) {
 	if !k.remote && k.name[0] == 'u' {
-		r.sendToPeer(&handover.Message{Kind: handover.Drop, Key: k.name, Seq: k.claimSeq, Later: k.rejection.RetryAfter, GiveUp: k.rejection.GiveUp})
+		r.sendToPeer(&handover.Message{Kind: handover.Drop, Key: k.name, Seq: k.claimSeq, RetryAfter: k.rejection.RetryAfter, GiveUp: k.rejection.GiveUp})
 	}
 }
 
 // claimKey handles a keyed attempt whose key is unknown here: the other process may have run it.
 func (r *Replica) claimKey(now time.Duration, req *request) {
 	key := keyName(req)
-	verdict, seq := r.peerState.claims.Try(now, key)
+	verdict, seq := r.peerState.claims.Attempt(now, key)
 	switch verdict {
-	case handover.Take:
+	case handover.RunHere:
 		r.admit(now, req, nil)
 		return
-	case handover.Doubt:
+	case handover.InDoubt:
 		r.failInDoubt(now, req)
 		return
-	case handover.Ask:
+	case handover.SendClaim:
 		r.sendToPeer(&handover.Message{Kind: handover.Claim, Key: key, Seq: seq, Digest: req.digest,
 			Until: req.arrivedAt + req.class.DedupWindow + keyMargin, N: int64(req.arrivedAt)})
 	}
@@ -87,7 +87,7 @@
 	}
 	if list = slices.Delete(list, index, index+1); len(list) == 0 {
 		delete(r.peerState.waiting, key)
-		r.peerState.claims.GaveUp(key)
+		r.peerState.claims.CancelClaim(key)
 	} else {
 		r.peerState.waiting[key] = list
 	}
@@ -149,13 +149,15 @@
 }
 
 // FollowPredecessor declares that this process succeeds another one. It is called before any request is accepted.
-func (r *Replica) FollowPredecessor() { r.locked(func(time.Duration) { r.peerState.claims.Follow() }) }
+func (r *Replica) FollowPredecessor() {
+	r.locked(func(time.Duration) { r.peerState.claims.FollowOwner() })
+}
 
 // PeerConnected handles a new link to the other process. Everything this process knows about keys is sent there first.
 func (r *Replica) PeerConnected(p PeerLink) {
 	r.locked(func(now time.Duration) {
 		r.peerState.peer = p
-		r.peerState.claims.Joined()
+		r.peerState.claims.LinkUp()
 		owner := r.peerState.claims.Role() == handover.Owner
 		for _, k := range r.keys.byAge {
 			if r.keys.byName[k.name] == k && k.name[0] == 'u' && (owner || !k.remote) {
@@ -181,7 +183,7 @@
 	r.locked(func(now time.Duration) {
 		owner := r.peerState.claims.Role() == handover.Owner
 		r.peerState.peer = nil
-		r.peerState.claims.Lost()
+		r.peerState.claims.LinkDown()
 		if owner {
 			r.failRemoteRuns()
 		}
@@ -264,7 +266,7 @@
 		}
 		r.releaseWaiting(k, a, outcome)
 	}
-	r.peerState.claims.Told(m.Key)
+	r.peerState.claims.KeyReceived(m.Key)
 	r.retryWaiting(now, r.takeWaiting(m.Key))
 }
 
@@ -278,7 +280,7 @@
 	}
 	r.keys.drop(k)
 	if owner {
-		r.releaseWaiting(k, Answer{Kind: Rejected, RetryAfter: m.Later, GiveUp: m.GiveUp}, policy.Failed)
+		r.releaseWaiting(k, Answer{Kind: Rejected, RetryAfter: m.RetryAfter, GiveUp: m.GiveUp}, policy.Failed)
 	} else {
 		r.releaseWaiting(k, Answer{Kind: Failed}, policy.Failed)
 	}
--- a/internal/replica/peer_test.go
+++ b/internal/replica/peer_test.go
@@ -265,7 +265,7 @@
 	p.settle()
 	a := p.old.arrive("k", 0, time.Second)
 	other := &attempt{harness: p.new, txn: "a", deadline: p.new.clock.Now() + time.Second}
-	if err := p.new.Arrive(Request{Txn: "a", Class: "save", Body: []byte("other"), KB: 10, ArrivedAt: p.new.clock.Unix(), WaitLimit: time.Second,
+	if err := p.new.Arrive(Request{Txn: "a", Class: "save", Body: []byte("other"), KB: 10, ArrivedAt: p.new.clock.Time(), WaitLimit: time.Second,
 		IdempotencyKey: "k", Reply: other}); err != nil {
 		t.Fatal(err)
 	}
@@ -277,7 +277,7 @@
 // TestInvariantsHoldOverTwoProcesses plays random steps on two replicas with the real module and their link, kills
 // either of them, starts successors, and checks the invariants over both processes.
 func TestInvariantsHoldOverTwoProcesses(t *testing.T) {
-	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
+	testkit.RunStateMachine(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		p, broken := newPair(rt), assert.Failures()
 		linked := true
 		either := func(rt *rapid.T) *harness { return rapid.SampledFrom([]*harness{p.old, p.new}).Draw(rt, "process") }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -184,7 +184,7 @@
 func TestKeyWithDifferentBodyIsRejected(t *testing.T) {
 	b := newHarness(t)
 	arriveWithOtherBody := func(txn string) error {
-		return b.Arrive(Request{Txn: txn, Class: "save", Body: []byte("other"), KB: 10, ArrivedAt: b.clock.Unix(), WaitLimit: time.Second,
+		return b.Arrive(Request{Txn: txn, Class: "save", Body: []byte("other"), KB: 10, ArrivedAt: b.clock.Time(), WaitLimit: time.Second,
 			IdempotencyKey: "k", Reply: &attempt{harness: b, txn: txn}})
 	}
 	first := b.arrive("k", 0, time.Second)
@@ -368,7 +368,7 @@
 	read := func() *attempt {
 		x := &attempt{harness: b, txn: fmt.Sprintf("%016x", len(b.attempts)+1), arrivedAt: b.clock.Now()}
 		b.attempts[x.txn] = x
-		if err := b.Arrive(Request{Txn: x.txn, Class: "read", KB: 10, ArrivedAt: b.clock.Unix(), WaitLimit: 2 * time.Second, Item: "i", Reply: x}); err != nil {
+		if err := b.Arrive(Request{Txn: x.txn, Class: "read", KB: 10, ArrivedAt: b.clock.Time(), WaitLimit: 2 * time.Second, Item: "i", Reply: x}); err != nil {
 			t.Fatal(err)
 		}
 		return x
@@ -395,7 +395,7 @@
 	for tenant, want := range map[string]string{"uni": b.cfg.Tenants[1], "": ""} {
 		txn := fmt.Sprintf("%016x", len(b.attempts)+1)
 		b.attempts[txn] = &attempt{harness: b, txn: txn}
-		if err := b.Arrive(Request{Txn: txn, Class: strings.Clone("read"), Tenant: strings.Clone(tenant), KB: 10, ArrivedAt: b.clock.Unix(), WaitLimit: time.Second, Reply: b.attempts[txn]}); err != nil {
+		if err := b.Arrive(Request{Txn: txn, Class: strings.Clone("read"), Tenant: strings.Clone(tenant), KB: 10, ArrivedAt: b.clock.Time(), WaitLimit: time.Second, Reply: b.attempts[txn]}); err != nil {
 			t.Fatal(err)
 		}
 		q := b.txns[txn]
@@ -404,7 +404,7 @@
 		}
 	}
 	b.cfg.Tenants = nil
-	if err := b.Arrive(Request{Txn: "z", Class: "read", Tenant: "anybody", KB: 10, ArrivedAt: b.clock.Unix(), WaitLimit: time.Second, Reply: &attempt{harness: b}}); err != nil || b.txns["z"].Tenant != "" {
+	if err := b.Arrive(Request{Txn: "z", Class: "read", Tenant: "anybody", KB: 10, ArrivedAt: b.clock.Time(), WaitLimit: time.Second, Reply: &attempt{harness: b}}); err != nil || b.txns["z"].Tenant != "" {
 		t.Errorf("without tenants: error %v, or the tenant was kept", err)
 	}
 }
@@ -412,7 +412,7 @@
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	b := newHarness(t)
 	b.arrive("", 0, time.Second)
-	now := b.clock.Unix()
+	now := b.clock.Time()
 	for name, q := range map[string]Request{
 		"class":   {Txn: "a", Class: "other", ArrivedAt: now},
 		"key":     {Txn: "a", Class: "save", ArrivedAt: now},
@@ -431,7 +431,7 @@
 // TestInvariantsHoldOverRandomSteps simulates routers and an engine whose link breaks, and checks the invariants
 // after each step.
 func TestInvariantsHoldOverRandomSteps(t *testing.T) {
-	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
+	testkit.RunStateMachine(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		b, broken := newHarness(rt), assert.Failures()
 		drained := false
 		return map[string]func(*rapid.T){
--- a/internal/replica/tenant_test.go
+++ b/internal/replica/tenant_test.go
@@ -16,7 +16,7 @@
 	for i, name := range []string{"", "uni"} {
 		q := &attempt{harness: b, txn: string(rune('a' + i)), arrivedAt: b.clock.Now(), deadline: b.clock.Now() + time.Second}
 		b.attempts[q.txn] = q
-		if err := b.Arrive(Request{Txn: q.txn, Class: "read", Tenant: name, KB: 10, ArrivedAt: b.clock.Unix(), WaitLimit: time.Second, Reply: q}); err != nil {
+		if err := b.Arrive(Request{Txn: q.txn, Class: "read", Tenant: name, KB: 10, ArrivedAt: b.clock.Time(), WaitLimit: time.Second, Reply: q}); err != nil {
 			t.Fatal(err)
 		}
 		if in := b.describe(b.clock.Now(), b.txns[q.txn], nil); in.Tenant != i+1 {
@@ -31,7 +31,7 @@
 	b.cfg.Tenants = nil
 	q := &attempt{harness: b, txn: "a", arrivedAt: b.clock.Now(), deadline: b.clock.Now() + time.Second}
 	b.attempts[q.txn] = q
-	if err := b.Arrive(Request{Txn: "a", Class: "read", Tenant: "anybody", KB: 10, ArrivedAt: b.clock.Unix(), WaitLimit: time.Second, Reply: q}); err != nil {
+	if err := b.Arrive(Request{Txn: "a", Class: "read", Tenant: "anybody", KB: 10, ArrivedAt: b.clock.Time(), WaitLimit: time.Second, Reply: q}); err != nil {
 		t.Fatal(err)
 	}
 	if in := b.describe(b.clock.Now(), b.txns["a"], nil); in.Tenant != 0 {
--- a/internal/settings/replica.go
+++ b/internal/settings/replica.go
@@ -19,18 +19,18 @@
 
 // Replica is the configuration of one replica process.
 type Replica struct {
-	Name, Listen, Engine, Directory string
-	Index                           string // the shared index that running requests call; empty at sites without calls
-	Seed                            int64
-	Stop                            time.Duration // time from the drain notice to the kill
-	Limits                          Limits
-	Settings                        *Settings
-	Policy                          policy.Config
-	Tenants                         []string
-	OnCores                         int    // index of the on_cores gauge among the engine's gauges
-	Control                         string // address of the admin listener; empty for none
-	Inherited                       int    // descriptor of the listening socket; 0 if the process opens its own
-	Folder                          string // folder that both processes of a replacement share; empty if replacement is not possible
+	Name, Listen, Engine, CatalogAddr string
+	Index                             string // the shared index that running requests call; empty at sites without calls
+	Seed                              int64
+	StopTimeout                       time.Duration // time from the drain notice to the kill
+	Limits                            Limits
+	Settings                          *Settings
+	Policy                            policy.Config
+	Tenants                           []string
+	CoresGauge                        int    // index of the on_cores gauge among the engine's gauges
+	AdminAddr                         string // address of the admin listener; empty for none
+	InheritedFD                       int    // descriptor of the listening socket; 0 if the process opens its own
+	SharedFolder                      string // folder that both processes of a replacement share; empty if replacement is not possible
 }
 
 // Limits are the resource limits of the replica process.
@@ -72,17 +72,17 @@
 		if err := checkControl(addr); err != nil {
 			return fmt.Errorf("RELAY_CONTROL %w", err)
 		}
-		r.Control = addr
+		r.AdminAddr = addr
 	}
 	if fd := get("RELAY_INHERITED_FD"); fd != "" {
 		n, err := strconv.Atoi(fd)
 		if err != nil || n < firstInherited {
 			return fmt.Errorf("RELAY_INHERITED_FD must be the number of a descriptor, %d or higher, is %q", firstInherited, fd)
 		}
-		if r.Folder = get("TMPDIR"); r.Folder == "" {
+		if r.SharedFolder = get("TMPDIR"); r.SharedFolder == "" {
 			return errors.New("TMPDIR is not set; with RELAY_INHERITED_FD it names the folder that both processes of a replacement share")
 		}
-		r.Inherited = n
+		r.InheritedFD = n
 	}
 	return nil
 }
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	next.Seed, next.Policy.Seed = r.Seed, r.Policy.Seed
-	next.Control, next.Inherited, next.Folder = r.Control, r.Inherited, r.Folder
+	next.AdminAddr, next.InheritedFD, next.SharedFolder = r.AdminAddr, r.InheritedFD, r.SharedFolder
 	if next.Name != r.Name || next.Listen != r.Listen {
 		return nil, fmt.Errorf("configuration: %s at %s cannot become %s at %s without a restart", r.Name, r.Listen, next.Name, next.Listen)
 	}
@@ -111,7 +111,7 @@
 		log.Printf("configuration: changed %s need a restart; only the addresses and stop_ms are applied", strings.Join(changed, ", "))
 		loaded := *next
 		*next = *r
-		next.Engine, next.Directory, next.Index, next.Stop = loaded.Engine, loaded.Directory, loaded.Index, loaded.Stop
+		next.Engine, next.CatalogAddr, next.Index, next.StopTimeout = loaded.Engine, loaded.CatalogAddr, loaded.Index, loaded.StopTimeout
 	}
 	return next, nil
 }
@@ -120,7 +120,7 @@
 func sameSettings(a, b *Replica) bool {
 	first, second := a.Policy, b.Policy
 	first.Tenants, second.Tenants = nil, nil
-	return reflect.DeepEqual(first, second) && a.OnCores == b.OnCores
+	return reflect.DeepEqual(first, second) && a.CoresGauge == b.CoresGauge
 }
 
 func parse(raw []byte) (*Replica, error) {
@@ -165,15 +165,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	r := &Replica{Name: file.Name, Listen: file.Listen, Engine: file.Engine, Directory: file.Directory, Index: file.Index, Seed: int64(seed),
-		Stop: time.Duration(file.StopMS * float64(time.Millisecond)), Limits: file.Limits, Settings: s,
-		Policy: s.Policy(int64(seed)), OnCores: -1, Control: file.Control}
+	r := &Replica{Name: file.Name, Listen: file.Listen, Engine: file.Engine, CatalogAddr: file.Directory, Index: file.Index, Seed: int64(seed),
+		StopTimeout: time.Duration(file.StopMS * float64(time.Millisecond)), Limits: file.Limits, Settings: s,
+		Policy: s.Policy(int64(seed)), CoresGauge: -1, AdminAddr: file.Control}
 	for _, t := range s.Tenants {
 		r.Tenants = append(r.Tenants, t.Name)
 	}
 	for i, m := range s.Family.Meters {
 		if m == "on_cores" {
-			r.OnCores = i
+			r.CoresGauge = i
 		}
 	}
 	return r, r.check()
@@ -224,7 +224,7 @@
 			return fmt.Errorf(`configuration: class %q has idempotency keys but no "dedup-window" above 0`, l.Name)
 		}
 	}
-	if r.OnCores < 0 {
+	if r.CoresGauge < 0 {
 		return errors.New(`configuration: the meters in the settings do not include "on_cores"`)
 	}
 	return nil
--- a/internal/settings/scenario_test.go
+++ b/internal/settings/scenario_test.go
@@ -83,7 +83,7 @@
 }
 
 func (c *scenario) record(format string, a ...any) {
-	c.decisions = append(c.decisions, fmt.Sprintf("%v ", c.clock.Now()-testkit.Start)+fmt.Sprintf(format, a...))
+	c.decisions = append(c.decisions, fmt.Sprintf("%v ", c.clock.Now()-testkit.StartTime)+fmt.Sprintf(format, a...))
 }
 func (c *scenario) RequestGauges() bool            { return false }
 func (c *scenario) Feed(txn string, _ []byte) bool { c.record("feed %s", txn); return true }
@@ -121,7 +121,7 @@
 	cfg := s.load(t)
 	sc := &scenario{site: s, clock: testkit.NewClock(), engineUp: true}
 	var err error
-	sc.Replica, err = replica.New(replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, CoresGauge: cfg.OnCores, MaxResultBytes: 1 << 12}, sc.clock, sc, new(counters.Set))
+	sc.Replica, err = replica.New(replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, CoresGauge: cfg.CoresGauge, MaxResultBytes: 1 << 12}, sc.clock, sc, new(counters.Set))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 		case k < 11:
 			q := replica.Request{Txn: fmt.Sprintf("%016x", n), Class: classes[random.IntN(4)], Tenant: tenants[random.IntN(3)], Caller: random.IntN(4),
 				Retry: random.IntN(6) == 0, KB: 8 + 50*random.Float64(), Rank: random.Float64(), WaitLimit: time.Duration(500+random.IntN(4000)) * time.Millisecond}
-			q.ArrivedAt = sc.clock.Unix().Add(-time.Duration(random.IntN(300)) * time.Millisecond)
+			q.ArrivedAt = sc.clock.Time().Add(-time.Duration(random.IntN(300)) * time.Millisecond)
 			q.IdempotencyKey = fmt.Sprint(q.Class, random.IntN(60))
 			q.Body = []byte(q.IdempotencyKey)
 			q.Class, q.Tenant, q.Reply = s.name(q.Class), s.name(q.Tenant), reply{sc, q.Txn}
@@ -158,7 +158,7 @@
 			sc.clock.Advance(time.Duration(1+random.IntN(40)) * time.Millisecond)
 		}
 	}
-	sc.Drain(cfg.Stop)
+	sc.Drain(cfg.StopTimeout)
 	sc.clock.Advance(10 * time.Second)
 	if accepted < 1000 || sc.Unanswered() != 0 {
 		t.Errorf("%d requests accepted, %d unanswered", accepted, sc.Unanswered())
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	c := r.Policy
-	if r.Stop != 3200*time.Millisecond || r.OnCores != 1 || c.Cores != 6 || c.Signal != policy.RankFloor ||
+	if r.StopTimeout != 3200*time.Millisecond || r.CoresGauge != 1 || c.Cores != 6 || c.Signal != policy.RankFloor ||
 		c.MaxHoldOff != time.Second || c.AnswerSlack != 60*time.Millisecond || len(c.Classes) != 4 || len(r.Tenants) != 3 {
 		t.Errorf("read %+v", r)
 	}
@@ -152,8 +152,8 @@
 			}
 			continue
 		}
-		if err != nil || r.Control != c.control || r.Inherited != c.fd || r.Folder != c.env["TMPDIR"] {
-			t.Errorf("%v: %v, control %s, descriptor %d, folder %s", c.env, err, r.Control, r.Inherited, r.Folder)
+		if err != nil || r.AdminAddr != c.control || r.InheritedFD != c.fd || r.SharedFolder != c.env["TMPDIR"] {
+			t.Errorf("%v: %v, control %s, descriptor %d, folder %s", c.env, err, r.AdminAddr, r.InheritedFD, r.SharedFolder)
 		}
 	}
 	if _, err := parse([]byte(strings.Replace(raw, "127.0.0.1:9000", "9000", 1))); err == nil || !strings.Contains(err.Error(), `"control" must be host:port`) {
--- a/internal/state/audit/audit.go
+++ b/internal/state/audit/audit.go
@@ -35,17 +35,17 @@
 
 // Kinds of entries.
 const (
-	Head     Kind = iota + 1 // first entry of a segment
-	Start                    // a process opened the log; Text is the state in which it found the log
-	Version                  // the version that the box runs from this entry on
-	Effect                   // an effect is about to be executed under a lease
-	Done                     // the effect has ended; Ref is the N of its Effect entry
-	Drain                    // the box went out of service or came back
-	Operator                 // a command of an operator
-	Standing                 // status of the box in its fleet
-	Gap                      // Count entries were lost
-	End                      // the process shuts down cleanly
-	Config                   // a fleet configuration was accepted, or rejected with the reason in Text; Ref is its number
+	Head        Kind = iota + 1 // first entry of a segment
+	Start                       // a process opened the log; Text is the state in which it found the log
+	Version                     // the version that the box runs from this entry on
+	Effect                      // an effect is about to be executed under a lease
+	EffectDone                  // the effect has ended; Ref is the N of its Effect entry
+	Drain                       // the box went out of service or came back
+	Operator                    // a command of an operator
+	FleetStatus                 // status of the box in its fleet
+	Gap                         // Count entries were lost
+	End                         // the process shuts down cleanly
+	Config                      // a fleet configuration was accepted, or rejected with the reason in Text; Ref is its number
 	kinds
 )
 
@@ -104,8 +104,8 @@
 // Sum is the chained hash of an entry.
 type Sum [sha256.Size]byte
 
-// Mark is the head of a chain as reported to the ledger.
-type Mark struct {
+// ChainHead is the head of a chain as reported to the ledger.
+type ChainHead struct {
 	Chain string `cbor:"1,keyasint" json:"chain"`
 	N     uint64 `cbor:"2,keyasint" json:"n"`
 	Sum   Sum    `cbor:"3,keyasint" json:"-"`
--- a/internal/state/audit/audit_test.go
+++ b/internal/state/audit/audit_test.go
@@ -33,10 +33,10 @@
 func (noWaitFile) Sync() error { return nil }
 
 // write appends n effects and returns a mark after every tenth one.
-func write(t *testing.T, l *Log, n int) (marks []Mark) {
+func write(t *testing.T, l *Log, n int) (marks []ChainHead) {
 	t.Helper()
 	for i := range n {
-		if _, err := l.Write(Entry{Kind: Effect, Task: "export", Token: uint64(i), Index: uint64(i)}); err != nil {
+		if _, err := l.Append(Entry{Kind: Effect, Task: "export", Token: uint64(i), Index: uint64(i)}); err != nil {
 			t.Fatal(err)
 		}
 		if i%10 == 9 {
@@ -50,7 +50,7 @@
 	return marks
 }
 
-func read(t *testing.T, dir string) *Book {
+func read(t *testing.T, dir string) *FolderContents {
 	t.Helper()
 	b, err := Read(dir)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return b
 }
 
-var smallLimits = Limits{Segment: 2000, Folder: 1 << 20}
+var smallLimits = Limits{SegmentBytes: 2000, FolderBytes: 1 << 20}
 
 func TestWrittenEntriesAreReadAndProven(t *testing.T) {
 	dir := t.TempDir()
@@ -73,7 +73,7 @@
 		t.Errorf("state at first open %q, at second open %q", found, resumed)
 	}
 	b := read(t, dir)
-	proven, old := b.Against(marks)
+	proven, old := b.VerifyMarks(marks)
 	if len(b.Entries) != 150 || len(b.Faults) != 0 || proven != 15 || old != 0 {
 		t.Errorf("%d entries, %v, %d proven, %d old", len(b.Entries), b.Faults, proven, old)
 	}
@@ -102,20 +102,20 @@
 			t.Fatal(err)
 		}
 		b := read(t, dir)
-		if b.Against(marks); len(b.Faults) == 0 {
+		if b.VerifyMarks(marks); len(b.Faults) == 0 {
 			t.Fatalf("truncated at %d of %d bytes: no fault reported", at, len(whole))
 		}
 		if at%199 != 0 {
 			continue
 		}
 		next, _ := open(t, dir, DefaultLimits)
-		if _, err := next.Write(Entry{Kind: Start}); err != nil {
+		if _, err := next.Append(Entry{Kind: Start}); err != nil {
 			t.Fatal(err)
 		}
 		next.Close()
 		b = read(t, dir)
 		after := len(b.Faults)
-		b.Against(marks)
+		b.VerifyMarks(marks)
 		if len(b.Faults) == after {
 			t.Fatalf("truncated at %d and continued: the mark in the ledger is not reported as missing", at)
 		}
@@ -140,7 +140,7 @@
 
 func TestFlippedByteIsDetected(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir, Limits{Segment: 700, Folder: 1 << 20})
+	l, _ := open(t, dir, Limits{SegmentBytes: 700, FolderBytes: 1 << 20})
 	write(t, l, 9)
 	l.Close()
 	for _, name := range must(segments(dir)) {
@@ -180,7 +180,7 @@
 			os.Rename(old, dir)
 			l, _ := open(t, dir, smallLimits)
 			for range 200 {
-				l.Write(Entry{Kind: Effect, Task: "other"})
+				l.Append(Entry{Kind: Effect, Task: "other"})
 			}
 			l.Close()
 		}, "rewritten"},
@@ -194,7 +194,7 @@
 				if i == 50 {
 					e.Token = 99
 				}
-				l.Write(e)
+				l.Append(e)
 			}
 			l.Close()
 		}, "rewritten"},
@@ -210,7 +210,7 @@
 		l.Close()
 		c.tamper(dir, old)
 		b := read(t, dir)
-		b.Against(marks)
+		b.VerifyMarks(marks)
 		if text := fmt.Sprint(b.Faults); !strings.Contains(text, c.want) {
 			t.Errorf("%s: %s", name, text)
 		}
@@ -219,7 +219,7 @@
 
 func TestFolderIsBoundedAndRemainingEntriesAreProven(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir, Limits{Segment: 2000, Folder: 9000})
+	l, _ := open(t, dir, Limits{SegmentBytes: 2000, FolderBytes: 9000})
 	marks := write(t, l, 500)
 	l.Close()
 	size := int64(0)
@@ -227,7 +227,7 @@
 		size += must(os.Stat(filepath.Join(dir, s))).Size()
 	}
 	b := read(t, dir)
-	proven, old := b.Against(marks)
+	proven, old := b.VerifyMarks(marks)
 	if size > 9000+200 || len(b.Faults) > 0 || proven == 0 || old == 0 || proven+old != len(marks) {
 		t.Errorf("%d bytes, %v, %d proven and %d old of %d", size, b.Faults, proven, old, len(marks))
 	}
@@ -262,7 +262,7 @@
 		room = left
 		lost := 0
 		for range 5 {
-			if _, err := l.Write(Entry{Kind: Effect}); errors.Is(err, syscall.ENOSPC) {
+			if _, err := l.Append(Entry{Kind: Effect}); errors.Is(err, syscall.ENOSPC) {
 				lost++
 			}
 			room = min(room, left)
@@ -271,7 +271,7 @@
 			t.Fatalf("%d bytes free: no write failed", left)
 		}
 		room = 1 << 20
-		if n, err := l.Write(Entry{Kind: Drain}); err != nil || n == 0 {
+		if n, err := l.Append(Entry{Kind: Drain}); err != nil || n == 0 {
 			t.Fatal(err)
 		}
 		b := read(t, dir)
@@ -284,7 +284,7 @@
 		t.Fatal(err)
 	}
 	b := read(t, dir)
-	if proven, _ := b.Against([]Mark{m}); proven != 1 || len(b.Faults) > 0 {
+	if proven, _ := b.VerifyMarks([]ChainHead{m}); proven != 1 || len(b.Faults) > 0 {
 		t.Errorf("%d proven, %v", proven, b.Faults)
 	}
 }
@@ -295,12 +295,12 @@
 	dir := t.TempDir()
 	l, _ := open(t, dir, DefaultLimits)
 	for _, i := range []uint64{5, 9, 2} {
-		l.Write(Entry{Kind: Standing, Index: i})
+		l.Append(Entry{Kind: FleetStatus, Index: i})
 	}
 	l.Close()
 	l, found := open(t, dir, DefaultLimits)
-	l.Write(Entry{Kind: Standing, Index: 1})
-	l.Write(Entry{Kind: Standing, Index: 12})
+	l.Append(Entry{Kind: FleetStatus, Index: 1})
+	l.Append(Entry{Kind: FleetStatus, Index: 12})
 	l.Close()
 	var got []uint64
 	for _, e := range read(t, dir).Entries {
@@ -318,7 +318,7 @@
 		limits Limits
 		cut    bool
 		faults int
-	}{"whole": {DefaultLimits, false, 0}, "cut": {Limits{Segment: 2 << 10, Folder: 1 << 20}, true, 1}, "bounded": {Limits{Segment: 2 << 10, Folder: 10 << 10}, false, 0}} {
+	}{"whole": {DefaultLimits, false, 0}, "cut": {Limits{SegmentBytes: 2 << 10, FolderBytes: 1 << 20}, true, 1}, "bounded": {Limits{SegmentBytes: 2 << 10, FolderBytes: 10 << 10}, false, 0}} {
 		dir := t.TempDir()
 		l, _ := open(t, dir, c.limits)
 		marks := write(t, l, 400)
@@ -328,7 +328,7 @@
 			os.Remove(filepath.Join(dir, names[0]))
 		}
 		b := read(t, dir)
-		b.Against(marks)
+		b.VerifyMarks(marks)
 		if len(b.Faults) != c.faults {
 			t.Errorf("%s: %v", name, b.Faults)
 		}
@@ -342,12 +342,12 @@
 // TestHeadIsReportedOnlyAfterSync checks that after a failed sync the mark is the previous one.
 func TestHeadIsReportedOnlyAfterSync(t *testing.T) {
 	l, _ := open(t, t.TempDir(), DefaultLimits)
-	l.Write(Entry{Kind: Standing})
+	l.Append(Entry{Kind: FleetStatus})
 	first, err := l.Sync()
 	if err != nil || first.N != 1 {
 		t.Fatal(first, err)
 	}
-	l.Write(Entry{Kind: Standing})
+	l.Append(Entry{Kind: FleetStatus})
 	l.file = failingSyncFile{l.file}
 	if m, err := l.Sync(); err == nil || m.N != first.N {
 		t.Errorf("%+v, %v", m, err)
--- a/internal/state/audit/index.go
+++ b/internal/state/audit/index.go
@@ -17,11 +17,11 @@
 type Index struct {
 	boxes   []string
 	entries [][]Entry           // by box, ordered by chain and number
-	runs    [][]Run             // runs by box
+	runs    [][]VersionRun      // runs by box
 	effects [][]indexedEffect   // effects by box
 	byN     map[uint64][]boxRef // runs by number of the fleet configuration
 	byTask  map[string][]boxRef // effects by task
-	marks   map[string][]Mark
+	marks   map[string][]ChainHead
 }
 
 type boxRef struct{ box, at int }
@@ -32,8 +32,8 @@
 	run   int // run in which it was executed; -1: unknown
 }
 
-// Run is a period in which a box ran one version, in one process or several.
-type Run struct {
+// VersionRun is a period in which a box ran one version, in one process or several.
+type VersionRun struct {
 	Box     string `json:"box"`
 	Version Build  `json:"version"`
 	// From and To are ledger indexes: the version began after ledger entry From and ended after ledger entry To. Until
@@ -50,8 +50,8 @@
 	last    int
 }
 
-// Act is an effect as logged by its box.
-type Act struct {
+// EffectRecord is an effect as logged by its box.
+type EffectRecord struct {
 	Box     string        `json:"box"`
 	Task    string        `json:"task"`
 	Token   uint64        `json:"token"`
@@ -60,25 +60,25 @@
 	At      time.Duration `json:"at_ns"`
 	Outcome string        `json:"outcome"` // "made", "not made", "failed" or "not known"
 	Text    string        `json:"text,omitempty"`
-	// Tied reports that the order of this effect and the previous one in the list is unknown.
-	Tied bool `json:"tied"`
+	// OrderUnknown reports that the order of this effect and the previous one in the list is unknown.
+	OrderUnknown bool `json:"tied"`
 }
 
-// Who is the version that a box ran at a given time or index.
-type Who struct {
+// VersionAt is the version that a box ran at a given time or index.
+type VersionAt struct {
 	Box     string `json:"box"`
 	Version Build  `json:"version"`
 	Sure    bool   `json:"sure"` // false: the version changed so close to the time that the order is unknown
-	Gone    bool   `json:"gone"` // its process had shut down cleanly
+	Stopped bool   `json:"gone"` // its process had shut down cleanly
 }
 
 // NewIndex builds an index of the books. marks are the marks in the ledger, by box: a mark bounds from above the ledger
 // index at which an entry was written. With nil marks little can be ordered between boxes.
-func NewIndex(books []*Book, marks map[string][]Mark) *Index {
+func NewIndex(books []*FolderContents, marks map[string][]ChainHead) *Index {
 	x := &Index{marks: marks, byN: map[uint64][]boxRef{}, byTask: map[string][]boxRef{}}
 	at := map[string]int{}
 	books = slices.Clone(books)
-	slices.SortStableFunc(books, func(a, b *Book) int { return cmp.Compare(a.Box, b.Box) })
+	slices.SortStableFunc(books, func(a, b *FolderContents) int { return cmp.Compare(a.Box, b.Box) })
 	for _, b := range books {
 		i, ok := at[b.Box]
 		if !ok {
@@ -122,7 +122,7 @@
 					continue
 				}
 			}
-			x.runs[i] = append(runs, Run{Box: x.boxes[i], Version: *e.Build, From: e.Index, FromAt: e.At, first: k, last: k})
+			x.runs[i] = append(runs, VersionRun{Box: x.boxes[i], Version: *e.Build, From: e.Index, FromAt: e.At, first: k, last: k})
 			x.byN[e.Build.Fleet] = append(x.byN[e.Build.Fleet], boxRef{i, len(runs)})
 		case Effect:
 			a := indexedEffect{entry: k, done: -1, run: len(runs) - 1}
@@ -132,7 +132,7 @@
 			if len(runs) > 0 {
 				runs[len(runs)-1].Effects++
 			}
-		case Done:
+		case EffectDone:
 			if a, ok := open[e.Ref]; ok {
 				x.effects[i][a].done = k
 				delete(open, e.Ref)
@@ -161,7 +161,7 @@
 
 // AtIndex returns the version that each box ran when the ledger reached index. An answer is sure if a mark shows that
 // the box had changed to the version before: what the box did next, it did after a later index that it knew.
-func (x *Index) AtIndex(index uint64) (list []Who) {
+func (x *Index) AtIndex(index uint64) (list []VersionAt) {
 	for i, box := range x.boxes {
 		runs := x.runs[i]
 		k := sort.Search(len(runs), func(k int) bool { return runs[k].From > index }) - 1
@@ -169,7 +169,7 @@
 			continue
 		}
 		e := x.entries[i][runs[k].first]
-		list = append(list, Who{Box: box, Version: runs[k].Version, Sure: slices.ContainsFunc(x.marks[box], func(m Mark) bool {
+		list = append(list, VersionAt{Box: box, Version: runs[k].Version, Sure: slices.ContainsFunc(x.marks[box], func(m ChainHead) bool {
 			return m.Chain == e.Chain && m.N >= e.N && m.Index > 0 && m.Index <= index
 		})})
 	}
@@ -177,7 +177,7 @@
 }
 
 // AtTime returns the version that each box ran at time t, if its wall clock was off by at most clockError.
-func (x *Index) AtTime(t, clockError time.Duration) (list []Who) {
+func (x *Index) AtTime(t, clockError time.Duration) (list []VersionAt) {
 	for i, box := range x.boxes {
 		runs := x.runs[i]
 		// A clock may have been set back in between, so all runs are checked.
@@ -193,21 +193,21 @@
 		if k < 0 && sure {
 			continue
 		}
-		w := Who{Box: box, Sure: sure}
+		w := VersionAt{Box: box, Sure: sure}
 		if k >= 0 {
 			w.Version = runs[k].Version
 		}
 		if last := x.entries[i][runs[max(k, 0)].last]; last.Kind == End && last.At+clockError < t {
-			w.Gone = true
+			w.Stopped = true
 		}
 		list = append(list, w)
 	}
 	return list
 }
 
-// Version returns the runs on number n of the fleet configuration. notFrom is the ledger index from which on the number
+// RunsOfConfig returns the runs on number n of the fleet configuration. notFrom is the ledger index from which on the number
 // was no longer allowed, 0 if it still is: effects by boxes that knew this index are counted as late.
-func (x *Index) Version(n, notFrom uint64) (list []Run) {
+func (x *Index) RunsOfConfig(n, notFrom uint64) (list []VersionRun) {
 	for _, r := range x.byN[n] {
 		run := x.runs[r.box][r.at]
 		if notFrom > 0 {
@@ -221,7 +221,7 @@
 		}
 		list = append(list, run)
 	}
-	slices.SortFunc(list, func(a, b Run) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Box, b.Box)) })
+	slices.SortFunc(list, func(a, b VersionRun) int { return cmp.Or(cmp.Compare(a.From, b.From), cmp.Compare(a.Box, b.Box)) })
 	return list
 }
 
@@ -249,11 +249,11 @@
 
 // Effects returns the effects of a task, ordered by token and under one token by the box's own order. Effects of two
 // boxes under one token are tied: their order is unknown.
-func (x *Index) Effects(task string) (list []Act) {
+func (x *Index) Effects(task string) (list []EffectRecord) {
 	for _, r := range x.byTask[task] {
 		a := x.effects[r.box][r.at]
 		e := x.entries[r.box][a.entry]
-		o := Act{Box: e.Box, Task: e.Task, Token: e.Token, Under: e.Under, Index: e.Index, At: e.At, Outcome: x.outcome(r.box, a), Text: e.Text}
+		o := EffectRecord{Box: e.Box, Task: e.Task, Token: e.Token, Under: e.Under, Index: e.Index, At: e.At, Outcome: x.outcome(r.box, a), Text: e.Text}
 		if a.done >= 0 && x.entries[r.box][a.done].Text != "" {
 			o.Text = x.entries[r.box][a.done].Text
 		}
@@ -262,33 +262,33 @@
 		}
 		list = append(list, o)
 	}
-	slices.SortStableFunc(list, func(a, b Act) int { return cmp.Compare(a.Token, b.Token) })
+	slices.SortStableFunc(list, func(a, b EffectRecord) int { return cmp.Compare(a.Token, b.Token) })
 	for i := 1; i < len(list); i++ {
-		list[i].Tied = list[i].Token == list[i-1].Token && list[i].Box != list[i-1].Box
+		list[i].OrderUnknown = list[i].Token == list[i-1].Token && list[i].Box != list[i-1].Box
 	}
 	return list
 }
 
-// Box returns the entries of a box.
-func (x *Index) Box(name string) []Entry {
+// EntriesOf returns the entries of a box.
+func (x *Index) EntriesOf(name string) []Entry {
 	if i, ok := slices.BinarySearch(x.boxes, name); ok {
 		return x.entries[i]
 	}
 	return nil
 }
 
-// Runs returns the version runs of a box.
-func (x *Index) Runs(name string) []Run {
+// RunsOf returns the version runs of a box.
+func (x *Index) RunsOf(name string) []VersionRun {
 	if i, ok := slices.BinarySearch(x.boxes, name); ok {
 		return x.runs[i]
 	}
 	return nil
 }
 
-// ScanVersion computes Version by a scan over all entries. It serves as a baseline when the index is benchmarked.
-func ScanVersion(books []*Book, n uint64) (list []Run) {
+// ScanRunsOfConfig computes Version by a scan over all entries. It serves as a baseline when the index is benchmarked.
+func ScanRunsOfConfig(books []*FolderContents, n uint64) (list []VersionRun) {
 	for _, b := range books {
-		var now *Run
+		var now *VersionRun
 		for i := range b.Entries {
 			e := &b.Entries[i]
 			switch {
@@ -296,7 +296,7 @@
 				if now != nil && now.Version.Fleet == n {
 					list = append(list, *now)
 				}
-				now = &Run{Box: b.Box, Version: *e.Build, From: e.Index, FromAt: e.At}
+				now = &VersionRun{Box: b.Box, Version: *e.Build, From: e.Index, FromAt: e.At}
 			case e.Kind == Effect && now != nil:
 				now.Effects++
 			}
--- a/internal/state/audit/index_test.go
+++ b/internal/state/audit/index_test.go
@@ -11,8 +11,8 @@
 // bookFromScript builds the book of a box from a script of words: "v7@100" is version 7 at index 100, "e5/7@120" an
 // effect under token 5 and version 7. The words "m", "x" and "f" say that the last effect was made, not made or failed;
 // "end" ends the process.
-func bookFromScript(box, words string) *Book {
-	b := &Book{Box: box}
+func bookFromScript(box, words string) *FolderContents {
+	b := &FolderContents{Box: box}
 	last, index := uint64(0), uint64(0)
 	for i, w := range strings.Fields(words) {
 		e := Entry{N: uint64(i + 1), Box: box, Chain: box + "-chain", At: time.Duration(i) * time.Hour}
@@ -20,11 +20,11 @@
 		var n, k uint64
 		switch {
 		case w == "m":
-			e.Kind, e.Ref, e.OK = Done, last, true
+			e.Kind, e.Ref, e.OK = EffectDone, last, true
 		case w == "x":
-			e.Kind, e.Ref, e.Text = Done, last, "not made: late"
+			e.Kind, e.Ref, e.Text = EffectDone, last, "not made: late"
 		case w == "f":
-			e.Kind, e.Ref, e.Text = Done, last, "refused"
+			e.Kind, e.Ref, e.Text = EffectDone, last, "refused"
 		case w == "end":
 			e.Kind = End
 		case w[0] == 'v':
@@ -41,11 +41,11 @@
 }
 
 func testIndex() *Index {
-	return NewIndex([]*Book{
+	return NewIndex([]*FolderContents{
 		bookFromScript("b", "v1@10 e2/1@15 m v2@30 e4/2@31 f"),
 		bookFromScript("a", "v1@11 e1/1@12 m e3/1@35 m v2@50 e3/2@51 x end"),
 		bookFromScript("c", "v2@29 v2@40 e5/2@41"),
-	}, map[string][]Mark{"a": {{Chain: "a-chain", N: 1, Index: 20}, {Chain: "a-chain", N: 6, Index: 60}}, "b": {{Chain: "b-chain", N: 4, Index: 33}}})
+	}, map[string][]ChainHead{"a": {{Chain: "a-chain", N: 1, Index: 20}, {Chain: "a-chain", N: 6, Index: 60}}, "b": {{Chain: "b-chain", N: 4, Index: 33}}})
 }
 
 func TestIndexAnswersQuestions(t *testing.T) {
@@ -61,7 +61,7 @@
 	for _, hours := range []int{0, 4, 20} {
 		var s []string
 		for _, w := range x.AtTime(time.Duration(hours)*time.Hour+30*time.Minute, time.Minute) {
-			s = append(s, fmt.Sprintf("%s%d %v %v", w.Box, w.Version.Fleet, w.Sure, w.Gone))
+			s = append(s, fmt.Sprintf("%s%d %v %v", w.Box, w.Version.Fleet, w.Sure, w.Stopped))
 		}
 		got[fmt.Sprint("hour ", hours)] = strings.Join(s, ", ")
 	}
@@ -70,17 +70,17 @@
 	}
 	for _, n := range []uint64{1, 2, 3} {
 		var s []string
-		for _, r := range x.Version(n, 30) {
+		for _, r := range x.RunsOfConfig(n, 30) {
 			s = append(s, fmt.Sprintf("%s %d-%d %v %d %d", r.Box, r.From, r.To, r.Until, r.Effects, r.Late))
 		}
 		got[fmt.Sprint("version ", n)] = strings.Join(s, ", ")
 	}
 	var s []string
 	for _, a := range x.Effects("t") {
-		s = append(s, fmt.Sprintf("%d %s%d %s %v", a.Token, a.Box, a.Under, a.Outcome, a.Tied))
+		s = append(s, fmt.Sprintf("%d %s%d %s %v", a.Token, a.Box, a.Under, a.Outcome, a.OrderUnknown))
 	}
 	got["effects"] = strings.Join(s, ", ")
-	got["box"] = fmt.Sprint(len(x.Box("a")), len(x.Box("z")), len(x.Runs("c")), len(x.Runs("z")), x.Entries(), x.Boxes())
+	got["box"] = fmt.Sprint(len(x.EntriesOf("a")), len(x.EntriesOf("z")), len(x.RunsOf("c")), len(x.RunsOf("z")), x.Entries(), x.Boxes())
 	for what, want := range map[string]string{
 		"at 5":          "", // before the first entry of any box
 		"at 15":         "a1 false, b1 false",
@@ -103,7 +103,7 @@
 			t.Errorf("%s:\n got %s\nwant %s", what, got[what], want)
 		}
 	}
-	if list := ScanVersion([]*Book{bookFromScript("b", "v1@10 e2/1@15 m v2@30 e4/2@31 f")}, 2); len(list) != 1 || list[0].Effects != 1 {
+	if list := ScanRunsOfConfig([]*FolderContents{bookFromScript("b", "v1@10 e2/1@15 m v2@30 e4/2@31 f")}, 2); len(list) != 1 || list[0].Effects != 1 {
 		t.Errorf("%+v", list)
 	}
 }
@@ -111,7 +111,7 @@
 // TestPageIsSelfContainedAndEscaped checks that the page loads no other file and that log contents are not interpreted
 // as markup.
 func TestPageIsSelfContainedAndEscaped(t *testing.T) {
-	x := NewIndex([]*Book{bookFromScript("<b>", "v1@10 e2/1@15 m v2@30")}, nil)
+	x := NewIndex([]*FolderContents{bookFromScript("<b>", "v1@10 e2/1@15 m v2@30")}, nil)
 	var out bytes.Buffer
 	if err := x.WritePage(&out, []Fault{{Box: "<script>", What: "cut"}}); err != nil {
 		t.Fatal(err)
