--- a/internal/state/audit/log.go
+++ b/internal/state/audit/log.go
@@ -16,12 +16,12 @@
 
 // Limits are the size limits of a log.
 type Limits struct {
-	Segment int64 // maximum bytes of a segment
-	Folder  int64 // maximum bytes of all segments
+	SegmentBytes int64 // maximum bytes of a segment
+	FolderBytes  int64 // maximum bytes of all segments
 }
 
 // DefaultLimits hold about 200,000 entries.
-var DefaultLimits = Limits{Segment: 1 << 20, Folder: 32 << 20}
+var DefaultLimits = Limits{SegmentBytes: 1 << 20, FolderBytes: 32 << 20}
 
 // File is an open segment file.
 type File interface {
@@ -45,9 +45,9 @@
 	segment uint32
 	n       uint64 // number of the last entry
 	sum     Sum
-	lost    uint64 // entries lost to write errors since the last successful write
-	index   uint64 // greatest ledger index of any entry: a box that replays its ledger must not log a smaller index than before
-	synced  Mark   // head of the entries that are on the disk
+	lost    uint64    // entries lost to write errors since the last successful write
+	index   uint64    // greatest ledger index of any entry: a box that replays its ledger must not log a smaller index than before
+	synced  ChainHead // head of the entries that are on the disk
 	first   struct {
 		path string
 		n    uint64
@@ -137,15 +137,15 @@
 		}
 	}
 	// The next entry begins a new segment, so that each segment is written by one process only.
-	l.size = l.limits.Segment
+	l.size = l.limits.SegmentBytes
 	return found, nil
 }
 
 // Chain returns the ID of the chain.
 func (l *Log) Chain() string { return l.chain }
 
-// Write appends an entry and returns its number, or 0 if it could not be written.
-func (l *Log) Write(e Entry) (n uint64, err error) {
+// Append appends an entry and returns its number, or 0 if it could not be written.
+func (l *Log) Append(e Entry) (n uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e.At = l.wall()
@@ -170,7 +170,7 @@
 // append writes one entry, to a new segment if the current one is full; l.mu is held. After a write error the segment is
 // closed, because it is unknown how much of the entry was written; a reader reports an incomplete entry.
 func (l *Log) append(e *Entry) error {
-	if l.file == nil || l.size >= l.limits.Segment {
+	if l.file == nil || l.size >= l.limits.SegmentBytes {
 		if err := l.rotate(); err != nil {
 			return err
 		}
@@ -196,7 +196,7 @@
 		if err := l.file.Sync(); err != nil {
 			return fmt.Errorf("audit: %w", err)
 		}
-		l.synced = Mark{Chain: l.chain, N: l.n, Sum: l.sum}
+		l.synced = ChainHead{Chain: l.chain, N: l.n, Sum: l.sum}
 		l.file.Close()
 		l.file = nil
 	}
@@ -242,7 +242,7 @@
 		}
 	}
 	for i, name := range names {
-		if sum+l.limits.Segment <= l.limits.Folder {
+		if sum+l.limits.SegmentBytes <= l.limits.FolderBytes {
 			return
 		}
 		if os.Remove(filepath.Join(l.dir, name)) == nil {
@@ -267,7 +267,7 @@
 	}
 	for _, name := range names {
 		path := filepath.Join(l.dir, name)
-		if info, err := os.Stat(path); err == nil && sum+2*l.limits.Segment > l.limits.Folder && sum > info.Size() {
+		if info, err := os.Stat(path); err == nil && sum+2*l.limits.SegmentBytes > l.limits.FolderBytes && sum > info.Size() {
 			sum -= info.Size()
 			continue
 		}
@@ -294,7 +294,7 @@
 }
 
 // Sync flushes all written entries to the disk and returns the mark that may be reported.
-func (l *Log) Sync() (Mark, error) {
+func (l *Log) Sync() (ChainHead, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.file == nil {
@@ -305,7 +305,7 @@
 		l.file = nil
 		return l.synced, fmt.Errorf("audit: %w", err)
 	}
-	l.synced = Mark{Chain: l.chain, N: l.n, Sum: l.sum, First: l.firstRetained()}
+	l.synced = ChainHead{Chain: l.chain, N: l.n, Sum: l.sum, First: l.firstRetained()}
 	return l.synced, nil
 }
 
--- a/internal/state/audit/verify.go
+++ b/internal/state/audit/verify.go
@@ -24,8 +24,8 @@
 	return fmt.Sprintf("%s: after entry %d of %s: %s", f.Box, f.N, at, f.What)
 }
 
-// Book is the content of a log folder.
-type Book struct {
+// FolderContents is the content of a log folder.
+type FolderContents struct {
 	Box     string
 	Entries []Entry // without segment heads, ordered by chain and number
 	Faults  []Fault
@@ -40,12 +40,12 @@
 
 // Read reads a folder and verifies each chain by itself. An unreadable part is reported as a fault, and reading
 // continues after it.
-func Read(dir string) (*Book, error) {
+func Read(dir string) (*FolderContents, error) {
 	names, err := segments(dir)
 	if err != nil {
 		return nil, err
 	}
-	b := &Book{marks: map[string][]chainPoint{}}
+	b := &FolderContents{marks: map[string][]chainPoint{}}
 	type end struct {
 		sum     Sum
 		n       uint64
@@ -122,18 +122,18 @@
 	return err.Error()
 }
 
-func (b *Book) fault(f Fault) {
+func (b *FolderContents) fault(f Fault) {
 	f.Box = b.Box
 	if len(b.Faults) < 1000 {
 		b.Faults = append(b.Faults, f)
 	}
 }
 
-// Against verifies a book against the marks in the ledger. It finds what the chains alone can't show: a truncated end, a
+// VerifyMarks verifies a book against the marks in the ledger. It finds what the chains alone can't show: a truncated end, a
 // chain rewritten from some entry on, a folder restored from an older copy. Marks of entries that the folder limit has
 // removed prove nothing and are counted as old.
-func (b *Book) Against(marks []Mark) (proven, old int) {
-	last := map[string]Mark{}
+func (b *FolderContents) VerifyMarks(marks []ChainHead) (proven, old int) {
+	last := map[string]ChainHead{}
 	for _, m := range marks {
 		last[m.Chain] = m
 	}
--- a/internal/state/configs/configs.go
+++ b/internal/state/configs/configs.go
@@ -160,8 +160,8 @@
 	return digest, nil
 }
 
-// Enter puts a configuration in force. It is in force only once Enter has returned without an error.
-func (s *Store) Enter(f InForce) error {
+// SetInForce puts a configuration in force. It is in force only once Enter has returned without an error.
+func (s *Store) SetInForce(f InForce) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.N != 0 && s.bodies[f.Digest] == nil {
--- a/internal/state/configs/configs_test.go
+++ b/internal/state/configs/configs_test.go
@@ -23,9 +23,9 @@
 // changeTwice stores two bodies and puts one after the other in force. An injected fault is returned as an error.
 func changeTwice(s *Store) error {
 	a, aerr := s.Put([]byte("one"))
-	err := errors.Join(aerr, s.Enter(InForce{N: 1, Digest: a, Fleet: 7, Index: 10}))
+	err := errors.Join(aerr, s.SetInForce(InForce{N: 1, Digest: a, Fleet: 7, Index: 10}))
 	b, berr := s.Put([]byte("two"))
-	return errors.Join(err, berr, s.Enter(InForce{N: 2, Digest: b, Fleet: 7, Index: 20}))
+	return errors.Join(err, berr, s.SetInForce(InForce{N: 2, Digest: b, Fleet: 7, Index: 20}))
 }
 
 // TestKillAtAnyOperationLeavesOldOrNewInForce kills the process at each disk operation, after different numbers of
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	seen := map[uint64]int{}
-	for op := range count.Ops() {
+	for op := range count.OpCount() {
 		for _, bytes := range []int{0, 1, 20} {
 			dir := t.TempDir()
 			fs := faultfs.NewFaulty()
@@ -102,7 +102,7 @@
 	dir := t.TempDir()
 	s, _ := open(t, faultfs.Disk{}, dir)
 	first, _ := s.Put([]byte("first"))
-	if err := s.Enter(InForce{N: 1, Digest: first}); err != nil {
+	if err := s.SetInForce(InForce{N: 1, Digest: first}); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 * maxBodies {
@@ -114,10 +114,10 @@
 	if len(list) > maxBodies+1 || s.Body(first) == nil {
 		t.Errorf("%d files stored, body in force present: %v", len(list), s.Body(first) != nil)
 	}
-	if err := s.Enter(InForce{N: 2, Digest: strings.Repeat("0", 64)}); err == nil || s.InForce().N != 1 {
+	if err := s.SetInForce(InForce{N: 2, Digest: strings.Repeat("0", 64)}); err == nil || s.InForce().N != 1 {
 		t.Errorf("put in force without a body: %v", err)
 	}
-	if err := s.Enter(InForce{}); err != nil || s.InForce().N != 0 {
+	if err := s.SetInForce(InForce{}); err != nil || s.InForce().N != 0 {
 		t.Errorf("put nothing in force: %v", err)
 	}
 }
@@ -133,15 +133,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fs.Room(0)
-	if err := s.Enter(InForce{N: 3, Digest: d}); err == nil || s.InForce().N != 2 {
+	fs.LimitSpace(0)
+	if err := s.SetInForce(InForce{N: 3, Digest: d}); err == nil || s.InForce().N != 2 {
 		t.Errorf("%v, %+v", err, s.InForce())
 	}
 	if _, err := s.Put([]byte("four")); err == nil {
 		t.Error("Put succeeded on a full disk")
 	}
-	fs.Room(-1)
-	if err := s.Enter(InForce{N: 3, Digest: d}); err != nil || s.InForce().N != 3 {
+	fs.LimitSpace(-1)
+	if err := s.SetInForce(InForce{N: 3, Digest: d}); err != nil || s.InForce().N != 3 {
 		t.Errorf("%v, %+v", err, s.InForce())
 	}
 }
--- a/internal/state/keystore/keystore.go
+++ b/internal/state/keystore/keystore.go
@@ -47,7 +47,7 @@
 
 // Stages of an order.
 const (
-	Keyed      Stage = iota // the key exists; the order must be created next
+	KeyCreated Stage = iota // the key exists; the order must be created next
 	Ordered                 // the URL of the order at the authority is known
 	Finalizing              // the certificate signing request must be sent next
 	Ended                   // no order is pending
@@ -55,20 +55,20 @@
 
 // Order is the state of a pending order.
 type Order struct {
-	Stage     Stage     `cbor:"1,keyasint"`
-	Authority string    `cbor:"2,keyasint"`
-	Key       []byte    `cbor:"3,keyasint"` // key of the new certificate, PKCS #8
-	URL       string    `cbor:"4,keyasint"`
-	Replaces  string    `cbor:"5,keyasint"`
-	Begun     time.Time `cbor:"6,keyasint"`
-	History   []Attempt `cbor:"7,keyasint"` // orders of the last week, for the limits on orders
-	Names     []string  `cbor:"8,keyasint"`
-	Events    []Event   `cbor:"9,keyasint"` // the latest events, for operators
-	Answers   []Answer  `cbor:"10,keyasint,omitempty"`
+	Stage     Stage               `cbor:"1,keyasint"`
+	Authority string              `cbor:"2,keyasint"`
+	Key       []byte              `cbor:"3,keyasint"` // key of the new certificate, PKCS #8
+	URL       string              `cbor:"4,keyasint"`
+	Replaces  string              `cbor:"5,keyasint"`
+	Begun     time.Time           `cbor:"6,keyasint"`
+	History   []Attempt           `cbor:"7,keyasint"` // orders of the last week, for the limits on orders
+	Names     []string            `cbor:"8,keyasint"`
+	Events    []Event             `cbor:"9,keyasint"` // the latest events, for operators
+	Answers   []ChallengeResponse `cbor:"10,keyasint,omitempty"`
 }
 
-// Answer is the response to a challenge. The authority may validate the challenge at any time until the order has ended.
-type Answer struct {
+// ChallengeResponse is the response to a challenge. The authority may validate the challenge at any time until the order has ended.
+type ChallengeResponse struct {
 	Type  string `cbor:"1,keyasint"`
 	Name  string `cbor:"2,keyasint"`
 	Token string `cbor:"3,keyasint"`
@@ -111,11 +111,11 @@
 
 // Errors that callers distinguish.
 var (
-	ErrNone   = errors.New("keystore: no valid file stored under this name")
-	ErrLoose  = errors.New("keystore: file or folder is accessible to group or others")
-	ErrLocked = errors.New("keystore: store is locked by another process")
-	ErrNewer  = errors.New("keystore: file has a newer format version")
-	ErrTorn   = errors.New("keystore: file is truncated or corrupt")
+	ErrNotFound    = errors.New("keystore: no valid file stored under this name")
+	ErrNotPrivate  = errors.New("keystore: file or folder is accessible to group or others")
+	ErrLocked      = errors.New("keystore: store is locked by another process")
+	ErrNewerFormat = errors.New("keystore: file has a newer format version")
+	ErrCorrupt     = errors.New("keystore: file is truncated or corrupt")
 )
 
 // Store is an open store. Only one process at a time may write to it, see Lock; any number may read.
@@ -151,7 +151,7 @@
 		return fmt.Errorf("keystore: %w", err)
 	}
 	if excess := i.Mode().Perm() &^ mode; excess != 0 {
-		return fmt.Errorf("%w: %s has mode %04o; fix with: chmod %04o %s", ErrLoose, path, i.Mode().Perm(), mode, path)
+		return fmt.Errorf("%w: %s has mode %04o; fix with: chmod %04o %s", ErrNotPrivate, path, i.Mode().Perm(), mode, path)
 	}
 	return nil
 }
@@ -312,12 +312,12 @@
 		if err == nil {
 			return number, nil
 		}
-		if errors.Is(err, ErrNewer) {
+		if errors.Is(err, ErrNewerFormat) {
 			return 0, fmt.Errorf("%s: %w", path, err)
 		}
 		corrupt = errors.Join(corrupt, fmt.Errorf("%s: %w", path, err))
 	}
-	return 0, errors.Join(ErrNone, corrupt)
+	return 0, errors.Join(ErrNotFound, corrupt)
 }
 
 // encode encodes a value with its file header.
@@ -338,23 +338,23 @@
 // decode verifies a file and decodes it into v.
 func decode(kind uint16, data []byte, v any) error {
 	if len(data) < headerSize || string(data[:4]) != magic {
-		return fmt.Errorf("%w: header is missing or has no magic number", ErrTorn)
+		return fmt.Errorf("%w: header is missing or has no magic number", ErrCorrupt)
 	}
 	if got := binary.BigEndian.Uint16(data[4:]); got > formatVersion {
-		return fmt.Errorf("%w: format %d, this program reads up to %d", ErrNewer, got, formatVersion)
+		return fmt.Errorf("%w: format %d, this program reads up to %d", ErrNewerFormat, got, formatVersion)
 	}
 	if got := binary.BigEndian.Uint16(data[6:]); got != kind {
-		return fmt.Errorf("%w: kind is %d, want %d", ErrTorn, got, kind)
+		return fmt.Errorf("%w: kind is %d, want %d", ErrCorrupt, got, kind)
 	}
 	body := data[headerSize:]
 	if n := binary.BigEndian.Uint64(data[8:]); n != uint64(len(body)) || n > maxBodyBytes {
-		return fmt.Errorf("%w: body has %d bytes, header says %d", ErrTorn, len(body), n)
+		return fmt.Errorf("%w: body has %d bytes, header says %d", ErrCorrupt, len(body), n)
 	}
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(data[16:]) {
-		return fmt.Errorf("%w: checksum mismatch", ErrTorn)
+		return fmt.Errorf("%w: checksum mismatch", ErrCorrupt)
 	}
 	if err := cbor.Unmarshal(body, v); err != nil {
-		return fmt.Errorf("%w: %w", ErrTorn, err)
+		return fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return nil
 }
--- a/internal/state/keystore/keystore_test.go
+++ b/internal/state/keystore/keystore_test.go
@@ -12,7 +12,7 @@
 	"cairnlane/internal/testkit"
 )
 
-var testTime = time.Unix(0, int64(testkit.Start)).UTC()
+var testTime = time.Unix(0, int64(testkit.StartTime)).UTC()
 
 func open(t *testing.T, files faultfs.FS, root string) *Store {
 	t.Helper()
@@ -93,13 +93,13 @@
 			t.Fatal(err)
 		}
 	}
-	ops := count.Ops()
+	ops := count.OpCount()
 	for at := range ops {
 		for _, torn := range []int{-1, 0, 1, 20, 40, 1 << 20} { // -1: full disk; otherwise bytes written before the kill
 			root := filepath.Join(t.TempDir(), "store")
 			files, stored := faultfs.NewFaulty(), 0
 			if torn < 0 {
-				files.FullAt(at)
+				files.NoSpaceAt(at)
 			} else {
 				files.KillAt(at, torn)
 			}
@@ -115,7 +115,7 @@
 			}
 			again := open(t, faultfs.Disk{}, root)
 			g, _, err := again.Generation("site")
-			if stored == 0 && errors.Is(err, ErrNone) {
+			if stored == 0 && errors.Is(err, ErrNotFound) {
 				continue
 			}
 			var got int
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	for room := range 40 {
-		files.Room(room)
+		files.LimitSpace(room)
 		if err := s.PutGeneration("site", generation(2)); err == nil {
 			t.Fatalf("put succeeded with %d bytes free", room)
 		}
@@ -153,7 +153,7 @@
 			t.Fatalf("with %d bytes free: generation %d, %v", room, n, err)
 		}
 	}
-	files.Room(-1)
+	files.LimitSpace(-1)
 	if err := s.PutGeneration("site", generation(2)); err != nil {
 		t.Fatal(err)
 	}
@@ -171,12 +171,12 @@
 	}
 	path := filepath.Join(root, "certs", "site", "gen-00000001")
 	os.Chmod(path, 0o640)
-	if _, _, err := s.Generation("site"); !errors.Is(err, ErrLoose) {
+	if _, _, err := s.Generation("site"); !errors.Is(err, ErrNotPrivate) {
 		t.Errorf("key file readable by the group: %v", err)
 	}
 	os.Chmod(path, 0o600)
 	os.Chmod(root, 0o755)
-	if _, err := Open(faultfs.Disk{}, root); !errors.Is(err, ErrLoose) {
+	if _, err := Open(faultfs.Disk{}, root); !errors.Is(err, ErrNotPrivate) {
 		t.Errorf("store accessible to all: %v", err)
 	}
 }
@@ -191,7 +191,7 @@
 	data, _ := os.ReadFile(path)
 	data[5] = formatVersion + 1
 	os.WriteFile(path, data, 0o600)
-	if _, _, err := s.Generation("site"); !errors.Is(err, ErrNewer) {
+	if _, _, err := s.Generation("site"); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("newest file has a later format: %v", err)
 	}
 }
@@ -224,7 +224,7 @@
 			t.Errorf("%q is accepted", name)
 		}
 	}
-	if _, _, err := s.Generation("site"); !errors.Is(err, ErrNone) {
+	if _, _, err := s.Generation("site"); !errors.Is(err, ErrNotFound) {
 		t.Errorf("empty store: %v", err)
 	}
 }
@@ -252,7 +252,7 @@
 	f.Add(whole)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var g Generation
-		if err := decode(1, data, &g); err != nil && !errors.Is(err, ErrTorn) && !errors.Is(err, ErrNewer) {
+		if err := decode(1, data, &g); err != nil && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrNewerFormat) {
 			t.Errorf("unexpected error: %v", err)
 		}
 	})
--- a/internal/state/records/reader.go
+++ b/internal/state/records/reader.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// Damage is a range of bytes of a segment that cannot be read.
-type Damage struct {
+// DamagedRange is a range of bytes of a segment that cannot be read.
+type DamagedRange struct {
 	Offset int
 	Bytes  int
 	AtEnd  bool // the damage reaches the end: the segment was truncated, or the process ended within a frame
@@ -19,9 +19,9 @@
 // Segment is the readable content of one segment.
 type Segment struct {
 	Head    Head
-	Whole   bool // the head was read
+	HasHead bool // the head was read
 	Records []Record
-	Damages []Damage
+	Damaged []DamagedRange
 }
 
 // Read decodes the bytes of a segment. It never fails: unreadable parts are listed in Damages, and all other records are
@@ -32,8 +32,8 @@
 		if err == nil {
 			at += size
 			if r.Kind == KindHead {
-				if !s.Whole {
-					s.Head, s.Whole = *r.Head, true
+				if !s.HasHead {
+					s.Head, s.HasHead = *r.Head, true
 				}
 				continue
 			}
@@ -41,7 +41,7 @@
 			continue
 		}
 		to := nextFrame(data, at+1)
-		s.Damages = append(s.Damages, Damage{Offset: at, Bytes: to - at, AtEnd: to == len(data)})
+		s.Damaged = append(s.Damaged, DamagedRange{Offset: at, Bytes: to - at, AtEnd: to == len(data)})
 		at = to
 	}
 	return s
@@ -62,28 +62,28 @@
 	return len(data)
 }
 
-// Missing is a range of absent record numbers.
-type Missing struct {
-	From, To uint64 // inclusive
-	Dropped  bool   // a Lost record of the box says that it dropped them
-	Tail     bool   // the records end here without an End record; From is the first absent number, To is 0
+// MissingRange is a range of absent record numbers.
+type MissingRange struct {
+	From, To    uint64 // inclusive
+	Dropped     bool   // a Lost record of the box says that it dropped them
+	TailUnknown bool   // the records end here without an End record; From is the first absent number, To is 0
 }
 
 // Incarnation holds the available records of one process start of a box.
 type Incarnation struct {
 	Box, Name, Build string
 	Records          []Record // sorted by number
-	Missing          []Missing
+	Missing          []MissingRange
 	Damages          int
 }
 
-// Gather merges the segments of one box. For each incarnation it returns the records sorted by number, without
+// MergeSegments merges the segments of one box. For each incarnation it returns the records sorted by number, without
 // duplicates, and the absent numbers.
-func Gather(segments []Segment) []Incarnation {
+func MergeSegments(segments []Segment) []Incarnation {
 	byName := map[string]*Incarnation{}
 	var order []string
 	for _, s := range segments {
-		if !s.Whole {
+		if !s.HasHead {
 			continue
 		}
 		in := byName[s.Head.Incarnation]
@@ -93,7 +93,7 @@
 			order = append(order, s.Head.Incarnation)
 		}
 		in.Records = append(in.Records, s.Records...)
-		in.Damages += len(s.Damages)
+		in.Damages += len(s.Damaged)
 	}
 	list := make([]Incarnation, 0, len(order))
 	for _, name := range order {
@@ -121,16 +121,16 @@
 }
 
 // missing returns the absent numbers of sorted records.
-func missing(records []Record) (list []Missing) {
+func missing(records []Record) (list []MissingRange) {
 	next := uint64(1)
 	for _, r := range records {
 		if r.N > next {
-			list = append(list, Missing{From: next, To: r.N - 1, Dropped: r.Kind == KindLost && r.Lost >= r.N-next})
+			list = append(list, MissingRange{From: next, To: r.N - 1, Dropped: r.Kind == KindLost && r.Lost >= r.N-next})
 		}
 		next = r.N + 1
 	}
 	if n := len(records); n == 0 || records[n-1].Kind != KindEnd {
-		list = append(list, Missing{From: next, Tail: true})
+		list = append(list, MissingRange{From: next, TailUnknown: true})
 	}
 	return list
 }
@@ -151,5 +151,5 @@
 		}
 		segments = append(segments, Read(data))
 	}
-	return Gather(segments), readErrs
+	return MergeSegments(segments), readErrs
 }
--- a/internal/state/records/recorder.go
+++ b/internal/state/records/recorder.go
@@ -12,14 +12,14 @@
 
 // Limits are the size and time limits of a Recorder.
 type Limits struct {
-	Buffer  int           // maximum bytes that wait to be written
-	Segment int           // maximum bytes of a segment
-	Folder  int           // maximum bytes of all segments in the folder
-	Flush   time.Duration // interval between writes
+	BufferBytes   int           // maximum bytes that wait to be written
+	SegmentBytes  int           // maximum bytes of a segment
+	FolderBytes   int           // maximum bytes of all segments in the folder
+	FlushInterval time.Duration // interval between writes
 }
 
 // DefaultLimits hold several hours of records of a busy box.
-var DefaultLimits = Limits{Buffer: 256 << 10, Segment: 1 << 20, Folder: 64 << 20, Flush: 250 * time.Millisecond}
+var DefaultLimits = Limits{BufferBytes: 256 << 10, SegmentBytes: 1 << 20, FolderBytes: 64 << 20, FlushInterval: 250 * time.Millisecond}
 
 // Appender is an append-only file.
 type Appender interface {
@@ -95,7 +95,7 @@
 	if head.Box == "" || head.Incarnation == "" || strings.ContainsAny(head.Incarnation, "/\\-\x00") {
 		return nil, fmt.Errorf("records: invalid box %q or incarnation %q: both must not be empty, and the incarnation must not contain slashes, backslashes, dashes or NUL", head.Box, head.Incarnation)
 	}
-	if limits.Buffer < 1<<12 || limits.Segment < 1<<12 || limits.Folder < 2*limits.Segment {
+	if limits.BufferBytes < 1<<12 || limits.SegmentBytes < 1<<12 || limits.FolderBytes < 2*limits.SegmentBytes {
 		return nil, fmt.Errorf("records: invalid limits %+v: buffer and segment must be at least 4 KiB, the folder at least two segments", limits)
 	}
 	return &Recorder{files: files, dir: dir, head: head, limits: limits, now: now, next: 1}, nil
@@ -126,11 +126,11 @@
 // put appends a record to the buffer and reports whether there was room.
 func (r *Recorder) put(rec *Record) bool {
 	before := len(r.buffer)
-	if before >= r.limits.Buffer {
+	if before >= r.limits.BufferBytes {
 		return false
 	}
 	buffer, err := appendFrame(r.buffer, rec)
-	if err != nil || len(buffer) > r.limits.Buffer {
+	if err != nil || len(buffer) > r.limits.BufferBytes {
 		r.buffer = r.buffer[:before]
 		return false
 	}
@@ -152,7 +152,7 @@
 	if len(batch) == 0 {
 		return nil
 	}
-	if r.out == nil || r.size+len(batch) > r.limits.Segment {
+	if r.out == nil || r.size+len(batch) > r.limits.SegmentBytes {
 		if err := r.rotate(batch, first); err != nil {
 			return r.countLost(batch, err)
 		}
@@ -230,12 +230,12 @@
 		}
 		return strings.Compare(a.Name, b.Name)
 	})
-	sum := int64(r.limits.Segment)
+	sum := int64(r.limits.SegmentBytes)
 	for _, f := range list {
 		sum += f.Size
 	}
 	for _, f := range list {
-		if sum <= int64(r.limits.Folder) {
+		if sum <= int64(r.limits.FolderBytes) {
 			break
 		}
 		if err := r.files.Remove(filepath.Join(r.dir, f.Name)); err != nil {
--- a/internal/state/records/records.go
+++ b/internal/state/records/records.go
@@ -30,18 +30,18 @@
 
 // Kinds of records.
 const (
-	KindHead    Kind = iota + 1 // first record of a segment
-	KindStart                   // the process accepts requests
-	KindWarm                    // the cores have warmed up
-	KindLink                    // the connection to the engine was established or lost
-	KindReload                  // a new configuration was accepted or rejected
-	KindDrain                   // the drain notice was received
-	KindEnd                     // all requests were answered, the process ends
-	KindGauge                   // current state, four times a second
-	KindTally                   // counts of a second
-	KindSwap                    // a certificate was replaced
-	KindLost                    // records were dropped
-	KindCatalog                 // the catalog became available or unavailable
+	KindHead        Kind = iota + 1 // first record of a segment
+	KindStart                       // the process accepts requests
+	KindWarm                        // the cores have warmed up
+	KindLink                        // the connection to the engine was established or lost
+	KindReload                      // a new configuration was accepted or rejected
+	KindDrain                       // the drain notice was received
+	KindEnd                         // all requests were answered, the process ends
+	KindGauge                       // current state, four times a second
+	KindTally                       // counts of a second
+	KindCertificate                 // a certificate was replaced
+	KindLost                        // records were dropped
+	KindCatalog                     // the catalog became available or unavailable
 	kinds
 )
 
--- a/internal/state/records/records_test.go
+++ b/internal/state/records/records_test.go
@@ -14,7 +14,7 @@
 	"cairnlane/internal/testkit"
 )
 
-var smallLimits = Limits{Buffer: 1 << 14, Segment: 1 << 12, Folder: 1 << 14, Flush: time.Second}
+var smallLimits = Limits{BufferBytes: 1 << 14, SegmentBytes: 1 << 12, FolderBytes: 1 << 14, FlushInterval: time.Second}
 
 // limitedDisk is a Disk with limited free space.
 type limitedDisk struct {
@@ -72,7 +72,7 @@
 func TestRecordsAreReadInOrder(t *testing.T) {
 	dir := t.TempDir()
 	for life := range 3 {
-		r, clock := newRecorder(t, Disk{}, dir, fmt.Sprintf("i%d", life), Limits{Buffer: 1 << 14, Segment: 1 << 12, Folder: 1 << 20})
+		r, clock := newRecorder(t, Disk{}, dir, fmt.Sprintf("i%d", life), Limits{BufferBytes: 1 << 14, SegmentBytes: 1 << 12, FolderBytes: 1 << 20})
 		clock.Advance(time.Duration(life) * time.Hour)
 		r.Add(Record{Kind: KindStart, Cold: true})
 		for range 200 {
@@ -138,19 +138,19 @@
 		}
 		s := Read(whole[:n])
 		atEdge := n == 0 || frames > 0 && ends[frames-1] == n
-		if len(s.Records) != max(frames-1, 0) || (len(s.Damages) == 0) != atEdge || len(s.Damages) == 1 && !s.Damages[0].AtEnd {
-			t.Fatalf("cut after %d bytes: %d records, %d frames, damages %+v", n, len(s.Records), frames, s.Damages)
+		if len(s.Records) != max(frames-1, 0) || (len(s.Damaged) == 0) != atEdge || len(s.Damaged) == 1 && !s.Damaged[0].AtEnd {
+			t.Fatalf("cut after %d bytes: %d records, %d frames, damages %+v", n, len(s.Records), frames, s.Damaged)
 		}
 		if frames > 0 {
-			if in := Gather([]Segment{s}); len(in) != 1 || len(in[0].Missing) != 1 || !in[0].Missing[0].Tail || in[0].Missing[0].From != uint64(frames) {
+			if in := MergeSegments([]Segment{s}); len(in) != 1 || len(in[0].Missing) != 1 || !in[0].Missing[0].TailUnknown || in[0].Missing[0].From != uint64(frames) {
 				t.Fatalf("cut after %d bytes: missing %+v", n, in)
 			}
 		}
 		flipped := append([]byte(nil), whole...)
 		flipped[n] ^= 0x10
 		s = Read(flipped)
-		if len(s.Records)+map[bool]int{true: 1}[s.Whole] != len(ends)-1 || len(s.Damages) != 1 {
-			t.Fatalf("byte %d flipped: %d records of %d, whole head %v, damages %+v", n, len(s.Records), len(ends)-1, s.Whole, s.Damages)
+		if len(s.Records)+map[bool]int{true: 1}[s.HasHead] != len(ends)-1 || len(s.Damaged) != 1 {
+			t.Fatalf("byte %d flipped: %d records of %d, whole head %v, damages %+v", n, len(s.Records), len(ends)-1, s.HasHead, s.Damaged)
 		}
 	}
 }
@@ -203,7 +203,7 @@
 
 // TestMemoryAndDiskAreBounded plays random additions and flushes on a disk that is full at times.
 func TestMemoryAndDiskAreBounded(t *testing.T) {
-	testkit.Steps(t, func(rt *rapid.T) map[string]func(*rapid.T) {
+	testkit.RunStateMachine(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "box")
 		if err != nil {
 			rt.Fatalf("%v", err)
@@ -221,7 +221,7 @@
 			"full":  func(*rapid.T) { d.free = 0 },
 			"room":  func(*rapid.T) { d.free = -1 },
 			"": func(rt *rapid.T) {
-				if len(r.buffer) > smallLimits.Buffer {
+				if len(r.buffer) > smallLimits.BufferBytes {
 					rt.Fatalf("%d bytes are buffered", len(r.buffer))
 				}
 				files, err := d.List(dir)
@@ -229,7 +229,7 @@
 				for _, f := range files {
 					sum += f.Size
 				}
-				if err != nil || sum > int64(smallLimits.Folder+smallLimits.Buffer) {
+				if err != nil || sum > int64(smallLimits.FolderBytes+smallLimits.BufferBytes) {
 					rt.Fatalf("%d bytes in the folder, %v", sum, err)
 				}
 				for _, in := range read(rt, dir) {
@@ -265,13 +265,13 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := Read(data)
 		sum := 0
-		for _, d := range s.Damages {
+		for _, d := range s.Damaged {
 			sum += d.Bytes
 		}
 		if sum > len(data) {
 			t.Errorf("%d bytes of damage in %d", sum, len(data))
 		}
-		Gather([]Segment{s, s})
+		MergeSegments([]Segment{s, s})
 	})
 }
 
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// Start is the initial time of a Clock, as a duration since the Unix epoch.
-const Start = 1_764_576_000 * time.Second
+// StartTime is the initial time of a Clock, as a duration since the Unix epoch.
+const StartTime = 1_764_576_000 * time.Second
 
 // Clock is a fake clock that only Advance moves. Timers run inside Advance, in the order of their due times.
 type Clock struct {
@@ -29,7 +29,7 @@
 }
 
 // NewClock returns a clock whose time is Start.
-func NewClock() *Clock { return &Clock{now: Start} }
+func NewClock() *Clock { return &Clock{now: StartTime} }
 
 // Now returns the clock's time as a duration since the Unix epoch.
 func (c *Clock) Now() time.Duration {
@@ -38,8 +38,8 @@
 	return c.now
 }
 
-// Unix returns the clock's time as a time.Time.
-func (c *Clock) Unix() time.Time { return time.Unix(0, int64(c.Now())) }
+// Time returns the clock's time as a time.Time.
+func (c *Clock) Time() time.Time { return time.Unix(0, int64(c.Now())) }
 
 // AfterFunc schedules f for d from now. It is called by the Advance that reaches that time.
 func (c *Clock) AfterFunc(d time.Duration, f func()) {
@@ -65,16 +65,16 @@
 	c.mu.Unlock()
 }
 
-// Steps runs a state-machine test: about 30 random actions on each of 100 machines, with the same seed on every run. newMachine
+// RunStateMachine runs a state-machine test: about 30 random actions on each of 100 machines, with the same seed on every run. newMachine
 // creates a machine and returns its actions by name, as rapid's Repeat takes them; the action named "" checks the invariants and
 // runs at the start and after each other action.
-func Steps(t *testing.T, newMachine func(t *rapid.T) map[string]func(*rapid.T)) {
+func RunStateMachine(t *testing.T, newMachine func(t *rapid.T) map[string]func(*rapid.T)) {
 	t.Helper()
 	runMachines(t, newMachine, 100, 30)
 }
 
-// LongSteps is like Steps with the given number of machines and about the given number of actions on each.
-func LongSteps(t *testing.T, machines, steps int, newMachine func(t *rapid.T) map[string]func(*rapid.T)) {
+// RunStateMachines is like Steps with the given number of machines and about the given number of actions on each.
+func RunStateMachines(t *testing.T, machines, steps int, newMachine func(t *rapid.T) map[string]func(*rapid.T)) {
 	t.Helper()
 	runMachines(t, newMachine, machines, steps)
 }
@@ -85,9 +85,9 @@
 	rapid.Check(t, func(rt *rapid.T) { rt.Repeat(newMachine(rt)) })
 }
 
-// Check checks a property with the given number of random inputs. They are drawn with a fixed seed, so that the result is the same
+// CheckProperty checks a property with the given number of random inputs. They are drawn with a fixed seed, so that the result is the same
 // on every run.
-func Check(t *testing.T, checks int, property func(*rapid.T)) {
+func CheckProperty(t *testing.T, checks int, property func(*rapid.T)) {
 	t.Helper()
 	setRapidFlags(t, checks, 30)
 	rapid.Check(t, property)
