--- a/cmd/simhost/tenants_test.go
+++ b/cmd/simhost/tenants_test.go
@@ -7,7 +7,8 @@
 	"cairnlane/internal/wire"
 )
 
-// A request's tenant is 1 + the index of its team in the settings, and 0 for an unknown one.
+// TestTenantOfRequestIsResolvedByName checks that a request's tenant is 1 + the index of its team in the
+// settings, and 0 for an unknown one.
 func TestTenantOfRequestIsResolvedByName(t *testing.T) {
 	var e wire.Event
 	if err := json.Unmarshal([]byte(`{"m":"inbound","who":"server/0","ticket":7,"class":"a","team":"small"}`), &e); err != nil {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -30,23 +30,23 @@
 	RecordResult(ok bool)
 }
 
-// pollInterval is the interval of calls of Pace.Due.
+// pollInterval is the interval of the calls of Scheduler.Due.
 const pollInterval = 50 * time.Millisecond
 
-// Reporter reports a name to the catalog as passing, or as critical after Leave.
+// Reporter reports a name to the catalog as passing, or as critical after Deregister.
 type Reporter struct {
 	name         string
 	addr         atomic.Pointer[string]
 	addrChanged  chan struct{} // signals a change of addr
 	client       http.Client
-	leaving      atomic.Bool
+	deregistered atomic.Bool
 	cancelReport atomic.Pointer[context.CancelFunc] // cancels the report in progress
-	pace         atomic.Pointer[Scheduler]
+	scheduler    atomic.Pointer[Scheduler]
 	sent         *counters.Counter
 	failed       *counters.Counter
 }
 
-// NewReporter returns a reporter of name to the catalog at addr. Keep sends the reports.
+// NewReporter returns a reporter of name to the catalog at addr. Run sends the reports.
 func NewReporter(addr, name string, set *counters.Set) *Reporter {
 	r := &Reporter{
 		name: name, addrChanged: make(chan struct{}, 1),
@@ -75,14 +75,14 @@
 }
 
 // SetScheduler makes p decide when reports are sent, from the next one on.
-func (r *Reporter) SetScheduler(p Scheduler) { r.pace.Store(&p) }
+func (r *Reporter) SetScheduler(p Scheduler) { r.scheduler.Store(&p) }
 
-// wait returns true when a report is due, or false when ctx is done. After Leave it ignores the pace and uses the period, as
-// the last report must be sent.
+// wait returns true when a report is due, or false when ctx is done. After Deregister it ignores the scheduler and uses the
+// period, as the last report must be sent.
 func (r *Reporter) wait(ctx context.Context, tick *time.Ticker) bool {
 	for {
-		p := r.pace.Load()
-		if p == nil || r.leaving.Load() {
+		p := r.scheduler.Load()
+		if p == nil || r.deregistered.Load() {
 			select {
 			case <-tick.C:
 			case <-r.addrChanged:
@@ -105,17 +105,17 @@
 }
 
 // Deregister makes the next report the last one and critical; the entry then expires.
-func (r *Reporter) Deregister() { r.leaving.Store(true) }
+func (r *Reporter) Deregister() { r.deregistered.Store(true) }
 
-// Run reports at once and then every Period, or at the pace's times, until ctx is done or the last report is sent. It
+// Run reports at once and then every Period, or when the scheduler's Due returns true, until ctx is done or the last report is sent. It
 // runs apart from the serving path: a catalog that is down or slow delays only its own reports.
 func (r *Reporter) Run(ctx context.Context) {
 	tick := time.NewTicker(Period)
 	defer tick.Stop()
 	for {
-		last := r.leaving.Load()
+		last := r.deregistered.Load()
 		err := r.report(ctx, last)
-		if p := r.pace.Load(); p != nil {
+		if p := r.scheduler.Load(); p != nil {
 			(*p).RecordResult(err == nil)
 		}
 		if err != nil {
@@ -132,12 +132,12 @@
 	}
 }
 
-func (r *Reporter) report(ctx context.Context, leaving bool) error {
+func (r *Reporter) report(ctx context.Context, last bool) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r.cancelReport.Store(&cancel) // before addr is loaded, so that Move either cancels this report or its new address is used
+	r.cancelReport.Store(&cancel) // before addr is loaded, so that SetAddr either cancels this report or its new address is used
 	status := "passing"
-	if leaving {
+	if last {
 		status = "critical"
 	}
 	target := "http://" + *r.addr.Load() + "/catalog/register/" + url.PathEscape(r.name)
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestMoveReportsToNewCatalogAtOnce checks that Move sends reports to the new address.
-func TestMoveReportsToNewCatalogAtOnce(t *testing.T) {
+// TestSetAddrReportsToNewCatalogAtOnce checks that SetAddr sends reports to the new address.
+func TestSetAddrReportsToNewCatalogAtOnce(t *testing.T) {
 	reports := make(chan string, 8)
 	catalog := func(name string) string {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestMoveCancelsReportToOldCatalog checks that Move does not wait for a report that the old catalog does not answer.
-func TestMoveCancelsReportToOldCatalog(t *testing.T) {
+// TestSetAddrCancelsReportToOldCatalog checks that SetAddr does not wait for a report that the old catalog does not answer.
+func TestSetAddrCancelsReportToOldCatalog(t *testing.T) {
 	received, release := make(chan struct{}, 1), make(chan struct{})
 	old := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		received <- struct{}{}
@@ -88,7 +88,7 @@
 	}))
 	defer next.Close()
 	r := NewReporter(strings.TrimPrefix(old.URL, "http://"), "n3", new(counters.Set))
-	r.client.Timeout = 0 // only Move can cancel the report
+	r.client.Timeout = 0 // only SetAddr can cancel the report
 	go r.Run(t.Context())
 	<-received
 	r.SetAddr(strings.TrimPrefix(next.URL, "http://"))
--- a/internal/catalog/pace_test.go
+++ b/internal/catalog/pace_test.go
@@ -11,29 +11,29 @@
 	"cairnlane/internal/counters"
 )
 
-// fakePace is a Pace that is due as often as the test allows, and records the results.
-type fakePace struct {
+// fakeScheduler is a Scheduler that is due as often as the test allows, and records the results.
+type fakeScheduler struct {
 	mu        sync.Mutex
 	remaining int
 	results   []bool
 }
 
-func (g *fakePace) Due() bool {
+func (g *fakeScheduler) Due() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.remaining--
 	return g.remaining >= 0
 }
 
-func (g *fakePace) RecordResult(ok bool) {
+func (g *fakeScheduler) RecordResult(ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.results = append(g.results, ok)
 }
 
-// TestReportsFollowPaceUntilLeave checks that reports are sent when the pace is due, that it receives each result, and that
-// the last report after Leave is sent even if the pace is not due.
-func TestReportsFollowPaceUntilLeave(t *testing.T) {
+// TestReportsFollowSchedulerUntilDeregister checks that reports are sent when Due returns true, that the scheduler receives each result, and that
+// the last report after Deregister is sent even if Due returns false.
+func TestReportsFollowSchedulerUntilDeregister(t *testing.T) {
 	reports := make(chan string, 16)
 	down := false
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -48,7 +48,7 @@
 	}))
 	defer srv.Close()
 	r := NewReporter(strings.TrimPrefix(srv.URL, "http://"), "n0", new(counters.Set))
-	g := new(fakePace)
+	g := new(fakeScheduler)
 	r.SetScheduler(g)
 	done := make(chan struct{})
 	go func() { r.Run(context.Background()); close(done) }()
--- a/internal/engine/codec.go
+++ b/internal/engine/codec.go
@@ -83,14 +83,14 @@
 	number := func(i int) int64 {
 		v, e := strconv.ParseInt(string(words[i]), 10, 64)
 		if err == nil && (e != nil || v < 0) {
-			err = fmt.Errorf("word %d is no number", i+1)
+			err = fmt.Errorf("word %d is not a number", i+1)
 		}
 		return v
 	}
 	milliseconds := func(i int) time.Duration {
 		v, e := strconv.ParseFloat(string(words[i]), 64)
 		if err == nil && (e != nil || !(v >= 0 && v < 1e12)) {
-			err = fmt.Errorf("word %d is no time", i+1)
+			err = fmt.Errorf("word %d is not a time", i+1)
 		}
 		return time.Duration(v * float64(time.Millisecond))
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// The rejection of a FEED or SKIP must not be taken for that of a RUN: a run that has started would end as one
-// that never ran.
+// TestRejectedCommands checks that the rejection of a FEED or SKIP is not taken for that of a RUN: a run that
+// has started would end as one that never ran.
 func TestRejectedCommands(t *testing.T) {
 	s, rec, _ := newTestSession(&linkMemory{})
 	if err := s.feed([]byte("HELLO starting 0\r\nNO STAT g1\r\nNO RUN 7f\r\nNO FEED 7e\r\nNO SKIP 7d\r\n")); err != nil {
@@ -103,7 +103,8 @@
 	}
 }
 
-// An unknown outcome must not count as success, which is the zero value of policy.Outcome.
+// TestMalformedInputEndsLink checks malformed input, such as an unknown outcome, which must not count as
+// success, the zero value of policy.Outcome.
 func TestMalformedInputEndsLink(t *testing.T) {
 	for _, in := range []string{"DONE 1 a fine 1 0\r\n\r\n", "HELLO x\r\n", "HELLO running 1\r\nDONE 1 a odd 1 0\r\n\r\n",
 		"HELLO running 1\r\nDONE x a fine 1 0\r\n\r\n", "HELLO running 1\r\nDONE 1 a fine 1 99999999\r\n",
@@ -115,9 +116,9 @@
 	}
 }
 
-// When a notice arrives ahead of a missing one, the missing one must not be dropped later as already delivered:
-// its run would never end. The link is re-established so that the engine sends it again; if the engine no longer
-// has it, it is skipped.
+// TestMissingNoticeIsRequestedOnce checks that when a notice arrives ahead of a missing one, the missing one is
+// not dropped later as already delivered: its run would never end. The link is re-established so that the engine
+// sends it again; if the engine no longer has it, it is skipped.
 func TestMissingNoticeIsRequestedOnce(t *testing.T) {
 	mem := &linkMemory{}
 	s, rec, _ := newTestSession(mem)
@@ -144,13 +145,13 @@
 	testkit.RunStateMachine(t, func(*rapid.T) map[string]func(*rapid.T) {
 		mem := &linkMemory{}
 		var notices []string // notices of the engine, in the order of their numbers
-		var told []string
+		var delivered []string
 		var s *session
 		var rec *recorder
 		var wire []byte
 		attach := func(*rapid.T) {
 			if rec != nil {
-				told = append(told, rec.events...)
+				delivered = append(delivered, rec.events...)
 			}
 			s, rec, _ = newTestSession(mem)
 			wire = []byte("HELLO running 5\r\n")
@@ -175,10 +176,10 @@
 				wire = wire[n:]
 			},
 			"": func(rt *rapid.T) {
-				all := slices.Concat(told, rec.events)
-				for i, told := range all {
-					if !strings.HasPrefix(told, fmt.Sprintf("id%d ", i+1)) {
-						rt.Fatalf("event %d is %s", i+1, told)
+				all := slices.Concat(delivered, rec.events)
+				for i, event := range all {
+					if !strings.HasPrefix(event, fmt.Sprintf("id%d ", i+1)) {
+						rt.Fatalf("event %d is %s", i+1, event)
 					}
 				}
 				if int64(len(all)) != mem.lastNotice {
--- a/internal/engine/link.go
+++ b/internal/engine/link.go
@@ -22,7 +22,7 @@
 	maxBackoff         = 100 * time.Millisecond // runs wait for the link, so an engine that starts must be found soon
 	maxOutput          = 4 << 20
 	maxOpenStats       = 2                      // unanswered STATs at a time: a slow engine gets fewer requests
-	retireTimeout      = 100 * time.Millisecond // see Link
+	retireTimeout      = 100 * time.Millisecond // see Link.retireTimeout
 	retirePollInterval = time.Millisecond
 )
 
@@ -97,8 +97,8 @@
 // DefaultBackoff returns the default wait before a reconnection attempt, for a box without a fleet.
 func DefaultBackoff(attempt int) time.Duration { return min(minBackoff<<min(attempt, 10), maxBackoff) }
 
-// KeepOpen opens the link, reopens it whenever it breaks and moves it, until ctx ends. Events are called from the
-// connection's callbacks, and never before Keep is called.
+// KeepOpen opens the link, reopens it whenever it breaks and moves it, until ctx ends. The events are called from the
+// connection's callbacks, and never before KeepOpen is called.
 func (l *Link) KeepOpen(ctx context.Context, events Events) {
 	l.events = events
 	var open *connection
--- a/internal/engine/link_test.go
+++ b/internal/engine/link_test.go
@@ -37,26 +37,26 @@
 type linkHarness struct {
 	*Link
 	*eventChannels
-	t            *testing.T
-	ln           net.Listener
-	clock        *testkit.Clock
-	counters     *counters.Set
-	cancel       context.CancelFunc
-	keepReturned chan struct{} // closed when Keep has returned
+	t                *testing.T
+	ln               net.Listener
+	clock            *testkit.Clock
+	counters         *counters.Set
+	cancel           context.CancelFunc
+	keepOpenReturned chan struct{} // closed when KeepOpen has returned
 }
 
 // newLinkHarness returns a harness whose link is kept open; edit may change the link first.
 func newLinkHarness(t *testing.T, edit func(*Link)) *linkHarness {
 	t.Helper()
 	w := &linkHarness{eventChannels: &eventChannels{make(chan time.Duration, 4), make(chan string, 4)}, t: t, ln: testkit.Listen(t), clock: testkit.NewClock(),
-		counters: new(counters.Set), keepReturned: make(chan struct{})}
+		counters: new(counters.Set), keepOpenReturned: make(chan struct{})}
 	w.Link = NewLink(w.ln.Addr().String(), w.clock.Now, w.counters)
 	edit(w.Link)
 	ctx, cancel := context.WithCancel(t.Context())
 	w.cancel = cancel
 	go func() {
 		w.KeepOpen(ctx, w.eventChannels)
-		close(w.keepReturned)
+		close(w.keepOpenReturned)
 	}()
 	return w
 }
@@ -68,7 +68,7 @@
 // descriptor.
 func (w *linkHarness) stop() {
 	w.cancel()
-	<-w.keepReturned
+	<-w.keepOpenReturned
 }
 
 // accept accepts the next link at a listener, checks its ATTACH, answers HELLO, and reads the STAT.
@@ -119,12 +119,12 @@
 	w.wantDone("cc ")
 	<-w.attached
 	if !w.Run("bb", "x", nil) {
-		t.Error("the new link takes no run")
+		t.Error("the new link does not accept a run")
 	}
 }
 
-// A move flushes and ends the old link, reads the notices it still sends, and continues at the new address after
-// the last notice read.
+// TestMoveNeitherLosesNorDuplicatesRuns checks that a move flushes and ends the old link, reads the notices it
+// still sends, and continues at the new address after the last notice read.
 func TestMoveNeitherLosesNorDuplicatesRuns(t *testing.T) {
 	w := newLinkHarness(t, func(l *Link) { l.retireTimeout = time.Minute }) // the old link closes by itself, however slow the machine is
 	defer w.stop()
@@ -146,11 +146,12 @@
 		t.Errorf("writes before %v are confirmed, want those up to the move", since-testkit.StartTime)
 	}
 	if !w.Run("bb", "x", nil) {
-		t.Error("the new link takes no run")
+		t.Error("the new link does not accept a run")
 	}
 }
 
-// A link that stays open but delivers nothing must be closed, or its runs wait without end.
+// TestSilentLinkIsClosed checks that a link that stays open but delivers nothing is closed. Otherwise its runs
+// would wait without end.
 func TestSilentLinkIsClosed(t *testing.T) {
 	w := newLinkHarness(t, unchanged)
 	defer w.stop()
@@ -183,8 +184,9 @@
 	}
 }
 
-// A re-established link that gets no HELLO must be closed: no STAT is sent on it, so no answer would be missed,
-// and no runs would be sent any more. An engine that has never sent HELLO is given more time.
+// TestHelloTimeoutDoublesWithEachLink checks that a re-established link that gets no HELLO is closed: no STAT is
+// sent on it, so no answer would be missed, and no runs would be sent any more. An engine that has never sent
+// HELLO is given more time.
 func TestHelloTimeoutDoublesWithEachLink(t *testing.T) {
 	w := newLinkHarness(t, unchanged)
 	defer w.stop()
@@ -211,8 +213,9 @@
 	accept(t, w.ln, 1)
 }
 
-// The age of a RUN does not tell whether the engine has read it, because it may have stayed in the output buffer
-// for any time. The answer to a STAT that was written after it confirms it.
+// TestAnsweredStatConfirmsEarlierWrites checks that the answer to a STAT confirms the RUNs written before it.
+// The age of a RUN does not show whether the engine has read it, because it may have stayed in the output buffer
+// for any time.
 func TestAnsweredStatConfirmsEarlierWrites(t *testing.T) {
 	w := newLinkHarness(t, unchanged)
 	defer w.stop()
@@ -225,7 +228,7 @@
 	w.RequestGauges() // the engine does not read this request
 	c.Writef("STATS g2 0 0 0 0\r\nDONE 1 aa fine 3 0\r\n\r\n")
 	w.wantDone("aa ")
-	w.clock.Advance(time.Second) // the engine is heard again long after
+	w.clock.Advance(time.Second) // the engine sends again long after
 	c.Writef("DONE 2 bb fine 3 0\r\n\r\n")
 	w.wantDone("bb ")
 	c.Close()
@@ -244,8 +247,8 @@
 func (l staleConnection) IsActive() bool { return true }
 func (l staleConnection) Fd() int        { return l.fd }
 
-// If a link closes while its write side is being shut down, its descriptor may have been reused; the shutdown must
-// not hit the connection that has it now.
+// TestShutdownSparesReusedDescriptor checks a link that closes while its write side is being shut down: its
+// descriptor may have been reused, and the shutdown must not affect the connection that has it now.
 func TestShutdownSparesReusedDescriptor(t *testing.T) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -262,8 +265,8 @@
 	}
 }
 
-// The link must close when its context ends, not when the process exits: the exit may take time, and the engine
-// would not notice the end until then.
+// TestLinkClosesWhenContextEnds checks that the link closes when its context ends, not when the process exits:
+// the exit may take time, and the engine would not notice the end until then.
 func TestLinkClosesWhenContextEnds(t *testing.T) {
 	w := newLinkHarness(t, unchanged)
 	c := accept(t, w.ln, 0)
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -23,7 +23,7 @@
 	backlogTimeout = 50 * time.Millisecond
 )
 
-// This file closes router connections as conns.Ending decides; netpoll handles connections that the peer closes.
+// This file closes router connections as conns.Closing decides; netpoll handles connections that the peer closes.
 // Observing a connection and deciding is one step under the session's lock, so that no call is accepted in between.
 
 // decide requests a close for a reason, or with conns.None continues one that has begun, and returns the action to apply.
@@ -116,7 +116,7 @@
 }
 
 // makeRoom reports whether one more connection may be held. When the table is full, it closes the least used
-// connection, so that clients with unused connections cannot lock the routers out. When the poller calls it, no
+// connection, so that clients with unused connections cannot keep routers from connecting. When the poller calls it, no
 // fence is needed, as the poller holds no input then.
 func (s *Server) makeRoom(poller bool) bool {
 	for range maxVictims {
@@ -269,7 +269,7 @@
 		return
 	}
 	if !s.fence.wait(fenceTimeout) {
-		return // the poller is busy; the next sweep tries again
+		return // the poller is busy; the next sweep retries
 	}
 	for _, r := range due {
 		s.requestClose(r.c, r.reason)
--- a/internal/front/closing_test.go
+++ b/internal/front/closing_test.go
@@ -252,18 +252,18 @@
 	st.stallPoller(t)
 	router := dial(t, st.Server)
 	router.Write(callMessage("serve", 1, requestFields(), "body"))
-	left := make(chan struct{})
-	go func() { st.Drain(); close(left) }()
-	for { // open the gate only once Leave has begun
+	drained := make(chan struct{})
+	go func() { st.Drain(); close(drained) }()
+	for { // open the gate only once Drain has begun
 		st.mu.Lock()
-		leaving := st.draining
+		draining := st.draining
 		st.mu.Unlock()
-		if leaving {
+		if draining {
 			break
 		}
 	}
 	st.gate.mu.Unlock()
-	<-left
+	<-drained
 	<-st.core.arrived
 	st.core.answerAll()
 	var names []string
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -36,7 +36,7 @@
 const (
 	// maxOutput bounds the unsent output of a connection. It is larger than the answers to all calls that may be open on it.
 	maxOutput = 512 << 10
-	// minWriteTimeout is the lower bound of the write timeout, see Waits.
+	// minWriteTimeout is the lower bound of the write timeout, see SetMaxWait.
 	minWriteTimeout = time.Minute
 	// readBuffer is the size of the kernel's receive buffer of a connection, and maxFeed bounds the input that is
 	// parsed at once. Without them, 60 MB sent by a client would be buffered before its first bytes are checked.
--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -84,7 +84,7 @@
 	}
 	s.Drain()
 	if h, ok := receive(t, c); !ok || h.Name != "goaway" || h.Type != thrift.Oneway {
-		t.Errorf("message after Leave: %+v, %v", h, ok)
+		t.Errorf("message after Drain: %+v, %v", h, ok)
 	}
 	c.Write(callMessage("serve", 2, requestFields(), "crossing")) // a request that crosses the goaway is still answered
 	if h, ok := receive(t, c); !ok || h.Seq != 2 {
@@ -97,7 +97,7 @@
 		c.Read(make([]byte, 1))
 		c.Close()
 		if s.count.accepted.Load() != accepted {
-			t.Error("a connection is accepted after Leave")
+			t.Error("a connection is accepted after Drain")
 		}
 	}
 }
--- a/internal/index/fake_test.go
+++ b/internal/index/fake_test.go
@@ -16,7 +16,8 @@
 	"cairnlane/policy"
 )
 
-// testTimeout limits every wait of a test, so that a fault fails the test instead of blocking it. It does not order events.
+// testTimeout limits every wait of a test, so that a fault fails the test instead of blocking it. No test relies on it
+// for the order of events.
 const testTimeout = 10 * time.Second
 
 // fakeIndex is an index on loopback that the test controls line by line.
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -1,7 +1,7 @@
 // Package index is the client of the shared index, the store that every replica calls while a request runs. Calls
 // go out over a few TCP connections in the line protocol of the index (PROTOCOL.md, "The index"), and their
 // replies come back in any order. A connection that breaks fails all calls on it, so calls share a connection only
-// when maxLinks are open. Each Get ends in exactly one Reply, made from a goroutine of the client, unless Stop or
+// when maxLinks connections are open. Each Get ends in exactly one Reply, made from a goroutine of the client, unless Stop or
 // a later Get for the same id abandoned the call first.
 package index
 
@@ -23,14 +23,14 @@
 	maxLinks        = 4                      // limit on connections; further calls share them
 	silenceLimit    = 200 * time.Millisecond // a connection is not taken for silent before this time without an answer
 	maxPassed       = 16                     // number of later calls answered on other connections after which a connection is silent
-	maxOpenCalls    = 1024                   // limit on open calls, from Get to their Reply; a Get above it is turned away
-	maxPendingBytes = 4 << 20                // limit on the bytes that wait to be written; a Get that would exceed it is turned away
+	maxOpenCalls    = 1024                   // limit on open calls, from Get to their Reply; a Get above it is rejected
+	maxPendingBytes = 4 << 20                // limit on the bytes that wait to be written; a Get that would exceed it is rejected
 	idDigits        = 16                     // an id is 16 hex digits
 )
 
 // Replies receives the outcomes of calls.
 type Replies interface {
-	// Reply reports the end of one call. outcome is policy.Succeeded for HIT, with the index's result; TurnedAway
+	// Reply reports the end of one call. outcome is policy.Succeeded for HIT, with the index's result; Rejected
 	// for SHED, NOBODY and calls that the client did not send; Failed for BROKEN; TimedOut for SLOW and for calls
 	// without a reply within their wait; Unreachable if no connection could be made or the call was never written;
 	// Interrupted if the connection ended while the call was outstanding. took is the time from Get to the
@@ -41,14 +41,14 @@
 
 // Client makes calls to the index. Its methods do not block and may be called while the caller holds its own lock.
 type Client struct {
-	replies                                              Replies
-	callsMade, callsTurnedAway, callsTimedOut, stopsSent *counters.Counter
-	repliesUnknown, dials, dialsFailed                   *counters.Counter
-	linksLost, linksGarbage, callsInterrupted            *counters.Counter
-	onLinkEnded                                          func() // for tests only: called after a connection ended by itself
-	linksSilent                                          *counters.Counter
-	maxLinks                                             int
-	silenceLimit                                         time.Duration
+	replies                                            Replies
+	callsMade, callsRejected, callsTimedOut, stopsSent *counters.Counter
+	repliesUnknown, dials, dialsFailed                 *counters.Counter
+	linksLost, linksGarbage, callsInterrupted          *counters.Counter
+	onLinkEnded                                        func() // for tests only: called after a connection ended by itself
+	linksSilent                                        *counters.Counter
+	maxLinks                                           int
+	silenceLimit                                       time.Duration
 
 	replyMu sync.Mutex // held while Reply is called, so that replies are sequential
 
@@ -65,7 +65,7 @@
 type call struct {
 	id        string
 	start     time.Time
-	link      *link // nil if the call was turned away
+	link      *link // nil if the call was rejected
 	timer     *time.Timer
 	sent      bool // the GET was passed to the socket, so the call may have run
 	done      bool // outcome and took are set
@@ -79,7 +79,7 @@
 func New(addr string, replies Replies, set *counters.Set) *Client {
 	return &Client{replies: replies, addr: addr, open: map[string]*call{},
 		maxLinks: maxLinks, silenceLimit: silenceLimit, linksSilent: set.Get("index_links_silent"),
-		callsMade: set.Get("index_calls"), callsTurnedAway: set.Get("index_calls_turned_away"),
+		callsMade: set.Get("index_calls"), callsRejected: set.Get("index_calls_turned_away"),
 		callsTimedOut: set.Get("index_calls_timed_out"), stopsSent: set.Get("index_stops"),
 		repliesUnknown: set.Get("index_replies_unknown"), dials: set.Get("index_dials"),
 		dialsFailed: set.Get("index_dials_failed"), linksLost: set.Get("index_links_lost"),
@@ -88,7 +88,7 @@
 
 // Get calls the index for the request id (16 hex digits) with body, and waits at most wait for the reply; the
 // index is sent wait in whole milliseconds, rounded up. body is copied. A call with the id of an open one replaces
-// it: the replaced call gets no Reply. A call is turned away (Reply with policy.TurnedAway, from a goroutine) if
+// it: the replaced call gets no Reply. A call is rejected (Reply with policy.Rejected, from a goroutine) if
 // the client is closed, id is not 16 hex digits, wait is not positive, maxOpenCalls calls are open, or its bytes
 // would exceed maxPendingBytes.
 func (c *Client) Get(id string, wait time.Duration, body []byte) {
@@ -109,7 +109,7 @@
 		if old != nil && !old.done {
 			c.stop(old) // otherwise the index would not learn that the call was replaced
 		}
-		c.callsTurnedAway.Inc()
+		c.callsRejected.Inc()
 		c.finish(k, policy.Rejected)
 		return
 	}
@@ -146,7 +146,7 @@
 }
 
 // Close closes all connections; each outstanding call gets Reply with policy.Interrupted, once. Later calls are
-// turned away. Close does not wait for the client's goroutines.
+// rejected. Close does not wait for the client's goroutines.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -190,7 +190,7 @@
 	c.Get(callID(0), 20*time.Millisecond, nil)
 	p := f.next()
 	if got := p.expect("GET", callID(0)); got.ms != 20 {
-		t.Fatalf("GET told %d ms, want 20", got.ms)
+		t.Fatalf("GET carried a wait of %d ms, want 20", got.ms)
 	}
 	p.expect("STOP", callID(0)) // written when the client's own timer expired
 	if got := r.expect(t, callID(0), policy.TimedOut); got.took < 20*time.Millisecond {
@@ -236,7 +236,7 @@
 	}
 	r.expectNone(t)
 	if n := set.Get("index_calls_turned_away").Load(); n != 1 {
-		t.Fatalf("%d calls turned away, want 1", n)
+		t.Fatalf("%d calls rejected, want 1", n)
 	}
 }
 
@@ -247,10 +247,10 @@
 	r.expect(t, callID(0), policy.Rejected)
 	c.Get(callID(1), longWait, []byte("fits"))
 	p := f.next()
-	p.expect("GET", callID(1)) // nothing of the call that was turned away was written
+	p.expect("GET", callID(1)) // nothing of the call that was rejected was written
 }
 
-func TestInvalidCallsAreTurnedAway(t *testing.T) {
+func TestInvalidCallsAreRejected(t *testing.T) {
 	f := newFakeIndex(t)
 	c, r, _ := newTestClient(t, f.addr())
 	c.Get("9b1f03aa5c7e2d4", longWait, nil) // 15 digits
@@ -264,7 +264,7 @@
 	r.expect(t, callID(1), policy.Rejected)
 	select {
 	case p := <-f.accepted:
-		t.Fatalf("a connection was made from %v for calls that were turned away", p.socket.RemoteAddr())
+		t.Fatalf("a connection was made from %v for calls that were rejected", p.socket.RemoteAddr())
 	default:
 	}
 }
@@ -292,7 +292,7 @@
 	c.Close()
 	caller.mu.Lock()
 	caller.inside.Store(true)
-	c.Get(callID(0), longWait, nil) // turned away; a Reply made by Get itself would deadlock here
+	c.Get(callID(0), longWait, nil) // rejected; a Reply made by Get itself would deadlock here
 	caller.inside.Store(false)
 	caller.mu.Unlock()
 	select {
--- a/internal/index/links_test.go
+++ b/internal/index/links_test.go
@@ -9,8 +9,8 @@
 	"cairnlane/policy"
 )
 
-// A malformed reply on one connection must not interrupt calls on another one: nobody knows whether interrupted
-// writes ran, so they fail.
+// TestBrokenConnectionInterruptsOnlyItsCalls checks that a malformed reply on one connection does not interrupt
+// calls on another one: it is unknown whether interrupted writes ran, so they fail.
 func TestBrokenConnectionInterruptsOnlyItsCalls(t *testing.T) {
 	f := newFakeIndex(t)
 	c, r, set := newTestClientWithLinks(t, f.addr(), maxLinks)
@@ -29,8 +29,8 @@
 	}
 }
 
-// A connection without open calls is used before a new one is made, the oldest first, so that few connections stay
-// open under low load.
+// TestIdleConnectionIsReused checks that a connection without open calls is used before a new one is made, the
+// oldest first, so that few connections stay open under low load.
 func TestIdleConnectionIsReused(t *testing.T) {
 	f := newFakeIndex(t)
 	c, r, set := newTestClientWithLinks(t, f.addr(), maxLinks)
@@ -60,8 +60,9 @@
 	}
 }
 
-// The index may read lines on two connections in any order: the STOP of an abandoned call must not hit a new call
-// with the same id.
+// TestRepeatedCallUsesConnectionOfStoppedCall checks that a new call uses the connection of an abandoned call
+// with the same id. The index may read lines on two connections in any order, so the STOP of the abandoned call
+// could otherwise stop the new call.
 func TestRepeatedCallUsesConnectionOfStoppedCall(t *testing.T) {
 	f := newFakeIndex(t)
 	c, r, _ := newTestClientWithLinks(t, f.addr(), maxLinks)
@@ -84,7 +85,8 @@
 	r.expectNone(t)
 }
 
-// After a move, calls must not continue to use the connection to the old address: they would be lost when it ends.
+// TestCallsAfterMoveUseNewAddress checks that calls after a move do not continue to use the connection to the
+// old address: they would be lost when it ends.
 func TestCallsAfterMoveUseNewAddress(t *testing.T) {
 	old, moved := newFakeIndex(t), newFakeIndex(t)
 	c, r, _ := newTestClientWithLinks(t, old.addr(), 1)
@@ -103,8 +105,8 @@
 	r.expectNone(t)
 }
 
-// A connection that accepts calls but answers none must be closed: its calls, and their retries, would otherwise
-// wait for as long as they may.
+// TestSilentConnectionIsClosed checks that a connection that accepts calls but answers none is closed. Otherwise
+// its calls, and their retries, would wait for as long as they may.
 func TestSilentConnectionIsClosed(t *testing.T) {
 	f := newFakeIndex(t)
 	c, r, set := newTestClientWithLinks(t, f.addr(), 2)
@@ -142,7 +144,8 @@
 	}
 }
 
-// A slow call must not end a connection that answers other calls.
+// TestConnectionWithOneSlowCallStaysOpen checks that a slow call does not end a connection that answers other
+// calls.
 func TestConnectionWithOneSlowCallStaysOpen(t *testing.T) {
 	f := newFakeIndex(t)
 	c, r, set := newTestClientWithLinks(t, f.addr(), 1)
--- a/internal/lab/mutants/concurrency.go
+++ b/internal/lab/mutants/concurrency.go
@@ -4,7 +4,7 @@
 var Concurrency = []Mutant{
 	{"keyed run in doubt resent", "internal/replica/policy_host.go", "lost && req.class.Semantics == policy.Safe {", "lost {", "./internal/replica", "TestOnlySafeRunsAreResentAfterLinkLoss"},
 	{"keyed run in doubt resent, random steps", "internal/replica/policy_host.go", "lost && req.class.Semantics == policy.Safe {", "lost {", "./internal/replica", "TestInvariantsHoldOverRandomSteps"},
-	{"run in doubt never ends", "internal/replica/policy_host.go", "	case req.inDoubt: // nobody", "	case false: // nobody", "./internal/replica", "TestOnlySafeRunsAreResentAfterLinkLoss"},
+	{"run in doubt never ends", "internal/replica/policy_host.go", "	case req.inDoubt: // no request", "	case false: // no request", "./internal/replica", "TestOnlySafeRunsAreResentAfterLinkLoss"},
 	{"unwritten run counted as sent", "internal/replica/policy_host.go", "				req.pending = true\n			} else if lost", "				r.sendRun(req)\n			} else if lost", "./internal/replica", "TestUnwrittenRunIsSentOnNextLink"},
 	{"any message of the engine confirms writes", "internal/engine/session.go", "max(s.memory.confirmedAt, written)", "max(written, s.now())", "./internal/engine", "TestAnsweredStatConfirmsEarlierWrites"},
 	{"move without a final STAT", "internal/engine/link.go", "	c.sess.sendStat()\n", "", "./internal/engine", "TestMoveNeitherLosesNorDuplicatesRuns"},
@@ -25,7 +25,7 @@
 	{"lock left held until the process exits", "internal/handover/link.go", "	l.lock.Close()\n", "", "./internal/handover", "TestGuestTakesOverFromOwner"},
 	{"link without messages revokes a report", "internal/handover/link.go", "if all, received := l.run(ctx, c, true); received {", "if all, received := l.run(ctx, c, true); received || true {", "./internal/handover", "TestSilentLinkKeepsSyncedState"},
 	{"partial report leaves the earlier one valid", "internal/handover/link.go", "			if all, received := l.run(ctx, c, true); received {", "			if all, received := l.run(ctx, c, true); received && all {", "./internal/handover", "TestSilentLinkKeepsSyncedState"},
-	{"move waits for the old catalog", "internal/catalog/catalog.go", "		(*end)()\n", "		_ = end\n", "./internal/catalog", "TestMoveCancelsReportToOldCatalog"},
+	{"move waits for the old catalog", "internal/catalog/catalog.go", "		(*end)()\n", "		_ = end\n", "./internal/catalog", "TestSetAddrCancelsReportToOldCatalog"},
 	{"partial request keeps its connection open", "internal/decide/conns/closing.go", "return v.Kernel == 0 && ", "return !v.Partial && v.Kernel == 0 && ", "./cmd/cairnlane", "TestPartialRequestDoesNotLoseLastAnswer"},
 	{"signals caught only after the configuration", "cmd/cairnlane/main.go", "	daemon.CatchSignals()\n", "", "./cmd/cairnlane", "TestSignalsWhileConfigurationIsRead"},
 	{"drain notice waits for a file", "internal/daemon/daemon.go", "			reload, read = nil, s.readConfig()\n", "			r := <-s.readConfig()\n			s.applyConfig(r.next, r.err)\n", "./cmd/cairnlane", "TestDrainNoticeDoesNotWaitForReload"},
--- a/internal/operator/listener.go
+++ b/internal/operator/listener.go
@@ -16,7 +16,7 @@
 
 const (
 	// MaxConnections bounds the connections of the admin listener. A new connection above it evicts the oldest, so that unused
-	// connections cannot lock out a caller.
+	// connections cannot keep a caller from connecting.
 	MaxConnections = 16
 	// connectionTimeout bounds the lifetime of a connection, answered or not. Callers need milliseconds.
 	connectionTimeout = 10 * time.Second
--- a/internal/operator/listener_test.go
+++ b/internal/operator/listener_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestSilentCallersAreEvicted checks that callers that send nothing, or a partial call, do not lock out others by
+// TestSilentCallersAreEvicted checks that callers that send nothing, or a partial call, do not keep others from connecting by
 // occupying all connections.
 func TestSilentCallersAreEvicted(t *testing.T) {
 	d, _, set := startListener(t)
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestAskErrors(t *testing.T) {
+func TestCallErrors(t *testing.T) {
 	d, _, _ := startListener(t)
 	text, err := Call(d.Addr(), "vars", 20*time.Second)
 	values, bad := ParseMetrics(text)
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -17,24 +17,24 @@
 // ErrClosed is returned by Put after Close or a failed write.
 var ErrClosed = errors.New("outbox: closed")
 
-// SharedLimit counts the unsent bytes of several boxes together. The zero value has no bound.
+// SharedLimit counts the unsent bytes of several buffers together. The zero value has no bound.
 type SharedLimit struct{ size, bound atomic.Int64 }
 
 // SetBound sets the bound on the bytes.
-func (a *SharedLimit) SetBound(bytes int) { a.bound.Store(int64(bytes)) }
+func (l *SharedLimit) SetBound(bytes int) { l.bound.Store(int64(bytes)) }
 
 // Size returns the number of unsent bytes.
-func (a *SharedLimit) Size() int { return int(a.size.Load()) }
+func (l *SharedLimit) Size() int { return int(l.size.Load()) }
 
 // maxSpare is the capacity of the largest buffer that is kept for the next batch.
 const maxSpare = 16 << 10
 
 // Buffer is a bounded output buffer in front of a blocking writer.
 type Buffer struct {
-	sink    io.Writer
-	bound   int
-	account *SharedLimit
-	failed  func(error)
+	sink   io.Writer
+	bound  int
+	limit  *SharedLimit
+	failed func(error)
 
 	mu       sync.Mutex
 	wake     sync.Cond
@@ -44,10 +44,10 @@
 	closed   bool
 }
 
-// New returns a box that holds about bound bytes at most and is counted in account, and starts its writer. If a write
+// New returns a buffer that holds about bound bytes at most and is counted in limit, and starts its writer. If a write
 // fails, failed is called once, on the writer's goroutine.
-func New(sink io.Writer, bound int, account *SharedLimit, failed func(error)) *Buffer {
-	b := &Buffer{sink: sink, bound: bound, account: account, failed: failed}
+func New(sink io.Writer, bound int, limit *SharedLimit, failed func(error)) *Buffer {
+	b := &Buffer{sink: sink, bound: bound, limit: limit, failed: failed}
 	b.wake.L = &b.mu
 	go b.write()
 	return b
@@ -57,23 +57,23 @@
 func (b *Buffer) Put(encode func(dst []byte) []byte) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	limits := conns.OutputLimits{PerConnection: b.bound, Total: int(b.account.bound.Load())}
+	limits := conns.OutputLimits{PerConnection: b.bound, Total: int(b.limit.bound.Load())}
 	switch size := len(b.buffered) + b.writing; {
 	case b.closed:
 		return ErrClosed
-	case !limits.Allows(size, b.account.Size()):
+	case !limits.Allows(size, b.limit.Size()):
 		return ErrFull
 	}
 	before := len(b.buffered)
 	b.buffered = encode(b.buffered)
-	b.account.size.Add(int64(len(b.buffered) - before))
+	b.limit.size.Add(int64(len(b.buffered) - before))
 	b.wake.Signal()
 	return nil
 }
 
-// drop discards the buffered output and closes the box; b.mu is held.
+// drop discards the buffered output and closes the buffer; b.mu is held.
 func (b *Buffer) drop() {
-	b.account.size.Add(-int64(len(b.buffered)))
+	b.limit.size.Add(-int64(len(b.buffered)))
 	b.closed, b.buffered = true, nil
 }
 
@@ -113,7 +113,7 @@
 		if cap(batch) > maxSpare { // do not keep the buffer of a burst for the connection's lifetime
 			batch = nil
 		}
-		b.account.size.Add(-int64(b.writing))
+		b.limit.size.Add(-int64(b.writing))
 		b.spare, b.writing = batch, 0
 		if err != nil {
 			b.drop()
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -46,12 +46,12 @@
 		t.Errorf("second write %q", second)
 	}
 	if b.Empty() {
-		t.Error("the box is empty during a write")
+		t.Error("the buffer is empty during a write")
 	}
 	g.result <- nil
 }
 
-func TestFailedWriteClosesBox(t *testing.T) {
+func TestFailedWriteClosesBuffer(t *testing.T) {
 	g := &blockingSink{make(chan []byte, 1), make(chan error, 1)}
 	failed := make(chan error)
 	b := New(g, 8, new(SharedLimit), func(err error) { failed <- err })
@@ -90,29 +90,29 @@
 	}
 }
 
-// TestNonReadingPeersShareBound checks that peers that do not read share the account's bound, rather than hold up to 512 KiB
+// TestNonReadingPeersShareBound checks that peers that do not read share the limit's bound, rather than hold up to 512 KiB
 // each, and that output to a peer that reads is not rejected because of them.
 func TestNonReadingPeersShareBound(t *testing.T) {
 	const bound, answer = 64 << 10, 4 << 10
-	var account SharedLimit
-	account.SetBound(bound)
-	var boxes []*Buffer
+	var limit SharedLimit
+	limit.SetBound(bound)
+	var buffers []*Buffer
 	for range 20 {
 		g := &blockingSink{make(chan []byte, 1), make(chan error, 1)} // buffered, as the writer may end before it has written
-		b := New(g, 512<<10, &account, func(error) {})
-		boxes = append(boxes, b)
+		b := New(g, 512<<10, &limit, func(error) {})
+		buffers = append(buffers, b)
 		for b.Put(func(p []byte) []byte { return append(p, make([]byte, answer)...) }) == nil {
-			if held := account.Size(); held > bound+len(boxes)*(conns.AlwaysAllowed+2*answer) {
-				t.Fatalf("%d unsent bytes for %d peers", held, len(boxes))
+			if unsent := limit.Size(); unsent > bound+len(buffers)*(conns.AlwaysAllowed+2*answer) {
+				t.Fatalf("%d unsent bytes for %d peers", unsent, len(buffers))
 			}
 		}
 		defer func() { g.result <- errors.New("gone") }()
 	}
-	if account.Size() < bound {
-		t.Fatalf("only %d unsent bytes, the bound is not reached", account.Size())
+	if limit.Size() < bound {
+		t.Fatalf("only %d unsent bytes, the bound is not reached", limit.Size())
 	}
 	reader := &blockingSink{make(chan []byte, 1), make(chan error, 100)}
-	b := New(reader, 512<<10, &account, func(error) {})
+	b := New(reader, 512<<10, &limit, func(error) {})
 	for range 50 {
 		if err := b.Put(appendString("an answer")); err != nil {
 			t.Fatal("output to a peer that reads is rejected: ", err)
@@ -121,22 +121,22 @@
 		reader.result <- nil
 	}
 	b.Close()
-	for _, d := range boxes {
+	for _, d := range buffers {
 		d.Close()
 	}
 }
 
-func TestAccountReturnsToZero(t *testing.T) {
-	var account SharedLimit
+func TestSharedLimitReturnsToZero(t *testing.T) {
+	var limit SharedLimit
 	for _, err := range []error{nil, errors.New("gone")} {
 		g := &blockingSink{make(chan []byte), make(chan error)}
 		failed := make(chan struct{})
-		b := New(g, 1<<20, &account, func(error) { close(failed) })
+		b := New(g, 1<<20, &limit, func(error) { close(failed) })
 		b.Put(appendString("first"))
 		<-g.entered
 		b.Put(appendString("second"))
-		if account.Size() != 11 {
-			t.Errorf("%d unsent bytes, want 11", account.Size())
+		if limit.Size() != 11 {
+			t.Errorf("%d unsent bytes, want 11", limit.Size())
 		}
 		g.result <- err
 		if err != nil {
@@ -146,7 +146,7 @@
 			g.result <- nil
 		}
 		b.Close()
-		for account.Size() != 0 { // until the writer has ended
+		for limit.Size() != 0 { // until the writer has ended
 			runtime.Gosched()
 		}
 	}
--- a/internal/replica/advice_test.go
+++ b/internal/replica/advice_test.go
@@ -9,12 +9,12 @@
 	"cairnlane/internal/testkit"
 )
 
-// adviceWithDelay returns advice of a version that tells rejected callers to come back after that delay.
+// adviceWithDelay returns advice of a version that asks rejected callers to retry after that delay.
 func adviceWithDelay(version uint64, after time.Duration) *shed.Advice {
 	return &shed.Advice{Version: version, Trust: 1, RetryWindow: [2]time.Duration{after, after}}
 }
 
-// TestRequestKeepsAdviceVersionItWasReadUnder checks that a held request is rejected under the advice it was read
+// TestRequestKeepsAdviceVersionItWasReadUnder checks that a queued request is rejected under the advice it was read
 // under, although other advice, or none, comes into force meanwhile.
 func TestRequestKeepsAdviceVersionItWasReadUnder(t *testing.T) {
 	for name, next := range map[string]*shed.Advice{"another version": adviceWithDelay(8, 900*ms), "no advice": nil, "untrusted advice": {Version: 9, RetryWindow: [2]time.Duration{ms, ms}}} {
@@ -25,15 +25,15 @@
 		for range 6 { // enough to fill the slots, and more than they grow by
 			b.arrive("", 0, 3*time.Second)
 		}
-		held := b.arrive("", 0, 3*time.Second)
+		queued := b.arrive("", 0, 3*time.Second)
 		b.Advise(next)
 		after := b.arrive("", 0, 3*time.Second)
 		for range 100 {
 			b.Gauges([]float64{0, 2})
 			b.clock.Advance(20 * ms)
 		}
-		if len(held.answers) != 1 || held.answers[0].Kind != Rejected || held.answers[0].RetryAfter != 70*ms {
-			t.Errorf("%s: the request read under version 7 was answered %+v", name, held.answers)
+		if len(queued.answers) != 1 || queued.answers[0].Kind != Rejected || queued.answers[0].RetryAfter != 70*ms {
+			t.Errorf("%s: the request read under version 7 was answered %+v", name, queued.answers)
 		}
 		if len(after.answers) != 1 || after.answers[0].Kind != Rejected || after.answers[0].RetryAfter == 70*ms {
 			t.Errorf("%s: the request read after version 7 was answered %+v", name, after.answers)
@@ -50,12 +50,12 @@
 	b := newHarness(t)
 	b.Advise(&shed.Advice{Version: 7, Trust: 1, Further: 1})
 	first := b.arrive("k", 0, 3*time.Second)
-	again := &attempt{harness: b, txn: "00000000000000aa", unique: "k", arrivedAt: b.clock.Now(), deadline: b.clock.Now() + time.Second}
+	again := &attempt{harness: b, txn: "00000000000000aa", idempotencyKey: "k", arrivedAt: b.clock.Now(), deadline: b.clock.Now() + time.Second}
 	further := &attempt{harness: b, txn: "00000000000000ab", arrivedAt: b.clock.Now(), deadline: b.clock.Now() + time.Second}
 	b.attempts[again.txn], b.attempts[further.txn] = again, further
 	for q, class := range map[*attempt]string{again: "save", further: "read"} {
 		body := "body of k"
-		if err := b.Arrive(Request{Txn: q.txn, Class: class, Body: []byte(body), KB: 10, ArrivedAt: time.Unix(0, int64(q.arrivedAt)), WaitLimit: time.Second, IdempotencyKey: q.unique, Retry: true, Reply: q}); err != nil {
+		if err := b.Arrive(Request{Txn: q.txn, Class: class, Body: []byte(body), KB: 10, ArrivedAt: time.Unix(0, int64(q.arrivedAt)), WaitLimit: time.Second, IdempotencyKey: q.idempotencyKey, Retry: true, Reply: q}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/replica/calls_test.go
+++ b/internal/replica/calls_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// A call must reach the index with the body that the engine sent, and its reply must reach the run unchanged.
+// TestCallReachesIndexAndReplyReachesRun checks that a call reaches the index with the body that the engine
+// sent, and that its reply reaches the run unchanged.
 func TestCallReachesIndexAndReplyReachesRun(t *testing.T) {
 	b, x := newIndexHarness(t)
 	read := b.arrive("", 0, 3*time.Second)
@@ -55,7 +56,8 @@
 	}
 }
 
-// A reply that arrives while there is no link is sent to the run once a link is up again.
+// TestIndexReplyIsSentOnNextLink checks that a reply that arrives while there is no link is sent to the run once
+// a link is up again.
 func TestIndexReplyIsSentOnNextLink(t *testing.T) {
 	b, _ := newIndexHarness(t)
 	read := b.arrive("", 0, 3*time.Second)
@@ -67,18 +69,18 @@
 	wantList(t, "written after the link", b.callCommands, "FEED "+read.txn+" r")
 }
 
-// A failed call of a safe class is made again. When it cannot be retried any more it is skipped, with the number
-// of the engine's notice.
+// TestFailedCallIsRetriedThenSkipped checks that a failed call of a safe class is retried, and that it is
+// skipped with the number of the engine's notice when it cannot be retried any more.
 func TestFailedCallIsRetriedThenSkipped(t *testing.T) {
 	b, x := newIndexHarness(t)
 	read := b.arrive("", 0, 3*time.Second)
 	b.CallRequested(read.txn, 7, []byte("q"))
-	b.CallEnded(read.txn, policy.Failed, 5*ms, nil) // a safe class may call again
+	b.CallEnded(read.txn, policy.Failed, 5*ms, nil) // the call of a safe class may be retried
 	for i := 0; i < 10 && len(x.gets) < 2; i++ {
 		b.clock.Advance(60 * ms)
 	}
 	if len(x.gets) < 2 {
-		t.Fatalf("calls %q: a failed call of a safe class was not made again", x.gets)
+		t.Fatalf("calls %q: a failed call of a safe class was not retried", x.gets)
 	}
 	for len(b.callCommands) == 0 && len(x.gets) < 10 {
 		b.CallEnded(read.txn, policy.Failed, 5*ms, nil)
@@ -87,7 +89,7 @@
 	wantList(t, "written to the engine", b.callCommands, "SKIP "+read.txn+" 7")
 }
 
-// A run that ends while its call is outstanding stops the call.
+// TestEndOfRunStopsItsCall checks that a run that ends while its call is outstanding stops the call.
 func TestEndOfRunStopsItsCall(t *testing.T) {
 	b, x := newIndexHarness(t)
 	read := b.arrive("", 0, 3*time.Second)
@@ -96,9 +98,9 @@
 	wantList(t, "stopped", x.stops, read.txn)
 }
 
-// A held attempt whose caller has gone must be answered at once and never run; an attempt that already runs
-// continues to its end.
-func TestHeldAttemptOfGoneCallerDoesNotRun(t *testing.T) {
+// TestQueuedAttemptOfGoneCallerDoesNotRun checks that a queued attempt whose caller has gone is answered at once
+// and never runs, and that an attempt that already runs continues to its end.
+func TestQueuedAttemptOfGoneCallerDoesNotRun(t *testing.T) {
 	b := newHarnessWith(t, &harness{clock: newHarness(t).clock, attempts: map[string]*attempt{}}, Config{}, func(c *policy.Config) {
 		c.Cores = 1
 	})
@@ -108,7 +110,7 @@
 	}
 	running := len(b.runs)
 	if running == 0 || running == len(attempts) {
-		t.Fatalf("%d of %d attempts run: the test needs some of them held", running, len(attempts))
+		t.Fatalf("%d of %d attempts run: the test needs some of them queued", running, len(attempts))
 	}
 	last := attempts[len(attempts)-1]
 	b.CallerGone(last.txn)
@@ -136,8 +138,9 @@
 	}
 }
 
-// A repeat that waits for a held attempt must be rejected when the caller of that attempt goes: the attempt never
-// ran, and without the answer the repeat would wait until it is due.
+// TestRepeatOfAttemptOfGoneCallerIsRejected checks that a repeat that waits for a queued attempt is rejected
+// when the caller of that attempt goes: the attempt never ran, and without the answer the repeat would wait
+// until it is due.
 func TestRepeatOfAttemptOfGoneCallerIsRejected(t *testing.T) {
 	b := newHarnessWith(t, &harness{clock: newHarness(t).clock, attempts: map[string]*attempt{}}, Config{}, func(c *policy.Config) {
 		c.Cores = 1
@@ -147,7 +150,7 @@
 	}
 	first, repeat := b.arrive("k", 0, 3*time.Second), b.arrive("k", 0, 3*time.Second)
 	if slices.Contains(b.runs, first.txn) || len(first.answers)+len(repeat.answers) != 0 {
-		t.Fatalf("runs %q: the test needs a held attempt and its repeat", b.runs)
+		t.Fatalf("runs %q: the test needs a queued attempt and its repeat", b.runs)
 	}
 	b.CallerGone(first.txn)
 	first.want(t, Rejected, "")
--- a/internal/replica/figures.go
+++ b/internal/replica/figures.go
@@ -103,7 +103,7 @@
 	Name                                                    string
 	Served, Rejected, Failed                                int64
 	Late                                                    int64 // served after the aim
-	RejectedOverShare, RejectedLowClass, RejectedOverBudget int64 // of Refused, by the reason in the fleet's advice: tenant over its share, low class, beyond the retry budget
+	RejectedOverShare, RejectedLowClass, RejectedOverBudget int64 // of Rejected, by the reason in the fleet's advice: tenant over its share, low class, over the retry budget
 	FirstAttempts                                           int64 // accepted first attempts
 	Wanted                                                  int64 // estimated first attempts if callers held nothing back; counted while a fleet advises
 }
--- a/internal/replica/key_table.go
+++ b/internal/replica/key_table.go
@@ -9,7 +9,7 @@
 )
 
 // key is an entry of the key table: it links the attempts of one keyed request, or the reads that share one
-// result, from the moment the first of them is held until the window of the one that ran has ended.
+// result, from the moment the first of them is queued until the window of the one that ran has ended.
 type key struct {
 	name      string
 	holder    policy.RequestID
--- a/internal/replica/peer.go
+++ b/internal/replica/peer.go
@@ -102,7 +102,7 @@
 }
 
 // failInDoubt has the module end an attempt that may have run in the other process as a repeat of a request with
-// an unknown outcome, so that it fails. A rejection would tell its router that it never ran.
+// an unknown outcome, so that it fails. A rejection would mean to its router that it never ran.
 func (r *Replica) failInDoubt(now time.Duration, req *request) {
 	k := r.enterRemote(keyName(req), req.digest, req.arrivedAt, req.class.Deadline)
 	k.ended = true
@@ -191,7 +191,8 @@
 	})
 }
 
-// PredecessorEnded handles the end of the preceding process; complete says whether every message of that process was received.
+// PredecessorEnded handles the end of the preceding process; complete reports whether every message of
+// that process was received.
 func (r *Replica) PredecessorEnded(complete bool) {
 	r.locked(func(now time.Duration) {
 		window := time.Duration(0)
@@ -271,7 +272,7 @@
 }
 
 // receiveDrop frees a key. The owner rejects the attempts that waited for it, like the attempt itself, because it
-// has let no one else run the key. The guest fails them, because the owner may have run another attempt by now.
+// has granted the key to no other process. The guest fails them, because the owner may have run another attempt by now.
 func (r *Replica) receiveDrop(m *handover.Message) {
 	k := r.keys.byName[m.Key]
 	owner := r.peerState.claims.Role() == handover.Owner
--- a/internal/replica/peer_test.go
+++ b/internal/replica/peer_test.go
@@ -136,7 +136,8 @@
 	}
 }
 
-// Both processes receive the same keyed request at the same time, for each order of the messages in transit.
+// TestSimultaneousAttemptsInBothProcessesRunOnce has both processes receive the same keyed request at the same
+// time, for each order of the messages in transit.
 func TestSimultaneousAttemptsInBothProcessesRunOnce(t *testing.T) {
 	for order := range 4 {
 		p := newPair(t)
@@ -159,7 +160,8 @@
 	}
 }
 
-// The results of runs from before the new process started are available in the new process.
+// TestSuccessorKnowsRunsFromBeforeItsStart checks that the results of runs from before the new process started
+// are available in the new process.
 func TestSuccessorKnowsRunsFromBeforeItsStart(t *testing.T) {
 	p := newPair(t)
 	p.cut()
@@ -201,7 +203,8 @@
 	p.check(t, b)
 }
 
-// A result that was evicted before the new process started cannot be sent to it: the repeat fails.
+// TestEvictedResultIsNotRunAgain checks that a repeat fails if its result was evicted before the new process
+// started, as the result cannot be sent to that process.
 func TestEvictedResultIsNotRunAgain(t *testing.T) {
 	p := newPair(t)
 	p.cut()
@@ -220,8 +223,8 @@
 	p.check(t, ran...)
 }
 
-// The other process hangs and does not answer a claim. The attempt fails without running, well before it is due,
-// and other requests are not delayed.
+// TestUnansweredClaimTimesOut checks a claim that the other process does not answer because it hangs: the
+// attempt fails without running, well before it is due, and other requests are not delayed.
 func TestUnansweredClaimTimesOut(t *testing.T) {
 	p := newPair(t)
 	p.settle()
@@ -238,8 +241,9 @@
 	p.check(t, read, b)
 }
 
-// The grant of an abandoned claim arrives while the same key is claimed again. Without claim numbers the new
-// process would take the late grant for that of the second claim, after it has given the key back.
+// TestLateGrantDoesNotSatisfyNewClaim has the grant of an abandoned claim arrive while the same key is claimed
+// again. Without claim numbers the new process would take the late grant for that of the second claim, after it
+// has given the key back.
 func TestLateGrantDoesNotSatisfyNewClaim(t *testing.T) {
 	p := newPair(t)
 	p.settle()
@@ -283,8 +287,8 @@
 		either := func(rt *rapid.T) *harness { return rapid.SampledFrom([]*harness{p.old, p.new}).Draw(rt, "process") }
 		arrive := func(rt *rapid.T) {
 			if b := either(rt); !b.killed {
-				unique := rapid.SampledFrom([]string{"a", "a", "b", ""}).Draw(rt, "unique")
-				b.arrive(unique, time.Duration(rapid.IntRange(0, 400).Draw(rt, "ago"))*ms, time.Duration(rapid.IntRange(0, 3000).Draw(rt, "limit"))*ms)
+				idempotencyKey := rapid.SampledFrom([]string{"a", "a", "b", ""}).Draw(rt, "unique")
+				b.arrive(idempotencyKey, time.Duration(rapid.IntRange(0, 400).Draw(rt, "ago"))*ms, time.Duration(rapid.IntRange(0, 3000).Draw(rt, "limit"))*ms)
 			}
 		}
 		return map[string]func(*rapid.T){
--- a/internal/replica/policy_host.go
+++ b/internal/replica/policy_host.go
@@ -110,7 +110,7 @@
 	switch {
 	case !req.running: // it waited for another attempt; the module has already removed it
 		r.remove(req)
-	case req.inDoubt: // nobody waits for its outcome any more
+	case req.inDoubt: // no request waits for its outcome any more
 		r.deferCall(func(now time.Duration) { r.abandonInDoubt(now, req) })
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -31,7 +31,7 @@
 	Run(txn, class string, body []byte) bool
 	// Feed sends a run the reply to its index call; it returns false if there is no link to send it on.
 	Feed(txn string, reply []byte) bool
-	// Skip tells a run to continue without the call requested by notice number; it returns false if there is no
+	// Skip makes a run continue without the call requested by notice number; it returns false if there is no
 	// link to send it on.
 	Skip(txn string, number int64) bool
 	// RequestGauges requests the gauges; it returns false if no answer is to be expected soon.
@@ -39,7 +39,7 @@
 }
 
 // Index makes the calls that running requests wait for to the index shared by all replicas. Its methods never
-// block. The end of each call is reported to Replica.Called, once, unless the call was stopped.
+// block. The end of each call is reported to Replica.CallEnded, once, unless the call was stopped.
 type Index interface {
 	// Get makes the call of a request, which waits at most wait for the reply. A second Get for the same request
 	// abandons the first.
@@ -59,8 +59,8 @@
 	KB        float64
 	Rank      float64
 	ArrivedAt time.Time     // when the attempt arrived at the machine
-	WaitLimit time.Duration // how long the caller waits, counted from Door
-	// WaitLimitUnknown is set if the router did not send Limit: the caller is then assumed to wait for the deadline of
+	WaitLimit time.Duration // how long the caller waits, counted from ArrivedAt
+	// WaitLimitUnknown is set if the router sent no wait limit: the caller is then assumed to wait for the deadline of
 	// the class.
 	WaitLimitUnknown bool
 	IdempotencyKey   string // idempotency key, shared by all attempts of one keyed request
@@ -83,8 +83,8 @@
 type Answer struct {
 	Kind       Kind
 	Body       []byte        // valid only during the call
-	RetryAfter time.Duration // Refused: the caller should not retry before this has passed
-	GiveUp     bool          // Refused: the caller should not retry at another replica
+	RetryAfter time.Duration // Rejected: the caller should not retry before this has passed
+	GiveUp     bool          // Rejected: the caller should not retry at another replica
 	Signal     Signal        // sent along with the answer
 }
 
@@ -309,7 +309,7 @@
 	r.callModule(func() { r.ctl.Arrive(now, in) })
 }
 
-// describe returns what the module is told about a request that repeats the request of entry k, or is new if k is
+// describe returns the module's view of a request that repeats the request of entry k, or is new if k is
 // nil.
 func (r *Replica) describe(now time.Duration, req *request, k *key) policy.Request {
 	in := policy.Request{ID: req.id, Class: req.classIndex, Tenant: req.tenant, Retry: req.Retry, Caller: req.Caller, KB: req.KB, Rank: req.Rank,
@@ -465,8 +465,8 @@
 	return r.signal
 }
 
-// CallerGone handles the notice that the caller of an attempt has stopped waiting: no answer is owed any more, and what
-// has not started need not run. The module is told. An attempt that neither runs nor waits for another one is
+// CallerGone handles the notice that the caller of an attempt has stopped waiting: it needs no answer any more, and
+// what has not started need not run. The module is informed. An attempt that neither runs nor waits for another one is
 // answered as rejected at once, since it never ran: the answer does no harm and the connection is not kept busy.
 // Keyed attempts are left as they are while the peer process may be asked for their key.
 func (r *Replica) CallerGone(txn string) {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -33,14 +33,14 @@
 
 // attempt is what the test knows of an attempt; it is the Reply of its request.
 type attempt struct {
-	harness   *harness
-	txn       string
-	unique    string
-	arrivedAt time.Duration
-	deadline  time.Duration
-	started   bool
-	ended     bool
-	answers   []Answer
+	harness        *harness
+	txn            string
+	idempotencyKey string
+	arrivedAt      time.Duration
+	deadline       time.Duration
+	started        bool
+	ended          bool
+	answers        []Answer
 }
 
 func (t *attempt) Answer(a Answer) {
@@ -52,7 +52,7 @@
 		t.harness.violations = append(t.harness.violations, t.txn+" was answered twice")
 	}
 	for _, other := range t.harness.attempts {
-		if a.Kind == Rejected && other.started && t.unique != "" && other.unique == t.unique && t.arrivedAt < other.arrivedAt+window {
+		if a.Kind == Rejected && other.started && t.idempotencyKey != "" && other.idempotencyKey == t.idempotencyKey && t.arrivedAt < other.arrivedAt+window {
 			t.harness.violations = append(t.harness.violations, t.txn+" was rejected although its request ran")
 		}
 	}
@@ -84,11 +84,11 @@
 	b.runs = append(b.runs, txn)
 	current := b.attempts[txn]
 	for _, other := range b.attempts {
-		if other != current && current.unique != "" && other.unique == current.unique && other.started && current.arrivedAt < other.arrivedAt+window {
+		if other != current && current.idempotencyKey != "" && other.idempotencyKey == current.idempotencyKey && other.started && current.arrivedAt < other.arrivedAt+window {
 			b.violations = append(b.violations, fmt.Sprintf("%s was run after %s with the same key", txn, other.txn))
 		}
 	}
-	if current.started && current.unique != "" {
+	if current.started && current.idempotencyKey != "" {
 		b.violations = append(b.violations, txn+" was sent twice")
 	}
 	current.started = true
@@ -127,18 +127,18 @@
 // attach brings a new link up; everything written so far may be lost.
 func (b *harness) attach() { b.Attached(0, func() { b.linkUp = true }) }
 
-// arrive has an attempt read now that arrived at the machine ago earlier; it is a keyed one if unique is not
-// empty.
-func (b *harness) arrive(unique string, ago, limit time.Duration) *attempt {
-	t := &attempt{harness: b, txn: fmt.Sprintf("%016x", len(b.attempts)+1), unique: unique, arrivedAt: b.clock.Now() - ago}
+// arrive has an attempt read now that arrived at the machine ago earlier; it is a keyed one if idempotencyKey
+// is not empty.
+func (b *harness) arrive(idempotencyKey string, ago, limit time.Duration) *attempt {
+	t := &attempt{harness: b, txn: fmt.Sprintf("%016x", len(b.attempts)+1), idempotencyKey: idempotencyKey, arrivedAt: b.clock.Now() - ago}
 	t.deadline = max(t.arrivedAt+limit, b.clock.Now())
 	b.attempts[t.txn] = t
 	class, body := "read", t.txn
-	if unique != "" {
-		class, body = "save", "body of "+unique
+	if idempotencyKey != "" {
+		class, body = "save", "body of "+idempotencyKey
 	}
 	if err := b.Arrive(Request{Txn: t.txn, Class: class, Body: []byte(body), KB: 10, ArrivedAt: time.Unix(0, int64(t.arrivedAt)),
-		WaitLimit: limit, IdempotencyKey: unique, Reply: t}); err != nil {
+		WaitLimit: limit, IdempotencyKey: idempotencyKey, Reply: t}); err != nil {
 		b.violations = append(b.violations, err.Error())
 	}
 	return t
@@ -161,7 +161,7 @@
 	b := newHarness(t)
 	first, second := b.arrive("k", 0, time.Second), b.arrive("k", 0, time.Second)
 	b.end(first.txn, policy.Succeeded)
-	third := b.arrive("k", 0, time.Second) // the run has already ended: the module is told the end of the repeat after Arrive returned
+	third := b.arrive("k", 0, time.Second) // the run has already ended: the module is informed of the end of the repeat after Arrive returned
 	for _, x := range []*attempt{first, second, third} {
 		x.want(t, Served, "result of "+first.txn)
 	}
@@ -179,8 +179,9 @@
 	}
 }
 
-// A client must not get the stored result of another client's request by using its key. An attempt whose call the
-// engine does not know must not fail later attempts under the same key.
+// TestKeyWithDifferentBodyIsRejected checks that a client cannot get the stored result of another client's
+// request by using its key, and that an attempt whose call the engine does not know does not fail later attempts
+// under the same key.
 func TestKeyWithDifferentBodyIsRejected(t *testing.T) {
 	b := newHarness(t)
 	arriveWithOtherBody := func(txn string) error {
@@ -222,8 +223,8 @@
 	}
 }
 
-// An entry whose run never ends must not block the expiry of the entries made after it, or the table grows without
-// bound.
+// TestUnfinishedKeyDoesNotBlockExpiryOfOthers checks that an entry whose run never ends does not block the
+// expiry of the entries made after it. Otherwise the table would grow without bound.
 func TestUnfinishedKeyDoesNotBlockExpiryOfOthers(t *testing.T) {
 	b := newHarness(t)
 	stuck := b.arrive("stuck", 0, time.Second)
@@ -264,15 +265,16 @@
 	}
 }
 
-// After a link loss, a run whose end is being reported at that moment would execute twice if it were sent again,
-// and one that was still in the output buffer never executes if it is not. What was written before since has
-// reached the engine; of the rest only runs of safe classes are sent again.
+// TestOnlySafeRunsAreResentAfterLinkLoss checks which runs are sent again after a link loss. A run whose end is
+// being reported at that moment would execute twice if it were sent again, and one that was still in the output
+// buffer never executes if it is not. What was written before since has reached the engine; of the rest only
+// runs of safe classes are sent again.
 func TestOnlySafeRunsAreResentAfterLinkLoss(t *testing.T) {
 	for name, c := range map[string]struct {
-		unique string
-		end    func(b *harness, x *attempt) // called after the link loss
-		sent   int
-		kind   Kind
+		idempotencyKey string
+		end            func(b *harness, x *attempt) // called after the link loss
+		sent           int
+		kind           Kind
 	}{
 		"safe, lost with its link":        {"", func(b *harness, x *attempt) { b.end(x.txn, policy.Succeeded) }, 2, Served},
 		"safe, reported as missed":        {"", nil, 1, Served},
@@ -291,9 +293,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t)
-			reached := b.arrive(c.unique, 0, 2*time.Second)
+			reached := b.arrive(c.idempotencyKey, 0, 2*time.Second)
 			b.clock.Advance(200 * ms)
-			x, since := b.arrive(c.unique+c.unique, 0, 2*time.Second), b.clock.Now()
+			x, since := b.arrive(c.idempotencyKey+c.idempotencyKey, 0, 2*time.Second), b.clock.Now()
 			b.linkUp = false
 			waiting := b.arrive("w", 0, 2*time.Second) // decided to run while there was no link
 			if c.end == nil {
@@ -319,7 +321,7 @@
 				t.Error("the run was not ended")
 			}
 			if c.kind == Failed { // it may have run: a repeat is neither rejected nor run, and a late end is dropped
-				b.arrive(c.unique+c.unique, 0, 2*time.Second).want(t, Failed, "")
+				b.arrive(c.idempotencyKey+c.idempotencyKey, 0, 2*time.Second).want(t, Failed, "")
 				b.end(x.txn, policy.Succeeded)
 				if b.count.noticesUnmatched.Load() != 1 || b.count.inDoubt.Load() == 0 {
 					t.Errorf("%d unmatched notices, %d runs in doubt", b.count.noticesUnmatched.Load(), b.count.inDoubt.Load())
@@ -329,7 +331,8 @@
 	}
 }
 
-// A RUN that could not be written because the new link broke again must not count as written before the break.
+// TestUnwrittenRunIsSentOnNextLink checks that a RUN that could not be written because the new link broke again
+// does not count as written before the break.
 func TestUnwrittenRunIsSentOnNextLink(t *testing.T) {
 	b := newHarness(t)
 	x := b.arrive("", 0, 2*time.Second)
@@ -342,8 +345,8 @@
 	}
 }
 
-// A tick must use the gauges that it requested. With those of the previous tick the module serves a smaller share
-// of requests on days with a lost node.
+// TestTickUsesTheGaugesItRequested checks that a tick uses the gauges that it requested. With those of the
+// previous tick the module serves a smaller share of requests on days with a lost node.
 func TestTickUsesTheGaugesItRequested(t *testing.T) {
 	b := newHarness(t)
 	b.clock.Advance(15 * ms)
@@ -362,7 +365,8 @@
 	}
 }
 
-// The result of a read must not be shared for longer than ShareFor, even if its caller could have waited longer.
+// TestReadResultIsSharedForConfiguredTime checks that the result of a read is not shared for longer than
+// AnswerReuseTime, even if its caller could have waited longer.
 func TestReadResultIsSharedForConfiguredTime(t *testing.T) {
 	b := newHarnessWith(t, &harness{clock: testkit.NewClock(), attempts: map[string]*attempt{}}, Config{}, func(c *policy.Config) { c.AnswerReuseTime = 300 * ms })
 	read := func() *attempt {
@@ -389,7 +393,8 @@
 	}
 }
 
-// Requests must hold the strings of the settings instead of copies, and no tenant if the settings have none.
+// TestRequestsUseInternedSettingsNames checks that requests hold the strings of the settings instead of copies,
+// and no tenant if the settings have none.
 func TestRequestsUseInternedSettingsNames(t *testing.T) {
 	b := newHarness(t)
 	for tenant, want := range map[string]string{"uni": b.cfg.Tenants[1], "": ""} {
@@ -436,8 +441,8 @@
 		drained := false
 		return map[string]func(*rapid.T){
 			"arrive": func(rt *rapid.T) {
-				unique := rapid.SampledFrom([]string{"", "", "a", "b", "c"}).Draw(rt, "unique")
-				b.arrive(unique, time.Duration(rapid.IntRange(0, 400).Draw(rt, "ago"))*ms,
+				idempotencyKey := rapid.SampledFrom([]string{"", "", "a", "b", "c"}).Draw(rt, "unique")
+				b.arrive(idempotencyKey, time.Duration(rapid.IntRange(0, 400).Draw(rt, "ago"))*ms,
 					time.Duration(rapid.IntRange(0, 3000).Draw(rt, "limit"))*ms)
 			},
 			"end": func(rt *rapid.T) {
--- a/internal/replica/tenant_test.go
+++ b/internal/replica/tenant_test.go
@@ -7,8 +7,8 @@
 	"cairnlane/policy"
 )
 
-// The tenant of a request must be passed to the module. Otherwise the module takes all requests for those of one
-// tenant and cannot share capacity fairly between tenants.
+// TestTenantIsPassedToModule checks that the tenant of a request is passed to the module. Otherwise the module
+// takes all requests for those of one tenant and cannot share capacity fairly between tenants.
 func TestTenantIsPassedToModule(t *testing.T) {
 	b := newHarnessWith(t, &harness{clock: newHarness(t).clock, attempts: map[string]*attempt{}}, Config{}, func(c *policy.Config) {
 		c.Tenants = []policy.Tenant{{Name: "", Fraction: 0.4}, {Name: "uni", Fraction: 0.6}}
@@ -25,7 +25,8 @@
 	}
 }
 
-// At a site without tenants no tenant is passed to the module, whatever a request names.
+// TestNoTenantIsPassedWithoutConfiguredTenants checks that no tenant is passed to the module at a site without
+// tenants, whatever a request names.
 func TestNoTenantIsPassedWithoutConfiguredTenants(t *testing.T) {
 	b := newHarness(t)
 	b.cfg.Tenants = nil
--- a/internal/wire/tenant_name_test.go
+++ b/internal/wire/tenant_name_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The team of a request is a name. Without tenants the simulator sends 0 or nothing.
+// TestTeamIsNameOrZero checks that the team of a request is a name, or 0 or absent, as the simulator sends
+// without tenants.
 func TestTeamIsNameOrZero(t *testing.T) {
 	b, err := Decode([]byte(`{"moment":5,"items":[{"m":"inbound","team":"x"},{"m":"inbound","team":0},{"m":"inbound"}]}`))
 	if err != nil {
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,4 +1,4 @@
-// Package policy decides which requests a server admits, when they run and what callers are told.
+// Package policy decides which requests a server admits, when they run and what is signalled to callers.
 //
 // This file declares the package's interface: the settings (Config), the requests and events that a server
 // reports (methods of Controller) and the actions that it carries out (Host). The decisions are in the other
@@ -61,7 +61,7 @@
 type Class struct {
 	Name        string
 	Aim         time.Duration // latency target: an answer within it earns the full worth
-	Deadline    time.Duration // callers give up after this time
+	Deadline    time.Duration // callers stop waiting after this time
 	Worth       float64
 	LateWorth   float64 // share of the worth that an answer later than the aim earns
 	Semantics   Semantics
@@ -69,16 +69,16 @@
 	SkipWorth   float64       // share of the worth earned when the call is skipped; 0 forbids skipping
 }
 
-// Tenant describes one tenant. Requests beyond its share of the service are worth little.
+// Tenant describes one tenant. Requests over its share of the service are worth little.
 type Tenant struct {
 	Name     string
 	Fraction float64 // its share of the service that all tenants use together
 }
 
 // Config holds the settings of one instance, as known when its process starts. Cores, MemoryKB and
-// Classes with an Aim and a Deadline are required. The zero values of the other fields are safe: RunFactor
-// and FallFactor count as 1, Halt, Signal, Dependency, ShareFor and advice to hold off are not used, and
-// without an AnswerSlack the interval between ticks is derived from the aims.
+// Classes with an Aim and a Deadline are required. The zero values of the other fields are safe:
+// RunMemoryFactor and MaxRunsPerCore count as 1, Halt, Signal, Dependency, AnswerReuseTime and advice to hold
+// off are not used, and without an AnswerSlack the interval between ticks is derived from the aims.
 type Config struct {
 	Seed            int64
 	Cores           int
@@ -122,7 +122,7 @@
 	Expected time.Duration // expected work on a standard core; 0 if unknown
 	Key      string
 	ReadWait time.Duration // time from its arrival at the machine until it was read
-	Due      time.Duration // clock time at which the caller gives up; 0 if unknown
+	Due      time.Duration // clock time at which the caller stops waiting; 0 if unknown
 	Peers    PeerState
 }
 
@@ -130,7 +130,7 @@
 // The zero value means that nothing is known about them.
 type PeerState struct {
 	Version          uint64        // version of this state; returned in the Advice of a rejection
-	Known            bool          // Full and Return are valid
+	Known            bool          // Full and RetryAfter are valid
 	Full             bool          // none of them has room for the request
 	RetryAfter       time.Duration // time until the caller should return, randomized to spread the callers
 	BeyondRetryLimit bool          // a retry that exceeds the number that all servers together accept
@@ -161,11 +161,11 @@
 	Age        time.Duration // time since they were measured
 }
 
-// Advice tells the caller of a rejected request what to do next.
+// Advice states what the caller of a rejected request should do next.
 type Advice struct {
 	HoldOff    time.Duration // send nothing to this server for this time
 	DoNotRetry bool          // do not retry at another server
-	Version    uint64        // Others.Version of the request
+	Version    uint64        // Peers.Version of the request
 }
 
 // Host carries out the actions of a Controller on its server.
--- a/policy/dependency_calls_test.go
+++ b/policy/dependency_calls_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a limit that stays at its maximum and so keeps a dependency congested that slows down under load.
+// TestCallLimitFollowsLatency guards against a limit that stays at its maximum and so keeps a dependency
+// congested that slows down under load.
 func TestCallLimitFollowsLatency(t *testing.T) {
 	l := newCallLimit(10)
 	for range 100 {
@@ -95,7 +96,8 @@
 	}
 }
 
-// Guards against starting requests that then wait for their call until after their aim.
+// TestLongCallQueueRejectsRequestsThatNeedCall guards against starting requests that then wait for their call
+// until after their aim.
 func TestLongCallQueueRejectsRequestsThatNeedCall(t *testing.T) {
 	c, h := startWithCalls(t, 1, 1, 1, 1, 1, 1)
 	h.takeActions()
@@ -110,8 +112,8 @@
 	wantActions(t, h, "run 12")
 }
 
-// Guards against failing a run, with all its work done, because its dependency rejected three attempts at a call
-// within some milliseconds.
+// TestRejectedCallIsRetriedWithBackoff guards against failing a run, with all its work done, because its
+// dependency rejected three attempts at a call within some milliseconds.
 func TestRejectedCallIsRetriedWithBackoff(t *testing.T) {
 	c, h := startWithCalls(t, 1)
 	h.takeActions()
@@ -156,8 +158,9 @@
 	}
 }
 
-// Guards against one unanswered call that adds its whole time-out to the mean duration of calls: the limit would fall,
-// and requests that need a call would be rejected for a wait that does not exist.
+// TestUnansweredCallDoesNotLowerLimit guards against one unanswered call that adds its whole time-out to the
+// mean duration of calls: the limit would fall, and requests that need a call would be rejected for a wait that
+// does not exist.
 func TestUnansweredCallDoesNotLowerLimit(t *testing.T) {
 	l := newCallLimit(10)
 	for range 100 {
@@ -169,7 +172,8 @@
 	}
 }
 
-// Guards against unanswered calls that use up the limit until they time out seconds later.
+// TestOverdueCallsDoNotBlockOthers guards against unanswered calls that use up the limit until they time out
+// seconds later.
 func TestOverdueCallsDoNotBlockOthers(t *testing.T) {
 	c, _ := startWithCalls(t, 1, 1, 1, 1)
 	c.callLimit.maximum, c.callLimit.limit, c.callLimit.meanTime = 3, 1, 0.01
--- a/policy/peer_state_test.go
+++ b/policy/peer_state_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestPeerStateOrdersRejection checks that order 2 (beyond a share) is rejected at the slightest overload, order 1 (a low class) once many
+// TestPeerStateOrdersRejection checks that order 2 (over a share) is rejected at the slightest overload, order 1 (a low class) once many
 // requests are rejected, and none without overload. A repeat of a request that may have run is joined to it in any case.
 func TestPeerStateOrdersRejection(t *testing.T) {
 	for name, c := range map[string]struct {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -21,7 +21,7 @@
 	timeoutTolerance = 0.01 // time-outs whose shares of the deadline differ by no more count as equal
 	maxTimeoutVotes  = 50   // bound on the votes for a caller's usual time-out, as callers change theirs
 	repeatThreshold  = 0.15 // share of retries among arrivals above which other servers also reject
-	idleCostShare    = 0.25 // share of IdleMax; idling for that long costs as much as a new connection
+	idleCostShare    = 0.25 // share of IdleTimeout; idling for that long costs as much as a new connection
 )
 
 // state is the stage of a live request.
@@ -280,8 +280,8 @@
 
 // updateIdleClosing decides whether idle connections are closed at once, which it does if keeping them costs
 // more than opening them again. With far more callers than connection slots, idle connections would fill the
-// connection table, use cores and shut out other callers. The cost is extra handshakes for callers whose
-// requests come in clusters.
+// connection table, use cores and keep other callers from connecting. The cost is extra handshakes for
+// callers whose requests come in clusters.
 func (c *Controller) updateIdleClosing(gap time.Duration, known bool) {
 	updateShare(&c.reuseProb, known && gap < c.cfg.IdleTimeout)
 	updateMean(&c.meanIdle, min(gap, c.cfg.IdleTimeout).Seconds())
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -179,7 +179,8 @@
 	}
 }
 
-// Guards against an old gauge with idle cores that raises the run limit for as long as no new one arrives.
+// TestStaleGaugesDoNotRaiseLimit guards against an old gauge with idle cores that raises the run limit for as
+// long as no new one arrives.
 func TestStaleGaugesDoNotRaiseLimit(t *testing.T) {
 	cfg := testConfig()
 	cfg.MemoryKB = 1e6
@@ -197,7 +198,8 @@
 	}
 }
 
-// Guards against two processes of one server that each run as many requests as the whole server sustains.
+// TestServerShareBoundsRunLimit guards against two processes of one server that each run as many requests as the
+// whole server sustains.
 func TestServerShareBoundsRunLimit(t *testing.T) {
 	cfg := testConfig()
 	cfg.MemoryKB = 1e6
@@ -216,7 +218,8 @@
 	}
 }
 
-// A process that hands over to another and is killed later does not drain, but must answer all requests before.
+// TestStopWithoutDrainAnswersAllBefore checks that a process that hands over to another and is killed later
+// answers all requests before, although it does not drain.
 func TestStopWithoutDrainAnswersAllBefore(t *testing.T) {
 	c, h := startController(t, testConfig())
 	for id := RequestID(1); id <= 3; id++ {
@@ -415,8 +418,8 @@
 	return c
 }
 
-// Guards against callers that return at once under a rank floor because their queued request was rejected without a
-// hold-off.
+// TestRequestRejectedAfterWaitGetsHoldOff guards against callers that return at once under a rank floor because
+// their queued request was rejected without a hold-off.
 func TestRequestRejectedAfterWaitGetsHoldOff(t *testing.T) {
 	h := new(adviceHost)
 	c := startFull(t, h, 4)
@@ -426,7 +429,8 @@
 	}
 }
 
-// Guards against requests that can no longer meet their aim but stay queued until they reach the head.
+// TestLateRequestsBehindHeadOfQueueAreRejectedAtOnce guards against requests that can no longer meet their aim
+// but stay queued until they reach the head.
 func TestLateRequestsBehindHeadOfQueueAreRejectedAtOnce(t *testing.T) {
 	h := new(recordingHost)
 	c := startFull(t, h, 4)
@@ -568,7 +572,8 @@
 	}
 }
 
-// Guards against treating a cold server as warm because its process waited for its cores.
+// TestColdServerWarmsFromStartOfItsCores guards against treating a cold server as warm because its process
+// waited for its cores.
 func TestColdServerWarmsFromStartOfItsCores(t *testing.T) {
 	cfg := testConfig()
 	cfg.Cold = true
@@ -584,8 +589,9 @@
 	}
 }
 
-// Guards against a mean run measured during an overload that excludes its class: all its requests would be rejected as
-// too late, so that no run, or only few runs of small weight, would correct the mean.
+// TestClassWithStaleMeanRunIsProbed guards against a mean run measured during an overload that excludes its
+// class: all its requests would be rejected as too late, so that no run, or only few runs of small weight, would
+// correct the mean.
 func TestClassWithStaleMeanRunIsProbed(t *testing.T) {
 	const bound = 30 // arrivals, one per 100 ms, until the class is admitted again
 	c, h := startController(t, testConfig())
@@ -607,8 +613,8 @@
 	}
 }
 
-// Guards against redirecting callers a whole Config.Heeded before the end of the grace, while the cores could still
-// serve.
+// TestDrainRedirectsCallersAtEndOfGrace guards against redirecting callers a whole Config.SignalLifetime before
+// the end of the grace, while the cores could still serve.
 func TestDrainRedirectsCallersAtEndOfGrace(t *testing.T) {
 	cfg := testConfig()
 	cfg.Signal, cfg.SignalLifetime = RankFloor, time.Second
@@ -620,8 +626,8 @@
 	wantActions(t, h, "signal 1.00")
 }
 
-// Guards against keys of requests that never ran, as the engine rejected them, that take memory for the whole window:
-// unknown callers could fill it and so block all keyed requests.
+// TestKeyOfRequestThatNeverRanIsForgotten guards against keys of requests that never ran, as the engine rejected
+// them, that take memory for the whole window: unknown callers could fill it and so block all keyed requests.
 func TestKeyOfRequestThatNeverRanIsForgotten(t *testing.T) {
 	c, h := startController(t, testConfig())
 	c.Arrive(0, Request{ID: 1, Class: 1, KB: 10})
--- a/policy/quotas_test.go
+++ b/policy/quotas_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// For any arrivals, the rejected shares add up to the total probability, and all tenants that are partly rejected are
-// admitted the same per unit of their fraction.
+// TestQuotasRejectTotalProbability checks that, for any arrivals, the rejected shares add up to the total
+// probability, and that all tenants that are partly rejected are admitted the same per unit of their fraction.
 func TestQuotasRejectTotalProbability(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tenants, arrivals, all := []Tenant{}, []float64{}, 0.0
@@ -66,8 +66,8 @@
 	})
 }
 
-// Guards against rejecting tenants within their quotas when the drop probability overshoots to 1 for a moment, as it does
-// in every overload.
+// TestShortOverloadSparesTenantsWithinQuota guards against rejecting tenants within their quotas when the drop
+// probability overshoots to 1 for a moment, as it does in every overload.
 func TestShortOverloadSparesTenantsWithinQuota(t *testing.T) {
 	q := quotasWithArrivals(fourTenants(), 0.7, 0.1, 0.1, 0.1)
 	q.meanReject = 0.2
@@ -75,7 +75,7 @@
 		t.Errorf("tenant within its quota: rejection probability %.2f, want 0", p)
 	}
 	if p, want := q.reject(1, 1), meanRejectMultiple*0.2/0.7; math.Abs(p-want) > 1e-9 {
-		t.Errorf("tenant beyond its quota: rejection probability %.3f, want %.3f", p, want)
+		t.Errorf("tenant over its quota: rejection probability %.3f, want %.3f", p, want)
 	}
 	for range 200 { // a lasting overload
 		q.updateMeans(1, 1, 50*time.Millisecond, 300*time.Millisecond)
@@ -100,7 +100,8 @@
 	}
 }
 
-// Callers hold back requests by rank alone, so the level must not affect a tenant of which nothing is rejected.
+// TestLevelIsRejectedShareOfLeastRejectedTenant checks that the level does not affect a tenant of which nothing
+// is rejected, as callers hold back requests by rank alone.
 func TestLevelIsRejectedShareOfLeastRejectedTenant(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = fourTenants()
@@ -124,7 +125,8 @@
 	}
 }
 
-// An overloaded controller rejects requests of the tenant beyond its quota and runs those of the others.
+// TestArrivalsAreRejectedByTenant checks that an overloaded controller rejects requests of the tenant over its
+// quota and runs those of the others.
 func TestArrivalsAreRejectedByTenant(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants = fourTenants()
@@ -150,12 +152,12 @@
 		}
 	}
 	if share := float64(rejected[1]) / float64(arrived[1]); share < 0.3 || share > 0.42 {
-		t.Errorf("tenant beyond its quota: %.2f rejected, want 0.3 to 0.42", share)
+		t.Errorf("tenant over its quota: %.2f rejected, want 0.3 to 0.42", share)
 	}
 }
 
-// A caller that holds off sends no request of any tenant. Guards against a hold-off while only one tenant exceeds its
-// quota.
+// TestNoHoldOffWhileOnlyOneTenantExceedsQuota guards against a hold-off while only one tenant exceeds its quota:
+// a caller that holds off sends no request of any tenant.
 func TestNoHoldOffWhileOnlyOneTenantExceedsQuota(t *testing.T) {
 	for _, want := range []struct {
 		mean    float64
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -1,7 +1,7 @@
 package policy
 
 // This file handles requests that end without the result
-// of a run: rejections, failures and callers that left.
+// of a run: rejections, failures and callers that are gone.
 
 import (
 	"container/heap"
@@ -45,7 +45,7 @@
 	return r.class.LateWorth == 0 && r.class.Semantics == Safe && c.cfg.Halt != NoHalt
 }
 
-// CallerGone reports that the caller of a request has left, so that it needs no answer.
+// CallerGone reports that the caller of a request has stopped waiting, so that it needs no answer.
 func (c *Controller) CallerGone(now time.Duration, id RequestID) {
 	c.beginEvent(now)
 	r := c.live[id]
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -203,7 +203,7 @@
 	c.Arrive(k.now, r.Request)
 }
 
-// stepRandom ends r or its call, makes it ask for a call, or lets its caller leave, or does nothing.
+// stepRandom ends r or its call, makes it ask for a call, or reports its caller as gone, or does nothing.
 func stepRandom(c *Controller, k *ruleChecker, rnd *rand.Rand, r *trackedRequest) {
 	outcomes := []Outcome{Succeeded, Succeeded, Failed}
 	switch x := rnd.Intn(40); {
--- a/policy/scheduling.go
+++ b/policy/scheduling.go
@@ -76,8 +76,8 @@
 }
 
 // rejectLate rejects all queued requests that can no longer meet their aim.
-// One behind a head that still can is late as well if runs of its class
-// take longer; its caller learns so within a tick, not once it is the head.
+// A request behind a head that still can may be late as well, if runs of its class
+// take longer; it is rejected within a tick rather than once it is the head.
 func (c *Controller) rejectLate() {
 	for _, e := range c.waitQueue {
 		if r := e.req; !r.ended && r.state == queued && c.tooLate(r) {
--- a/policy/signals.go
+++ b/policy/signals.go
@@ -1,13 +1,14 @@
 package policy
 
-// This file handles draining, health and the signal that tells callers how much to send.
+// This file handles draining, health and the signal that limits how much callers send.
 
 import (
 	"math"
 	"time"
 )
 
-// Parameters of signals. Times are relative to Config.Heeded, the answer slack and the reference delay.
+// Parameters of signals. Times are relative to Config.SignalLifetime, the answer slack and the reference
+// delay.
 const (
 	levelShare       = 0.9  // share of the probability that callers hold back; random rejection does the rest
 	signalStep       = 0.01 // smallest change of the signal that is sent
@@ -17,7 +18,7 @@
 	delistAbove      = 2    // wait to be read, in referenceDelays, above which a server is delisted
 	delistMaxRepeats = 0.08 // share rejected elsewhere below which only this server is overloaded
 	delistDelays     = 10   // referenceDelays for which it is delisted
-	drainLeadShare   = 0.1  // share of Heeded before the end of the grace at which a drain redirects callers
+	drainLeadShare   = 0.1  // a drain redirects callers this share of SignalLifetime before its grace ends
 	stopSlacks       = 2    // answer slacks before the stop by which all requests are answered
 	gaugeTicks       = 8.0  // ticks over which the demand for cores is averaged
 )
@@ -81,9 +82,9 @@
 	}
 }
 
-// updateSignal tells callers how much to send, in the form given by Config.Signal. All forms follow the
-// advisory probability. A draining server redirects its callers only when the grace is about to end, as its
-// cores can serve requests until then.
+// updateSignal sets the signal for how much callers may send, in the form of Config.Signal. All forms follow
+// the advisory probability. A draining server redirects its callers only when the grace is about to end, as
+// its cores can serve requests until then.
 func (c *Controller) updateSignal() {
 	value := 0.0
 	lead := time.Duration(drainLeadShare * float64(c.cfg.SignalLifetime))
