--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -107,8 +107,8 @@
 // Deregister makes the next report the last one and critical; the entry then expires.
 func (r *Reporter) Deregister() { r.deregistered.Store(true) }
 
-// Run reports at once and then every Period, or when the scheduler's Due returns true, until ctx is done or the last report is sent. It
-// runs apart from the serving path: a catalog that is down or slow delays only its own reports.
+// Run reports at once and then every Period, or when the scheduler's Due returns true, until ctx is done or the last
+// report is sent. It runs apart from the serving path: a catalog that is down or slow delays only its own reports.
 func (r *Reporter) Run(ctx context.Context) {
 	tick := time.NewTicker(Period)
 	defer tick.Stop()
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -13,7 +13,7 @@
 	"cairnlane/internal/testkit"
 )
 
-func TestKeepEndsAfterLastReport(t *testing.T) {
+func TestRunEndsAfterLastReport(t *testing.T) {
 	status, reports := http.StatusServiceUnavailable, make(chan string, 4)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
--- a/internal/catalog/pace_test.go
+++ b/internal/catalog/pace_test.go
@@ -31,8 +31,8 @@
 	g.results = append(g.results, ok)
 }
 
-// TestReportsFollowSchedulerUntilDeregister checks that reports are sent when Due returns true, that the scheduler receives each result, and that
-// the last report after Deregister is sent even if Due returns false.
+// TestReportsFollowSchedulerUntilDeregister checks that reports are sent when Due returns true, that the scheduler
+// receives each result, and that the last report after Deregister is sent even if Due returns false.
 func TestReportsFollowSchedulerUntilDeregister(t *testing.T) {
 	reports := make(chan string, 16)
 	down := false
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -44,7 +44,8 @@
 	Command(id uint64, pgid int) error
 	End(id uint64) error
 
-	// RequestMaintenance requests a slot to take this box out of service. Enter takes it out once the slot is granted.
+	// RequestMaintenance requests a slot to take this box out of service. EnterMaintenance takes it out once
+	// the slot is granted.
 	RequestMaintenance() (uint64, error)
 	EnterMaintenance(id uint64, what string) error // what is drain or stop
 }
--- a/internal/engine/link_test.go
+++ b/internal/engine/link_test.go
@@ -247,9 +247,9 @@
 func (l staleConnection) IsActive() bool { return true }
 func (l staleConnection) Fd() int        { return l.fd }
 
-// TestShutdownSparesReusedDescriptor checks a link that closes while its write side is being shut down: its
+// TestShutdownDoesNotAffectReusedDescriptor checks a link that closes while its write side is being shut down: its
 // descriptor may have been reused, and the shutdown must not affect the connection that has it now.
-func TestShutdownSparesReusedDescriptor(t *testing.T) {
+func TestShutdownDoesNotAffectReusedDescriptor(t *testing.T) {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/closing_test.go
+++ b/internal/front/closing_test.go
@@ -256,9 +256,9 @@
 	go func() { st.Drain(); close(drained) }()
 	for { // open the gate only once Drain has begun
 		st.mu.Lock()
-		draining := st.draining
+		begun := st.draining
 		st.mu.Unlock()
-		if draining {
+		if begun {
 			break
 		}
 	}
--- a/internal/lab/mutants/admission.go
+++ b/internal/lab/mutants/admission.go
@@ -3,7 +3,7 @@
 // Admission are the mutants of the policy module: quotas of tenants and calls to a shared dependency.
 var Admission = []Mutant{
 	{"all tenants rejected in equal shares", "policy/policy.go", "c.quotas.reject(r.Tenant, c.dropProb)*", "c.dropProb*", "./policy", "TestArrivalsAreRejectedByTenant"},
-	{"a short overload rejects all tenants", "policy/quotas.go", "	return min(q.rejectedShare(tenant, probability), bound)\n", "	return max(q.rejectedShare(tenant, probability), 0*bound)\n", "./policy", "TestShortOverloadSparesTenantsWithinQuota"},
+	{"a short overload rejects all tenants", "policy/quotas.go", "	return min(q.rejectedShare(tenant, probability), bound)\n", "	return max(q.rejectedShare(tenant, probability), 0*bound)\n", "./policy", "TestShortOverloadDoesNotRejectTenantsWithinQuota"},
 	{"level follows each change without a mean", "policy/quotas.go", "	return min(q.leastRejected(probability), levelMultiple*q.leastRejected(q.meanAdvisory))\n", "	return q.leastRejected(probability)\n", "./policy", "TestLevelIsRejectedShareOfLeastRejectedTenant"},
 	{"tenant not passed to the module", "internal/replica/replica.go", "Tenant: req.tenant, ", "", "./internal/replica", "TestTenantIsPassedToModule"},
 	{"call limit ignores the latency", "policy/call_limit.go", "	target := l.limit*l.gradient() + callAllowance\n", "	target := l.limit + callAllowance\n", "./policy", "TestCallLimitFollowsLatency"},
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestCheckRejectsUnknownValues(t *testing.T) {
+func TestValidateRejectsUnknownValues(t *testing.T) {
 	for _, c := range []Config{{Level: "loud"}, {Format: "xml"}} {
 		if Validate(c) == nil {
 			t.Errorf("%+v is accepted", c)
--- a/internal/operator/listener.go
+++ b/internal/operator/listener.go
@@ -49,58 +49,58 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen for operators at %q (control): %w", addr, err)
 	}
-	d := &Listener{replica: r, now: now, ln: ln}
-	d.count.calls, d.count.rejected = set.Get("operator_calls"), set.Get("operator_calls_refused")
-	d.count.evicted, d.count.timedOut = set.Get("operator_callers_evicted"), set.Get("operator_callers_late")
-	if d.loop, err = netpoll.NewEventLoop(d.read, netpoll.WithOnPrepare(d.prepare)); err != nil {
+	l := &Listener{replica: r, now: now, ln: ln}
+	l.count.calls, l.count.rejected = set.Get("operator_calls"), set.Get("operator_calls_refused")
+	l.count.evicted, l.count.timedOut = set.Get("operator_callers_evicted"), set.Get("operator_callers_late")
+	if l.loop, err = netpoll.NewEventLoop(l.read, netpoll.WithOnPrepare(l.prepare)); err != nil {
 		ln.Close()
 		return nil, fmt.Errorf("listen for operators: %w", err)
 	}
-	return d, nil
+	return l, nil
 }
 
 // Addr returns the address of the listener.
-func (d *Listener) Addr() string { return d.ln.Addr().String() }
+func (l *Listener) Addr() string { return l.ln.Addr().String() }
 
 // Serve accepts connections until Close.
-func (d *Listener) Serve() error { return d.loop.Serve(d.ln) }
+func (l *Listener) Serve() error { return l.loop.Serve(l.ln) }
 
 // prepare registers a connection; the poller calls it.
-func (d *Listener) prepare(nc netpoll.Connection) context.Context {
-	c := &caller{Connection: nc, acceptedAt: d.now()}
-	d.mu.Lock()
+func (l *Listener) prepare(nc netpoll.Connection) context.Context {
+	c := &caller{Connection: nc, acceptedAt: l.now()}
+	l.mu.Lock()
 	var oldest *caller
-	if len(d.callers) >= MaxConnections {
-		oldest = d.callers[0]
-		d.remove(oldest)
+	if len(l.callers) >= MaxConnections {
+		oldest = l.callers[0]
+		l.remove(oldest)
 	}
-	d.callers = append(d.callers, c)
-	d.mu.Unlock()
+	l.callers = append(l.callers, c)
+	l.mu.Unlock()
 	if oldest != nil {
-		d.count.evicted.Inc()
+		l.count.evicted.Inc()
 		oldest.Close()
 	}
 	nc.AddCloseCallback(func(netpoll.Connection) error {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.remove(c)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.remove(c)
 		return nil
 	})
 	return context.WithValue(context.Background(), callerKey{}, c)
 }
 
-// remove removes a connection from the list; d.mu is held.
-func (d *Listener) remove(c *caller) {
-	for i, o := range d.callers {
+// remove removes a connection from the list; l.mu is held.
+func (l *Listener) remove(c *caller) {
+	for i, o := range l.callers {
 		if o == c {
-			d.callers = append(d.callers[:i], d.callers[i+1:]...)
+			l.callers = append(l.callers[:i], l.callers[i+1:]...)
 			return
 		}
 	}
 }
 
 // read is netpoll's callback for new input on a connection.
-func (d *Listener) read(ctx context.Context, nc netpoll.Connection) error {
+func (l *Listener) read(ctx context.Context, nc netpoll.Connection) error {
 	c := ctx.Value(callerKey{}).(*caller)
 	defer func() {
 		if p := recover(); p != nil {
@@ -113,10 +113,10 @@
 	if err != nil {
 		return err
 	}
-	if a := c.session.feed(p, d.replica); a != nil {
-		d.count.calls.Inc()
+	if a := c.session.feed(p, l.replica); a != nil {
+		l.count.calls.Inc()
 		if a[0] == 'N' {
-			d.count.rejected.Inc()
+			l.count.rejected.Inc()
 		}
 		reply(nc, a)
 	}
@@ -139,36 +139,36 @@
 }
 
 // Sweep closes the connections that exceed their lifetime, until ctx is done.
-func (d *Listener) Sweep(ctx context.Context) {
+func (l *Listener) Sweep(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			d.sweep()
+			l.sweep()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (d *Listener) sweep() {
-	d.mu.Lock()
+func (l *Listener) sweep() {
+	l.mu.Lock()
 	var expired []*caller
-	for len(d.callers) > 0 && d.now()-d.callers[0].acceptedAt >= connectionTimeout {
-		expired = append(expired, d.callers[0])
-		d.callers = d.callers[1:]
+	for len(l.callers) > 0 && l.now()-l.callers[0].acceptedAt >= connectionTimeout {
+		expired = append(expired, l.callers[0])
+		l.callers = l.callers[1:]
 	}
-	d.mu.Unlock()
+	l.mu.Unlock()
 	for _, c := range expired {
-		d.count.timedOut.Inc()
+		l.count.timedOut.Inc()
 		c.Close()
 	}
 }
 
 // Close closes the listener and all connections.
-func (d *Listener) Close() {
+func (l *Listener) Close() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = d.loop.Shutdown(ctx)
+	_ = l.loop.Shutdown(ctx)
 }
--- a/internal/replica/peer.go
+++ b/internal/replica/peer.go
@@ -10,8 +10,8 @@
 )
 
 // PeerLink is the link to the other process of a replacement. Send never blocks. A message accepted by Send reaches
-// the other process even if this process is killed immediately afterwards, or else the other process learns that
-// it missed messages.
+// the other process even if this process is killed immediately afterwards, or else the other process detects
+// that it missed messages.
 type PeerLink interface{ Send(m *handover.Message) }
 
 // claimTimeout is how long an attempt waits for permission to run its key. The other process normally answers
--- a/internal/replica/policy_host.go
+++ b/internal/replica/policy_host.go
@@ -16,7 +16,7 @@
 // Run implements policy.Host.
 func (r *Replica) Run(id policy.RequestID) {
 	req := r.live[id]
-	if !assert.That(req != nil && !req.running && !req.answered, "a request is run only while it is held") {
+	if !assert.That(req != nil && !req.running && !req.answered, "a request is run only if it is neither running nor answered") {
 		return
 	}
 	req.running, req.pending = true, true
@@ -58,14 +58,14 @@
 		return
 	}
 	assert.That(a.Version == req.fleetAdvice.Version, "one version of the advice applies to a request from its read to its answer")
-	switch o := &req.fleetAdvice; {
-	case o.BeyondRetryLimit:
+	switch advice := &req.fleetAdvice; {
+	case advice.BeyondRetryLimit:
 		r.count.overBudget.Inc()
 		r.figures.fleetRejections[req.classIndex][reasonOverBudget].Add(1)
-	case o.RejectOrder == shed.OverShare:
+	case advice.RejectOrder == shed.OverShare:
 		r.count.overShare.Inc()
 		r.figures.fleetRejections[req.classIndex][reasonOverShare].Add(1)
-	case o.RejectOrder == shed.LowClass:
+	case advice.RejectOrder == shed.LowClass:
 		r.count.lowClass.Inc()
 		r.figures.fleetRejections[req.classIndex][reasonLowClass].Add(1)
 	}
--- a/policy/call_limit.go
+++ b/policy/call_limit.go
@@ -29,7 +29,7 @@
 func newCallLimit(maximum float64) callLimit { return callLimit{maximum: maximum, limit: maximum} }
 
 // observe adjusts the limit to a call that ended or was abandoned after took. A duration far above the mean
-// is capped at outlierFactor times the mean, as a call that is never answered says nothing about the others.
+// is capped at outlierFactor times the mean, as a call that is never answered is no measure of the others.
 func (l *callLimit) observe(took time.Duration) {
 	seconds := took.Seconds()
 	if l.meanTime > 0 {
--- a/policy/peer_state_test.go
+++ b/policy/peer_state_test.go
@@ -52,7 +52,7 @@
 		"hold-off is bounded":        {PeerState{Version: 7, Known: true, RetryAfter: time.Hour}, 0.5, Advice{Version: 7, HoldOff: time.Second}},
 		"peers are full":             {PeerState{Version: 7, Known: true, Full: true, RetryAfter: 70 * ms}, 0.5, Advice{Version: 7, DoNotRetry: true}},
 		"unknown peers, marked full": {PeerState{Version: 8, Full: true, RetryAfter: 70 * ms}, 0, Advice{Version: 8}},
-		"beyond the retry limit":     {PeerState{Version: 7, Known: true, BeyondRetryLimit: true, RetryAfter: 70 * ms}, 0, Advice{Version: 7}},
+		"over the retry limit":       {PeerState{Version: 7, Known: true, BeyondRetryLimit: true, RetryAfter: 70 * ms}, 0, Advice{Version: 7}},
 	} {
 		cfg, h := testConfig(), new(adviceHost)
 		cfg.Signal, cfg.MaxHoldOff = RankFloor, time.Second
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -386,7 +386,7 @@
 
 func (h *adviceHost) Reject(_ RequestID, a Advice) { h.last = a }
 
-func TestHoldOffOnlyWhereSignalCannotSayZero(t *testing.T) {
+func TestHoldOffOnlyWhereSignalCannotAskForZero(t *testing.T) {
 	for signal, wantHoldOff := range map[SignalKind]bool{NoSignal: true, CallerTokens: true, RankFloor: false} {
 		cfg, h := testConfig(), new(adviceHost)
 		cfg.Signal, cfg.MaxHoldOff = signal, time.Second
--- a/policy/quotas_test.go
+++ b/policy/quotas_test.go
@@ -66,9 +66,9 @@
 	})
 }
 
-// TestShortOverloadSparesTenantsWithinQuota guards against rejecting tenants within their quotas when the drop
+// TestShortOverloadDoesNotRejectTenantsWithinQuota guards against rejecting tenants within their quotas when the drop
 // probability overshoots to 1 for a moment, as it does in every overload.
-func TestShortOverloadSparesTenantsWithinQuota(t *testing.T) {
+func TestShortOverloadDoesNotRejectTenantsWithinQuota(t *testing.T) {
 	q := quotasWithArrivals(fourTenants(), 0.7, 0.1, 0.1, 0.1)
 	q.meanReject = 0.2
 	if p := q.reject(2, 1); p != 0 {
--- a/policy/rejection.go
+++ b/policy/rejection.go
@@ -86,14 +86,14 @@
 	}
 	advice := Advice{DoNotRetry: !c.draining && (othersReject || c.now > r.aimAt), Version: r.Peers.Version}
 	updateShare(&c.noRetryShare, advice.DoNotRetry)
-	cannotSayZero := c.cfg.Signal == NoSignal || c.cfg.Signal == CallerTokens
-	if cannotSayZero && !c.closingIdle { // the signal cannot ask for zero requests, and callers return
+	noZeroSignal := c.cfg.Signal == NoSignal || c.cfg.Signal == CallerTokens
+	if noZeroSignal && !c.closingIdle { // the signal cannot ask for zero requests, and callers return
 		advice.HoldOff = time.Duration(c.quotas.level(c.advisory.dropProb) * float64(c.cfg.MaxHoldOff))
-	} else if !cannotSayZero && !c.draining && c.now > r.arrived+r.ReadWait { // queued in vain
+	} else if !noZeroSignal && !c.draining && c.now > r.arrived+r.ReadWait { // queued in vain
 		untilStart := time.Duration(c.startTime / max(c.startSum, 1) * float64(time.Second))
 		advice.HoldOff = min(untilStart, c.cfg.MaxHoldOff)
 	}
-	roomElsewhere := !cannotSayZero && !c.draining && !others.Full && c.advisory.dropProb > noRetryThreshold
+	roomElsewhere := !noZeroSignal && !c.draining && !others.Full && c.advisory.dropProb > noRetryThreshold
 	if others.Known && (roomElsewhere || advice.HoldOff > 0) {
 		advice.HoldOff = min(others.RetryAfter, c.cfg.MaxHoldOff)
 	}
--- a/policy/scheduling.go
+++ b/policy/scheduling.go
@@ -136,7 +136,7 @@
 		c.newStarts--
 		c.forgetKey(r)
 	case o == Failed:
-		c.newStarts-- // a quick failure says nothing about the rate of starts
+		c.newStarts-- // a quick failure does not show the rate of starts
 	case o == Cancelled && seconds > r.class.meanRun: // a complete run would have taken even longer
 		updateMean(&r.class.meanRun, seconds)
 	}
