--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -22,8 +22,8 @@
 	"github.com/rs/zerolog"
 
 	"cairnlane/internal/decide/renewal"
-	"cairnlane/internal/faultfs"
 	"cairnlane/internal/fake/authority"
+	"cairnlane/internal/faultfs"
 	"cairnlane/internal/state/keystore"
 	"cairnlane/internal/testkit"
 )
--- a/internal/certs/year/year.go
+++ b/internal/certs/year/year.go
@@ -24,10 +24,10 @@
 	"cairnlane/internal/certs"
 	"cairnlane/internal/counters"
 	"cairnlane/internal/decide/renewal"
+	"cairnlane/internal/fake/authority"
 	"cairnlane/internal/faultfs"
 	"cairnlane/internal/front"
 	"cairnlane/internal/replica"
-	"cairnlane/internal/fake/authority"
 	"cairnlane/internal/state/keystore"
 	"cairnlane/internal/thrift"
 )
--- a/internal/handover/replace/process.go
+++ b/internal/handover/replace/process.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"time"
 
+	"cairnlane/internal/fake/engine"
 	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/operator"
-	"cairnlane/internal/fake/engine"
 	"slices"
 )
 
--- a/internal/handover/replace/replace.go
+++ b/internal/handover/replace/replace.go
@@ -14,12 +14,12 @@
 	"sync/atomic"
 	"time"
 
-	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/operator"
 	"cairnlane/internal/fake/catalog"
 	"cairnlane/internal/fake/engine"
 	"cairnlane/internal/fake/index"
 	"cairnlane/internal/fake/router"
+	"cairnlane/internal/lab/rig"
+	"cairnlane/internal/operator"
 )
 
 // Config holds the settings of a trial.
--- a/internal/lab/audits/audits.go
+++ b/internal/lab/audits/audits.go
@@ -17,9 +17,9 @@
 	"cairnlane/internal/config"
 	"cairnlane/internal/decide/lease"
 	"cairnlane/internal/decide/rollout"
+	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/lab/actor"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/state/audit"
 )
 
--- a/internal/lab/audits/evaluate.go
+++ b/internal/lab/audits/evaluate.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"cairnlane/internal/decide/rollout"
+	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/fleet"
 	"cairnlane/internal/lab/actor"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/state/audit"
 )
 
--- a/internal/lab/leases/leases.go
+++ b/internal/lab/leases/leases.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"cairnlane/internal/decide/lease"
+	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/lab/actor"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/fake/resource"
 )
 
 // Config configures a trial.
--- a/internal/lab/overloads/cost.go
+++ b/internal/lab/overloads/cost.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"cairnlane/internal/decide/rollout"
-	"cairnlane/internal/lab/model"
-	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/fake/engine"
 	"cairnlane/internal/fake/router"
+	"cairnlane/internal/lab/model"
+	"cairnlane/internal/lab/rig"
 )
 
 // CostConfig holds the parameters for measuring the cost of a request.
--- a/internal/lab/overloads/run.go
+++ b/internal/lab/overloads/run.go
@@ -15,10 +15,10 @@
 
 	"cairnlane/internal/decide/lease"
 	"cairnlane/internal/decide/rollout"
-	"cairnlane/internal/lab/model"
-	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/fake/engine"
 	"cairnlane/internal/fake/router"
+	"cairnlane/internal/lab/model"
+	"cairnlane/internal/lab/rig"
 	"cairnlane/policy"
 )
 
--- a/internal/lab/rig/site.go
+++ b/internal/lab/rig/site.go
@@ -19,11 +19,11 @@
 
 	"cairnlane/internal/control"
 	"cairnlane/internal/decide/lease"
-	"cairnlane/internal/fleet"
 	"cairnlane/internal/fake/catalog"
 	"cairnlane/internal/fake/engine"
 	"cairnlane/internal/fake/index"
 	"cairnlane/internal/fake/router"
+	"cairnlane/internal/fleet"
 )
 
 // SiteConfig configures a site of several boxes.
