--- a/deploy/fleet-config.hcl
+++ b/deploy/fleet-config.hcl
@@ -1,24 +1,24 @@
-# A configuration of a whole fleet, as `cairnctl fleet config put deploy/fleet-config.hcl` takes it. docs/rollout.md is the operators' page.
+# Configuration of a whole fleet, stored with `cairnctl fleet config put deploy/fleet-config.hcl`. See docs/rollout.md.
 
-needs = 2 # the least number of a build that understands it; older builds turn it down. 2 knows overload
+needs = 2 # lowest build number that supports this configuration; older builds reject it. The overload block needs 2
 
-# For commands that run under a lease (`cairnctl fleet run`), as CAIRNLANE_VALUE_NAME in their environment.
+# Passed to commands that run under a lease (`cairnctl fleet run`) as environment variables CAIRNLANE_VALUE_NAME.
 values = {
   EXPORT_DIR = "/srv/export"
   BATCH      = "200"
 }
 
-# Boxes that are below the lowest allowed number.
+# How boxes below the lowest allowed version are handled.
 stragglers {
-  grace         = "30s" # before they are shut out; twice the leases' term at the least
-  floor         = 0.5   # the share of all known boxes, the dead included, that must be left
-  leave_service = false # whether a box that is shut out takes itself out of service
+  grace         = "30s" # time until they are shut out; at least twice the lease term
+  floor         = 0.5   # fraction of all known boxes, including dead ones, that must not be shut out
+  leave_service = false # whether a box that is shut out drains itself
 }
 
-# What the fleet sheds as one (docs/overload.md). Without this block each box sheds by itself alone.
+# Load shedding by the fleet as a whole (docs/overload.md). Without this block each box decides by itself.
 overload {
-  tries  = 0.1 # further tries over first ones that the fleet takes
-  shares = {   # of the fleet's capacity, by tenant of the settings
+  tries  = 0.1 # retry budget: admitted retries per first attempt
+  shares = {   # shares of the fleet's capacity, by tenant of the settings
     riverside-uni   = 0.41
     hills-college   = 0.27
     goldfields-tafe = 0.17
--- a/examples/fakes/main.go
+++ b/examples/fakes/main.go
@@ -1,4 +1,4 @@
-// Command toy runs fakes of the systems around a replica, to try a replica by hand: an engine whose runs sleep and return their body, a
+// Command fakes runs fakes of the systems around a replica, to try a replica by hand: an engine whose runs sleep and return their body, a
 // catalog that accepts every report, an index if the settings have one, and a router that sends requests of each class in turn and prints
 // the replies. The addresses, classes and tenants come from the replica's configuration. It is not a benchmark.
 package main
--- a/internal/clock/boot_test.go
+++ b/internal/clock/boot_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestBootMatchesUptime checks that Boot agrees with /proc/uptime, so that it does not depend on the wall clock, and that it
+// TestBootMatchesUptime checks that SinceBoot agrees with /proc/uptime, so that it does not depend on the wall clock, and that it
 // never goes back.
 func TestBootMatchesUptime(t *testing.T) {
 	raw, err := os.ReadFile("/proc/uptime")
@@ -17,9 +17,9 @@
 	var uptime float64
 	fmt.Sscan(string(raw), &uptime)
 	if diff := SinceBoot() - time.Duration(uptime*float64(time.Second)); diff < -time.Minute || diff > time.Minute {
-		t.Errorf("Boot differs from /proc/uptime by %v, want at most 1m", diff)
+		t.Errorf("SinceBoot differs from /proc/uptime by %v, want at most 1m", diff)
 	}
 	if a, b := SinceBoot(), SinceBoot(); b < a {
-		t.Errorf("Boot went back from %v to %v", a, b)
+		t.Errorf("SinceBoot went back from %v to %v", a, b)
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock provides three clocks: System, a monotonic clock that is set once from the wall clock; Boot, the time since the machine
-// was booted; and Wall, the wall clock. In trial builds the last two can be falsified.
+// Package clock provides three clocks: System, a monotonic clock that is set once from the wall clock; SinceBoot, the time since the machine
+// was booted; and Wall, the wall clock. In trial builds the last two can be skewed.
 package clock
 
 import "time"
--- a/internal/fake/authority/authority.go
+++ b/internal/fake/authority/authority.go
@@ -354,7 +354,7 @@
 		if status == 0 {
 			status = http.StatusForbidden
 		}
-		p := newProblem(status, problemType, "played by the script")
+		p := newProblem(status, problemType, "injected fault")
 		p.retryAfter = f.RetryAfter
 		writeProblem(w, p)
 		return true
--- a/internal/fake/authority/authority_test.go
+++ b/internal/fake/authority/authority_test.go
@@ -259,7 +259,7 @@
 		"bad nonce": {OpOrder, Fault{BadNonce: true}, "badNonce"},
 		"lost":      {OpOrder, Fault{DropResponse: true}, "EOF"},
 		"unusable":  {OpFinalize, Fault{Defect: InvalidDER}, "x509"},
-		"invalid":   {OpChallenge, Fault{FailValidation: true}, "played by the script"},
+		"invalid":   {OpChallenge, Fault{FailValidation: true}, "injected validation failure"},
 	} {
 		c := newClient(t, Config{})
 		if err := c.register(nil); err != nil {
@@ -350,7 +350,7 @@
 	}
 }
 
-func TestMostInAnHour(t *testing.T) {
+func TestMaxCallsPerHour(t *testing.T) {
 	c := newClient(t, Config{})
 	for i := range 6 {
 		resp, err := c.HTTPClient.Get(c.authority.URL())
@@ -365,6 +365,6 @@
 		}
 	}
 	if got := c.authority.MaxCallsPerHour(); got != 4 {
-		t.Errorf("MostInAnHour returned %d, want 4", got)
+		t.Errorf("MaxCallsPerHour returned %d, want 4", got)
 	}
 }
--- a/internal/fake/authority/validate.go
+++ b/internal/fake/authority/validate.go
@@ -24,7 +24,7 @@
 // validate validates a challenge by requesting its response from the address that Resolve returns for the name.
 func (a *Authority) validate(z *authz) error {
 	if z.forceInvalid {
-		return errors.New("played by the script")
+		return errors.New("injected validation failure")
 	}
 	a.mu.Lock()
 	keyThumbprint, err := thumbprint(z.account.key)
--- a/internal/fake/resource/resource.go
+++ b/internal/fake/resource/resource.go
@@ -27,7 +27,7 @@
 	Fenced      bool          // ended by an effect with a newer token
 	Stale       bool          // rejected: its token is older than one that was seen
 	BelowLowest bool          // rejected: its version is below the lowest allowed version reported with an effect
-	Intercepted bool          // the function set by Trap acted between announcement and begin, such as by stopping the box's process
+	Intercepted bool          // the function set by OnAnnounce acted between announcement and begin, such as by stopping the box's process
 }
 
 // Ticket is the authority for an effect: the lease's token, the version of the configuration that the box acts on, and the lowest
--- a/internal/fake/router/router.go
+++ b/internal/fake/router/router.go
@@ -21,13 +21,13 @@
 type Request struct {
 	Txn, Class, Tenant, IdempotencyKey, Item string
 	Body                                     string
-	TimeLimit                                time.Duration // time limit, from Door
+	TimeLimit                                time.Duration // time limit, counted from ArrivedAt
 	Retry                                    bool
 	Rank                                     float64   // the router's rank of the request, sent as standing; 0 stands for 0.5
 	ArrivedAt                                time.Time // arrival time at the router; zero stands for the time of sending
 }
 
-// arrivedAt returns Door or its default.
+// arrivedAt returns ArrivedAt or its default.
 func (q *Request) arrivedAt() time.Time {
 	if q.ArrivedAt.IsZero() {
 		return time.Now()
--- a/internal/lab/actor/actor.go
+++ b/internal/lab/actor/actor.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"cairnlane/internal/decide/lease"
-	"cairnlane/internal/fleet"
 	"cairnlane/internal/fake/resource"
+	"cairnlane/internal/fleet"
 )
 
 // Slots returns how many boxes may act on a thing at the same time: two if its name begins with "double", otherwise one.
--- a/internal/lab/audits/audits.go
+++ b/internal/lab/audits/audits.go
@@ -17,9 +17,9 @@
 	"cairnlane/internal/config"
 	"cairnlane/internal/decide/lease"
 	"cairnlane/internal/decide/rollout"
+	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/lab/actor"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/state/audit"
 )
 
@@ -42,7 +42,7 @@
 	Progress      io.Writer
 }
 
-// Kinds are the kinds of faults that are drawn: all but rig.Mute, rig.Choke and rig.Cold. Cold empties the disks of nearly all boxes,
+// Kinds are the kinds of faults that are drawn: all but rig.DropOutgoing, rig.LimitRate and rig.ColdRestart. ColdRestart empties the disks of nearly all boxes,
 // which leaves no audits to compare.
 var Kinds = []rig.Kind{rig.Kill, rig.EmptyDisk, rig.OldCopy, rig.Stop, rig.StopInAct, rig.KillLeader, rig.StopLeader, rig.FullDisk, rig.Twin, rig.OneWay, rig.DropIncoming, rig.Isolate, rig.Split, rig.Hold, rig.Slow,
 	rig.Break, rig.Refuse, rig.Flap, rig.WallClockJump, rig.RotateKey, rig.KillAll}
@@ -145,12 +145,12 @@
 		schedule = rig.Draw(t.rand, cfg.Kinds, cfg.Faults, cfg.Boxes, cfg.Span)
 	}
 	t.figures.Schedule = schedule
-	var played rig.InjectedFaults
+	var injected rig.InjectedFaults
 	var faultErr error
 	faults := make(chan struct{})
 	go func() {
 		defer close(faults)
-		played, faultErr = t.site.Inject(schedule, actor.EffectTrap{Resource: res})
+		injected, faultErr = t.site.Inject(schedule, actor.EffectTrap{Resource: res})
 	}()
 	for _, s := range cfg.Scripts {
 		if err := t.runScript(s); err != nil {
@@ -162,7 +162,7 @@
 	if faultErr != nil {
 		return nil, faultErr
 	}
-	t.figures.Faults, t.figures.Kinds = t.figures.Faults+played.Total(), len(played)
+	t.figures.Faults, t.figures.Kinds = t.figures.Faults+injected.Total(), len(injected)
 	fmt.Fprintf(cfg.Progress, "%d faults of %d kinds, %d effects\n", t.figures.Faults, t.figures.Kinds, len(res.Effects()))
 	if err := t.rollOutToAll(); err != nil {
 		t.note("%v", err)
@@ -180,7 +180,7 @@
 	return t.figures, nil
 }
 
-// boxOf returns the number of the box to which the configuration at path belongs. A twin has the number of its box.
+// boxOf returns the number of the box to which the configuration at path belongs. A process of kind rig.Twin has the number of its box.
 func boxOf(dir, path string) (n int) {
 	rel, _ := filepath.Rel(dir, path)
 	fmt.Sscan(strings.Split(rel, string(filepath.Separator))[0], &n)
@@ -198,21 +198,21 @@
 func (t *trial) now() time.Duration { return time.Since(t.clockStart) }
 
 // queryRollouts asks a box for the state of rollouts. It returns an error if the box does not answer within 500 ms, as it may be stopped.
-func queryRollouts(b *rig.Box) (r fleetRollouts, err error) {
+func queryRollouts(b *rig.Box) (rollouts fleetRollouts, err error) {
 	type answer struct {
 		r   fleetRollouts
 		err error
 	}
 	c := make(chan answer, 1)
 	go func() {
-		r, err := b.Control().Fleet().Rollouts()
-		c <- answer{r, err}
+		rollouts, err := b.Control().Fleet().Rollouts()
+		c <- answer{rollouts, err}
 	}()
 	select {
 	case a := <-c:
 		return a.r, a.err
 	case <-time.After(500 * time.Millisecond):
-		return r, fmt.Errorf("no answer from %s within 500 ms", b.Name)
+		return rollouts, fmt.Errorf("no answer from %s within 500 ms", b.Name)
 	}
 }
 
@@ -236,7 +236,7 @@
 	}
 }
 
-// observe records what a box's answer says about rollouts, shut-out boxes and stragglers. The caller holds t.mu.
+// observe records a box's answer about rollouts, shut-out boxes and stragglers. The caller holds t.mu.
 func (t *trial) observe(r fleetRollouts) {
 	table := r.Table
 	if _, ok := t.lowestSeenAt[table.Lowest]; !ok {
--- a/internal/lab/audits/audits_test.go
+++ b/internal/lab/audits/audits_test.go
@@ -79,7 +79,7 @@
 	}
 	for name, change := range map[string]func(*Figures){"acts below": func(f *Figures) { f.ActsBelowLowest = 1 }, "mixed": func(f *Figures) { f.Mixed = 1 }, "steps": func(f *Figures) { f.StepsRepeated = 1 },
 		"wrongly": func(f *Figures) { f.WronglyShutOut = 1 }, "answers": func(f *Figures) { f.AnswersWrong = 1 }, "tampered": func(f *Figures) { f.TamperedFound = 4 }, "gaps": func(f *Figures) { f.Gaps = 1 },
-		"not settled": func(f *Figures) { f.Unsettled = 1 }, "double": func(f *Figures) { f.DoubleRuns = 1 }, "too little": func(f *Figures) { f.Rollouts = 3 }} {
+		"not settled": func(f *Figures) { f.Unsettled = 1 }, "double": func(f *Figures) { f.DoubleRuns = 1 }, "too few events": func(f *Figures) { f.Rollouts = 3 }} {
 		f := good
 		if change(&f); !strings.Contains(strings.Join(f.MissedInFull(), " "), name) {
 			t.Errorf("bound %q is not among the missed ones: %v", name, f.MissedInFull())
--- a/internal/lab/audits/cost.go
+++ b/internal/lab/audits/cost.go
@@ -43,7 +43,7 @@
 
 // measureIndex measures how long it takes to index and query the audits of the given number of boxes.
 func (c *Costs) measureIndex(boxes, entries int) {
-	var books []*audit.FolderContents
+	var contents []*audit.FolderContents
 	for i := range boxes {
 		b := &audit.FolderContents{Box: fmt.Sprintf("box%04d", i)}
 		for k := range entries {
@@ -56,7 +56,7 @@
 			}
 			b.Entries = append(b.Entries, e)
 		}
-		books = append(books, b)
+		contents = append(contents, b)
 	}
 	measure := func(do func()) time.Duration {
 		began := time.Now()
@@ -64,11 +64,11 @@
 		return time.Since(began)
 	}
 	var index *audit.Index
-	c.IndexTime = measure(func() { index = audit.NewIndex(books, nil) })
+	c.IndexTime = measure(func() { index = audit.NewIndex(contents, nil) })
 	for _, query := range []func(){func() { index.RunsOfConfig(5, 100) }, func() { index.Effects("task7") }, func() { index.AtIndex(uint64(entries * 5)) }, func() { index.AtTime(time.Hour, time.Minute) }, func() { index.EntriesOf("box0500") }} {
 		c.MaxAnswerTime = max(c.MaxAnswerTime, measure(query))
 	}
-	c.ScanTime = measure(func() { audit.ScanRunsOfConfig(books, 5) })
+	c.ScanTime = measure(func() { audit.ScanRunsOfConfig(contents, 5) })
 }
 
 // measureEffects measures an effect that does nothing, alternately with and without an audit.
--- a/internal/lab/audits/evaluate.go
+++ b/internal/lab/audits/evaluate.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"cairnlane/internal/decide/rollout"
+	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/fleet"
 	"cairnlane/internal/lab/actor"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/state/audit"
 )
 
@@ -54,22 +54,22 @@
 	}
 	t.countActsBelowLowest(effects)
 	// The audit of each box: the current one first, then those of state directories that it lost and of twins.
-	books := map[string][]*audit.FolderContents{}
+	contents := map[string][]*audit.FolderContents{}
 	var all []*audit.FolderContents
 	for _, b := range t.site.Boxes {
 		for i, dir := range b.AuditDirs() {
-			book, err := audit.Read(dir)
+			content, err := audit.Read(dir)
 			if err != nil {
 				if i == 0 {
 					return err
 				}
 				continue // a twin that wrote no audit
 			}
-			books[b.Name] = append(books[b.Name], book)
-			all = append(all, book)
+			contents[b.Name] = append(contents[b.Name], content)
+			all = append(all, content)
 		}
 	}
-	figures.Gaps = t.countActsOnFullDisk(effects, books)
+	figures.Gaps = t.countActsOnFullDisk(effects, contents)
 	heads, err := t.auditHeads()
 	if err != nil {
 		return err
@@ -77,15 +77,15 @@
 	index := audit.NewIndex(all, heads)
 	t.compareVersions(effects, index, all)
 	t.compareEffects(effects, index)
-	t.compareSamples(books, heads)
+	t.compareSamples(contents, heads)
 	t.countMixed(all)
-	t.verifyChains(books, heads)
+	t.verifyChains(contents, heads)
 	return t.tamper(heads)
 }
 
 // countActsOnFullDisk returns how many boxes acted while their disk was full, as the fake resource saw it, and counts those of them
 // whose audit records a gap.
-func (t *trial) countActsOnFullDisk(effects []resource.Effect, books map[string][]*audit.FolderContents) (n int) {
+func (t *trial) countActsOnFullDisk(effects []resource.Effect, contents map[string][]*audit.FolderContents) (n int) {
 	since := map[int]time.Time{}
 	full := map[string]bool{}
 	for _, h := range t.site.History() {
@@ -103,7 +103,7 @@
 	}
 	for box := range full {
 		found := 0
-		for _, b := range books[box] {
+		for _, b := range contents[box] {
 			found += countGaps(b)
 		}
 		if found > 0 {
@@ -161,7 +161,7 @@
 		if actor.ComparesTokens(e.Thing) {
 			if e.Version < seen[e.Thing] {
 				t.figures.ActsBelowLowest++
-				t.note("%s acted on %s under version %d after the resource had been told that %d is the lowest allowed", e.Box, e.Thing, e.Version, seen[e.Thing])
+				t.note("%s acted on %s under version %d although the resource had received %d as the lowest allowed version", e.Box, e.Thing, e.Version, seen[e.Thing])
 			}
 			seen[e.Thing] = max(seen[e.Thing], e.Lowest)
 		}
@@ -274,7 +274,7 @@
 }
 
 // compareSamples checks which version each box had in force at an index of the ledger, and when it changed to it.
-func (t *trial) compareSamples(books map[string][]*audit.FolderContents, heads map[string][]audit.ChainHead) {
+func (t *trial) compareSamples(contents map[string][]*audit.FolderContents, heads map[string][]audit.ChainHead) {
 	jumped := map[int]bool{}
 	for _, h := range t.site.History() {
 		if strings.HasPrefix(h.Text, "wall for") {
@@ -282,10 +282,10 @@
 		}
 	}
 	for _, b := range t.site.Boxes {
-		if len(books[b.Name]) != 1 { // the box lost its disk or had a twin, so its indexes are not monotonic
+		if len(contents[b.Name]) != 1 { // the box lost its disk or had a twin, so its indexes are not monotonic
 			continue
 		}
-		index := audit.NewIndex(books[b.Name], heads)
+		index := audit.NewIndex(contents[b.Name], heads)
 		runs := index.RunsOf(b.Name)
 		highestIndex := uint64(0)
 		for i, s := range t.samples[b.Index] {
@@ -337,7 +337,7 @@
 }
 
 // verifyChains checks the audits against the heads in the ledger. The audits of all boxes whose disk was not replaced must be complete.
-func (t *trial) verifyChains(books map[string][]*audit.FolderContents, heads map[string][]audit.ChainHead) {
+func (t *trial) verifyChains(contents map[string][]*audit.FolderContents, heads map[string][]audit.ChainHead) {
 	for _, b := range t.site.Boxes {
 		diskReplaced := false
 		for _, h := range t.site.History() {
@@ -349,9 +349,9 @@
 		if diskReplaced {
 			continue
 		}
-		book := books[b.Name][0]
-		book.VerifyMarks(heads[b.Name])
-		t.countAnswer(len(book.Faults) == 0, "%s: its audit is complete, and the check reports %v", b.Name, book.Faults)
+		content := contents[b.Name][0]
+		content.VerifyMarks(heads[b.Name])
+		t.countAnswer(len(content.Faults) == 0, "%s: its audit is complete, and the check reports %v", b.Name, content.Faults)
 	}
 }
 
@@ -446,7 +446,7 @@
 		}
 	}
 	if f.Acts < 20 || f.Answers < 10 || f.TamperedCopies == 0 || f.Done == 0 {
-		list = append(list, fmt.Sprintf("too little to judge: %d acts, %d answers, %d tampered copies, %d rollouts done", f.Acts, f.Answers, f.TamperedCopies, f.Done))
+		list = append(list, fmt.Sprintf("too few events to evaluate: %d acts, %d answers, %d tampered copies, %d rollouts done", f.Acts, f.Answers, f.TamperedCopies, f.Done))
 	}
 	return list
 }
@@ -455,7 +455,7 @@
 func (f *Figures) MissedInFull() []string {
 	list := f.Missed()
 	if f.Processes < 9 || f.Rollouts < 8 || f.RolledBack == 0 || f.Superseded == 0 || f.ConductorsHit == 0 || f.Stragglers == 0 || f.ShutOut == 0 {
-		list = append(list, "too little to judge rollouts")
+		list = append(list, "too few events to evaluate rollouts")
 	}
 	return list
 }
--- a/internal/lab/fleetsim/cost.go
+++ b/internal/lab/fleetsim/cost.go
@@ -13,38 +13,38 @@
 func CatchUpTime(missed int) time.Duration {
 	cfg := Default(1)
 	cfg.Busy, cfg.RolloutInterval, cfg.LossRate = false, 1000*time.Hour, 0
-	w := New(cfg)
-	w.Advance(5 * time.Second)
+	sim := New(cfg)
+	sim.Advance(5 * time.Second)
 	rollOut := func() {
-		w.configsPut++
-		d := digestOf(w.configsPut * 5) // any digest will do: Verify goes by the version's number
-		b := w.boxes[0]
+		sim.configsPut++
+		d := digestOf(sim.configsPut * 5) // any digest will do: Verify goes by the version's number
+		b := sim.boxes[0]
 		b.configs.has[d] = true
-		w.run(0, b.incarnation, func() {
-			b.node.SubmitRolloutCommand(b.clock(w), rollout.Command{Kind: rollout.Put, Digest: d, Size: 100, Rules: &rollout.Rules{Grace: time.Hour, Floor: 0.1}})
+		sim.run(0, b.incarnation, func() {
+			b.node.SubmitRolloutCommand(b.clock(sim), rollout.Command{Kind: rollout.Put, Digest: d, Size: 100, Rules: &rollout.Rules{Grace: time.Hour, Floor: 0.1}})
 		})
-		w.Advance(w.now + time.Second)
-		w.run(0, b.incarnation, func() {
-			b.node.SubmitRolloutCommand(b.clock(w), rollout.Command{Kind: rollout.Start, N: b.node.Ledger().State().Rollout.Last,
+		sim.Advance(sim.now + time.Second)
+		sim.run(0, b.incarnation, func() {
+			b.node.SubmitRolloutCommand(b.clock(sim), rollout.Command{Kind: rollout.Start, N: b.node.Ledger().State().Rollout.Last,
 				Plan: &rollout.Plan{Canaries: 9, Share: 1, Timeout: time.Minute, MaxRejected: 9, MaxDead: 9, Slots: 9, Supersede: true}})
 		})
-		w.Advance(w.now + 4*time.Second)
+		sim.Advance(sim.now + 4*time.Second)
 	}
 	rollOut()
-	last := len(w.boxes) - 1
+	last := len(sim.boxes) - 1
 	for k := range last {
-		w.cutLinks[[2]int{k, last}], w.cutLinks[[2]int{last, k}] = true, true
+		sim.cutLinks[[2]int{k, last}], sim.cutLinks[[2]int{last, k}] = true, true
 	}
-	w.Advance(w.now + 4*cfg.Terms.Term)
+	sim.Advance(sim.now + 4*cfg.Terms.Term)
 	for range missed {
 		rollOut()
 	}
-	clear(w.cutLinks)
-	began, b := w.now, w.boxes[last]
-	for w.now < began+time.Minute {
-		w.Advance(w.now + 10*time.Millisecond)
-		if t := w.boxes[0].node.Ledger().State().Rollout; b.configs.inForce == t.Target && t.Target > 1 {
-			return w.now - began
+	clear(sim.cutLinks)
+	began, b := sim.now, sim.boxes[last]
+	for sim.now < began+time.Minute {
+		sim.Advance(sim.now + 10*time.Millisecond)
+		if t := sim.boxes[0].node.Ledger().State().Rollout; b.configs.inForce == t.Target && t.Target > 1 {
+			return sim.now - began
 		}
 	}
 	return 0
@@ -58,30 +58,30 @@
 		if withReports {
 			cfg.RolloutInterval = 1000 * time.Hour
 		}
-		w := New(cfg)
-		w.Advance(30 * time.Second)
+		sim := New(cfg)
+		sim.Advance(30 * time.Second)
 		if withReports {
-			w.boxes[0].configs.has[digestOf(5)] = true
-			w.run(0, w.boxes[0].incarnation, func() {
-				w.boxes[0].node.SubmitRolloutCommand(w.boxes[0].clock(w), rollout.Command{Kind: rollout.Put, Digest: digestOf(5), Size: 100, Rules: &rollout.Rules{Grace: time.Hour, Floor: 0.1}})
+			sim.boxes[0].configs.has[digestOf(5)] = true
+			sim.run(0, sim.boxes[0].incarnation, func() {
+				sim.boxes[0].node.SubmitRolloutCommand(sim.boxes[0].clock(sim), rollout.Command{Kind: rollout.Put, Digest: digestOf(5), Size: 100, Rules: &rollout.Rules{Grace: time.Hour, Floor: 0.1}})
 			})
-			w.Advance(w.now + 5*time.Second)
+			sim.Advance(sim.now + 5*time.Second)
 			var reportHead func(i int, n uint64)
 			reportHead = func(i int, n uint64) {
-				b := w.boxes[i]
-				w.run(i, b.incarnation, func() {
-					b.node.ReportAuditHead(b.clock(w), lease.Mark{Chain: "01a233d09ba0bff584b4", N: n, Sum: digestOf(int(n)), First: 1})
+				b := sim.boxes[i]
+				sim.run(i, b.incarnation, func() {
+					b.node.ReportAuditHead(b.clock(sim), lease.Mark{Chain: "01a233d09ba0bff584b4", N: n, Sum: digestOf(int(n)), First: 1})
 				})
-				w.after(5*time.Second, func() { reportHead(i, n+1) })
+				sim.after(5*time.Second, func() { reportHead(i, n+1) })
 			}
-			for i := range w.boxes {
-				w.after(time.Duration(i)*5*time.Second/time.Duration(members), func() { reportHead(i, 1) })
+			for i := range sim.boxes {
+				sim.after(time.Duration(i)*5*time.Second/time.Duration(members), func() { reportHead(i, 1) })
 			}
 		}
-		w.Advance(w.now + 10*time.Second)
-		before, from := w.boxes[0].disk.Written, w.now
-		w.Advance(w.now + span)
-		return float64(w.boxes[0].disk.Written-before) / float64(members) / (w.now - from).Hours()
+		sim.Advance(sim.now + 10*time.Second)
+		before, from := sim.boxes[0].disk.Written, sim.now
+		sim.Advance(sim.now + span)
+		return float64(sim.boxes[0].disk.Written-before) / float64(members) / (sim.now - from).Hours()
 	}
 	return bytesWritten(false), bytesWritten(true)
 }
--- a/internal/lab/fleetsim/members.go
+++ b/internal/lab/fleetsim/members.go
@@ -18,25 +18,25 @@
 // MeasureFailureDetection simulates a fleet, kills one box and measures how soon the others notice. Then it delays all messages to a fifth of the boxes by slowBy
 // and counts the sessions that end although their boxes are alive.
 func MeasureFailureDetection(boxes int, term, slowBy time.Duration) (f MemberFigures) {
-	w := New(Config{Seed: 1, Boxes: boxes, Voters: 5, Terms: lease.Terms{Term: term, Drift: 0.01}, Timing: ledger.DefaultTiming, Tasks: 1, MeanDelay: time.Millisecond})
-	w.countBytes = true
-	w.Advance(20 * time.Second)
-	clear(w.traffic)
+	sim := New(Config{Seed: 1, Boxes: boxes, Voters: 5, Terms: lease.Terms{Term: term, Drift: 0.01}, Timing: ledger.DefaultTiming, Tasks: 1, MeanDelay: time.Millisecond})
+	sim.countBytes = true
+	sim.Advance(20 * time.Second)
+	clear(sim.traffic)
 	const span = 20 * time.Second
-	w.Advance(w.now + span)
-	for _, t := range w.traffic {
+	sim.Advance(sim.now + span)
+	for _, t := range sim.traffic {
 		f.MessagesPerBox += float64(t.messages) / span.Seconds() / float64(boxes)
 		f.BytesPerBox += float64(t.bytes) / span.Seconds() / float64(boxes)
 	}
 	victim := boxes - 1
-	w.kill(victim)
-	killed := w.now
-	for f.FullDetection == 0 && w.now < killed+time.Minute {
-		w.Advance(w.now + 50*time.Millisecond)
+	sim.kill(victim)
+	killed := sim.now
+	for f.FullDetection == 0 && sim.now < killed+time.Minute {
+		sim.Advance(sim.now + 50*time.Millisecond)
 		noticed := 0
-		for i, b := range w.boxes[:victim] {
-			for _, m := range b.node.Members(b.clock(w)) {
-				if m.Name == w.boxes[victim].name && m.State == fleet.Dead {
+		for i, b := range sim.boxes[:victim] {
+			for _, m := range b.node.Members(b.clock(sim)) {
+				if m.Name == sim.boxes[victim].name && m.State == fleet.Dead {
 					noticed++
 					break
 				}
@@ -46,23 +46,23 @@
 			}
 		}
 		if noticed > 0 && f.FirstDetection == 0 {
-			f.FirstDetection = w.now - killed
+			f.FirstDetection = sim.now - killed
 		}
 		if noticed == victim {
-			f.FullDetection = w.now - killed
+			f.FullDetection = sim.now - killed
 		}
 	}
 	before := map[string]uint64{}
-	for name, id := range w.boxes[0].node.Ledger().State().Table.CurrentSessions {
+	for name, id := range sim.boxes[0].node.Ledger().State().Table.CurrentSessions {
 		before[name] = id
 	}
 	for i := range boxes / 5 {
-		for k := range w.boxes {
-			w.linkDelay[[2]int{i, k}] = slowBy
+		for k := range sim.boxes {
+			sim.linkDelay[[2]int{i, k}] = slowBy
 		}
 	}
-	w.Advance(w.now + 2*span)
-	now := w.boxes[boxes/2].node.Ledger().State().Table.CurrentSessions
+	sim.Advance(sim.now + 2*span)
+	now := sim.boxes[boxes/2].node.Ledger().State().Table.CurrentSessions
 	for name, id := range before {
 		if now[name] != id {
 			f.FalseAlarms++
--- a/internal/lab/fleetsim/rollouts.go
+++ b/internal/lab/fleetsim/rollouts.go
@@ -12,7 +12,7 @@
 
 // configStore holds the configurations of a box. It outlives the box's process. It implements fleet.Configs.
 type configStore struct {
-	w       *Simulation
+	sim     *Simulation
 	b       *box
 	inForce uint64
 	since   fleet.LedgerPosition
@@ -26,15 +26,15 @@
 
 // Fetch implements fleet.Configs. The body arrives after up to 400 ms if the process is still alive, or when its pause ends.
 func (c *configStore) Fetch(digest string, _ int) {
-	incarnation, i := c.b.incarnation, c.w.index(c.b.name)
-	c.w.after(time.Duration(c.b.rand.IntN(400))*time.Millisecond, func() {
-		c.w.run(i, incarnation, func() { c.has[digest] = true; c.b.node.RecheckRollout(c.b.clock(c.w)) })
+	incarnation, i := c.b.incarnation, c.sim.index(c.b.name)
+	c.sim.after(time.Duration(c.b.rand.IntN(400))*time.Millisecond, func() {
+		c.sim.run(i, incarnation, func() { c.has[digest] = true; c.b.node.RecheckRollout(c.b.clock(c.sim)) })
 	})
 }
 
 // Verify implements fleet.Configs. Of five versions, one is rejected by all boxes and the next one by every second box.
 func (c *configStore) Verify(v rollout.Version) string {
-	switch i := c.w.index(c.b.name); {
+	switch i := c.sim.index(c.b.name); {
 	case v.N%5 == 3, v.N%5 == 4 && i%2 == 1:
 		return "line 1: not for this box"
 	}
@@ -54,22 +54,22 @@
 func (c *configStore) Served() (good, bad uint64) { return 0, 0 }
 
 // scheduleOperators makes operators submit rollout commands from time to time, at one or two boxes at once.
-func (w *Simulation) scheduleOperators(r *rand.Rand) {
-	w.after(time.Duration(r.ExpFloat64()*float64(w.cfg.RolloutInterval)), func() {
-		if w.healed {
+func (sim *Simulation) scheduleOperators(r *rand.Rand) {
+	sim.after(time.Duration(r.ExpFloat64()*float64(sim.cfg.RolloutInterval)), func() {
+		if sim.healed {
 			return
 		}
 		for range 1 + r.IntN(2) {
-			i := r.IntN(len(w.boxes))
-			b := w.boxes[i]
-			w.run(i, b.incarnation, func() { w.submitOperatorCommand(r, b) })
+			i := r.IntN(len(sim.boxes))
+			b := sim.boxes[i]
+			sim.run(i, b.incarnation, func() { sim.submitOperatorCommand(r, b) })
 		}
-		w.scheduleOperators(r)
+		sim.scheduleOperators(r)
 	})
 }
 
 // submitOperatorCommand submits a random rollout command at a box: put, start, abort, or hold with a later resume.
-func (w *Simulation) submitOperatorCommand(r *rand.Rand, b *box) {
+func (sim *Simulation) submitOperatorCommand(r *rand.Rand, b *box) {
 	table := b.node.Ledger().State().Rollout
 	cmd := rollout.Command{Kind: rollout.Put, Rules: &rollout.Rules{Grace: 4 * time.Second, Floor: 0.4}}
 	if table != nil && table.Current != nil {
@@ -77,8 +77,8 @@
 	}
 	switch k := r.IntN(10); {
 	case table == nil || table.Last == table.Target || k < 3:
-		w.configsPut++
-		cmd.Digest, cmd.Size = digestOf(w.configsPut), 100
+		sim.configsPut++
+		cmd.Digest, cmd.Size = digestOf(sim.configsPut), 100
 		b.configs.has[cmd.Digest] = true
 	case k < 8:
 		cmd.Kind, cmd.N = rollout.Start, table.Last
@@ -87,56 +87,56 @@
 		cmd.Kind, cmd.Why = rollout.Abort, "an operator"
 	default:
 		cmd.Kind = rollout.Hold
-		w.after(time.Duration(r.IntN(2000))*time.Millisecond, func() { // every hold is resumed
-			i := w.index(b.name)
-			w.run(i, b.incarnation, func() {
-				b.node.SubmitRolloutCommand(b.clock(w), rollout.Command{Kind: rollout.Resume, RolloutID: cmd.RolloutID})
+		sim.after(time.Duration(r.IntN(2000))*time.Millisecond, func() { // every hold is resumed
+			i := sim.index(b.name)
+			sim.run(i, b.incarnation, func() {
+				b.node.SubmitRolloutCommand(b.clock(sim), rollout.Command{Kind: rollout.Resume, RolloutID: cmd.RolloutID})
 			})
 		})
 	}
-	w.trace("operator command at %s: %v, version %d", b.name, cmd.Kind, cmd.N)
-	b.node.SubmitRolloutCommand(b.clock(w), cmd)
+	sim.trace("operator command at %s: %v, version %d", b.name, cmd.Kind, cmd.N)
+	b.node.SubmitRolloutCommand(b.clock(sim), cmd)
 }
 
 // observeRollouts checks the replicated rollout state at each new ledger index, on the box that reaches the index first.
-func (w *Simulation) observeRollouts(b *box) {
+func (sim *Simulation) observeRollouts(b *box) {
 	state := b.node.Ledger().State()
 	table := state.Rollout
-	if table == nil || state.Index <= w.watchedIndex {
+	if table == nil || state.Index <= sim.watchedIndex {
 		return
 	}
-	w.watchedIndex = state.Index
-	if table.Lowest < w.lowest || table.Target < w.target {
-		w.recordViolation("versions went back: lowest %d and target %d after %d and %d", table.Lowest, table.Target, w.lowest, w.target)
+	sim.watchedIndex = state.Index
+	if table.Lowest < sim.lowest || table.Target < sim.target {
+		sim.recordViolation("versions went back: lowest %d and target %d after %d and %d", table.Lowest, table.Target, sim.lowest, sim.target)
 	}
-	w.lowest, w.target = table.Lowest, table.Target
+	sim.lowest, sim.target = table.Lowest, table.Target
 	if err := table.Check(); err != nil {
-		w.recordViolation("%s: %v", b.name, err)
+		sim.recordViolation("%s: %v", b.name, err)
 	}
 	for box := range table.ShutOutBoxes {
-		if !w.shutOut[box] {
-			w.result.ShutOut++
-			w.trace("%s is shut out: %+v", box, table.ShutOutBoxes[box])
+		if !sim.shutOut[box] {
+			sim.result.ShutOut++
+			sim.trace("%s is shut out: %+v", box, table.ShutOutBoxes[box])
 		}
-		w.shutOut[box] = true
+		sim.shutOut[box] = true
 	}
-	for box := range w.shutOut {
+	for box := range sim.shutOut {
 		if _, out := table.ShutOutBoxes[box]; !out {
-			delete(w.shutOut, box)
-			w.result.Readmitted++
+			delete(sim.shutOut, box)
+			sim.result.Readmitted++
 		}
 	}
 	for _, r := range table.Finished {
-		if w.rolloutEnds[r.ID] == "" {
-			w.rolloutEnds[r.ID] = r.Phase.String()
-			w.result.Rollouts[r.Phase.String()]++
+		if sim.rolloutEnds[r.ID] == "" {
+			sim.rolloutEnds[r.ID] = r.Phase.String()
+			sim.result.Rollouts[r.Phase.String()]++
 		}
 	}
 }
 
 // checkRollouts checks what has to hold for configurations after all faults are healed and no commands are submitted any more.
-func (w *Simulation) checkRollouts() {
-	for _, b := range w.boxes {
+func (sim *Simulation) checkRollouts() {
+	for _, b := range sim.boxes {
 		if b.node == nil {
 			continue
 		}
@@ -145,18 +145,18 @@
 			continue
 		}
 		if table.Current != nil && table.Current.Phase != rollout.Held {
-			w.recordViolation("%s: rollout does not end: %+v, boxes %v, shut out %v", b.name, *table.Current, table.Boxes, table.ShutOutBoxes)
+			sim.recordViolation("%s: rollout does not end: %+v, boxes %v, shut out %v", b.name, *table.Current, table.Boxes, table.ShutOutBoxes)
 		}
 		status := table.Boxes[b.name]
 		rejected := status.Rejected == table.WantedVersion(b.name)
 		if b.configs.inForce < table.Lowest && !rejected || status.InForce != b.configs.inForce && b.node.Holder().Session() == status.Session {
-			w.recordViolation("%s has version %d in force and has reported %+v, but %d is the lowest allowed version", b.name, b.configs.inForce, status, table.Lowest)
+			sim.recordViolation("%s has version %d in force and has reported %+v, but %d is the lowest allowed version", b.name, b.configs.inForce, status, table.Lowest)
 		}
 		if _, out := table.ShutOutBoxes[b.name]; out && !rejected {
-			w.recordViolation("%s is still shut out without a reason: %+v", b.name, status)
+			sim.recordViolation("%s is still shut out without a reason: %+v", b.name, status)
 		}
 		if standing := b.node.Standing(); standing != straggler.UpToDate && !rejected {
-			w.recordViolation("%s is %v, want up to date", b.name, standing)
+			sim.recordViolation("%s is %v, want up to date", b.name, standing)
 		}
 	}
 }
--- a/internal/lab/fleetsim/simulation.go
+++ b/internal/lab/fleetsim/simulation.go
@@ -23,7 +23,7 @@
 	Voters int
 	Terms  lease.Terms
 	Timing ledger.Timing
-	// FaultSpan is the time during which faults are injected. Then all faults are healed and the fleet has Settle to recover.
+	// FaultSpan is the time during which faults are injected. Then all faults are healed and the fleet has RecoverySpan to recover.
 	FaultSpan, RecoverySpan time.Duration
 	Faults                  int
 	Tasks                   int
@@ -40,7 +40,7 @@
 		Faults: 10, Tasks: 2, Busy: true, MeanDelay: 5 * time.Millisecond, LossRate: 0.01}
 }
 
-// Result holds the outcome of a simulation. Broken lists the violated invariants.
+// Result holds the outcome of a simulation. Violations lists the violated invariants.
 type Result struct {
 	Violations                     []string
 	Faults                         map[string]int
@@ -140,80 +140,80 @@
 }
 
 // after schedules do to run d from now.
-func (w *Simulation) after(d time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.now + d, w.seq, do})
+func (sim *Simulation) after(d time.Duration, do func()) {
+	sim.seq++
+	heap.Push(&sim.queue, event{sim.now + d, sim.seq, do})
 }
 
-// recordViolation notes a violated invariant; the first 10 are kept.
-func (w *Simulation) recordViolation(format string, args ...any) {
-	if len(w.result.Violations) < 10 {
-		w.result.Violations = append(w.result.Violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
+// recordViolation records a violated invariant; the first 10 are kept.
+func (sim *Simulation) recordViolation(format string, args ...any) {
+	if len(sim.result.Violations) < 10 {
+		sim.result.Violations = append(sim.result.Violations, fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, args...))
 	}
 }
 
 // trace adds a line to the trace; the first 400 are kept.
-func (w *Simulation) trace(format string, args ...any) {
-	if len(w.result.Trace) < 400 {
-		w.result.Trace = append(w.result.Trace, fmt.Sprintf("%8.3fs ", w.now.Seconds())+fmt.Sprintf(format, args...))
+func (sim *Simulation) trace(format string, args ...any) {
+	if len(sim.result.Trace) < 400 {
+		sim.result.Trace = append(sim.result.Trace, fmt.Sprintf("%8.3fs ", sim.now.Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
 // clock returns the reading of the box's clock.
-func (b *box) clock(w *Simulation) time.Duration {
-	return b.clockBase + time.Duration(float64(w.now)*b.clockRate)
+func (b *box) clock(sim *Simulation) time.Duration {
+	return b.clockBase + time.Duration(float64(sim.now)*b.clockRate)
 }
 
 // New starts a fleet with drawn clocks and has its first box initialize it.
 func New(cfg Config) *Simulation {
-	w := &Simulation{cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), cutLinks: map[[2]int]bool{}, linkDelay: map[[2]int]time.Duration{}, resources: map[string]*resource{}, traffic: map[int]boxTraffic{},
+	sim := &Simulation{cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), cutLinks: map[[2]int]bool{}, linkDelay: map[[2]int]time.Duration{}, resources: map[string]*resource{}, traffic: map[int]boxTraffic{},
 		result: &Result{Faults: map[string]int{}, Rollouts: map[string]int{}}, shutOut: map[string]bool{}, rolloutEnds: map[uint64]string{}}
 	for i := range cfg.Boxes {
-		rate := 1 + cfg.Terms.Drift*[]float64{-1, 1, 0, 0.5}[w.rand.IntN(4)]
-		b := &box{name: fmt.Sprintf("box%d", i), clockRate: rate, clockBase: time.Duration(w.rand.Int64N(int64(100 * time.Hour))), disk: new(ledger.Memory),
+		rate := 1 + cfg.Terms.Drift*[]float64{-1, 1, 0, 0.5}[sim.rand.IntN(4)]
+		b := &box{name: fmt.Sprintf("box%d", i), clockRate: rate, clockBase: time.Duration(sim.rand.Int64N(int64(100 * time.Hour))), disk: new(ledger.Memory),
 			rand: rand.New(rand.NewPCG(cfg.Seed, uint64(100+i)))}
-		b.configs = &configStore{w: w, b: b, has: map[string]bool{}}
-		w.boxes = append(w.boxes, b)
+		b.configs = &configStore{sim: sim, b: b, has: map[string]bool{}}
+		sim.boxes = append(sim.boxes, b)
 	}
-	for i := range w.boxes {
-		w.start(i)
+	for i := range sim.boxes {
+		sim.start(i)
 	}
 	if cfg.RolloutInterval > 0 {
-		w.scheduleOperators(rand.New(rand.NewPCG(cfg.Seed, 5)))
+		sim.scheduleOperators(rand.New(rand.NewPCG(cfg.Seed, 5)))
 	}
 	var voters []string
 	for i := range cfg.Voters {
-		voters = append(voters, w.boxes[i].name)
+		voters = append(voters, sim.boxes[i].name)
 	}
-	if err := w.boxes[0].node.Init(w.boxes[0].clock(w), cfg.Terms, voters); err != nil {
+	if err := sim.boxes[0].node.Init(sim.boxes[0].clock(sim), cfg.Terms, voters); err != nil {
 		panic(err)
 	}
-	w.flush(0)
-	return w
+	sim.flush(0)
+	return sim
 }
 
 // maxSeeds is the maximum number of boxes that each box knows from its configuration.
 const maxSeeds = 8
 
 // start starts the process of box i. If it cannot start, it retries after 1 s.
-func (w *Simulation) start(i int) {
-	b := w.boxes[i]
+func (sim *Simulation) start(i int) {
+	b := sim.boxes[i]
 	var seeds []string
-	for j := range min(maxSeeds, len(w.boxes)) {
+	for j := range min(maxSeeds, len(sim.boxes)) {
 		seeds = append(seeds, fmt.Sprintf("box%d", j))
 	}
-	cfg := fleet.NodeConfig{Name: b.name, Build: "sim", Seeds: seeds, Timing: w.cfg.Timing, Rand: b.rand, Disk: b.disk,
-		Logf: func(format string, args ...any) { w.trace("%s: %s", b.name, fmt.Sprintf(format, args...)) }}
-	if w.cfg.RolloutInterval > 0 {
+	cfg := fleet.NodeConfig{Name: b.name, Build: "sim", Seeds: seeds, Timing: sim.cfg.Timing, Rand: b.rand, Disk: b.disk,
+		Logf: func(format string, args ...any) { sim.trace("%s: %s", b.name, fmt.Sprintf(format, args...)) }}
+	if sim.cfg.RolloutInterval > 0 {
 		cfg.Configs, cfg.InForce, cfg.Since, cfg.BuildNumber = b.configs, b.configs.inForce, b.configs.since, 1
 	}
-	node, err := fleet.NewNode(b.clock(w), cfg)
+	node, err := fleet.NewNode(b.clock(sim), cfg)
 	if err != nil {
-		w.trace("%s cannot start: %v", b.name, err)
+		sim.trace("%s cannot start: %v", b.name, err)
 		incarnation := b.incarnation
-		w.after(time.Second, func() {
+		sim.after(time.Second, func() {
 			if b.node == nil && b.incarnation == incarnation {
-				w.start(i)
+				sim.start(i)
 			}
 		})
 		return
@@ -221,22 +221,22 @@
 	b.node, b.paused, b.backlog, b.requests = node, false, nil, map[*lease.TrackedRequest]*taskWork{}
 	b.incarnation++
 	b.wakeAt = 0
-	w.flush(i)
-	if w.cfg.Busy {
-		w.requestTasks(i, b.incarnation)
+	sim.flush(i)
+	if sim.cfg.Busy {
+		sim.requestTasks(i, b.incarnation)
 	}
 }
 
 // kill ends the process of box i. Its disk stays.
-func (w *Simulation) kill(i int) {
-	b := w.boxes[i]
+func (sim *Simulation) kill(i int) {
+	b := sim.boxes[i]
 	b.node, b.paused, b.backlog = nil, false, nil
 	b.incarnation++
 }
 
 // run calls do in a box's process if that is still alive. While the box is paused, do is kept in the backlog of up to 256 events.
-func (w *Simulation) run(i, incarnation int, do func()) {
-	b := w.boxes[i]
+func (sim *Simulation) run(i, incarnation int, do func()) {
+	b := sim.boxes[i]
 	switch {
 	case b.incarnation != incarnation || b.node == nil:
 	case b.paused:
@@ -246,37 +246,37 @@
 	default:
 		do()
 		if b.node != nil && b.incarnation == incarnation {
-			w.flush(i)
+			sim.flush(i)
 		}
 	}
 }
 
 // flush sends the messages of box i and schedules its next tick.
-func (w *Simulation) flush(i int) {
-	b := w.boxes[i]
-	if w.cfg.RolloutInterval > 0 {
-		w.observeRollouts(b)
+func (sim *Simulation) flush(i int) {
+	b := sim.boxes[i]
+	if sim.cfg.RolloutInterval > 0 {
+		sim.observeRollouts(b)
 	}
 	for _, e := range b.node.TakeMessages() {
-		w.send(i, e)
+		sim.send(i, e)
 	}
-	due := w.now + max(time.Millisecond, time.Duration(float64(b.node.NextTick()-b.clock(w))/b.clockRate))
-	if b.wakeAt > w.now && b.wakeAt <= due {
+	due := sim.now + max(time.Millisecond, time.Duration(float64(b.node.NextTick()-b.clock(sim))/b.clockRate))
+	if b.wakeAt > sim.now && b.wakeAt <= due {
 		return
 	}
 	b.wakeAt = due
 	incarnation := b.incarnation
-	w.after(due-w.now, func() {
+	sim.after(due-sim.now, func() {
 		if b.incarnation == incarnation && b.wakeAt == due {
-			w.run(i, incarnation, func() { b.wakeAt = 0; b.node.Tick(b.clock(w)) })
+			sim.run(i, incarnation, func() { b.wakeAt = 0; b.node.Tick(b.clock(sim)) })
 		}
 	})
 }
 
 // index returns the number of the box with the name, -1 if there is none.
-func (w *Simulation) index(name string) int {
+func (sim *Simulation) index(name string) int {
 	var i int
-	if _, err := fmt.Sscanf(name, "box%d", &i); err != nil || i >= len(w.boxes) {
+	if _, err := fmt.Sscanf(name, "box%d", &i); err != nil || i >= len(sim.boxes) {
 		return -1
 	}
 	return i
@@ -286,64 +286,64 @@
 const frameBytes = 21
 
 // send delivers a message unless it is lost or its link is cut, at the time of sending or of delivery.
-func (w *Simulation) send(from int, e ledger.Envelope) {
-	w.messagesSent++
-	if w.countBytes {
+func (sim *Simulation) send(from int, e ledger.Envelope) {
+	sim.messagesSent++
+	if sim.countBytes {
 		raw, _ := cbor.Marshal(e.Message)
-		t := w.traffic[from]
-		w.traffic[from] = boxTraffic{t.messages + 1, t.bytes + int64(len(raw)) + frameBytes}
+		t := sim.traffic[from]
+		sim.traffic[from] = boxTraffic{t.messages + 1, t.bytes + int64(len(raw)) + frameBytes}
 	}
-	to := w.index(e.To)
-	if to < 0 || w.cutLinks[[2]int{from, to}] || w.rand.Float64() < w.cfg.LossRate && !w.healed {
+	to := sim.index(e.To)
+	if to < 0 || sim.cutLinks[[2]int{from, to}] || sim.rand.Float64() < sim.cfg.LossRate && !sim.healed {
 		return
 	}
-	w.result.Messages++
-	delay := w.cfg.MeanDelay/2 + time.Duration(w.rand.ExpFloat64()*float64(w.cfg.MeanDelay)/2) + w.linkDelay[[2]int{from, to}]
-	incarnation, name := w.boxes[to].incarnation, w.boxes[from].name
-	w.after(delay, func() {
-		if w.cutLinks[[2]int{from, to}] {
+	sim.result.Messages++
+	delay := sim.cfg.MeanDelay/2 + time.Duration(sim.rand.ExpFloat64()*float64(sim.cfg.MeanDelay)/2) + sim.linkDelay[[2]int{from, to}]
+	incarnation, name := sim.boxes[to].incarnation, sim.boxes[from].name
+	sim.after(delay, func() {
+		if sim.cutLinks[[2]int{from, to}] {
 			return
 		}
-		w.run(to, incarnation, func() { w.boxes[to].node.Receive(w.boxes[to].clock(w), name, e.Message) })
+		sim.run(to, incarnation, func() { sim.boxes[to].node.Receive(sim.boxes[to].clock(sim), name, e.Message) })
 	})
 }
 
 // requestTasks makes a box request the lease of a random task from time to time.
-func (w *Simulation) requestTasks(i, incarnation int) {
-	b := w.boxes[i]
-	w.after(time.Duration(b.rand.ExpFloat64()*float64(1500*time.Millisecond)), func() {
+func (sim *Simulation) requestTasks(i, incarnation int) {
+	b := sim.boxes[i]
+	sim.after(time.Duration(b.rand.ExpFloat64()*float64(1500*time.Millisecond)), func() {
 		if b.incarnation != incarnation {
 			return
 		}
-		w.run(i, incarnation, func() {
-			task := fmt.Sprintf("task%d", b.rand.IntN(w.cfg.Tasks))
+		sim.run(i, incarnation, func() {
+			task := fmt.Sprintf("task%d", b.rand.IntN(sim.cfg.Tasks))
 			for _, work := range b.requests {
 				if work.task == task {
 					return
 				}
 			}
-			request, err := b.node.Acquire(b.clock(w), lease.Request{Task: task, Slots: 1, Priority: b.rand.IntN(2)})
+			request, err := b.node.Acquire(b.clock(sim), lease.Request{Task: task, Slots: 1, Priority: b.rand.IntN(2)})
 			if err == nil {
 				b.requests[request] = &taskWork{task: task, effectsLeft: 1 + b.rand.IntN(6)}
-				w.continueTask(i, incarnation, request)
+				sim.continueTask(i, incarnation, request)
 			}
 		})
-		w.requestTasks(i, incarnation)
+		sim.requestTasks(i, incarnation)
 	})
 }
 
 // continueTask makes a box start effects under its lease request, one after the other, and then release it.
-func (w *Simulation) continueTask(i, incarnation int, request *lease.TrackedRequest) {
-	b := w.boxes[i]
+func (sim *Simulation) continueTask(i, incarnation int, request *lease.TrackedRequest) {
+	b := sim.boxes[i]
 	delay := time.Duration(20+b.rand.IntN(100)) * time.Millisecond
 	if work := b.requests[request]; work != nil {
 		delay += work.busyFor
 		work.busyFor = 0
 	}
-	w.after(delay, func() {
-		w.run(i, incarnation, func() {
+	sim.after(delay, func() {
+		sim.run(i, incarnation, func() {
 			work := b.requests[request]
-			now := b.clock(w)
+			now := b.clock(sim)
 			switch {
 			case request.State.Final():
 				delete(b.requests, request)
@@ -359,62 +359,62 @@
 			if b.node.CheckEffect(now, request, need) == nil {
 				work.effectsLeft--
 				work.busyFor = need // the lease is not released before the effect has ended
-				w.startEffect(i, incarnation, work.task, request.Token, need)
+				sim.startEffect(i, incarnation, work.task, request.Token, need)
 			}
-			w.continueTask(i, incarnation, request)
+			sim.continueTask(i, incarnation, request)
 		})
 	})
 }
 
 // startEffect performs an effect that has just passed its check: it starts 100 µs later, or much later if the box is paused in between. Only such
 // a delayed effect may collide with another holder's or come with an old token, which the lease alone cannot exclude.
-func (w *Simulation) startEffect(i, incarnation int, task string, token uint64, need time.Duration) {
-	checked := w.now
-	b := w.boxes[i]
+func (sim *Simulation) startEffect(i, incarnation int, task string, token uint64, need time.Duration) {
+	checked := sim.now
+	b := sim.boxes[i]
 	version, lowest := b.node.InForce(), b.node.Lowest()
 	if version != b.configs.inForce {
-		w.recordViolation("%s acts under version %d, but version %d is on its disk", b.name, version, b.configs.inForce)
+		sim.recordViolation("%s acts under version %d, but version %d is on its disk", b.name, version, b.configs.inForce)
 	}
 	// The box counts the time for an effect by its own clock.
 	duration := time.Duration(float64(need) / b.clockRate * 0.98)
-	if w.pauseNextEffect > 0 && !w.healed {
-		w.trace("%s is paused between the check and the start of an effect", b.name)
-		w.pause(i, w.pauseNextEffect)
-		w.pauseNextEffect = 0
+	if sim.pauseNextEffect > 0 && !sim.healed {
+		sim.trace("%s is paused between the check and the start of an effect", b.name)
+		sim.pause(i, sim.pauseNextEffect)
+		sim.pauseNextEffect = 0
 	}
-	w.after(100*time.Microsecond, func() {
-		w.run(i, incarnation, func() {
-			res := w.resources[task]
+	sim.after(100*time.Microsecond, func() {
+		sim.run(i, incarnation, func() {
+			res := sim.resources[task]
 			if res == nil {
 				res = &resource{}
-				w.resources[task] = res
+				sim.resources[task] = res
 			}
-			delayed := w.now-checked > time.Millisecond
+			delayed := sim.now-checked > time.Millisecond
 			if token < res.token {
 				if !delayed {
-					w.recordViolation("%s acts on %s under token %d after token %d was used", b.name, task, token, res.token)
+					sim.recordViolation("%s acts on %s under token %d after token %d was used", b.name, task, token, res.token)
 				}
-				w.result.StaleRejected++
+				sim.result.StaleRejected++
 				return
 			}
 			if version < res.lowest { // the box may not know of the higher lowest version yet; the resource does, and rejects the effect
-				if w.result.LowVersionRejected++; version < lowest {
-					w.recordViolation("%s acts on %s under version %d although it knows that %d is the lowest allowed one", b.name, task, version, lowest)
+				if sim.result.LowVersionRejected++; version < lowest {
+					sim.recordViolation("%s acts on %s under version %d although it knows that %d is the lowest allowed one", b.name, task, version, lowest)
 				}
 				return
 			}
 			res.lowest = max(res.lowest, lowest)
-			if res.effectEnd > w.now && res.token != token {
-				w.result.Fenced++
+			if res.effectEnd > sim.now && res.token != token {
+				sim.result.Fenced++
 				if !res.delayed && !delayed {
-					w.recordViolation("%s acts on %s under token %d while %s acts under token %d", b.name, task, token, res.holder, res.token)
+					sim.recordViolation("%s acts on %s under token %d while %s acts under token %d", b.name, task, token, res.holder, res.token)
 				}
 			}
 			if res.holder != "" && res.holder != b.name {
-				w.result.Takeovers++
+				sim.result.Takeovers++
 			}
-			w.result.Effects++
-			res.token, res.effectEnd, res.holder, res.delayed = token, w.now+duration, b.name, delayed
+			sim.result.Effects++
+			res.token, res.effectEnd, res.holder, res.delayed = token, sim.now+duration, b.name, delayed
 		})
 	})
 }
--- a/internal/lab/fleetsim/trial.go
+++ b/internal/lab/fleetsim/trial.go
@@ -96,7 +96,7 @@
 // SeedsPerMinute returns how many seeds one core simulates in a minute.
 func (f *Figures) SeedsPerMinute() float64 { return float64(f.Seeds) / f.ProcessorTime.Minutes() }
 
-// MinSeedsPerMinute is the lower bound on PerMinute.
+// MinSeedsPerMinute is the lower bound on SeedsPerMinute.
 const MinSeedsPerMinute = 2000
 
 // String returns the figures as one line.
@@ -141,34 +141,34 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	cfg := Config{Seed: 1, Boxes: members, Voters: 5, Terms: lease.Terms{Term: term, Drift: 0.01}, Timing: ledger.DefaultTiming, Tasks: 1, MeanDelay: time.Millisecond}
-	w := New(cfg)
-	w.countBytes = true
+	sim := New(cfg)
+	sim.countBytes = true
 	f := &ScaleFigures{Members: members}
-	for f.JoinTime == 0 && w.now < 5*time.Minute {
-		w.Advance(w.now + 100*time.Millisecond)
-		if len(w.boxes[0].node.Ledger().State().Table.CurrentSessions) == members {
-			f.JoinTime = w.now
+	for f.JoinTime == 0 && sim.now < 5*time.Minute {
+		sim.Advance(sim.now + 100*time.Millisecond)
+		if len(sim.boxes[0].node.Ledger().State().Table.CurrentSessions) == members {
+			f.JoinTime = sim.now
 		}
 	}
-	w.Advance(w.now + 2*term)
-	clear(w.traffic)
-	commands := w.boxes[0].node.Counts().Commands
+	sim.Advance(sim.now + 2*term)
+	clear(sim.traffic)
+	commands := sim.boxes[0].node.Counts().Commands
 	sessions := map[string]uint64{}
-	for name, id := range w.boxes[0].node.Ledger().State().Table.CurrentSessions {
+	for name, id := range sim.boxes[0].node.Ledger().State().Table.CurrentSessions {
 		sessions[name] = id
 	}
-	w.Advance(w.now + span)
+	sim.Advance(sim.now + span)
 	seconds := span.Seconds()
-	for i := range w.boxes {
-		t := w.traffic[i]
+	for i := range sim.boxes {
+		t := sim.traffic[i]
 		f.MessagesPerBox += float64(t.messages) / seconds / float64(members)
 		f.BytesPerBox += float64(t.bytes) / seconds / float64(members)
 		if i < cfg.Voters {
 			f.MessagesPerVoter, f.BytesPerVoter = max(f.MessagesPerVoter, float64(t.messages)/seconds), max(f.BytesPerVoter, float64(t.bytes)/seconds)
 		}
 	}
-	state := w.boxes[0].node.Ledger().State()
-	f.RenewalsPerSecond = float64(w.boxes[0].node.Counts().Commands-commands) / seconds
+	state := sim.boxes[0].node.Ledger().State()
+	f.RenewalsPerSecond = float64(sim.boxes[0].node.Counts().Commands-commands) / seconds
 	f.StateBytes = len(state.Encode())
 	for name, id := range sessions {
 		if state.Table.CurrentSessions[name] != id {
@@ -178,29 +178,29 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	f.MemoryPerBox = int64(after.HeapAlloc-before.HeapAlloc) / int64(members)
-	f.FailoverTime = w.killLeader()
+	f.FailoverTime = sim.killLeader()
 	return f
 }
 
 // killLeader kills the leader and returns the time until a box that is not a voter holds a lease, at most a minute.
-func (w *Simulation) killLeader() time.Duration {
-	for i, b := range w.boxes {
+func (sim *Simulation) killLeader() time.Duration {
+	for i, b := range sim.boxes {
 		if b.node.Ledger().Role() == "leader" {
-			w.kill(i)
+			sim.kill(i)
 		}
 	}
-	began := w.now
-	last := len(w.boxes) - 1
-	b := w.boxes[last]
+	began := sim.now
+	last := len(sim.boxes) - 1
+	b := sim.boxes[last]
 	var request *lease.TrackedRequest
-	w.run(last, b.incarnation, func() { request, _ = b.node.Acquire(b.clock(w), lease.Request{Task: "after the loss", Slots: 1}) })
-	for w.now < began+time.Minute {
-		w.Advance(w.now + 10*time.Millisecond)
-		if request != nil && b.node.CheckEffect(b.clock(w), request, 0) == nil {
+	sim.run(last, b.incarnation, func() { request, _ = b.node.Acquire(b.clock(sim), lease.Request{Task: "after the loss", Slots: 1}) })
+	for sim.now < began+time.Minute {
+		sim.Advance(sim.now + 10*time.Millisecond)
+		if request != nil && b.node.CheckEffect(b.clock(sim), request, 0) == nil {
 			break
 		}
 	}
-	return w.now - began
+	return sim.now - began
 }
 
 // String returns the figures as one line.
--- a/internal/lab/leases/check.go
+++ b/internal/lab/leases/check.go
@@ -7,9 +7,9 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/lab/actor"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/fake/resource"
 )
 
 // evaluate checks the history that the fake resource recorded.
--- a/internal/lab/leases/leases.go
+++ b/internal/lab/leases/leases.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"cairnlane/internal/decide/lease"
+	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/lab/actor"
 	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/fake/resource"
 )
 
 // Config configures a trial.
@@ -299,7 +299,7 @@
 		list = append(list, "the histories are not linearizable")
 	}
 	if f.Acts < 20 || f.Takeovers < 3 {
-		list = append(list, fmt.Sprintf("only %d effects and %d takeovers: nothing is shown", f.Acts, f.Takeovers))
+		list = append(list, fmt.Sprintf("only %d effects and %d takeovers, too few to check the leases", f.Acts, f.Takeovers))
 	}
 	return list
 }
--- a/internal/lab/leases/leases_test.go
+++ b/internal/lab/leases/leases_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"cairnlane/internal/decide/lease"
+	"cairnlane/internal/fake/resource"
 	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/lab/rigtest"
-	"cairnlane/internal/fake/resource"
 )
 
 func TestMain(m *testing.M) { rigtest.Main(m) }
--- a/internal/lab/members/members.go
+++ b/internal/lab/members/members.go
@@ -1,5 +1,5 @@
 // Package members compares two ways to track which boxes of a fleet are alive: gossip with hashicorp/memberlist over an in-process
-// transport, and the sessions that the ledger holds. It is a measurement and not part of the program.
+// transport, and the sessions that the ledger holds. Only trials use it.
 package members
 
 import (
@@ -25,7 +25,7 @@
 	BytesBox     float64       // sent bytes a second and box
 	FirstNoticed time.Duration // from a box's death until the first other box notices it
 	AllNoticed   time.Duration // and until the last one notices it
-	FalseAlarms  int           // live boxes that some box took for dead while a fifth of the boxes was slow
+	FalseAlarms  int           // live boxes that some box considered dead while a fifth of the boxes was slow
 }
 
 func (f Figures) String() string {
@@ -120,16 +120,16 @@
 	}
 }
 
-// deathWatch records which boxes were taken for dead, and when each box noticed the death of the victim.
-type deathWatch struct {
+// deathRecorder records which boxes were considered dead, and when each box noticed the death of the victim.
+type deathRecorder struct {
 	mu        sync.Mutex
-	suspected map[string]bool // boxes that some box took for dead
+	suspected map[string]bool // boxes that some box considered dead
 	victim    string
 	killed    time.Time
 	notices   []time.Duration
 }
 
-type eventDelegate struct{ *deathWatch }
+type eventDelegate struct{ *deathRecorder }
 
 func (s eventDelegate) NotifyJoin(*memberlist.Node)   {}
 func (s eventDelegate) NotifyUpdate(*memberlist.Node) {}
@@ -144,10 +144,10 @@
 }
 
 // Gossip measures memberlist with its default settings for a local network.
-func Gossip(names int, span time.Duration) (f Figures, err error) {
-	f = Figures{Method: "memberlist", Boxes: names}
+func Gossip(boxCount int, span time.Duration) (f Figures, err error) {
+	f = Figures{Method: "memberlist", Boxes: boxCount}
 	transport := &network{boxes: map[string]*box{}}
-	watch := &deathWatch{suspected: map[string]bool{}}
+	deaths := &deathRecorder{suspected: map[string]bool{}}
 	var boxes []*box
 	var members []*memberlist.Memberlist
 	defer func() {
@@ -156,12 +156,12 @@
 			m.Shutdown()
 		}
 	}()
-	for i := range names {
+	for i := range boxCount {
 		cfg := memberlist.DefaultLANConfig()
 		cfg.Name = fmt.Sprintf("n%d", i)
 		boxes = append(boxes, transport.addBox(i))
 		cfg.Transport = boxes[i]
-		cfg.Events = eventDelegate{watch}
+		cfg.Events = eventDelegate{deaths}
 		cfg.Logger = log.New(io.Discard, "", 0)
 		m, err := memberlist.Create(cfg)
 		if err != nil {
@@ -178,42 +178,42 @@
 	transport.messages.Store(0)
 	transport.bytes.Store(0)
 	time.Sleep(span)
-	f.MessagesBox, f.BytesBox = float64(transport.messages.Load())/span.Seconds()/float64(names), float64(transport.bytes.Load())/span.Seconds()/float64(names)
-	watch.mu.Lock()
-	watch.victim, watch.killed, watch.notices = fmt.Sprintf("n%d", names-1), time.Now(), nil
-	watch.mu.Unlock()
-	boxes[names-1].dead.Store(true)
-	members[names-1].Shutdown()
+	f.MessagesBox, f.BytesBox = float64(transport.messages.Load())/span.Seconds()/float64(boxCount), float64(transport.bytes.Load())/span.Seconds()/float64(boxCount)
+	deaths.mu.Lock()
+	deaths.victim, deaths.killed, deaths.notices = fmt.Sprintf("n%d", boxCount-1), time.Now(), nil
+	deaths.mu.Unlock()
+	boxes[boxCount-1].dead.Store(true)
+	members[boxCount-1].Shutdown()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		watch.mu.Lock()
-		n := len(watch.notices)
+		deaths.mu.Lock()
+		n := len(deaths.notices)
 		if n > 0 && f.FirstNoticed == 0 {
-			f.FirstNoticed = watch.notices[0]
+			f.FirstNoticed = deaths.notices[0]
 		}
-		if n >= names-1 {
-			f.AllNoticed = watch.notices[n-1]
-			watch.mu.Unlock()
+		if n >= boxCount-1 {
+			f.AllNoticed = deaths.notices[n-1]
+			deaths.mu.Unlock()
 			break
 		}
-		watch.mu.Unlock()
+		deaths.mu.Unlock()
 	}
-	watch.mu.Lock()
-	clear(watch.suspected)
-	watch.mu.Unlock()
-	for i := range names / 5 {
+	deaths.mu.Lock()
+	clear(deaths.suspected)
+	deaths.mu.Unlock()
+	for i := range boxCount / 5 {
 		boxes[i].slow.Store(true)
 	}
 	time.Sleep(2 * span)
-	watch.mu.Lock()
-	f.FalseAlarms = len(watch.suspected)
-	watch.mu.Unlock()
+	deaths.mu.Lock()
+	f.FalseAlarms = len(deaths.suspected)
+	deaths.mu.Unlock()
 	return f, nil
 }
 
 // Sessions measures the ledger's sessions in virtual time, with the given term of leases.
-func Sessions(names int, term time.Duration) Figures {
-	s := fleetsim.MeasureFailureDetection(names, term, slowDelay)
-	return Figures{Method: "sessions", Boxes: names, MessagesBox: s.MessagesPerBox, BytesBox: s.BytesPerBox, FirstNoticed: s.FirstDetection, AllNoticed: s.FullDetection, FalseAlarms: s.FalseAlarms}
+func Sessions(boxCount int, term time.Duration) Figures {
+	s := fleetsim.MeasureFailureDetection(boxCount, term, slowDelay)
+	return Figures{Method: "sessions", Boxes: boxCount, MessagesBox: s.MessagesPerBox, BytesBox: s.BytesPerBox, FirstNoticed: s.FirstDetection, AllNoticed: s.FullDetection, FalseAlarms: s.FalseAlarms}
 }
 
 // Terms are the default terms of leases.
--- a/internal/lab/model/cases.go
+++ b/internal/lab/model/cases.go
@@ -6,7 +6,7 @@
 type Case struct {
 	Name       string
 	LoadFactor float64 // load, as a factor of the capacity
-	// AddFaults adds the faults and bursts to a day; nil for none.
+	// AddFaults adds the faults and bursts to a scenario; nil for none.
 	AddFaults func(d *Scenario)
 }
 
@@ -24,7 +24,7 @@
 var FaultFreeCases = []Case{{"90%", 0.9, nil}, {"110%", 1.1, nil}, {"150%", 1.5, nil}}
 
 // FaultCases lists the cases with faults or an unusual load. Nearly all faults begin at 10 s or later, so that the time before them serves as the
-// baseline, and all end before the day does.
+// baseline, and all end before the scenario does.
 var FaultCases = []Case{
 	{"a burst", 0.9, func(d *Scenario) { d.Bursts = append(d.Bursts, Burst{10 * second, 6 * second, 1.6}) }},
 	{"a fifth killed, back cold", 1.1, func(d *Scenario) {
@@ -77,7 +77,7 @@
 		Fault{Kind: CatalogDown, From: 8 * second, Duration: 5 * second})
 }
 
-// Scenario returns the day to simulate for the case, a seed and a mode.
+// Scenario returns the scenario to simulate for the case, a seed and a mode.
 func (c Case) Scenario(site Site, boxes int, span time.Duration, seed uint64, mode Mode) Scenario {
 	d := Scenario{Site: site, Mode: mode, Load: Load{Seed: seed, LoadFactor: c.LoadFactor, Boxes: boxes, Routers: max(5, boxes/4), Span: span, HotTenant: site.HotTenant, HotFactor: 3}}
 	if c.AddFaults != nil {
@@ -86,7 +86,7 @@
 	return d
 }
 
-// FaultSpan returns the time span that covers all faults and bursts of a day. ok is false if it has none.
+// FaultSpan returns the time span that covers all faults and bursts of a scenario. ok is false if it has none.
 func (d Scenario) FaultSpan() (from, to time.Duration, ok bool) {
 	from = d.Span
 	for _, t := range d.Faults {
--- a/internal/lab/model/cores.go
+++ b/internal/lab/model/cores.go
@@ -17,7 +17,7 @@
 }
 
 // Cores models the cores of one box by processor sharing: all jobs run at the same rate. It does no I/O and has no clock: each call gets
-// the time, which never goes back. It is not safe for concurrent use.
+// the current time, which must not decrease. It is not safe for concurrent use.
 type Cores struct {
 	machine    Machine
 	startedAt  time.Duration // start of the box
--- a/internal/lab/model/event_loop.go
+++ b/internal/lab/model/event_loop.go
@@ -35,23 +35,23 @@
 }
 
 // Now implements replica.Clock.
-func (w *EventLoop) Now() time.Duration { return w.now }
+func (loop *EventLoop) Now() time.Duration { return loop.now }
 
 // AfterFunc implements replica.Clock.
-func (w *EventLoop) AfterFunc(d time.Duration, f func()) { w.Schedule(w.now+max(d, 0), f) }
+func (loop *EventLoop) AfterFunc(d time.Duration, f func()) { loop.Schedule(loop.now+max(d, 0), f) }
 
 // Schedule schedules do at a time, or now if the time is past.
-func (w *EventLoop) Schedule(at time.Duration, do func()) {
-	w.lastSeq++
-	heap.Push(&w.queue, event{max(at, w.now), w.lastSeq, do})
+func (loop *EventLoop) Schedule(at time.Duration, do func()) {
+	loop.lastSeq++
+	heap.Push(&loop.queue, event{max(at, loop.now), loop.lastSeq, do})
 }
 
 // RunUntil processes all events up to and including until.
-func (w *EventLoop) RunUntil(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+func (loop *EventLoop) RunUntil(until time.Duration) {
+	for len(loop.queue) > 0 && loop.queue[0].at <= until {
+		e := heap.Pop(&loop.queue).(event)
+		loop.now = e.at
 		e.run()
 	}
-	w.now = until
+	loop.now = until
 }
--- a/internal/lab/model/index.go
+++ b/internal/lab/model/index.go
@@ -34,14 +34,14 @@
 
 // startCalls fills the free slots. A call that ended while queued is not run.
 func (x *index) startCalls() {
-	for x.running < x.sim.day.Index.Slots && len(x.waiting) > 0 {
+	for x.running < x.sim.scenario.Index.Slots && len(x.waiting) > 0 {
 		c := x.waiting[0]
 		x.waiting = x.waiting[1:]
 		if c.ended {
 			continue
 		}
 		x.running++
-		x.sim.Schedule(x.sim.now+x.sim.day.Index.CallDuration, func() {
+		x.sim.Schedule(x.sim.now+x.sim.scenario.Index.CallDuration, func() {
 			x.running--
 			x.served++
 			c.end(policy.Succeeded)
@@ -93,7 +93,7 @@
 
 // newIndex returns the index for a new process of the box, nil at sites without index calls.
 func (b *box) newIndex() replica.Index {
-	if !b.sim.day.callsIndex() {
+	if !b.sim.scenario.callsIndex() {
 		return nil
 	}
 	b.openCalls = map[string]*indexCall{}
--- a/internal/lab/model/load.go
+++ b/internal/lab/model/load.go
@@ -1,7 +1,7 @@
-// Package model simulates the surroundings of a fleet: clients, routers with their habits, boxes with cores, reading cost and cold
-// starts, and faults. Play runs the real policy module, replica and fleet decisions on it in virtual time. The trial over real processes
-// (`make overload`, internal/lab/overloads) uses the same clients, habits and cores. The figures of a site come from its description
-// (Open), none is in the code.
+// Package model simulates the surroundings of a fleet: clients, routers, boxes with cores, reading cost and cold
+// starts, and faults. Simulate runs the real policy module, replica and fleet decisions on it in virtual time. The trial over real processes
+// (`make overload`, internal/lab/overloads) uses the same clients, routers and cores. The figures of a site come from its description
+// (Open); none of them is in the code.
 package model
 
 import (
@@ -40,10 +40,10 @@
 	Rank   float64 // 0 to 1, higher for classes of higher worth
 }
 
-// RequestDeadline returns the request's deadline, at which the client gives up.
+// RequestDeadline returns the request's deadline, at which the client abandons it.
 func (s Site) RequestDeadline(q Request) time.Duration { return q.At + s.Classes[q.Class].Deadline }
 
-// Load describes the client load of a day.
+// Load describes the client load of a scenario.
 type Load struct {
 	Seed       uint64
 	LoadFactor float64 // mean load outside bursts, as a factor of the capacity of all boxes
@@ -57,7 +57,7 @@
 	OneRouter bool
 }
 
-// Burst is a time span in which the load is multiplied by Times.
+// Burst is a time span in which the load is multiplied by Factor.
 type Burst struct {
 	From, Duration time.Duration
 	Factor         float64
@@ -82,12 +82,12 @@
 	streamMessages
 )
 
-// Stream returns the stream of random numbers for a day's routers.
+// Stream returns the stream of random numbers for a scenario's routers.
 func Stream(seed uint64) *rand.Rand { return stream(seed, streamRouters) }
 
 func stream(seed, which uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, which)) }
 
-// DrawRequests returns all requests of a day, ordered by time. The same seed gives the same requests, whatever serves them.
+// DrawRequests returns all requests of a scenario, ordered by time. The same seed gives the same requests, whatever serves them.
 func (s Site) DrawRequests(l Load) (list []Request) {
 	rng := stream(l.Seed, streamClients)
 	maxFactor := 1.0
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// TestJudgeDiscountsTrafficOverShare checks that traffic over a tenant's share counts a tenth, per second over the whole fleet, that late
+// TestEvaluateDiscountsTrafficOverShare checks that traffic over a tenant's share counts a tenth, per second over the whole fleet, that late
 // answers count with the class's factor and those after the deadline nothing, and the recovery time.
-func TestJudgeDiscountsTrafficOverShare(t *testing.T) {
+func TestEvaluateDiscountsTrafficOverShare(t *testing.T) {
 	s := exampleSite(1)
 	s.Tenants = []Tenant{{"a", 0.5}, {"b", 0.5}}
 	l := Load{Boxes: 8, Span: time.Second}
@@ -151,12 +151,12 @@
 func TestRouterCompliesWithHints(t *testing.T) {
 	compliant := RouterBehavior{MaxAttempts: 3, FollowsRetryAfter: true, FollowsDoNotRetry: true, FollowsSignal: true}
 	for name, c := range map[string]struct {
-		habit RouterBehavior
-		hints Hints
-		rank  float64
-		after time.Duration
-		picks bool
-		again bool
+		behavior RouterBehavior
+		hints    Hints
+		rank     float64
+		after    time.Duration
+		picks    bool
+		again    bool
 	}{
 		"no hints":                          {compliant, Hints{}, 0.1, 0, true, true},
 		"within the retry-after delay":      {compliant, Hints{RetryAfter: 100 * ms}, 0.1, 50 * ms, false, true},
@@ -168,7 +168,7 @@
 		"router that complies with no hint": {RouterBehavior{}, Hints{RetryAfter: time.Hour, DoNotRetry: true, Signal: 1, HasSignal: true}, 0, 0, true, true},
 	} {
 		for choice := range choiceCount {
-			h := c.habit
+			h := c.behavior
 			h.Choice = choice
 			r := NewRouter(h, time.Second, stream(1, 1))
 			r.SetBoxes([]int{7, 8})
@@ -182,9 +182,9 @@
 	}
 }
 
-// TestPlayIsDeterministicUnderAllFaults simulates a day with the faults of all hard cases twice and checks that the results are equal and no
-// invariant is broken.
-func TestPlayIsDeterministicUnderAllFaults(t *testing.T) {
+// TestSimulateIsDeterministicUnderAllFaults simulates a scenario with the faults of all fault cases twice and checks that the results are equal and no
+// invariant is violated.
+func TestSimulateIsDeterministicUnderAllFaults(t *testing.T) {
 	for _, m := range []Mode{Alone, Fleet, Disconnected} {
 		d := Case{"all", 1.2, func(d *Scenario) {
 			for _, c := range FaultCases {
@@ -194,7 +194,7 @@
 		}}.Scenario(exampleSite(1), 8, 30*time.Second, 5, m)
 		a, b := Simulate(d), Simulate(d)
 		if !reflect.DeepEqual(a, b) {
-			t.Fatalf("%s: two simulations of the same day differ: %v and %v", m, a.Ratio(), b.Ratio())
+			t.Fatalf("%s: two simulations of the same scenario differ: %v and %v", m, a.Ratio(), b.Ratio())
 		}
 		if a.Lost+a.AnsweredTwice+a.DoubleRuns+len(a.Violations) > 0 || a.MaxLevelChanges > 1 || a.Requests < 1000 {
 			t.Errorf("%s: %d lost, %d answered twice, %d double runs, %d level changes, %d requests, violations %v", m, a.Lost, a.AnsweredTwice, a.DoubleRuns, a.MaxLevelChanges, a.Requests, a.Violations)
--- a/internal/lab/model/router.go
+++ b/internal/lab/model/router.go
@@ -28,18 +28,18 @@
 	choiceCount
 )
 
-// DrawRouterBehaviors draws the habits of n routers. One router in five complies with none of the hints, as the
+// DrawRouterBehaviors draws the behavior of n routers. One router in five complies with none of the hints, as the
 // requirements of the platform assume.
 func DrawRouterBehaviors(seed uint64, n int) []RouterBehavior {
 	r := stream(seed, streamRouters)
 	list := make([]RouterBehavior, n)
 	nonCompliant := r.IntN(5)
 	for i := range list {
-		h := RouterBehavior{Choice: Choice(r.IntN(int(choiceCount))), MaxAttempts: []int{3, 3, 0}[r.IntN(3)], FollowsRetryAfter: true, FollowsDoNotRetry: true, FollowsSignal: true}
+		behavior := RouterBehavior{Choice: Choice(r.IntN(int(choiceCount))), MaxAttempts: []int{3, 3, 0}[r.IntN(3)], FollowsRetryAfter: true, FollowsDoNotRetry: true, FollowsSignal: true}
 		if i%5 == nonCompliant {
-			h = RouterBehavior{Choice: h.Choice, MaxAttempts: 0}
+			behavior = RouterBehavior{Choice: behavior.Choice, MaxAttempts: 0}
 		}
-		list[i] = h
+		list[i] = behavior
 	}
 	return list
 }
@@ -62,7 +62,7 @@
 	state          map[int]*boxState
 }
 
-// boxState is what a router knows of one box.
+// boxState is a router's state of one box.
 type boxState struct {
 	inFlight   int           // requests without an answer yet
 	avoidUntil time.Duration // end of the retry-after delay
@@ -71,20 +71,20 @@
 }
 
 // NewRouter returns a router without boxes. It complies with a published value for the time signalLifetime.
-func NewRouter(h RouterBehavior, heeded time.Duration, r *rand.Rand) *Router {
-	return &Router{RouterBehavior: h, signalLifetime: heeded, rand: r, state: map[int]*boxState{}, roundRobin: r.IntN(1 << 16)}
+func NewRouter(behavior RouterBehavior, signalLifetime time.Duration, r *rand.Rand) *Router {
+	return &Router{RouterBehavior: behavior, signalLifetime: signalLifetime, rand: r, state: map[int]*boxState{}, roundRobin: r.IntN(1 << 16)}
 }
 
 // SetBoxes sets the boxes that the router knows of.
 func (r *Router) SetBoxes(boxes []int) { r.boxes = slices.Clone(boxes) }
 
 func (r *Router) stateOf(box int) *boxState {
-	t := r.state[box]
-	if t == nil {
-		t = new(boxState)
-		r.state[box] = t
+	state := r.state[box]
+	if state == nil {
+		state = new(boxState)
+		r.state[box] = state
 	}
-	return t
+	return state
 }
 
 // Pick chooses a box for an attempt, other than those in excluded. ok is false if there is no box to which the router may send.
@@ -131,18 +131,18 @@
 func (r *Router) Sent(box int) { r.stateOf(box).inFlight++ }
 
 // HandleAnswer processes the hints of an answer, or, with empty hints, the end of an attempt that gets no answer.
-func (r *Router) HandleAnswer(now time.Duration, box int, t Hints) {
+func (r *Router) HandleAnswer(now time.Duration, box int, hints Hints) {
 	state := r.stateOf(box)
 	state.inFlight--
-	if t.RetryAfter > 0 {
-		state.avoidUntil = now + t.RetryAfter
+	if hints.RetryAfter > 0 {
+		state.avoidUntil = now + hints.RetryAfter
 	}
-	if t.HasSignal {
-		state.minRank, state.minRankAt = t.Signal, now
+	if hints.HasSignal {
+		state.minRank, state.minRankAt = hints.Signal, now
 	}
 }
 
 // ShouldRetry reports whether a rejected request is retried at another box. attempts is the number of attempts that it had.
-func (r *Router) ShouldRetry(attempts int, t Hints) bool {
-	return (!r.FollowsDoNotRetry || !t.DoNotRetry) && (r.MaxAttempts == 0 && attempts < len(r.boxes) || attempts < r.MaxAttempts)
+func (r *Router) ShouldRetry(attempts int, hints Hints) bool {
+	return (!r.FollowsDoNotRetry || !hints.DoNotRetry) && (r.MaxAttempts == 0 && attempts < len(r.boxes) || attempts < r.MaxAttempts)
 }
--- a/internal/lab/model/simulation.go
+++ b/internal/lab/model/simulation.go
@@ -17,7 +17,7 @@
 	"cairnlane/policy"
 )
 
-// Mode says whether the boxes shed load as a fleet or on their own.
+// Mode is how the boxes shed load: as a fleet or on their own.
 type Mode string
 
 // The modes.
@@ -33,7 +33,7 @@
 // The kinds of faults.
 const (
 	Kill            FaultKind = "kill"      // boxes are killed and restart cold
-	SlowDown        FaultKind = "slow"      // the cores of boxes are slower by the factor Times
+	SlowDown        FaultKind = "slow"      // the cores of boxes are slower by the factor Slowdown
 	Partition       FaultKind = "partition" // boxes and the rest of the fleet cannot exchange messages; routers reach all boxes
 	DelayMessages   FaultKind = "late"      // messages from boxes are delayed by 2 s
 	LoseMessages    FaultKind = "lose"      // half of the messages from boxes are lost
@@ -52,9 +52,9 @@
 	Slowdown float64
 }
 
-// activeAt reports whether t is a fault of the given kind that hits box at now, counted from the start of the day.
-func (t Fault) activeAt(now time.Duration, kind FaultKind, box int) bool {
-	return t.Kind == kind && now >= t.From && now < t.From+t.Duration && (t.Boxes == nil || slices.Contains(t.Boxes, box))
+// activeAt reports whether f is a fault of the given kind that hits box at now, counted from the start of the scenario.
+func (f Fault) activeAt(now time.Duration, kind FaultKind, box int) bool {
+	return f.Kind == kind && now >= f.From && now < f.From+f.Duration && (f.Boxes == nil || slices.Contains(f.Boxes, box))
 }
 
 // Scenario is a scenario to simulate: site, client load, mode and faults.
@@ -67,7 +67,7 @@
 	Relays      int // number of relays; 0 means 3
 }
 
-// Result holds what a simulated day yielded.
+// Result is the result of a simulated scenario.
 type Result struct {
 	Score
 	Lost, AnsweredTwice, DoubleRuns int
@@ -84,7 +84,7 @@
 	Violations                      []string
 }
 
-// startTime is the virtual time at which a day begins. It is not 0, so that a zero time stands for "never".
+// startTime is the virtual time at which a scenario begins. It is not 0, so that a zero time stands for "never".
 const startTime = 1000 * time.Second
 
 const (
@@ -95,10 +95,10 @@
 	reportCostPerBox  = 5 * time.Millisecond // catalog's processing time for one box's report
 )
 
-// simulation is the state of one simulated day.
+// simulation is the state of one simulated scenario.
 type simulation struct {
 	EventLoop
-	day              Scenario
+	scenario         Scenario
 	boxes            []*box
 	names            []string
 	relays           []string
@@ -148,36 +148,36 @@
 	txn             string // of the current attempt
 }
 
-// Simulate simulates a day.
-func Simulate(day Scenario) Result {
-	sim := &simulation{day: day, messageRand: stream(day.Seed, streamMessages), keyedRuns: map[string]int{}, knownDead: make([]bool, day.Boxes)}
+// Simulate simulates a scenario.
+func Simulate(scenario Scenario) Result {
+	sim := &simulation{scenario: scenario, messageRand: stream(scenario.Seed, streamMessages), keyedRuns: map[string]int{}, knownDead: make([]bool, scenario.Boxes)}
 	sim.now, sim.index = startTime, &index{sim: sim}
-	if day.Relays == 0 {
-		sim.day.Relays = 3
+	if scenario.Relays == 0 {
+		sim.scenario.Relays = 3
 	}
-	if day.Mode != Alone {
-		sim.rules = &shed.Rules{Version: 1, Tries: day.RetryBudget, Shares: day.Shares(day.Quota), Order: day.SheddingOrder()}
+	if scenario.Mode != Alone {
+		sim.rules = &shed.Rules{Version: 1, Tries: scenario.RetryBudget, Shares: scenario.Shares(scenario.Quota), Order: scenario.SheddingOrder()}
 	}
-	for i := range day.Boxes {
+	for i := range scenario.Boxes {
 		sim.names = append(sim.names, fmt.Sprintf("n%04d", i))
 		sim.boxes = append(sim.boxes, &box{sim: sim, number: i, attempts: map[string]*requestState{}})
 		sim.boxes[i].start(false)
 	}
-	sim.relays = sim.names[:min(sim.day.Relays, day.Boxes)]
-	src := stream(day.Seed, streamRouters)
-	for _, h := range DrawRouterBehaviors(day.Seed, day.Routers) {
-		r := NewRouter(h, day.SignalLifetime, src)
+	sim.relays = sim.names[:min(sim.scenario.Relays, scenario.Boxes)]
+	src := stream(scenario.Seed, streamRouters)
+	for _, h := range DrawRouterBehaviors(scenario.Seed, scenario.Routers) {
+		r := NewRouter(h, scenario.SignalLifetime, src)
 		sim.routers = append(sim.routers, r)
 	}
 	sim.updateRouterLists()
-	for _, q := range day.DrawRequests(day.Load) {
+	for _, q := range scenario.DrawRequests(scenario.Load) {
 		sim.Schedule(startTime+q.At, func() { sim.sendAttempt(&requestState{request: q}) })
 	}
-	for _, t := range day.Faults {
+	for _, t := range scenario.Faults {
 		sim.scheduleFault(t)
 	}
-	sim.RunUntil(startTime + day.Span)
-	sim.RunUntil(startTime + day.Span + 12*time.Second) // lets open requests finish
+	sim.RunUntil(startTime + scenario.Span)
+	sim.RunUntil(startTime + scenario.Span + 12*time.Second) // lets open requests finish
 	for _, b := range sim.boxes {
 		sim.result.MaxLevelChanges = max(sim.result.MaxLevelChanges, MaxWithin(b.levelChanges, 10*time.Second))
 		for _, state := range b.attempts {
@@ -187,11 +187,11 @@
 		}
 	}
 	sim.result.FirstBoxLevelChanges = sim.boxes[0].levelChanges
-	sim.result.Score = day.Evaluate(day.Load, sim.outcomes)
-	seconds := day.Span.Seconds() * float64(day.Boxes)
+	sim.result.Score = scenario.Evaluate(scenario.Load, sim.outcomes)
+	seconds := scenario.Span.Seconds() * float64(scenario.Boxes)
 	sim.result.Messages, sim.result.Bytes = float64(sim.messagesSent)/seconds, float64(sim.bytesSent)/seconds
 	outage := 0.0
-	for _, t := range day.Faults {
+	for _, t := range scenario.Faults {
 		if t.Kind == CatalogDown {
 			outage += t.Duration.Seconds()
 		}
@@ -199,7 +199,7 @@
 	if outage > 0 {
 		sim.result.ReportRateDown = float64(sim.reportsWhileDown) / outage
 	}
-	sim.result.ReportRateUp = float64(sim.reportsWhileUp) / (day.Span.Seconds() + 12 - outage)
+	sim.result.ReportRateUp = float64(sim.reportsWhileUp) / (scenario.Span.Seconds() + 12 - outage)
 	sim.result.Events, sim.result.IndexCalls = sim.lastSeq, sim.index.served
 	return sim.result
 }
@@ -255,7 +255,7 @@
 
 // faultActive reports whether a fault of the given kind hits box now.
 func (sim *simulation) faultActive(kind FaultKind, box int) bool {
-	for _, t := range sim.day.Faults {
+	for _, t := range sim.scenario.Faults {
 		if t.activeAt(sim.now-startTime, kind, box) {
 			return true
 		}
@@ -267,17 +267,17 @@
 func (b *box) start(cold bool) {
 	sim := b.sim
 	b.incarnation++
-	b.dead, b.cores = false, NewCores(sim.now, sim.day.Machine, cold)
-	cfg := sim.day.Policy(int64(sim.day.Seed)*1000+int64(b.number), sim.day.Routers)
+	b.dead, b.cores = false, NewCores(sim.now, sim.scenario.Machine, cold)
+	cfg := sim.scenario.Policy(int64(sim.scenario.Seed)*1000+int64(b.number), sim.scenario.Routers)
 	cfg.Cold = cold
 	b.waitingRuns = map[string]*engineRun{}
 	var tenants []string
-	for _, t := range sim.day.Tenants {
+	for _, t := range sim.scenario.Tenants {
 		tenants = append(tenants, t.Name)
 	}
 	rep, err := replica.New(replica.Config{Policy: cfg, Tenants: tenants, MaxResultBytes: 1 << 20, Index: b.newIndex()}, processClock{sim, b, b.incarnation}, boxEngine{b, b.incarnation}, new(counters.Set))
 	if err != nil {
-		panic("model: the site's figures are no settings: " + err.Error())
+		panic("model: the site's settings are invalid: " + err.Error())
 	}
 	b.rep = rep
 	rep.Attached(0, func() {})
@@ -290,7 +290,7 @@
 	sim.repeat(view.ExchangeInterval, phaseOf(b.number), func() bool { return b.incarnation == incarnation && !b.dead }, b.exchangeLoad)
 	sim.repeat(reportInterval/8, phaseOf(b.number), func() bool { return b.incarnation == incarnation && !b.dead }, b.reportIfDue)
 	if b.incarnation > 1 {
-		sim.Schedule(sim.now+sim.day.ListDelay, sim.updateRouterLists)
+		sim.Schedule(sim.now+sim.scenario.ListDelay, sim.updateRouterLists)
 		sim.Schedule(sim.now+ledgerDelay/5, func() { sim.knownDead[b.number] = false })
 	}
 }
@@ -337,7 +337,7 @@
 		sim.loseConnection(b.attempts[txn])
 	}
 	b.attempts = map[string]*requestState{}
-	sim.Schedule(sim.now+sim.day.ListDelay, sim.updateRouterLists)
+	sim.Schedule(sim.now+sim.scenario.ListDelay, sim.updateRouterLists)
 	sim.Schedule(sim.now+ledgerDelay, func() { sim.knownDead[b.number] = b.dead })
 }
 
@@ -389,7 +389,7 @@
 		return true
 	}
 	q := state.request
-	if b.sim.day.Classes[q.Class].Semantics == policy.Keyed {
+	if b.sim.scenario.Classes[q.Class].Semantics == policy.Keyed {
 		key := fmt.Sprint(b.number, "/", b.incarnation, "/", q.N)
 		if b.sim.keyedRuns[key]++; b.sim.keyedRuns[key] > 1 {
 			b.sim.result.DoubleRuns++
@@ -397,13 +397,13 @@
 	}
 	startedAt := b.sim.now
 	work := func() { b.addWork(q.Work, func() { b.rep.Done(txn, policy.Succeeded, b.sim.now-startedAt, nil) }) }
-	if b.openCalls == nil || b.sim.day.callCount(q) == 0 {
+	if b.openCalls == nil || b.sim.scenario.callCount(q) == 0 {
 		work()
 		return true
 	}
-	run := &engineRun{callsLeft: b.sim.day.callCount(q), startWork: work}
+	run := &engineRun{callsLeft: b.sim.scenario.callCount(q), startWork: work}
 	b.waitingRuns[txn] = run
-	b.sim.Schedule(startTime+b.sim.day.RequestDeadline(q), func() { // a run that still waits for a call is cancelled at its request's deadline
+	b.sim.Schedule(startTime+b.sim.scenario.RequestDeadline(q), func() { // a run that still waits for a call is cancelled at its request's deadline
 		if b.waitingRuns[txn] == run && !b.dead && b.incarnation == e.incarnation {
 			delete(b.waitingRuns, txn)
 			b.rep.Done(txn, policy.Cancelled, b.sim.now-startedAt, nil)
@@ -428,7 +428,7 @@
 func (sim *simulation) sendAttempt(state *requestState) {
 	r := sim.routers[state.request.Router]
 	now := sim.now - startTime
-	if now >= sim.day.RequestDeadline(state.request) {
+	if now >= sim.scenario.RequestDeadline(state.request) {
 		sim.finish(state, false)
 		return
 	}
@@ -450,9 +450,9 @@
 	state.finished = false
 	b.attempts[state.txn] = state
 	arrivedAt := sim.now
-	b.addWork(sim.day.ReadWork, func() { b.handOver(state, arrivedAt) })
+	b.addWork(sim.scenario.ReadWork, func() { b.handOver(state, arrivedAt) })
 	txn := state.txn
-	sim.Schedule(startTime+sim.day.RequestDeadline(state.request), func() { // the client gives up at its deadline
+	sim.Schedule(startTime+sim.scenario.RequestDeadline(state.request), func() { // the client abandons the request at its deadline
 		if state.txn == txn && !state.finished {
 			state.finished = true
 			r.HandleAnswer(sim.now, target, Hints{})
@@ -464,9 +464,9 @@
 // handOver passes an attempt that the box has read to the replica.
 func (b *box) handOver(state *requestState, arrivedAt time.Duration) {
 	sim, q := b.sim, state.request
-	class := sim.day.Classes[q.Class]
-	in := replica.Request{Txn: state.txn, Class: class.Name, Tenant: sim.day.Tenants[q.Tenant].Name, Body: []byte(fmt.Sprint(q.N)), Caller: q.Router, Retry: state.attempts > 1,
-		KB: 16, Rank: q.Rank, ArrivedAt: time.Unix(0, int64(arrivedAt)), WaitLimit: startTime + sim.day.RequestDeadline(q) - arrivedAt, Reply: &reply{b, state, state.txn}}
+	class := sim.scenario.Classes[q.Class]
+	in := replica.Request{Txn: state.txn, Class: class.Name, Tenant: sim.scenario.Tenants[q.Tenant].Name, Body: []byte(fmt.Sprint(q.N)), Caller: q.Router, Retry: state.attempts > 1,
+		KB: 16, Rank: q.Rank, ArrivedAt: time.Unix(0, int64(arrivedAt)), WaitLimit: startTime + sim.scenario.RequestDeadline(q) - arrivedAt, Reply: &reply{b, state, state.txn}}
 	if class.Semantics == policy.Keyed {
 		in.IdempotencyKey = fmt.Sprintf("%032x", q.N)
 	}
@@ -484,7 +484,7 @@
 	state.arriving = false
 }
 
-// recordViolation notes a broken invariant; the first 20 are kept.
+// recordViolation records a violated invariant; the first 20 are kept.
 func (sim *simulation) recordViolation(format string, a ...any) {
 	if len(sim.result.Violations) < 20 {
 		sim.result.Violations = append(sim.result.Violations, fmt.Sprintf("%v: ", sim.now-startTime)+fmt.Sprintf(format, a...))
@@ -512,7 +512,7 @@
 	}
 	if a.GiveUp {
 		sim.result.DoNotRetry++
-		if sim.day.Mode == Fleet && sim.otherBoxIdle(b) {
+		if sim.scenario.Mode == Fleet && sim.otherBoxIdle(b) {
 			sim.result.DoNotRetryWhileIdle++
 		}
 	}
@@ -523,7 +523,7 @@
 // otherBoxIdle reports whether some live box other than except runs at full speed with over three quarters of its cores free.
 func (sim *simulation) otherBoxIdle(except *box) bool {
 	for _, b := range sim.boxes {
-		if b != except && !b.dead && b.cores.speed == 1 && b.cores.JobCount() < sim.day.Cores/4 {
+		if b != except && !b.dead && b.cores.speed == 1 && b.cores.JobCount() < sim.scenario.Cores/4 {
 			return true
 		}
 	}
@@ -533,7 +533,7 @@
 // handleAnswer processes the answer of an attempt at its router, which may retry.
 func (sim *simulation) handleAnswer(state *requestState, txn string, box int, kind replica.Kind, hints Hints) {
 	if state.txn != txn || state.finished {
-		return // the client has given up
+		return // the client has abandoned the request
 	}
 	state.finished = true
 	r := sim.routers[state.request.Router]
@@ -555,7 +555,7 @@
 	}
 	state.finished = true
 	sim.routers[state.request.Router].HandleAnswer(sim.now, state.box.number, Hints{})
-	if sim.day.Classes[state.request.Class].Semantics == policy.Safe && sim.routers[state.request.Router].ShouldRetry(state.attempts, Hints{}) {
+	if sim.scenario.Classes[state.request.Class].Semantics == policy.Safe && sim.routers[state.request.Router].ShouldRetry(state.attempts, Hints{}) {
 		sim.Schedule(sim.now+networkDelay, func() { sim.sendAttempt(state) })
 		return
 	}
@@ -571,7 +571,7 @@
 // exchangeLoad runs one step of the fleet's load exchange: the box publishes its totals, applies the advice and sends what is due.
 func (b *box) exchangeLoad() {
 	sim := b.sim
-	if sim.day.Mode == Alone {
+	if sim.scenario.Mode == Alone {
 		return
 	}
 	t := view.TotalsOf(b.rep.Figures(), b.rep.Level())
@@ -581,7 +581,7 @@
 	if sim.faultActive(ReportNothing, b.number) {
 		t.Served, t.RejectedLocally, t.Busy = 0, t.First, 1
 	}
-	out := b.load.Tick(sim.now, view.TickInputs{Membership: sim.membership(b), Totals: t, Rules: sim.rules, MaxRetryDelay: sim.day.MaxRetryAfter, Finding: b.findingReport()})
+	out := b.load.Tick(sim.now, view.TickInputs{Membership: sim.membership(b), Totals: t, Rules: sim.rules, MaxRetryDelay: sim.scenario.MaxRetryAfter, Finding: b.findingReport()})
 	b.rep.Advise(b.load.Advice)
 	if l := b.load.Advice.Level; l != b.level {
 		b.level = l
@@ -604,7 +604,7 @@
 	return nil
 }
 
-// proberNumber returns the box that holds the prober's lease: the first one that the ledger takes for alive.
+// proberNumber returns the box that holds the prober's lease: the first one that is alive according to the ledger.
 func (sim *simulation) proberNumber() int {
 	for i := range sim.boxes {
 		if !sim.knownDead[i] {
@@ -637,8 +637,8 @@
 	fmt.Sscanf(o.To, "n%d", &receiver)
 	to := sim.boxes[receiver]
 	delay, copies := networkDelay, 1
-	cut := sim.day.Mode == Disconnected
-	for _, t := range sim.day.Faults {
+	cut := sim.scenario.Mode == Disconnected
+	for _, t := range sim.scenario.Faults {
 		switch {
 		case t.Kind == Partition && sim.now-startTime >= t.From && sim.now-startTime < t.From+t.Duration:
 			cut = cut || slices.Contains(t.Boxes, from.number) != slices.Contains(t.Boxes, receiver)
--- a/internal/lab/model/site.go
+++ b/internal/lab/model/site.go
@@ -28,12 +28,12 @@
 	Share float64 // of the fleet's quota
 }
 
-// Site describes what all days of a site have in common.
+// Site describes what all scenarios of a site have in common.
 type Site struct {
 	Machine
 	Classes        []Class
 	Tenants        []Tenant
-	HotTenant      int           // index of the tenant whose load is above its share, on days that have one
+	HotTenant      int           // index of the tenant whose load is above its share, in scenarios that have one
 	Quota          float64       // part of the capacity that is divided into the tenants' shares
 	OverShareWorth float64       // factor on the worth of traffic over a tenant's share
 	MaxRetryAfter  time.Duration // longest retry-after delay that routers comply with
@@ -57,7 +57,7 @@
 // ErrDescription is returned for a description that does not match the site's settings.
 var ErrDescription = errors.New(DescriptionFile)
 
-// description is the content of a WorldFile: the properties of clients, machines and dependency that the settings do not have.
+// description is the content of a DescriptionFile: the properties of clients, machines and dependency that the settings do not have.
 type description struct {
 	// Settings override those of the configuration for boxes in the lab.
 	Settings json.RawMessage `json:"settings"`
@@ -82,7 +82,7 @@
 }
 
 // Open reads a site: the settings from a replica's configuration and the description from the same folder. Classes and tenants are
-// matched by name. It returns an ErrWorld if one is missing in the description or unknown to the settings.
+// matched by name. It returns an ErrDescription if one is missing in the description or unknown to the settings.
 func Open(config string) (Site, error) {
 	base, err := settings.Read(config)
 	if err != nil {
@@ -110,32 +110,32 @@
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // build combines the description with the settings.
-func (w description) build(base *settings.Settings) (Site, error) {
+func (d description) build(base *settings.Settings) (Site, error) {
 	c := base.Policy(0)
-	s := Site{Quota: w.Quota, OverShareWorth: w.Over, MaxRetryAfter: c.MaxHoldOff, SignalLifetime: c.SignalLifetime, ListDelay: millis(w.ListLagMS), HotTenant: -1, readShare: w.Read, settings: *base,
-		Index:   Index{Slots: w.Index.Slots, CallDuration: millis(w.Index.TakesMS)},
-		Machine: Machine{Cores: c.Cores, ThrashAt: w.ThrashAt, Thrash: w.Thrash, ColdFrom: c.ColdFrom, ColdFor: c.ColdFor}}
+	s := Site{Quota: d.Quota, OverShareWorth: d.Over, MaxRetryAfter: c.MaxHoldOff, SignalLifetime: c.SignalLifetime, ListDelay: millis(d.ListLagMS), HotTenant: -1, readShare: d.Read, settings: *base,
+		Index:   Index{Slots: d.Index.Slots, CallDuration: millis(d.Index.TakesMS)},
+		Machine: Machine{Cores: c.Cores, ThrashAt: d.ThrashAt, Thrash: d.Thrash, ColdFrom: c.ColdFrom, ColdFor: c.ColdFor}}
 	for _, k := range c.Classes {
-		described, ok := w.Classes[k.Name]
+		described, ok := d.Classes[k.Name]
 		if !ok || !(described.WorkMS > 0) || !(described.Share > 0) {
 			return Site{}, fmt.Errorf("%w: class %q needs a share above 0 and a work_ms above 0", ErrDescription, k.Name)
 		}
 		s.Classes = append(s.Classes, Class{Class: k, Share: described.Share, Work: millis(described.WorkMS), CV: described.CV, MeanIndexCalls: described.Calls})
 	}
 	for i, t := range c.Tenants {
-		share, ok := w.Tenants[t.Name]
+		share, ok := d.Tenants[t.Name]
 		if !ok {
 			return Site{}, fmt.Errorf("%w: tenant %q has no share", ErrDescription, t.Name)
 		}
-		if s.Tenants = append(s.Tenants, Tenant{t.Name, share}); t.Name == w.Hot {
+		if s.Tenants = append(s.Tenants, Tenant{t.Name, share}); t.Name == d.Hot {
 			s.HotTenant = i
 		}
 	}
 	switch {
-	case len(w.Classes) != len(s.Classes) || len(w.Tenants) != len(s.Tenants):
-		return Site{}, fmt.Errorf("%w: has %d classes and %d tenants, some of which the settings do not know", ErrDescription, len(w.Classes), len(w.Tenants))
+	case len(d.Classes) != len(s.Classes) || len(d.Tenants) != len(s.Tenants):
+		return Site{}, fmt.Errorf("%w: has %d classes and %d tenants, some of which the settings do not know", ErrDescription, len(d.Classes), len(d.Tenants))
 	case s.HotTenant < 0:
-		return Site{}, fmt.Errorf("%w: the settings have no tenant %q, which is named as the hot one", ErrDescription, w.Hot)
+		return Site{}, fmt.Errorf("%w: the settings have no tenant %q, which is named as the hot one", ErrDescription, d.Hot)
 	case s.callsIndex() && (s.Index.Slots <= 0 || s.Index.CallDuration <= 0):
 		return Site{}, fmt.Errorf("%w: the settings have an index dependency, but the index has no slots or no call duration", ErrDescription)
 	}
@@ -150,7 +150,7 @@
 func (s Site) readWork() time.Duration { return time.Duration(s.readShare * float64(s.MeanWork())) }
 
 // SpedUp returns the site with all times of requests, clients, routers, cold boxes and the index divided by times. Times that the
-// platform's rules set, such as ListLag, stay.
+// platform's rules set, such as ListDelay, stay unchanged.
 func (s Site) SpedUp(times float64) Site {
 	span := func(d time.Duration) time.Duration { return millis(float64(d) / float64(time.Millisecond) / times) }
 	classes := make([]Class, len(s.Classes))
--- a/internal/lab/model/site_test.go
+++ b/internal/lab/model/site_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestOpenRejectsMismatchedDescription checks that each mismatch gives an ErrWorld that names it.
+// TestOpenRejectsMismatchedDescription checks that each mismatch gives an ErrDescription that names it.
 func TestOpenRejectsMismatchedDescription(t *testing.T) {
 	config, err := os.ReadFile(indexConfig)
 	if err != nil {
@@ -92,14 +92,14 @@
 			t.Fatal(err)
 		}
 		if _, err := Open(path); !errors.Is(err, ErrDescription) || !strings.Contains(err.Error(), what) {
-			t.Errorf("the error of Open is %v, want ErrWorld that mentions %s", err, what)
+			t.Errorf("the error of Open is %v, want ErrDescription that mentions %s", err, what)
 		}
 	}
 }
 
-// TestPlaySiteWithIndexCalls simulates a site with five tenants, keyed classes at other positions and runs that call an index, with the faults of
-// all hard cases. It checks the invariants and that calls are made. The gain of a fleet is not checked here: `cairnctl trial days --site` measures it.
-func TestPlaySiteWithIndexCalls(t *testing.T) {
+// TestSimulateSiteWithIndexCalls simulates a site with five tenants, keyed classes at other positions and runs that call an index, with the faults of
+// all fault cases. It checks the invariants and that calls are made. The gain of a fleet is not checked here: `cairnctl trial days --site` measures it.
+func TestSimulateSiteWithIndexCalls(t *testing.T) {
 	s := mustOpen(indexConfig)
 	for _, m := range []Mode{Alone, Fleet, Disconnected} {
 		d := Case{"all", 1.2, func(d *Scenario) {
@@ -110,7 +110,7 @@
 		}}.Scenario(s, 8, 30*time.Second, 5, m)
 		a := Simulate(d)
 		if b := Simulate(d); !reflect.DeepEqual(a, b) {
-			t.Fatalf("%s: two simulations of the same day differ: %v and %v", m, a.Ratio(), b.Ratio())
+			t.Fatalf("%s: two simulations of the same scenario differ: %v and %v", m, a.Ratio(), b.Ratio())
 		}
 		if a.Lost+a.AnsweredTwice+a.DoubleRuns+len(a.Violations) > 0 || a.MaxLevelChanges > 1 || a.Requests < 1000 {
 			t.Errorf("%s: %d lost, %d answered twice, %d double runs, %d level changes, %d requests, violations %v", m, a.Lost, a.AnsweredTwice, a.DoubleRuns, a.MaxLevelChanges, a.Requests, a.Violations)
--- a/internal/lab/model/sweep.go
+++ b/internal/lab/model/sweep.go
@@ -140,8 +140,8 @@
 	Days, Lost, AnsweredTwice, DoubleRuns, Violations, MaxLevelChanges int
 	SteadyRatios                                                       map[string][3]float64 // of the cases without a fault: alone, fleet, cut
 	GainLowerBounds                                                    map[string]float64    // gain over alone, less the half-width of its interval
-	MinGainDisconnected                                                float64               // lowest gain over alone of any case in mode Cut, at most 0
-	MinGainWithFaults                                                  float64               // lowest gain of any hard case
+	MinGainDisconnected                                                float64               // lowest gain over alone of any case in mode Disconnected, at most 0
+	MinGainWithFaults                                                  float64               // lowest gain of any fault case
 	WorstFaultCase                                                     string
 }
 
--- a/internal/lab/overloads/cost.go
+++ b/internal/lab/overloads/cost.go
@@ -13,10 +13,10 @@
 	"time"
 
 	"cairnlane/internal/decide/rollout"
-	"cairnlane/internal/lab/model"
-	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/fake/engine"
 	"cairnlane/internal/fake/router"
+	"cairnlane/internal/lab/model"
+	"cairnlane/internal/lab/rig"
 )
 
 // CostConfig holds the parameters for measuring the cost of a request.
@@ -157,7 +157,7 @@
 func cpuTime(pid int) (time.Duration, error) {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(tasks) == 0 {
-		return 0, fmt.Errorf("process %d has no scheduler's count: %v", pid, err)
+		return 0, fmt.Errorf("no scheduler statistics of process %d: %v", pid, err)
 	}
 	var sum time.Duration
 	for _, t := range tasks {
--- a/internal/lab/overloads/overloads_test.go
+++ b/internal/lab/overloads/overloads_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { rigtest.Main(m) }
 
-// TestOverloadTrialKeepsInvariants is a short form of `make overload`. It checks invariants and counts, but neither times nor the worth of the day,
+// TestOverloadTrialKeepsInvariants is a short form of `make overload`. It checks invariants and counts, but neither times nor the worth of the outcomes,
 // which depend on the machine.
 func TestOverloadTrialKeepsInvariants(t *testing.T) {
 	dir, err := rig.TempDir()
@@ -59,13 +59,13 @@
 
 // TestMissedListsEachBound checks that good figures miss no bound and that each bad one is listed.
 func TestMissedListsEachBound(t *testing.T) {
-	day := func(of float64) *Result {
+	newResult := func(of float64) *Result {
 		return &Result{Score: model.Score{Offered: 1, Earned: of, Requests: 100, Attempts: 105, AdmittedRetries: 5}}
 	}
 	good := func() *Figures {
 		f := &Figures{Trial: Trial{Seeds: 1, Boxes: 8, Loads: []float64{0.9, 1.1, 1.5}, Modes: []model.Mode{model.Fleet, model.Alone, model.Disconnected}, Outage: time.Second}, Results: map[float64]map[model.Mode][]*Result{}}
 		for _, l := range f.Loads {
-			f.Results[l] = map[model.Mode][]*Result{model.Fleet: {day(0.8)}, model.Alone: {day(0.7)}, model.Disconnected: {day(0.7)}}
+			f.Results[l] = map[model.Mode][]*Result{model.Fleet: {newResult(0.8)}, model.Alone: {newResult(0.7)}, model.Disconnected: {newResult(0.7)}}
 			f.Results[l][model.Alone][0].ProbeRate = 9
 		}
 		return f
--- a/internal/lab/overloads/run.go
+++ b/internal/lab/overloads/run.go
@@ -15,36 +15,36 @@
 
 	"cairnlane/internal/decide/lease"
 	"cairnlane/internal/decide/rollout"
-	"cairnlane/internal/lab/model"
-	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/fake/engine"
 	"cairnlane/internal/fake/router"
+	"cairnlane/internal/lab/model"
+	"cairnlane/internal/lab/rig"
 	"cairnlane/policy"
 )
 
-// Config holds the parameters of one fleet's run of a day.
+// Config holds the parameters of one fleet's run of a scenario.
 type Config struct {
 	Scenario   model.Scenario
 	Dir        string
 	ConfigFile string
 	Serve      func(config string) *exec.Cmd
-	Outage     time.Duration // after the day, the catalog and the links to all engines are down for this long; 0 for no outage
+	Outage     time.Duration // after the scenario, the catalog and the links to all engines are down for this long; 0 for no outage
 	Logf       func(format string, a ...any)
 }
 
-// Result holds what a day yielded.
+// Result is the result of a scenario.
 type Result struct {
 	model.Score
 	Lost, AnsweredTwice, DoubleRuns, Late, WrongResults     int64
 	Rejected, AttemptsRead                                  int64         // rejections, and attempts that were read
 	MaxLevelChanges                                         int           // maximum number of level changes of one process within 10 s
-	InvariantsBroken                                        int64         // broken invariants, as counted by the boxes
+	InvariantsBroken                                        int64         // violated invariants, as counted by the boxes
 	ProbeRate                                               float64       // reports and dials to catalog and engines per second while both were down
 	ReportRecovery                                          time.Duration // time from the end of the outage until all boxes had reported to the catalog again
 	RejectedOverShare, RejectedLowClass, RejectedOverBudget int64         // rejected by fleet advice: over share, of a low class, over the retry budget
 }
 
-// trialRun is the state of one fleet's run of a day.
+// trialRun is the state of one fleet's run of a scenario.
 type trialRun struct {
 	cfg          Config
 	rig          *rig.Site
@@ -75,17 +75,17 @@
 // terms are short, so that the fleet of a trial is ready soon.
 var terms = lease.Terms{Term: 2 * time.Second, Drift: 0.02}
 
-// RunScenario runs a day.
+// RunScenario runs a scenario.
 func RunScenario(cfg Config) (*Result, error) {
-	d := cfg.Scenario
-	run := &trialRun{cfg: cfg, alive: make([]bool, d.Boxes), incarnations: make([]atomic.Int64, d.Boxes), keyedRuns: map[string][]keyedRun{}, levelChanges: make([][]time.Duration, d.Boxes), levels: make([]int, d.Boxes), cold: make([]bool, d.Boxes)}
-	for i := range d.Boxes {
-		run.machines = append(run.machines, newMachine(d.Machine))
+	scenario := cfg.Scenario
+	run := &trialRun{cfg: cfg, alive: make([]bool, scenario.Boxes), incarnations: make([]atomic.Int64, scenario.Boxes), keyedRuns: map[string][]keyedRun{}, levelChanges: make([][]time.Duration, scenario.Boxes), levels: make([]int, scenario.Boxes), cold: make([]bool, scenario.Boxes)}
+	for i := range scenario.Boxes {
+		run.machines = append(run.machines, newMachine(scenario.Machine))
 		run.alive[i] = true
 	}
-	voters := []int{0, 1, 2}[:min(3, d.Boxes)]
+	voters := []int{0, 1, 2}[:min(3, scenario.Boxes)]
 	var err error
-	run.rig, err = rig.NewSite(rig.SiteConfig{Seed: d.Seed, Dir: cfg.Dir, Boxes: d.Boxes, Voters: voters, Terms: terms, Election: 400 * time.Millisecond, SettingsFile: cfg.ConfigFile, Command: cfg.Serve, EditSettings: run.applySite, Engine: run.newEngine})
+	run.rig, err = rig.NewSite(rig.SiteConfig{Seed: scenario.Seed, Dir: cfg.Dir, Boxes: scenario.Boxes, Voters: voters, Terms: terms, Election: 400 * time.Millisecond, SettingsFile: cfg.ConfigFile, Command: cfg.Serve, EditSettings: run.applySite, Engine: run.newEngine})
 	if err != nil {
 		return nil, err
 	}
@@ -93,14 +93,14 @@
 	if err := run.rig.Start(); err != nil {
 		return nil, err
 	}
-	if d.Mode != model.Alone {
+	if scenario.Mode != model.Alone {
 		if err := run.rolloutRules(); err != nil {
 			return nil, err
 		}
 	}
-	if d.Mode == model.Disconnected {
+	if scenario.Mode == model.Disconnected {
 		run.setLinksCut(func(a, b int) bool { return true }, true)
-		time.Sleep(adviceExpiry) // until no box trusts the advice that it has
+		time.Sleep(adviceExpiry) // until the advice of every box has expired
 	}
 	run.createRouters()
 	stop := make(chan struct{})
@@ -108,7 +108,7 @@
 	background.Go(func() { run.pollLevels(stop) })
 	run.startedAt = time.Now()
 	run.injectFaults(&background)
-	for _, q := range d.DrawRequests(d.Load) {
+	for _, q := range scenario.DrawRequests(scenario.Load) {
 		time.Sleep(time.Until(run.startedAt.Add(q.At)))
 		run.openRequests.Add(1)
 		run.workByBody.Store(run.body(q), q.Work)
@@ -129,23 +129,23 @@
 
 // applySite writes the site's figures into a box's configuration.
 func (run *trialRun) applySite(box int, config map[string]any) {
-	d := run.cfg.Scenario
+	scenario := run.cfg.Scenario
 	us := func(t time.Duration) int64 { return t.Microseconds() }
 	set := config["settings"].(map[string]any)
 	family := set["family-info"].(map[string]any)
-	family["cores"], family["cold"], family["heeded"], family["upstreams"] = d.Cores, run.cold[box], us(d.SignalLifetime), d.Routers
+	family["cores"], family["cold"], family["heeded"], family["upstreams"] = scenario.Cores, run.cold[box], us(scenario.SignalLifetime), scenario.Routers
 	guarantees := set["guarantees"].(map[string]any)
-	guarantees["cold"], guarantees["cold-from"] = us(d.ColdFor), d.ColdFrom
-	set["policy-limits"].(map[string]any)["max-retry-after"] = us(d.MaxRetryAfter)
-	for i, l := range set["lanes"].([]any) { // the day's classes stand in the order of the settings
-		class, lane := d.Classes[i], l.(map[string]any)
+	guarantees["cold"], guarantees["cold-from"] = us(scenario.ColdFor), scenario.ColdFrom
+	set["policy-limits"].(map[string]any)["max-retry-after"] = us(scenario.MaxRetryAfter)
+	for i, l := range set["lanes"].([]any) { // the scenario's classes stand in the order of the settings
+		class, lane := scenario.Classes[i], l.(map[string]any)
 		lane["aim"], lane["deadline"], lane["dedup-window"] = us(class.Aim), us(class.Deadline), us(class.DedupWindow)
 	}
 }
 
 // newEngine returns the fake engine of a box, whose runs use the cores of the box's machine.
 func (run *trialRun) newEngine(box int) *engine.Engine {
-	m := run.machines[box]
+	machine := run.machines[box]
 	return engine.NewWithExecutor(func(_, body string, done func(time.Duration)) {
 		work, ok := run.workByBody.Load(body)
 		if !ok {
@@ -159,8 +159,8 @@
 			run.mu.Unlock()
 		}
 		began := time.Now()
-		m.add(work.(time.Duration), func() { done(time.Since(began)) })
-	}, m.demand)
+		machine.add(work.(time.Duration), func() { done(time.Since(began)) })
+	}, machine.demand)
 }
 
 // rolloutRules rolls out a configuration with overload rules and waits until all boxes follow them.
@@ -208,14 +208,14 @@
 
 // createRouters creates the routers, each with a client for every box.
 func (run *trialRun) createRouters() {
-	d := run.cfg.Scenario
-	all := make([]int, d.Boxes)
+	scenario := run.cfg.Scenario
+	all := make([]int, scenario.Boxes)
 	for i := range all {
 		all[i] = i
 	}
-	src := model.Stream(d.Seed)
-	for i, h := range model.DrawRouterBehaviors(d.Seed, d.Routers) {
-		r := model.NewRouter(h, d.SignalLifetime, src)
+	src := model.Stream(scenario.Seed)
+	for i, h := range model.DrawRouterBehaviors(scenario.Seed, scenario.Routers) {
+		r := model.NewRouter(h, scenario.SignalLifetime, src)
 		r.SetBoxes(all)
 		run.routers = append(run.routers, r)
 		var connections []*router.Router
@@ -252,10 +252,10 @@
 
 // sendAttempt sends a request to the box that its router picks, or finishes it as not served if the deadline has passed or no box may be sent to.
 func (run *trialRun) sendAttempt(state *requestState) {
-	d := run.cfg.Scenario
+	scenario := run.cfg.Scenario
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	due := run.startedAt.Add(d.RequestDeadline(state.request))
+	due := run.startedAt.Add(scenario.RequestDeadline(state.request))
 	if state.ended {
 		return
 	}
@@ -276,7 +276,7 @@
 	txn := fmt.Sprintf("%08x%08x", state.request.N, attempt)
 	run.result.AttemptsRead++
 	time.AfterFunc(time.Until(due), func() { run.abandonAttempt(state, attempt, box) })
-	run.machines[box].add(d.ReadWork, func() { run.forward(state, attempt, txn, box, incarnation, arrivedAt) })
+	run.machines[box].add(scenario.ReadWork, func() { run.forward(state, attempt, txn, box, incarnation, arrivedAt) })
 }
 
 // abandonAttempt ends a request at its deadline if the attempt is still open.
@@ -291,16 +291,16 @@
 
 // forward sends an attempt to the box's process once its reading cost has been paid.
 func (run *trialRun) forward(state *requestState, attempt int, txn string, box int, incarnation int64, arrivedAt time.Time) {
-	d := run.cfg.Scenario
-	limit := d.RequestDeadline(state.request) - arrivedAt.Sub(run.startedAt)
+	scenario := run.cfg.Scenario
+	limit := scenario.RequestDeadline(state.request) - arrivedAt.Sub(run.startedAt)
 	run.mu.Lock()
 	ended := state.ended || state.openAttempt != attempt
 	run.mu.Unlock()
 	if ended || limit <= 0 {
 		return
 	}
-	class := d.Classes[state.request.Class]
-	q := router.Request{Txn: txn, Class: class.Name, Tenant: d.Tenants[state.request.Tenant].Name, Body: run.body(state.request), TimeLimit: limit, Retry: attempt > 1, Rank: state.request.Rank, ArrivedAt: arrivedAt}
+	class := scenario.Classes[state.request.Class]
+	q := router.Request{Txn: txn, Class: class.Name, Tenant: scenario.Tenants[state.request.Tenant].Name, Body: run.body(state.request), TimeLimit: limit, Retry: attempt > 1, Rank: state.request.Rank, ArrivedAt: arrivedAt}
 	if class.Semantics == policy.Keyed {
 		q.IdempotencyKey = fmt.Sprintf("%032x", state.request.N)
 	}
@@ -365,16 +365,16 @@
 	run.openRequests.Done()
 }
 
-// injectFaults schedules the day's faults. Routers learn of killed and restarted boxes after the site's list delay.
+// injectFaults schedules the scenario's faults. Routers learn of killed and restarted boxes after the site's list delay.
 func (run *trialRun) injectFaults(pending *sync.WaitGroup) {
-	d := run.cfg.Scenario
+	scenario := run.cfg.Scenario
 	at := func(t time.Duration, do func()) {
 		pending.Go(func() {
 			time.Sleep(time.Until(run.startedAt.Add(t)))
 			do()
 		})
 	}
-	for _, t := range d.Faults {
+	for _, t := range scenario.Faults {
 		switch t.Kind {
 		case model.SlowDown:
 			for _, b := range t.Boxes {
@@ -384,12 +384,12 @@
 		case model.Kill:
 			for _, b := range t.Boxes {
 				at(t.From, func() { run.kill(b) })
-				at(t.From+d.ListDelay, run.updateRouterLists)
+				at(t.From+scenario.ListDelay, run.updateRouterLists)
 				at(t.From+t.Duration, func() { run.start(b) })
-				at(t.From+t.Duration+d.ListDelay, run.updateRouterLists)
+				at(t.From+t.Duration+scenario.ListDelay, run.updateRouterLists)
 			}
 		case model.Partition:
-			if d.Mode == model.Disconnected {
+			if scenario.Mode == model.Disconnected {
 				continue
 			}
 			half := func(a, b int) bool { return slices.Contains(t.Boxes, a) != slices.Contains(t.Boxes, b) }
@@ -510,9 +510,9 @@
 	run.result.ReportRecovery = time.Since(back)
 }
 
-// summarize computes the worth of the day, counts keyed requests that ran twice in one process, and reads the counters of the boxes.
+// summarize computes the worth of the scenario's outcomes, counts keyed requests that ran twice in one process, and reads the counters of the boxes.
 func (run *trialRun) summarize() {
-	d := run.cfg.Scenario
+	scenario := run.cfg.Scenario
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	for key, runs := range run.keyedRuns {
@@ -525,7 +525,7 @@
 			seen[r] = true
 		}
 	}
-	run.result.Score = d.Evaluate(d.Load, run.outcomes)
+	run.result.Score = scenario.Evaluate(scenario.Load, run.outcomes)
 	for _, b := range run.rig.Boxes {
 		st, err := b.Control().Status()
 		if err != nil {
--- a/internal/lab/overloads/site_test.go
+++ b/internal/lab/overloads/site_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// TestApplySiteWritesSettings checks that a box's settings are those of the configuration, except for the times, which are the day's, and the
+// TestApplySiteWritesSettings checks that a box's settings are those of the configuration, except for the times, which are the scenario's, and the
 // number of cores.
 func TestApplySiteWritesSettings(t *testing.T) {
 	s, err := Site(indexConfig)
--- a/internal/lab/overloads/trial.go
+++ b/internal/lab/overloads/trial.go
@@ -28,7 +28,7 @@
 	Progress   io.Writer
 }
 
-// SpeedFactor is the factor by which the trial's site is faster than described. Shorter requests make days shorter and the figures less noisy.
+// SpeedFactor is the factor by which the trial's site is faster than described. Shorter requests make scenarios shorter and the figures less noisy.
 const SpeedFactor = 3
 
 // boxCores is the number of cores of a box. It is lower than on a site's machines, so that one machine can run all boxes.
@@ -209,7 +209,7 @@
 		miss(l > 1 && gain < 0.03, "gain at %.0f%%: %.3f", 100*l, gain)
 		miss(l < 1 && gain < 0, "gain at %.0f%%: %.3f", 100*l, gain)
 	}
-	// The mean over all loads, since the results of two fleets that behave the same differ by one or two hundredths on a single day.
+	// The mean over all loads, since the results of two fleets that behave the same differ by one or two hundredths in a single scenario.
 	cut := f.mean(model.Disconnected, worthRatio, f.Loads...) - f.mean(model.Alone, worthRatio, f.Loads...)
 	miss(cut < -0.01, "gain over alone with messages cut: %.3f", cut)
 	lateAnswers := f.total(func(r *Result) int64 { return r.Late })
--- a/internal/lab/rig/fault.go
+++ b/internal/lab/rig/fault.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Kind names what a fault does.
+// Kind is the kind of a fault.
 type Kind string
 
 // The kinds of faults. Where they apply, Box and Other name the boxes concerned and For the duration.
@@ -75,14 +75,14 @@
 		var f Fault
 		fields := strings.Fields(line)
 		if len(fields) != 5 {
-			return nil, fmt.Errorf("line %d: %q is not TIME KIND BOX OTHER SPAN", i+1, line)
+			return nil, fmt.Errorf("line %d: %q does not have the form TIME KIND BOX OTHER SPAN", i+1, line)
 		}
 		at, atErr := time.ParseDuration(fields[0])
 		span, spanErr := time.ParseDuration(fields[4])
 		f.At, f.Kind, f.For = at, Kind(fields[1]), span
 		_, boxErr := fmt.Sscan(fields[2]+" "+fields[3], &f.Box, &f.Other)
 		if atErr != nil || spanErr != nil || boxErr != nil || !slices.Contains(Kinds, f.Kind) {
-			return nil, fmt.Errorf("line %d: %q is no fault that can be read", i+1, line)
+			return nil, fmt.Errorf("line %d: %q is not a valid fault", i+1, line)
 		}
 		s = append(s, f)
 	}
--- a/internal/lab/rig/inject.go
+++ b/internal/lab/rig/inject.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// EffectTrap lets faults of kind StopAct stop a box between a permit's check and its effect. The fake resource implements it.
+// EffectTrap lets faults of kind StopInAct stop a box between a permit's check and its effect. The fake resource implements it.
 type EffectTrap interface {
-	// StopNext has stop called with each box that is about to act, before its effect begins, until stop returns true.
+	// StopNext calls stop with each box that is about to act, before its effect begins, until stop returns true.
 	StopNext(stop func(box string) bool)
 }
 
@@ -29,7 +29,7 @@
 // Inject injects the faults of a schedule and restores all boxes and links at its end. A fault is skipped if another one is active at
 // the box, and it is replaced by Kill if a majority of voters could lose their disks.
 func (s *Site) Inject(sched Schedule, traps EffectTrap) (InjectedFaults, error) {
-	played := InjectedFaults{}
+	injected := InjectedFaults{}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	errs := make(chan error, len(sched)+1)
@@ -44,7 +44,7 @@
 			if kind != "" {
 				mu.Lock()
 				defer mu.Unlock()
-				played[kind]++
+				injected[kind]++
 			}
 		})
 	}
@@ -56,9 +56,9 @@
 	}
 	select {
 	case err := <-errs:
-		return played, err
+		return injected, err
 	default:
-		return played, nil
+		return injected, nil
 	}
 }
 
@@ -360,7 +360,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// killMany kills all boxes at once and restarts them. With Cold it kills only those that may lose their disks and restarts these with
+// killMany kills all boxes at once and restarts them. With ColdRestart it kills only those that may lose their disks and restarts these with
 // empty state; a majority of voters keeps running.
 func (s *Site) killMany(kind Kind, f Fault) error {
 	var wait sync.WaitGroup
@@ -405,7 +405,7 @@
 	}
 }
 
-// runTwin runs a second process from a copy of a box's state, under the same name. The fleet takes the later process for the box and
+// runTwin runs a second process from a copy of a box's state, under the same name. The fleet treats the later process as the box and
 // notifies the first. At the end the twin is killed and the first one restarted, as an operator would do.
 func (s *Site) runTwin(b *Box, span time.Duration) error {
 	dir := filepath.Join(b.dir, fmt.Sprintf("twin-%d", time.Now().UnixNano()))
--- a/internal/lab/rig/load.go
+++ b/internal/lab/rig/load.go
@@ -47,7 +47,7 @@
 // answerSlack is how much later than its limit a request may be answered, to allow for the delay on sockets.
 const answerSlack = 110 * time.Millisecond
 
-const maxOpen = 48 // open requests of a router or, with Spread, of four routers together
+const maxOpen = 48 // open requests of a router or, with RetryOnOtherRouters, of four routers together
 
 // Start starts the load.
 func (l *Load) Start() {
@@ -69,7 +69,7 @@
 	}
 }
 
-// AddNote records a message for the reader of the figures. It keeps the first 20 messages.
+// AddNote records a message that is reported with the figures. It keeps the first 20 messages.
 func (l *Load) AddNote(format string, a ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -206,7 +206,7 @@
 		l.keyedRequestOf(request).lost.Store(true) // the process may have been killed between two attempts, and its keys are lost then
 	}
 	if request.IdempotencyKey != "" {
-		l.keyedRequestOf(request).addAttempt(fmt.Sprintf("try %s from %s to %s: %v", request.Txn, began.Format(clockLayout), time.Now().Format(clockLayout), outcome.Kind))
+		l.keyedRequestOf(request).addAttempt(fmt.Sprintf("attempt %s from %s to %s: %v", request.Txn, began.Format(clockLayout), time.Now().Format(clockLayout), outcome.Kind))
 	}
 	if outcome.Took > request.TimeLimit+answerSlack && !excused {
 		atomic.AddInt64(&l.Late, 1)
--- a/internal/lab/rig/process.go
+++ b/internal/lab/rig/process.go
@@ -70,7 +70,7 @@
 // Done returns a channel that is closed when the process has exited; Err returns the result then.
 func (p *Process) Done() <-chan struct{} { return p.ended }
 
-// Err returns the result of waiting for the process. It is valid once Ended is closed.
+// Err returns the result of waiting for the process. It is valid once Done is closed.
 func (p *Process) Err() error { return p.err }
 
 // Pid returns the process id.
--- a/internal/lab/rig/relay.go
+++ b/internal/lab/rig/relay.go
@@ -41,7 +41,7 @@
 	target   func() string
 }
 
-// NewNetwork returns a Net without relays.
+// NewNetwork returns a Network without relays.
 func NewNetwork() *Network { return &Network{flows: map[[2]int]Flow{}, changed: make(chan struct{})} }
 
 // AddRelay starts the relay from a box to another one and returns its address. The function target returns the other box's own address.
--- a/internal/lab/rig/site.go
+++ b/internal/lab/rig/site.go
@@ -19,11 +19,11 @@
 
 	"cairnlane/internal/control"
 	"cairnlane/internal/decide/lease"
-	"cairnlane/internal/fleet"
 	"cairnlane/internal/fake/catalog"
 	"cairnlane/internal/fake/engine"
 	"cairnlane/internal/fake/index"
 	"cairnlane/internal/fake/router"
+	"cairnlane/internal/fleet"
 )
 
 // SiteConfig configures a site of several boxes.
@@ -65,7 +65,7 @@
 	history []Event
 }
 
-// Event is something that the rig did, with the time since the site was created.
+// Event is an action of the rig, with the time since the site was created.
 type Event struct {
 	At   time.Duration
 	Box  int
@@ -99,7 +99,7 @@
 // IndexCallTime is how long the fake index takes for a call in a trial.
 const IndexCallTime = 4 * time.Millisecond
 
-// deadline is the deadline of all classes in a site, unless Shape changes it.
+// deadline is the deadline of all classes in a site, unless EditSettings changes it.
 const deadline = 800 * time.Millisecond
 
 // NewSite starts the fakes of a site and writes the configurations of its boxes. Start starts the boxes.
@@ -206,17 +206,17 @@
 	return errors.Join(os.WriteFile(filepath.Join(dir, "site.json"), raw, 0o600), os.WriteFile(filepath.Join(dir, "a.hcl"), []byte(hcl.String()), 0o600))
 }
 
-// record adds an entry to the history.
+// record adds an event to the history.
 func (s *Site) record(box int, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = append(s.history, Event{time.Since(s.began), box, fmt.Sprintf(format, args...)})
 }
 
-// TimeOf returns the time of an entry of the history.
+// TimeOf returns the time of an event of the history.
 func (s *Site) TimeOf(h Event) time.Time { return s.began.Add(h.At) }
 
-// History returns what the rig has done so far.
+// History returns all events so far.
 func (s *Site) History() []Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -323,7 +323,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, o := range b.outages {
-		// Requests shortly after the outage are excused too, because the process has a backlog to work off.
+		// Requests shortly after the outage are excused too, because the process still handles its backlog.
 		if o.to.IsZero() || o.to.Add(recoveryTime).After(since) {
 			return true
 		}
@@ -397,18 +397,18 @@
 	return nil
 }
 
-// RequestAddr is where the box listens for requests, and Engine where its fake engine listens.
+// RequestAddr returns the address on which the box listens for requests, and EngineAddr that of its fake engine.
 func (b *Box) RequestAddr() string         { return b.requestAddr }
 func (b *Box) EngineAddr() *engine.Address { return b.engineAddr }
 
-// HasStartedRun reports whether the box's engine has started a run with an id. Born sets the time at which the engine reports to have started.
+// HasStartedRun reports whether the box's engine has started a run with an id. SetEngineStart sets the time at which the engine reports to have started.
 func (b *Box) HasStartedRun(id string) bool { return b.fakeEngine.HasRun(id) }
 func (b *Box) SetEngineStart(at time.Time)  { b.fakeEngine.SetStartTime(at) }
 
 // Catalog returns the fake catalog to which all boxes report.
 func (s *Site) Catalog() *catalog.Catalog { return s.catalog }
 
-// RewriteConfig rewrites the box's configuration with the current result of Shape. It takes effect at the next start.
+// RewriteConfig rewrites the box's configuration with the current result of EditSettings. It takes effect at the next start.
 func (b *Box) RewriteConfig() error { return b.writeConfig(b.dir, b.requestAddr, b.fleetAddr) }
 
 // Kill sends SIGKILL to the box's process and waits until it has exited.
@@ -507,7 +507,7 @@
 	return base64.StdEncoding.EncodeToString(key) + "\n"
 }
 
-// keyFile holds the fleet's key. wallOffsetFile holds the offset of the box's wall clock while a fault of kind Wall is active.
+// keyFile holds the fleet's key. wallOffsetFile holds the offset of the box's wall clock while a fault of kind WallClockJump is active.
 func (b *Box) keyFile() string        { return filepath.Join(b.dir, "fleet.key") }
 func (b *Box) wallOffsetFile() string { return filepath.Join(b.dir, "wall") }
 
--- a/internal/testkit/peer.go
+++ b/internal/testkit/peer.go
@@ -34,7 +34,7 @@
 }
 
 // Accept returns a peer for the next connection to ln. The connection is closed when the test ends, and its reads and writes
-// time out after Patience.
+// time out after HangTimeout.
 func Accept(t testing.TB, ln net.Listener) *Peer {
 	t.Helper()
 	if d, ok := ln.(interface{ SetDeadline(time.Time) error }); ok {
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -28,7 +28,7 @@
 	callback func()
 }
 
-// NewClock returns a clock whose time is Start.
+// NewClock returns a clock whose time is StartTime.
 func NewClock() *Clock { return &Clock{now: StartTime} }
 
 // Now returns the clock's time as a duration since the Unix epoch.
@@ -73,7 +73,7 @@
 	runMachines(t, newMachine, 100, 30)
 }
 
-// RunStateMachines is like Steps with the given number of machines and about the given number of actions on each.
+// RunStateMachines is like RunStateMachine with the given number of machines and about the given number of actions on each.
 func RunStateMachines(t *testing.T, machines, steps int, newMachine func(t *rapid.T) map[string]func(*rapid.T)) {
 	t.Helper()
 	runMachines(t, newMachine, machines, steps)
