--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -149,22 +149,22 @@
 func TestWaiterIsNotStarvedByHigherPriority(t *testing.T) {
 	lines := "join a\njoin b\njoin c\nacquire a x\nacquire b x\n"
 	held, other := "a", "c"
-	asked := map[string]int{"a": 1}
+	acquireSeqs := map[string]int{"a": 1}
 	for range MaxPassed {
-		asked[other]++
-		lines += fmt.Sprintf("acquire %s x 1 9\nrelease %s %d\n", other, held, asked[held])
-		asked[held]++ // the release has a sequence number as well
+		acquireSeqs[other]++
+		lines += fmt.Sprintf("acquire %s x 1 9\nrelease %s %d\n", other, held, acquireSeqs[held])
+		acquireSeqs[held]++ // the release has a sequence number as well
 		held, other = other, held
 	}
-	asked[other]++
-	lines += fmt.Sprintf("acquire %s x 1 9\nrelease %s %d\n", other, held, asked[held])
+	acquireSeqs[other]++
+	lines += fmt.Sprintf("acquire %s x 1 9\nrelease %s %d\n", other, held, acquireSeqs[held])
 	table, _ := runScript(t, lines)
 	if k := table.Tasks["x"]; k.Holders[0].Box != "b" {
 		t.Errorf("%s: b is not the holder although it was passed %d times", formatTask(table, "x"), MaxPassed)
 	}
 }
 
-func TestClosedTableGrantsNothingForOneTerm(t *testing.T) {
+func TestSuspendedTableGrantsNothingForOneTerm(t *testing.T) {
 	table, sessions := runScript(t, "join a\njoin b\nacquire a x\nacquire b x")
 	table.SuspendGrants(100, 1<<40)
 	var j ExpiryDetector
@@ -405,20 +405,20 @@
 		h.Update(now, table, nil)
 	}
 	step(a, 0)
-	ask, _ := a.Acquire(0, Request{Task: "t", Slots: 1})
+	request, _ := a.Acquire(0, Request{Task: "t", Slots: 1})
 	step(a, 1)
-	if a.CheckPermit(2, ask, 0) != nil {
+	if a.CheckPermit(2, request, 0) != nil {
 		t.Fatal("lease not held")
 	}
 	step(b, 3)
 	a.Update(4, table, nil)
-	if a.Phase() != Displaced || a.CheckPermit(4, ask, 0) == nil {
+	if a.Phase() != Displaced || a.CheckPermit(4, request, 0) == nil {
 		t.Errorf("first process is %v or may act after the second one's join, want displaced", a.Phase())
 	}
 	step(b, terms.Term)
 	a.Update(terms.Term, table, nil)
-	if a.Phase() != Superseded || a.CheckPermit(5, ask, 0) == nil || b.Phase() != Joined {
-		t.Errorf("first process is %v, may act: %v; second process is %v", a.Phase(), a.CheckPermit(5, ask, 0) == nil, b.Phase())
+	if a.Phase() != Superseded || a.CheckPermit(5, request, 0) == nil || b.Phase() != Joined {
+		t.Errorf("first process is %v, may act: %v; second process is %v", a.Phase(), a.CheckPermit(5, request, 0) == nil, b.Phase())
 	}
 	if list, _ := a.Due(time.Hour); len(list) != 0 {
 		t.Errorf("superseded process still sends %v", list)
@@ -432,8 +432,8 @@
 // session has expired.
 func TestBarredBox(t *testing.T) {
 	table := NewTable(Terms{Term: time.Second})
-	join := func(index uint64, box string, nonce, try uint64) {
-		if err := table.Apply(index, Command{Kind: Join, Box: box, Nonce: nonce, JoinAttempt: try}); err != nil {
+	join := func(index uint64, box string, nonce, attempt uint64) {
+		if err := table.Apply(index, Command{Kind: Join, Box: box, Nonce: nonce, JoinAttempt: attempt}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleet/audit.go
+++ b/internal/fleet/audit.go
@@ -50,15 +50,15 @@
 
 // auditStanding logs and audits a change of the box's phase, session or standing. f.mu is held.
 func (f *Fleet) auditStanding() {
-	h, stands := f.node.Holder(), f.node.Standing()
-	if stands != f.auditedStanding {
-		f.cfg.Logf("standing to the fleet's configuration is now %v: %d in force, lowest allowed %d", stands, f.node.InForce(), f.node.Lowest())
+	h, standing := f.node.Holder(), f.node.Standing()
+	if standing != f.auditedStanding {
+		f.cfg.Logf("standing to the fleet's configuration is now %v: %d in force, lowest allowed %d", standing, f.node.InForce(), f.node.Lowest())
 	}
-	if h.Phase() == f.auditedPhase && h.Session() == f.auditedSession && stands == f.auditedStanding {
+	if h.Phase() == f.auditedPhase && h.Session() == f.auditedSession && standing == f.auditedStanding {
 		return
 	}
-	f.auditedPhase, f.auditedSession, f.auditedStanding = h.Phase(), h.Session(), stands
-	f.recordAuditLocked(audit.Entry{Kind: audit.FleetStatus, Text: f.auditedPhase.String() + ", " + stands.String()})
+	f.auditedPhase, f.auditedSession, f.auditedStanding = h.Phase(), h.Session(), standing
+	f.recordAuditLocked(audit.Entry{Kind: audit.FleetStatus, Text: f.auditedPhase.String() + ", " + standing.String()})
 }
 
 // reportAuditHeads reports the head of the audit chain to the ledger. It reports only synced entries: entries lost in a power failure must not
--- a/internal/fleet/command/command.go
+++ b/internal/fleet/command/command.go
@@ -156,19 +156,19 @@
 // watch polls the lease while the command runs, and ends the process group before the lease ends.
 func watch(d SlotHolder, cfg Config, id uint64, until time.Duration, pgid int, ended chan error, signals chan os.Signal, logf func(string, ...any)) int {
 	type answer struct {
-		s     fleet.RunStatus
-		asked time.Duration
-		err   error
+		s           fleet.RunStatus
+		requestedAt time.Duration
+		err         error
 	}
 	answers := make(chan answer, 1)
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
 		for {
-			asked := cfg.Now()
+			requestedAt := cfg.Now()
 			s, err := d.Poll(id, pollInterval)
 			select {
-			case answers <- answer{s, asked, err}:
+			case answers <- answer{s, requestedAt, err}:
 			case <-stop:
 				return
 			}
@@ -235,7 +235,7 @@
 				until = min(until, now)
 				terminate("the fleet ended the lease")
 			case a.s.Left > 0:
-				until = max(until, a.asked+a.s.Left)
+				until = max(until, a.requestedAt+a.s.Left)
 			}
 		case sig := <-signals:
 			syscall.Kill(-pgid, sig.(syscall.Signal))
--- a/internal/fleet/config_transfers.go
+++ b/internal/fleet/config_transfers.go
@@ -23,12 +23,12 @@
 
 const (
 	chunkBytes    = 32 << 10        // bytes of one answer
-	answerTimeout = time.Second     // before the next peer is asked
+	answerTimeout = time.Second     // time until the request goes to the next peer
 	maxFetches    = 4               // concurrent fetches
 	fetchExpiry   = 5 * time.Minute // age after which a fetch is dropped to make room for another
 )
 
-// fetch is the state of one transfer. Chunks received so far are kept when a peer goes away; the next peer is asked for the rest.
+// fetch is the state of one transfer. Chunks received so far are kept when a peer disconnects; the rest is requested from the next peer.
 type fetch struct {
 	size        int
 	buffer      []byte
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -156,7 +156,7 @@
 	last, _ := c.core.log.LastIndex()
 	logTerm, _ := c.core.log.Term(last)
 	term := status.HardState.GetTerm() + 3
-	ask := func(from string) (granted bool) {
+	requestVote := func(from string) (granted bool) {
 		m := &raftpb.Message{Type: raftpb.MsgVote.Enum(), From: new(f.ledgers[from].ID()), To: new(c.ID()), Term: &term, Index: &last, LogTerm: &logTerm}
 		c.Receive(f.now, from, Message{Kind: Raft, Fleet: c.State().Fleet, Era: c.State().Era, Raft: encode(m)})
 		out, _, _ := c.TakeOutput()
@@ -169,15 +169,15 @@
 		return granted
 	}
 	f.now += time.Minute // longer than any election time-out
-	if !ask("a") {
+	if !requestVote("a") {
 		t.Fatal("vote not granted")
 	}
 	f.open("c", []string{"a", "b", "c"})
 	c = f.ledgers["c"]
-	if f.now += time.Minute; ask("b") {
+	if f.now += time.Minute; requestVote("b") {
 		t.Error("second vote granted in one term")
 	}
-	if !ask("a") {
+	if !requestVote("a") {
 		t.Error("repeated request of the same candidate not granted")
 	}
 }
--- a/internal/fleet/peer/links_test.go
+++ b/internal/fleet/peer/links_test.go
@@ -195,11 +195,11 @@
 		defer a.Links.mu.Unlock()
 		return a.unauthenticated == 0
 	})
-	// Each is closed by a, those that were too many and those that said nothing; it is not enough that they no longer count.
+	// Each is closed by a, those above the limit and those that sent nothing; it is not enough that they are no longer counted.
 	var held atomic.Int64
 	var reads sync.WaitGroup
 	for _, c := range open {
-		c.SetReadDeadline(time.Now().Add(20 * time.Second)) // as long as until waits
+		c.SetReadDeadline(time.Now().Add(20 * time.Second)) // as long as waitFor waits
 		reads.Go(func() {
 			if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
 				held.Add(1)
@@ -207,7 +207,7 @@
 		})
 	}
 	if reads.Wait(); held.Load() > 0 {
-		t.Errorf("%d of %d connections that prove nothing were not closed", held.Load(), len(open))
+		t.Errorf("%d of %d unauthenticated connections were not closed", held.Load(), len(open))
 	}
 	c, err := net.Dial("tcp", peers["a"])
 	if err != nil {
--- a/internal/fleet/rollouts.go
+++ b/internal/fleet/rollouts.go
@@ -120,7 +120,7 @@
 	return f.submitRolloutCommand(rollout.Command{Kind: rollout.Lowest, N: n}, nil)
 }
 
-// LeavesServiceWhenShutOut reports whether this box is shut out and the fleet's configuration tells such a box to leave service.
+// LeavesServiceWhenShutOut reports whether this box is shut out and the fleet's configuration requires such a box to leave service.
 func (f *Fleet) LeavesServiceWhenShutOut() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/versions.go
+++ b/internal/fleet/versions.go
@@ -240,7 +240,7 @@
 	return 0
 }
 
-// SubmitRolloutCommand submits an operator's command in this box's session. Outcome tells its result.
+// SubmitRolloutCommand submits an operator's command in this box's session. Outcome returns its result.
 func (n *Node) SubmitRolloutCommand(now time.Duration, c rollout.Command) (session, seq uint64) {
 	session = n.holder.Session()
 	seq = n.holder.SendPayload(now, ledger.EncodePayload(c))
