--- a/cmd/cairnctl/main.go
+++ b/cmd/cairnctl/main.go
@@ -25,6 +25,7 @@
 	"cairnlane/internal/certs/year"
 	"cairnlane/internal/control"
 	"cairnlane/internal/decide/lease"
+	"cairnlane/internal/fake/authority"
 	"cairnlane/internal/handover/replace"
 	"cairnlane/internal/lab/actor"
 	"cairnlane/internal/lab/audits"
@@ -34,7 +35,6 @@
 	"cairnlane/internal/lab/mutants"
 	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/operator"
-	"cairnlane/internal/fake/authority"
 )
 
 type options struct {
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -1,5 +1,5 @@
 // Package appliance assembles what a box of a small site runs beside the replica: certificates, the TLS listener, the
-// control socket, the flight recorder and the box's part in its fleet.
+// control socket, the flight recorder and the box's membership in its fleet.
 package appliance
 
 import (
@@ -32,7 +32,7 @@
 	"cairnlane/internal/state/keystore"
 )
 
-// Box is the appliance: certificates, TLS listener and control socket. It implements daemon.Part.
+// Box is the appliance: certificates, TLS listener and control socket. It implements daemon.Component.
 type Box struct {
 	cfg               *config.Appliance
 	log               zerolog.Logger
@@ -46,7 +46,7 @@
 	recorder          *recorder // nil if the configuration does not enable it
 }
 
-// Parts returns the parts that the daemon starts, in this order.
+// Parts returns the components that the daemon starts, in this order.
 func (b *Box) Parts() []daemon.Component {
 	parts := []daemon.Component{b}
 	if b.recorder != nil {
@@ -58,7 +58,7 @@
 	return append(append(parts, b.fleet), b.trialParts()...)
 }
 
-// Fleet returns the box's part in its fleet, nil if it belongs to none.
+// Fleet returns the box's fleet component, nil if it belongs to none.
 func (b *Box) Fleet() *Fleet { return b.fleet }
 
 // New opens the stored state of the box. It fails before anything is served if the state cannot be used.
@@ -77,21 +77,21 @@
 	if cfg.TLS == nil {
 		return b, nil
 	}
-	answers := certs.NewChallengeResponses()
-	var keepers []*certs.Manager
+	responses := certs.NewChallengeResponses()
+	var managers []*certs.Manager
 	for _, c := range cfg.TLS.Certificates {
-		k, err := b.newKeeper(c, answers)
+		k, err := b.newManager(c, responses)
 		if err != nil {
 			return nil, err
 		}
-		keepers = append(keepers, k)
+		managers = append(managers, k)
 	}
-	b.certificates = certs.NewCertificateSet(answers, keepers...)
+	b.certificates = certs.NewCertificateSet(responses, managers...)
 	return b, nil
 }
 
-// newKeeper returns the keeper of one configured certificate.
-func (b *Box) newKeeper(c config.Certificate, answers *certs.ChallengeResponses) (*certs.Manager, error) {
+// newManager returns the manager of one configured certificate.
+func (b *Box) newManager(c config.Certificate, responses *certs.ChallengeResponses) (*certs.Manager, error) {
 	t := b.cfg.TLS
 	cfg := certs.Config{Name: c.Name, Names: c.Hosts, Challenge: t.Challenge, SelfSigned: t.SelfSigned,
 		Plan: renewal.Settings{Budget: orderBudget(t), WindowOffset: RenewalOffset(b.cfg.Site.Name, c.Name), Jitter: rand.Float64}}
@@ -124,7 +124,7 @@
 		}
 		cfg.Authorities = append(cfg.Authorities, au)
 	}
-	return certs.New(cfg, b.store, answers, clock.Wall, b.log)
+	return certs.New(cfg, b.store, responses, clock.Wall, b.log)
 }
 
 // orderBudget returns the configured order budget, with the defaults for limits that are not configured.
@@ -146,7 +146,7 @@
 	return float64(xxhash.Sum64String(box+"\x00"+certificate)>>11) / (1 << 53)
 }
 
-// Start implements daemon.Part.
+// Start implements daemon.Component.
 func (b *Box) Start(ctx context.Context, server *front.Server, set *counters.Set) error {
 	ctx, b.cancel = context.WithCancel(ctx)
 	if b.certificates == nil {
@@ -205,7 +205,7 @@
 	b.log.Info().Str("socket", b.cfg.Control).Msg("control socket opened")
 }
 
-// StopIntake implements daemon.Part. Certificates stay loaded during the drain: handshakes of routers that reconnect for
+// StopIntake implements daemon.Component. Certificates stay loaded during the drain: handshakes of routers that reconnect for
 // outstanding answers must not fail.
 func (b *Box) StopIntake() {
 	if b.tlsListener != nil {
@@ -213,7 +213,7 @@
 	}
 }
 
-// Close implements daemon.Part.
+// Close implements daemon.Component.
 func (b *Box) Close() {
 	if b.cancel != nil {
 		b.cancel()
--- a/internal/appliance/fleet.go
+++ b/internal/appliance/fleet.go
@@ -34,7 +34,7 @@
 	"cairnlane/internal/state/configs"
 )
 
-// Fleet is the box's part in its fleet. It implements daemon.Part and control.Fleet. Serving requests never waits for it.
+// Fleet is the component that makes the box a member of its fleet. It implements daemon.Component and control.Fleet. Serving requests never waits for it.
 type Fleet struct {
 	*fleet.Fleet
 	cfg        *config.Appliance
@@ -74,8 +74,8 @@
 	return name
 }
 
-// number is the build number, which tells what the build understands: it is raised with each addition to the fleet's
-// configuration. A build can set another one with -ldflags "-X cairnlane/internal/appliance.number=3".
+// number is the build number, which says what configurations the build supports: it is raised with each addition to the
+// fleet's configuration. A build can set another one with -ldflags "-X cairnlane/internal/appliance.number=3".
 var number = "2"
 
 // BuildNumber returns the build number, 1 if it cannot be parsed.
@@ -119,7 +119,7 @@
 	return t
 }
 
-// Start implements daemon.Part.
+// Start implements daemon.Component.
 func (f *Fleet) Start(ctx context.Context, _ *front.Server, set *counters.Set) (err error) {
 	c := f.cfg.Fleet
 	dir := filepath.Join(f.cfg.State, "audit")
@@ -152,14 +152,14 @@
 	return nil
 }
 
-// Running returns the fleet, nil before the part has been started.
+// Running returns the fleet, nil before the component has been started.
 func (f *Fleet) Running() *fleet.Fleet { return f.Fleet }
 
-// StopIntake implements daemon.Part. It does nothing: the box stays in the fleet until Close, as runs in progress may
+// StopIntake implements daemon.Component. It does nothing: the box stays in the fleet until Close, as runs in progress may
 // still need its leases.
 func (f *Fleet) StopIntake() {}
 
-// Close implements daemon.Part.
+// Close implements daemon.Component.
 func (f *Fleet) Close() {
 	if f.Fleet == nil {
 		return
--- a/internal/appliance/recorder.go
+++ b/internal/appliance/recorder.go
@@ -21,7 +21,7 @@
 )
 
 // recorder is the flight recorder of a box. It is off unless the configuration enables it. It samples existing counters
-// once per flush interval, four times a second, so it adds no cost to a request. It implements daemon.Part.
+// once per flush interval, four times a second, so it adds no cost to a request. It implements daemon.Component.
 type recorder struct {
 	cfg    *config.Appliance
 	log    zerolog.Logger
@@ -36,7 +36,7 @@
 
 const gaugesPerTally = 4 // number of gauges per tally
 
-// Start implements daemon.Part.
+// Start implements daemon.Component.
 func (r *recorder) Start(ctx context.Context, _ *front.Server, _ *counters.Set) error {
 	dir := filepath.Join(r.cfg.State, "records")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -114,10 +114,10 @@
 	}
 }
 
-// StopIntake implements daemon.Part.
+// StopIntake implements daemon.Component.
 func (r *recorder) StopIntake() { r.rec.Add(records.Record{Kind: records.KindDrain}) }
 
-// Close implements daemon.Part.
+// Close implements daemon.Component.
 func (r *recorder) Close() {
 	if r.rec == nil {
 		return
--- a/internal/appliance/serve.go
+++ b/internal/appliance/serve.go
@@ -9,7 +9,7 @@
 )
 
 // Serve runs the appliance with the configuration file at path until it has drained or fails. The log is written to w.
-// The functions in more return additional parts; tests use them.
+// The functions in more return additional components; tests use them.
 func Serve(path string, w io.Writer, more ...func(*Box) daemon.Component) error {
 	cfg, err := config.Load(path)
 	if err != nil {
--- a/internal/appliance/trial_parts.go
+++ b/internal/appliance/trial_parts.go
@@ -11,7 +11,7 @@
 	"cairnlane/internal/lab/actor"
 )
 
-// trialParts returns the part that acts under leases in a trial, if the environment enables it.
+// trialParts returns the component that acts under leases in a trial, if the environment enables it.
 func (b *Box) trialParts() []daemon.Component {
 	return []daemon.Component{&actor.Part{Box: b.cfg.Site.Name, Fleet: b.fleet.Running}}
 }
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -22,15 +22,15 @@
 	"github.com/rs/zerolog"
 
 	"cairnlane/internal/decide/renewal"
-	"cairnlane/internal/faultfs"
 	"cairnlane/internal/fake/authority"
+	"cairnlane/internal/faultfs"
 	"cairnlane/internal/state/keystore"
 	"cairnlane/internal/testkit"
 )
 
 const day = 24 * time.Hour
 
-// harness runs keepers against two fake authorities, with the listeners that the authorities validate at.
+// harness runs managers against two fake authorities, with the listeners that the authorities validate at.
 type harness struct {
 	t        *testing.T
 	clock    *testkit.Clock
@@ -147,8 +147,8 @@
 	}
 }
 
-// openKeeper opens the store and starts a keeper on it, as a new process does.
-func (w *harness) openKeeper(files faultfs.FS) (*Manager, *keystore.Store) {
+// openManager opens the store and starts a manager on it, as a new process does.
+func (w *harness) openManager(files faultfs.FS) (*Manager, *keystore.Store) {
 	w.t.Helper()
 	store, err := keystore.Open(files, w.root)
 	if err != nil {
@@ -199,7 +199,7 @@
 	for _, challenge := range []string{HTTP01, TLSALPN01} {
 		for _, life := range []time.Duration{6 * day, 45 * day, 90 * day} {
 			w := newHarness(t, life, challenge)
-			k, _ := w.openKeeper(faultfs.Disk{})
+			k, _ := w.openManager(faultfs.Disk{})
 			if _, err := w.handshake("site.example", nil); err == nil {
 				t.Error("handshake succeeded without a certificate")
 			}
@@ -228,11 +228,11 @@
 	kills := 0
 	for at := 0; ; at++ {
 		w := newHarness(t, 90*day, HTTP01)
-		k, store := w.openKeeper(faultfs.Disk{})
+		k, store := w.openManager(faultfs.Disk{})
 		w.stepUntil(k, "first certificate", w.issued(k, 1))
 		store.Close()
 		files := faultfs.NewFaulty()
-		k, store = w.openKeeper(files)
+		k, store = w.openManager(files)
 		at0 := files.OpCount()
 		files.KillAt(at0+at, at%7*9)
 		w.clock.Advance(70 * day)
@@ -244,7 +244,7 @@
 			t.Fatalf("killed at change %d: no certificate in use", at)
 		}
 		store.Close()
-		k, _ = w.openKeeper(faultfs.Disk{})
+		k, _ = w.openManager(faultfs.Disk{})
 		w.stepUntil(k, "second certificate", w.issued(k, 2))
 		if got := w.first.IssuedCount(); got != 2 {
 			t.Errorf("killed at change %d: %d certificates issued, want 2", at, got)
@@ -267,7 +267,7 @@
 	for _, op := range []authority.Op{authority.OpAccount, authority.OpOrder, authority.OpGet, authority.OpChallenge, authority.OpFinalize, authority.OpDownload} {
 		w := newHarness(t, 90*day, HTTP01)
 		w.setFault("first", faultOnce(op, authority.Fault{DropResponse: true}))
-		k, _ := w.openKeeper(faultfs.Disk{})
+		k, _ := w.openManager(faultfs.Disk{})
 		w.stepUntil(k, "first certificate", w.issued(k, 1))
 		if got := w.first.IssuedCount() + w.other.IssuedCount(); got != 1 {
 			t.Errorf("%s: %d certificates issued, want 1", op, got)
@@ -284,7 +284,7 @@
 	for at := range 10 {
 		w := newHarness(t, 90*day, HTTP01)
 		files := faultfs.NewFaulty()
-		k, _ := w.openKeeper(files)
+		k, _ := w.openManager(files)
 		w.stepUntil(k, "first certificate", w.issued(k, 1))
 		for i := range 3 {
 			files.NoSpaceAt(files.OpCount() + at + i)
@@ -307,7 +307,7 @@
 func TestUnusableCertificatesAreRejected(t *testing.T) {
 	for _, r := range []authority.CertDefect{authority.WrongName, authority.Expired, authority.OtherKey, authority.InvalidDER} {
 		w := newHarness(t, 90*day, HTTP01)
-		k, _ := w.openKeeper(faultfs.Disk{})
+		k, _ := w.openManager(faultfs.Disk{})
 		w.stepUntil(k, "first certificate", w.issued(k, 1))
 		w.setFault("first", faultOn(authority.OpFinalize, authority.Fault{Defect: r}))
 		w.clock.Advance(70 * day)
@@ -329,7 +329,7 @@
 	w := newHarness(t, 90*day, HTTP01) // of two chains, the one without a trusted root is skipped
 	w.cfg.Roots = w.first.AltRoots()
 	w.setFault("first", faultOn(authority.OpFinalize, authority.Fault{Defect: authority.BrokenChain}))
-	k, _ := w.openKeeper(faultfs.Disk{})
+	k, _ := w.openManager(faultfs.Disk{})
 	w.stepUntil(k, "certificate with the alternate chain", w.issued(k, 1))
 }
 
@@ -345,7 +345,7 @@
 	} {
 		w := newHarness(t, 6*day, HTTP01)
 		w.cfg.Authorities = w.cfg.Authorities[:1]
-		k, _ := w.openKeeper(faultfs.Disk{})
+		k, _ := w.openManager(faultfs.Disk{})
 		w.stepUntil(k, "first certificate", w.issued(k, 1))
 		before := w.first.CallCount("")
 		w.setFault("first", f)
@@ -371,7 +371,7 @@
 // TestOrderIsRepeatedWithoutReplaces checks that an order whose replaces field is rejected is repeated without it.
 func TestOrderIsRepeatedWithoutReplaces(t *testing.T) {
 	w := newHarness(t, 90*day, HTTP01)
-	k, _ := w.openKeeper(faultfs.Disk{})
+	k, _ := w.openManager(faultfs.Disk{})
 	w.stepUntil(k, "first certificate", w.issued(k, 1))
 	w.setFault("first", faultOn(authority.OpOrder, authority.Fault{RejectReplaces: true}))
 	w.stepUntil(k, "second certificate", w.issued(k, 2))
@@ -384,7 +384,7 @@
 // the next window request starts the renewal.
 func TestWindowInThePastRenewsWithinADay(t *testing.T) {
 	w := newHarness(t, 90*day, HTTP01)
-	k, _ := w.openKeeper(faultfs.Disk{})
+	k, _ := w.openManager(faultfs.Disk{})
 	w.stepUntil(k, "first certificate", w.issued(k, 1))
 	from := w.clock.Time()
 	w.mu.Lock()
@@ -401,14 +401,14 @@
 	down := func(authority.Op) authority.Fault { return authority.Fault{DropRequest: true} }
 	w.setFault("first", down)
 	w.setFault("other", down)
-	k, store := w.openKeeper(faultfs.Disk{})
+	k, store := w.openManager(faultfs.Disk{})
 	k.Step(context.Background())
 	if _, err := w.set.GetCertificate(&tls.ClientHelloInfo{ServerName: "site.example"}); !errors.Is(err, errNoCertificate) || !strings.Contains(w.log.String(), "self_signed") {
 		t.Errorf("%v\n%s", err, w.log.String())
 	}
 	store.Close()
 	w.cfg.SelfSigned = true
-	k, _ = w.openKeeper(faultfs.Disk{})
+	k, _ = w.openManager(faultfs.Disk{})
 	cert, err := w.handshake("site.example", func(c *tls.Config) { c.InsecureSkipVerify = true })
 	if err != nil || cert.VerifyHostname("www.site.example") != nil || k.Status().Alarm != renewal.Warning.String() {
 		t.Errorf("self-signed placeholder: %v, alarm %s", err, k.Status().Alarm)
@@ -424,8 +424,8 @@
 // certificates and takes over the renewal when the first has ended.
 func TestTwoProcessesShareOneStore(t *testing.T) {
 	w := newHarness(t, 90*day, HTTP01)
-	a, storeA := w.openKeeper(faultfs.Disk{})
-	b, _ := w.openKeeper(faultfs.Disk{})
+	a, storeA := w.openManager(faultfs.Disk{})
+	b, _ := w.openManager(faultfs.Disk{})
 	w.stepUntil(a, "first certificate", w.issued(a, 1))
 	b.Step(context.Background())
 	if s := b.Status(); s.Generation != 1 || s.RenewsHere || !a.Status().RenewsHere {
@@ -441,7 +441,7 @@
 
 func TestRevokeAndChangeAccountKey(t *testing.T) {
 	w := newHarness(t, 90*day, TLSALPN01)
-	k, store := w.openKeeper(faultfs.Disk{})
+	k, store := w.openManager(faultfs.Disk{})
 	w.stepUntil(k, "first certificate", w.issued(k, 1))
 	was, _ := store.Account("first")
 	w.setFault("first", faultOnce(authority.OpKeyChange, authority.Fault{DropResponse: true}))
@@ -465,7 +465,7 @@
 
 func TestCertificateSelectionByClientHello(t *testing.T) {
 	w := newHarness(t, 90*day, HTTP01)
-	k, _ := w.openKeeper(faultfs.Disk{})
+	k, _ := w.openManager(faultfs.Disk{})
 	w.stepUntil(k, "first certificate", w.issued(k, 1))
 	for name, change := range map[string]func(*tls.Config){
 		"no name":      func(c *tls.Config) { c.ServerName, c.InsecureSkipVerify = "", true },
@@ -520,14 +520,14 @@
 		w.cfg.Roots.AddCert(c)
 	}
 	w.cfg.Authorities = []Authority{authorityConfig(bound, "bound")}
-	k, store := w.openKeeper(faultfs.Disk{})
+	k, store := w.openManager(faultfs.Disk{})
 	k.Step(context.Background())
 	if s := k.Status(); s.Failures != 1 || !strings.Contains(s.LastEvent, "externalAccountRequired") {
 		t.Errorf("status without a binding: %+v", s)
 	}
 	store.Close()
 	w.cfg.Authorities[0].EAB = &acme.EAB{KeyID: "kid", MACKey: base64.RawURLEncoding.EncodeToString(mac)}
-	k, store = w.openKeeper(faultfs.Disk{})
+	k, store = w.openManager(faultfs.Disk{})
 	w.stepUntil(k, "first certificate", w.issued(k, 1))
 	g, _, err := store.Generation("site")
 	if err != nil {
--- a/internal/certs/challenges.go
+++ b/internal/certs/challenges.go
@@ -30,7 +30,7 @@
 	certs map[string]*tls.Certificate // by host name in lower case
 }
 
-// NewChallengeResponses returns an empty Answers.
+// NewChallengeResponses returns an empty ChallengeResponses.
 func NewChallengeResponses() *ChallengeResponses {
 	return &ChallengeResponses{http: map[string]string{}, certs: map[string]*tls.Certificate{}}
 }
@@ -85,16 +85,16 @@
 	managers  []*Manager
 }
 
-// NewCertificateSet returns a set of the keepers' certificates. Clients that send no server name or an unknown one get the first
-// certificate.
-func NewCertificateSet(answers *ChallengeResponses, keepers ...*Manager) *CertificateSet {
-	return &CertificateSet{Responses: answers, managers: keepers}
+// NewCertificateSet returns a set of the managers' certificates. Clients that send no server name or an unknown one get
+// the first certificate.
+func NewCertificateSet(responses *ChallengeResponses, managers ...*Manager) *CertificateSet {
+	return &CertificateSet{Responses: responses, managers: managers}
 }
 
-// Managers returns the keepers of the set.
+// Managers returns the managers of the set.
 func (s *CertificateSet) Managers() []*Manager { return s.managers }
 
-// Find returns the keeper of the certificate with that name, or nil.
+// Find returns the manager of the certificate with that name, or nil.
 func (s *CertificateSet) Find(name string) *Manager {
 	for _, k := range s.managers {
 		if k.cfg.Name == name {
--- a/internal/certs/client.go
+++ b/internal/certs/client.go
@@ -106,20 +106,20 @@
 var errInvalid = errors.New("the authority could not validate a name")
 
 // failure converts an error to the form that renewal.Classify takes.
-func (c *client) failure(err error, inARow int) renewal.Failure {
+func (c *client) failure(err error, priorFailures int) renewal.Failure {
 	c.mu.Lock()
-	t := renewal.Failure{Status: c.status, RetryAfter: c.retryAfter, PriorFailures: inARow}
+	result := renewal.Failure{Status: c.status, RetryAfter: c.retryAfter, PriorFailures: priorFailures}
 	c.mu.Unlock()
 	var p acme.Problem
 	if errors.As(err, &p) {
-		t.Kind = renewal.TrimProblemPrefix(p.Type)
+		result.Kind = renewal.TrimProblemPrefix(p.Type)
 		if p.Status != 0 {
-			t.Status = p.Status
+			result.Status = p.Status
 		}
 	}
 	if errors.Is(err, errInvalid) {
-		t.Kind = "validation"
+		result.Kind = "validation"
 	}
-	t.Unusable, t.Local = errors.Is(err, errUnusable), errors.Is(err, errLocal)
-	return t
+	result.Unusable, result.Local = errors.Is(err, errUnusable), errors.Is(err, errLocal)
+	return result
 }
--- a/internal/certs/manager.go
+++ b/internal/certs/manager.go
@@ -1,7 +1,7 @@
 // Package certs obtains and renews certificates through ACME and provides them to the TLS listener. renewal.Plan
 // decides what is done and when; this package carries it out and records each step in a keystore beforehand.
 //
-// A Keeper manages one certificate. Step performs the next action and returns the time of the one after it; Run calls
+// A Manager manages one certificate. Step performs the next action and returns the time of the one after it; Run calls
 // it until the program ends. A working certificate stays in use until a new one has been verified and stored, and is
 // then replaced by one atomic pointer store.
 package certs
@@ -34,7 +34,7 @@
 	HTTP      http.RoundTripper // nil for http.DefaultTransport
 }
 
-// Config configures a Keeper.
+// Config configures a Manager.
 type Config struct {
 	Name         string   // name of the certificate and of its folder in the store
 	Names        []string // host names of the certificate
@@ -53,7 +53,7 @@
 	defaultCallTimeout  = 30 * time.Second
 	defaultPollTimeout  = time.Minute
 	defaultPollInterval = time.Second
-	// followInterval is the interval in which a keeper that does not hold the store's lock reloads the certificate that
+	// followInterval is the interval in which a manager that does not hold the store's lock reloads the certificate that
 	// another process stored.
 	followInterval = time.Minute
 	// maxEvents is the maximum number of events in the history.
@@ -64,12 +64,12 @@
 
 // Manager obtains, renews and stores one certificate.
 type Manager struct {
-	cfg     Config
-	store   *keystore.Store
-	answers *ChallengeResponses
-	now     func() time.Time
-	log     zerolog.Logger
-	wake    chan struct{}
+	cfg       Config
+	store     *keystore.Store
+	responses *ChallengeResponses
+	now       func() time.Time
+	log       zerolog.Logger
+	wake      chan struct{}
 
 	current atomic.Pointer[tls.Certificate] // loaded for each handshake
 
@@ -87,7 +87,7 @@
 
 // New loads the newest intact certificate of the store. Without one it makes a self-signed placeholder if SelfSigned
 // is set; otherwise handshakes fail until the first order has completed.
-func New(cfg Config, store *keystore.Store, answers *ChallengeResponses, now func() time.Time, log zerolog.Logger) (*Manager, error) {
+func New(cfg Config, store *keystore.Store, responses *ChallengeResponses, now func() time.Time, log zerolog.Logger) (*Manager, error) {
 	if len(cfg.Names) == 0 || cfg.Name == "" {
 		return nil, errors.New("certs: a certificate needs a name and at least one host name")
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Manager{cfg: cfg, store: store, answers: answers, now: now, plan: plan, wake: make(chan struct{}, 1), clients: map[string]*client{},
+	k := &Manager{cfg: cfg, store: store, responses: responses, now: now, plan: plan, wake: make(chan struct{}, 1), clients: map[string]*client{},
 		log: log.With().Str("certificate", cfg.Name).Logger()}
 	order, err := store.Order(cfg.Name)
 	if err != nil && !errors.Is(err, keystore.ErrNotFound) {
@@ -136,7 +136,7 @@
 		k.plan.RestoreOrder(k.authorityIndex(h.Authority), h.Begun)
 	}
 	for _, a := range o.Answers {
-		if err := k.answers.add(a); err != nil {
+		if err := k.responses.add(a); err != nil {
 			k.log.Error().Err(err).Msg("cannot serve the response to a pending challenge")
 		}
 	}
@@ -234,9 +234,9 @@
 // ended.
 func (k *Manager) acquireRenewal() bool {
 	k.mu.Lock()
-	leads := k.renewsHere
+	renewsHere := k.renewsHere
 	k.mu.Unlock()
-	if leads {
+	if renewsHere {
 		return true
 	}
 	err := k.store.Lock()
--- a/internal/certs/order.go
+++ b/internal/certs/order.go
@@ -51,18 +51,18 @@
 		k.mu.Unlock()
 		return
 	}
-	t := c.failure(err, failures)
-	answer := renewal.Classify(t)
-	k.addEvent("failed", fmt.Sprintf("at %s, %v: %v", authority.Name, answer.Class, err))
+	failure := c.failure(err, failures)
+	outcome := renewal.Classify(failure)
+	k.addEvent("failed", fmt.Sprintf("at %s, %v: %v", authority.Name, outcome.Class, err))
 	k.mu.Lock()
-	k.plan.OrderFailed(k.now(), answer)
+	k.plan.OrderFailed(k.now(), outcome)
 	alarm, next := k.plan.Alarm(k.now()), k.plan.Next(k.now())
 	k.mu.Unlock()
 	ev := k.log.Warn()
 	if alarm >= renewal.Warning {
 		ev = k.log.Error()
 	}
-	ev.Err(err).Str("authority", authority.Name).Stringer("class", answer.Class).Stringer("alarm", alarm).Time("next", next.At).
+	ev.Err(err).Str("authority", authority.Name).Stringer("class", outcome.Class).Stringer("alarm", alarm).Time("next", next.At).
 		Msg("certificate order failed; the certificate in use is kept")
 }
 
@@ -73,7 +73,7 @@
 		return previous, fmt.Errorf("%w: %w", errLocal, err)
 	}
 	now := k.now()
-	k.answers.remove(previous.Answers)
+	k.responses.remove(previous.Answers)
 	order := keystore.Order{Stage: keystore.KeyCreated, Authority: authority.Name, Key: key, Begun: now, Names: k.cfg.Names,
 		History: slices.DeleteFunc(slices.Clone(previous.History), func(h keystore.Attempt) bool { return now.Sub(h.Begun) > 7*24*time.Hour })}
 	order.History = append(order.History, keystore.Attempt{Authority: authority.Name, Begun: now})
@@ -85,7 +85,7 @@
 	return order, k.recordOrder(&order)
 }
 
-// recordOrder stores the state of an order together with the keeper's events.
+// recordOrder stores the state of an order together with the manager's events.
 func (k *Manager) recordOrder(o *keystore.Order) error {
 	k.mu.Lock()
 	o.Events = slices.Clone(k.order.Events)
@@ -101,7 +101,7 @@
 
 // endOrder records that an order has completed or failed, so that the next attempt starts a new one.
 func (k *Manager) endOrder(o *keystore.Order) error {
-	k.answers.remove(o.Answers)
+	k.responses.remove(o.Answers)
 	o.Stage, o.Key, o.URL, o.Answers = keystore.Ended, nil, "", nil
 	return k.recordOrder(o)
 }
@@ -217,7 +217,7 @@
 				return err
 			}
 		}
-		if err := k.answers.add(answer); err != nil {
+		if err := k.responses.add(answer); err != nil {
 			return fmt.Errorf("%w: %w", errLocal, err)
 		}
 		if challenge.Status == acme.StatusPending && authz.Status == acme.StatusPending {
--- a/internal/certs/year/script.go
+++ b/internal/certs/year/script.go
@@ -1,5 +1,5 @@
 // Package year simulates a year of one box with certificates of several lifetimes: with an accelerated clock, the real
-// keepers, store and TLS listener on loopback, and fake authorities that follow a script of faults.
+// managers, store and TLS listener on loopback, and fake authorities that follow a script of faults.
 package year
 
 import (
--- a/internal/certs/year/year.go
+++ b/internal/certs/year/year.go
@@ -24,10 +24,10 @@
 	"cairnlane/internal/certs"
 	"cairnlane/internal/counters"
 	"cairnlane/internal/decide/renewal"
+	"cairnlane/internal/fake/authority"
 	"cairnlane/internal/faultfs"
 	"cairnlane/internal/front"
 	"cairnlane/internal/replica"
-	"cairnlane/internal/fake/authority"
 	"cairnlane/internal/state/keystore"
 	"cairnlane/internal/thrift"
 )
@@ -81,7 +81,7 @@
 	roots       *x509.CertPool
 	conn        *routerConn
 	validUntil  time.Time // expiry of the certificate in use
-	nextStep    time.Time // time of its keeper's next step
+	nextStep    time.Time // time of its manager's next step
 }
 
 // simulation is a running simulation of one box.
@@ -239,7 +239,7 @@
 	}
 }
 
-// startProcess starts the box: store, keepers and listeners.
+// startProcess starts the box: store, managers and listeners.
 func (w *simulation) startProcess() error {
 	var err error
 	if w.store, err = keystore.Open(w.files, filepath.Join(w.cfg.Dir, "store")); err != nil {
@@ -359,8 +359,8 @@
 	return w.startProcess()
 }
 
-// simulateHour sends a request on each connection, runs the due steps of the keepers, makes a handshake for each
-// certificate and answers the requests. count tells whether handshakes and expiry are counted.
+// simulateHour sends a request on each connection, runs the due steps of the managers, makes a handshake for each
+// certificate and answers the requests. count says whether handshakes and expiry are counted.
 func (w *simulation) simulateHour(now time.Time, count bool) error {
 	for _, s := range w.sites {
 		if s.conn == nil && !s.validUntil.IsZero() {
--- a/internal/certs/year/year_test.go
+++ b/internal/certs/year/year_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestMissedListsEachBound checks that each bound can be missed and is then reported.
-func TestMissedListsEachBound(t *testing.T) {
+// TestMissedBoundsListsEachBound checks that each bound can be missed and is then reported.
+func TestMissedBoundsListsEachBound(t *testing.T) {
 	good := Figures{Handshakes: 1, Requests: 1, Swaps: 1}
 	if len(good.MissedBounds()) > 0 {
 		t.Errorf("figures within all bounds miss %v", good.MissedBounds())
@@ -46,7 +46,7 @@
 		"no requests": func(f *Figures) { f.Requests = 0 }} {
 		f := good
 		if change(&f); strings.Join(f.MissedBounds(), "") != name {
-			t.Errorf("%s: Missed returns %v", name, f.MissedBounds())
+			t.Errorf("%s: MissedBounds returns %v", name, f.MissedBounds())
 		}
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon runs one replica: it creates and connects its parts, handles signals, and carries out drains and
+// Package daemon runs one replica: it creates and connects its components, handles signals, and carries out drains and
 // hand-overs.
 package daemon
 
@@ -35,12 +35,12 @@
 const (
 	reservedSockets = 48  // descriptors reserved for links, the poller and the runtime
 	memoryShare     = 0.7 // part of the memory limit that the Go runtime may use
-	// Parts of the memory that buffers may use, as divisors: an eighth each for results kept for repeats and for
+	// Parts of the memory that buffers may use, as divisors: an eighth each for results kept for retries and for
 	// output that the engine has not read yet, and a sixth for messages that the other process of a replacement has
 	// not read yet, which are those results and little more.
 	resultDivisor, engineDivisor, peerDivisor = 8, 8, 6
 	exitMargin                                = 60 * time.Millisecond // time before the stop at which open connections are closed
-	closeTime                                 = 5 * time.Millisecond  // time limit for closing resources before the process exits anyway
+	closeTimeout                              = 5 * time.Millisecond  // time limit for closing resources before the process exits anyway
 	killMargin                                = 10 * time.Millisecond // connections that are not quiet by then are abandoned
 	drainPollInterval                         = 5 * time.Millisecond
 	listenTimeout                             = 10 * time.Second // see listenWithRetry
@@ -49,12 +49,12 @@
 
 // Component is an optional component beside the replica and its plain listener: TLS, a control socket, a fleet.
 //
-// Parts are started in the given order, after the replica's own components (operators' listener, link to the other
-// process, link to the engine) and before clients are accepted. At exit Leave and Close are called in the reverse
-// order. In a drain, Leave is called on all parts when the grace period is over, while calls in progress are still
+// Components are started in the given order, after the replica's own ones (admin listener, link to the other process,
+// link to the engine) and before clients are accepted. At exit StopIntake and Close are called in the reverse order. In
+// a drain, StopIntake is called on all components when the grace period is over, while calls in progress are still
 // answered; Close is called on all when no connection is open any more.
 type Component interface {
-	// Start starts the part; it is called once. An error ends the process before it has served.
+	// Start starts the component; it is called once. An error ends the process before it has served.
 	Start(ctx context.Context, server *front.Server, set *counters.Set) error
 	// StopIntake stops the intake of new work when the grace period of a drain is over. A hand-over to another process has
 	// no grace period and does not call it.
@@ -82,8 +82,8 @@
 // it. It does not block.
 func (r *Replica) SetAdvice(a *shed.Advice) { r.process.Replica.Advise(a) }
 
-// SetPacing lets the fleet pace the requests of this box to services that all boxes share: reports to the catalog, and
-// attempts to reconnect to its engine.
+// SetPacing lets the fleet pace the requests of this box to services that all boxes share: reports to the catalog and
+// attempts to reconnect to the engine.
 func (r *Replica) SetPacing(reports catalog.Scheduler, reconnects func(attempt int) time.Duration) {
 	r.service.reporter.SetScheduler(reports)
 	r.service.engine.SetBackoff(reconnects)
@@ -102,22 +102,22 @@
 func (r *Replica) Drained() bool {
 	r.process.mu.Lock()
 	defer r.process.mu.Unlock()
-	return r.process.life.Drained()
+	return r.process.machine.Drained()
 }
 
-// limit sets the limits of the Go runtime from the limits of the program.
+// limitRuntime sets the limits of the Go runtime from the limits of the program.
 func limitRuntime(l settings.Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	debug.SetMemoryLimit(int64(memoryShare * float64(l.MemoryMB<<20)))
 }
 
 // service is one running process: the replica's own components in the order in which they are created, and the
-// parts that the program adds.
+// components that the program adds.
 type service struct {
-	path    string
-	cfg     *settings.Replica
-	parts   []Component
-	started func(*Replica)
+	path       string
+	cfg        *settings.Replica
+	components []Component
+	started    func(*Replica)
 
 	signals              *Signals
 	set                  *counters.Set
@@ -127,9 +127,9 @@
 	process              *process      // the replica and the link to the other process
 	server               *front.Server
 	operators            *operator.Listener // nil if no address is configured
-	past                 link.Previous
+	previous             link.Previous
 	reporter             *catalog.Reporter
-	listenerErrors       chan error // error of the listener
+	listenerErrors       chan error // receives the error of the listener
 	stopEngine, stopPeer func()     // stop the link to the engine, and the link to the other process with the claims on keys
 	reloads              *counters.Counter
 	rejectedConfigs      *counters.Counter // configurations that were rejected
@@ -137,11 +137,11 @@
 
 // Run serves until SIGTERM has been handled; the process then exits with code 0. started is called once clients are
 // accepted; it may be nil.
-func Run(path string, cfg *settings.Replica, started func(*Replica), parts ...Component) error {
+func Run(path string, cfg *settings.Replica, started func(*Replica), components ...Component) error {
 	limitRuntime(cfg.Limits)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s, err := newService(path, cfg, started, parts)
+	s, err := newService(path, cfg, started, components)
 	if errors.Is(err, errTerminated) {
 		log.Print(err)
 		os.Exit(0)
@@ -156,9 +156,9 @@
 }
 
 // newService creates all components and starts none.
-func newService(path string, cfg *settings.Replica, started func(*Replica), parts []Component) (*service, error) {
-	s := &service{path: path, cfg: cfg, parts: parts, started: started, signals: CatchSignals(), set: new(counters.Set), clk: clock.NewSystem(),
-		process: &process{effects: make(chan lifecycle.Effect, 8)}, past: link.NonePrevious, listenerErrors: make(chan error, 1)}
+func newService(path string, cfg *settings.Replica, started func(*Replica), components []Component) (*service, error) {
+	s := &service{path: path, cfg: cfg, components: components, started: started, signals: CatchSignals(), set: new(counters.Set), clk: clock.NewSystem(),
+		process: &process{effects: make(chan lifecycle.Effect, 8)}, previous: link.NonePrevious, listenerErrors: make(chan error, 1)}
 	s.reloads, s.rejectedConfigs = s.set.Get("configurations_reloaded"), s.set.Get("configurations_turned_down")
 	memory := int(cfg.Limits.MemoryMB << 20)
 	s.engine = engine.NewLink(cfg.Engine, s.clk.Now, s.set)
@@ -197,7 +197,7 @@
 		}
 	}
 	if cfg.InheritedFD > 0 {
-		if p.peer, s.past, err = link.Open(cfg.SharedFolder); err != nil {
+		if p.peer, s.previous, err = link.Open(cfg.SharedFolder); err != nil {
 			return nil, err
 		}
 		p.peer.SetQueueLimit(memory / peerDivisor)
@@ -209,9 +209,9 @@
 // start starts the components in their order.
 func (s *service) start(ctx context.Context) error {
 	p := s.process
-	switch s.past {
+	switch s.previous {
 	case link.Running:
-		p.life.HasPredecessor = true
+		p.machine.HasPredecessor = true
 		p.FollowPredecessor()
 		p.split.follow()
 	case link.Crashed: // its keyed requests may be repeated, and it is unknown which of them ran
@@ -226,14 +226,14 @@
 	s.stopEngine = startBackground(ctx, func(ctx context.Context) { s.engine.KeepOpen(ctx, p) })
 	s.stopPeer = func() {}
 	if p.peer != nil {
-		s.stopPeer = startBackground(ctx, func(ctx context.Context) { p.peer.Run(ctx, s.past, peerEvents{p}) })
+		s.stopPeer = startBackground(ctx, func(ctx context.Context) { p.peer.Run(ctx, s.previous, peerEvents{p}) })
 	}
-	if s.past != link.Running {
-		p.take(lifecycle.StateReceived)
+	if s.previous != link.Running {
+		p.handleEvent(lifecycle.StateReceived)
 	}
 	go s.server.Sweep(ctx)
-	for _, part := range s.parts {
-		if err := part.Start(ctx, s.server, s.set); err != nil {
+	for _, component := range s.components {
+		if err := component.Start(ctx, s.server, s.set); err != nil {
 			return err
 		}
 	}
@@ -253,7 +253,7 @@
 		case effect := <-s.process.effects:
 			s.carryOut(ctx, effect)
 		case <-s.signals.leave:
-			s.process.take(lifecycle.ExitRequested)
+			s.process.handleEvent(lifecycle.ExitRequested)
 		case <-s.signals.report:
 			s.logCounters()
 		case <-reload: // also during a drain, as runs still end at the engine
@@ -295,10 +295,10 @@
 		s.handOver(cfg)
 	}
 	s.logCounters()
-	for _, part := range slices.Backward(s.parts) {
-		part.Close()
+	for _, component := range slices.Backward(s.components) {
+		component.Close()
 	}
-	s.close(closeTime)
+	s.close(closeTimeout)
 	os.Exit(0)
 }
 
@@ -316,10 +316,10 @@
 	}
 }
 
-// close releases resources that others wait for, once nothing is outstanding. Without it, a successor would wait
-// until the kernel has cleaned up this process, which was observed to take 1.4 s. The claims on keys are released
+// close releases resources that other processes wait for, once nothing is outstanding. Without it, a successor would wait
+// until the kernel has cleaned up this process, which can take 1.4 s. The claims on keys are released
 // after the links to the engine and the index are closed, when no run can start here any more, because the process
-// that takes the claims over runs each key that it does not know. Resources that are not closed within timeout are
+// that takes over the claims runs each key that it does not know. Resources that are not closed within timeout are
 // left to the exit of the process.
 func (s *service) close(timeout time.Duration) {
 	closed := make(chan struct{})
@@ -404,10 +404,10 @@
 }
 
 // errTerminated is returned when SIGTERM arrives before any component was started.
-var errTerminated = errors.New("told to exit before the listen addresses were free")
+var errTerminated = errors.New("exit requested before the listen addresses were free")
 
 // listenWithRetry calls listen until the address is free. A previous process may hold the address for a moment
-// after it seems to have exited, as the cleanup by the kernel was observed to take 1.4 s. The time-out stays within
+// after it seems to have exited, as the cleanup by the kernel can take 1.4 s. The time-out stays within
 // the 30 s that a platform allows for a start.
 func (s *service) listenWithRetry(listen func() error) error {
 	logged := false
@@ -434,8 +434,8 @@
 	stopAt := s.clk.Now() + cfg.StopTimeout
 	s.process.Replica.Drain(cfg.StopTimeout)
 	time.Sleep(min(cfg.Policy.DrainGrace, cfg.StopTimeout*3/4))
-	for _, part := range slices.Backward(s.parts) {
-		part.StopIntake()
+	for _, component := range slices.Backward(s.components) {
+		component.StopIntake()
 	}
 	s.server.Drain()
 	s.closeConnections(stopAt)
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -12,7 +12,7 @@
 	"cairnlane/internal/replica"
 )
 
-// process is this process with the state around the replica. Routers and the engine see the replica through it,
+// process is this process: the replica with its life cycle and its link to the other process. Routers and the engine see the replica through it,
 // operators call it through operatorReplica, and the other process of a replacement through peerEvents.
 type process struct {
 	*replica.Replica
@@ -20,16 +20,16 @@
 	split   *split     // shares the limits with the other process
 	effects chan lifecycle.Effect
 
-	mu   sync.Mutex // guards life; no calls are made while it is held
-	life lifecycle.Machine
+	mu      sync.Mutex // guards life; no calls are made while it is held
+	machine lifecycle.Machine
 }
 
-// take handles an event and queues the effects. Each effect occurs once, so the channel never fills.
-func (p *process) take(e lifecycle.Event) error {
+// handleEvent handles an event and queues the effects. Each effect occurs once, so the channel never fills.
+func (p *process) handleEvent(e lifecycle.Event) error {
 	p.mu.Lock()
-	before := p.life.State()
-	effect, err := p.life.Apply(e)
-	after := p.life.State()
+	before := p.machine.State()
+	effect, err := p.machine.Apply(e)
+	after := p.machine.State()
 	p.mu.Unlock()
 	if before != after {
 		log.Printf("process state changed from %v to %v", before, after)
@@ -43,7 +43,7 @@
 func (p *process) state() lifecycle.State {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life.State()
+	return p.machine.State()
 }
 
 // Healthy implements front.Core.
@@ -51,13 +51,13 @@
 	module := p.Replica.Healthy()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life.Healthy(module)
+	return p.machine.Healthy(module)
 }
 
 // Started implements engine.Events.
 func (p *process) Started(ago time.Duration) {
 	p.Replica.Started(ago)
-	p.take(lifecycle.EngineConnected)
+	p.handleEvent(lifecycle.EngineConnected)
 }
 
 // operatorReplica implements operator.Replica.
@@ -67,16 +67,16 @@
 func (d operatorReplica) Ready() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.life.Ready()
+	return d.machine.Ready()
 }
 
-// Drain implements operator.Replica. It also tells the other process of a replacement, as the two are one replica.
+// Drain implements operator.Replica. It also notifies the other process of a replacement, as the two are one replica.
 func (d operatorReplica) Drain(on bool) error {
 	e := lifecycle.DrainOff
 	if on {
 		e = lifecycle.DrainOn
 	}
-	if err := d.take(e); err != nil {
+	if err := d.handleEvent(e); err != nil {
 		return err
 	}
 	d.sendDrain(on)
@@ -96,7 +96,7 @@
 func (n peerEvents) LinkUp(guest bool) {
 	if !guest {
 		n.mu.Lock()
-		drained := n.life.Drained()
+		drained := n.machine.Drained()
 		n.mu.Unlock()
 		n.sendDrain(drained)
 	}
@@ -107,27 +107,27 @@
 func (n peerEvents) MessageReceived(m *handover.Message) {
 	switch m.Kind {
 	case handover.Synced:
-		n.take(lifecycle.StateReceived)
+		n.handleEvent(lifecycle.StateReceived)
 		n.mu.Lock()
-		announced := n.life.Announced()
+		announced := n.machine.Announced()
 		n.mu.Unlock()
 		if announced {
 			n.peer.Send(&handover.Message{Kind: handover.Ready})
 		}
 	case handover.Ready:
 		n.split.shareWithSuccessor(n.peer.Send)
-		n.take(lifecycle.Successor)
+		n.handleEvent(lifecycle.Successor)
 		n.peer.Send(&handover.Message{Kind: handover.ReadyAck})
 	case handover.Share:
 		n.split.setShare(int(m.N))
 	case handover.ReadyAck:
-		n.take(lifecycle.Acknowledged)
+		n.handleEvent(lifecycle.Acknowledged)
 	case handover.Drain:
 		e := lifecycle.DrainOff
 		if m.OK {
 			e = lifecycle.DrainOn
 		}
-		if err := n.take(e); err != nil {
+		if err := n.handleEvent(e); err != nil {
 			log.Print("drain call at the other process not applied here: ", err)
 		}
 	default:
@@ -141,7 +141,7 @@
 	if n.Replica.OwnsClaims() { // otherwise the other process may still be running
 		n.split.useAll()
 	}
-	n.take(lifecycle.SuccessorGone)
+	n.handleEvent(lifecycle.SuccessorGone)
 }
 
 // OwnerEnded implements handover.Events.
@@ -149,6 +149,6 @@
 	log.Printf("the previous process has ended; all of its state was received: %v", all)
 	n.Replica.PredecessorEnded(all)
 	n.split.useAll()
-	n.take(lifecycle.StateReceived)
-	n.take(lifecycle.Acknowledged)
+	n.handleEvent(lifecycle.StateReceived)
+	n.handleEvent(lifecycle.Acknowledged)
 }
--- a/internal/daemon/split.go
+++ b/internal/daemon/split.go
@@ -14,17 +14,17 @@
 // outputShare is the share of the memory for output that routers have not read yet.
 const outputShare = 0.25
 
-// half is each process's share of the memory and of the pool during a replacement.
+// half is each process's share of the memory and of the run limit during a replacement.
 const half = 0.5
 
-// sharePeriod is the interval at which the older process tells the newer one its share of connections.
+// sharePeriod is the interval at which the older process sends the newer one its share of connections.
 const sharePeriod = 100 * time.Millisecond
 
 // split keeps the two processes of a replacement within the limits of one replica. From the moment when the new
 // process is about to accept clients until one of the two has ended, each has half. The older process closes
-// connections above its half as they become quiet, and gives the freed descriptors to the newer one.
+// connections above its half as they become quiet, and grants the freed descriptors to the newer one.
 //
-// handover.Split makes the decisions; split applies them.
+// handover.ConnectionSplit makes the decisions; split applies them.
 type split struct {
 	limits  settings.Limits
 	server  *front.Server
@@ -52,20 +52,20 @@
 		close(s.stop)
 		s.stop = nil
 	}
-	s.bound(1)
+	s.applyShare(1)
 	s.server.SetMaxConnections(s.plan.Alone())
 }
 
-// bound sets the limits other than connections.
-func (s *split) bound(share float64) {
+// applyShare sets the limits other than connections.
+func (s *split) applyShare(share float64) {
 	debug.SetMemoryLimit(int64(memoryShare * share * float64(s.limits.MemoryMB<<20)))
 	s.server.LimitOutput(int(share * outputShare * float64(s.limits.MemoryMB<<20)))
 	s.replica.Share(share)
 }
 
-// follow limits a process that is to replace another one, which then tells it how many connections it may hold.
+// follow limits a process that is to replace another one, which then sends it the number of connections that it may hold.
 func (s *split) follow() {
-	s.bound(half)
+	s.applyShare(half)
 	s.server.SetMaxConnections(s.plan.Waiting())
 }
 
@@ -77,7 +77,7 @@
 func (s *split) shareWithSuccessor(send func(*handover.Message)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bound(half)
+	s.applyShare(half)
 	s.plan.StartSharing()
 	s.sendShare(send)
 	if s.stop != nil { // the link was re-established
--- a/internal/daemon/split_test.go
+++ b/internal/daemon/split_test.go
@@ -23,7 +23,7 @@
 func (absentEngine) Skip(string, int64) bool         { return false }
 
 // TestFullTableIsSharedWithSuccessor checks that a process whose table is full of idle clients shrinks to half for
-// its successor, gives it the rest, and takes all back when it is alone again. Without the split the successor had
+// its successor, grants it the rest, and uses the whole limit when it is alone again. Without the split the successor had
 // 0 of 160 descriptors.
 func TestFullTableIsSharedWithSuccessor(t *testing.T) {
 	cfg, err := settings.Load("../../examples/config.json")
--- a/internal/decide/conns/closing.go
+++ b/internal/decide/conns/closing.go
@@ -1,7 +1,7 @@
 // Package conns decides which router connections are kept and when one may be closed. It does no I/O: the front
 // passes in what it observes of a connection and carries out the decisions.
 //
-// Every close follows one rule, whatever its reason. Each request that was completely written to the connection
+// The same invariant holds for each close, whatever its reason. Each request that was completely written to the connection
 // before the observation that the close is based on has been read and answered, and the peer has acknowledged the
 // answer. A request written after that observation races with the close: no part of it is run, so the router sends
 // it again.
@@ -17,7 +17,7 @@
 	None       Reason = iota
 	Evicted           // the table is full and this connection is the first to be evicted
 	Idle              // nothing was transferred for the idle time-out
-	Overdue           // its first valid call, or the rest of a frame, is late (see Stay)
+	Overdue           // its first valid call, or the rest of a frame, is late (see Lifetime)
 	Exit              // the process exits
 	Malformed         // its input cannot be parsed
 	SlowReader        // the peer does not read its answers, and the limit on unread output is reached
@@ -28,18 +28,18 @@
 // Reasons is the number of reasons.
 const Reasons = int(reasons)
 
-var names = [Reasons]string{"none", "evicted", "idle", "overdue", "exit", "garbage", "deaf", "broken"}
+var reasonNames = [Reasons]string{"none", "evicted", "idle", "overdue", "exit", "garbage", "deaf", "broken"}
 
 // String returns the reason's name in counters and logs.
-func (r Reason) String() string { return names[r] }
+func (r Reason) String() string { return reasonNames[r] }
 
 const (
-	// answerTime bounds how long a connection with malformed input is kept for the answers to its earlier requests.
+	// answerTimeout is how long a connection with malformed input is kept for the answers to its earlier requests.
 	// Such a client must be disconnected within 3 s of connecting.
-	answerTime = time.Second
-	// lingerTime bounds how long input is read and discarded after the write side was closed. If the socket were
+	answerTimeout = time.Second
+	// lingerTimeout is how long input is read and discarded after the write side was closed. If the socket were
 	// closed with unread input, the kernel would send a reset and the peer could lose answers in flight.
-	lingerTime = 500 * time.Millisecond
+	lingerTimeout = 500 * time.Millisecond
 	// MaxDiscard bounds the input in bytes that is discarded before the connection is closed.
 	MaxDiscard = 256 << 10
 )
@@ -87,7 +87,7 @@
 )
 
 // Closing is the state machine that closes one connection. The zero value is a connection in service. It is not safe
-// for concurrent use; the caller must hold, while it takes the View and calls Want or Step, the lock under which
+// for concurrent use; the caller must hold, while it takes the View and calls Request or Step, the lock under which
 // calls are accepted, so that no call is accepted between the observation and the decision.
 type Closing struct {
 	state       State
@@ -134,12 +134,12 @@
 func (e *Closing) Step(now time.Duration, v View) Action {
 	switch e.state {
 	case Answering:
-		expired := now >= e.startedAt+answerTime || e.discarded > MaxDiscard
+		expired := now >= e.startedAt+answerTimeout || e.discarded > MaxDiscard
 		if v.hasPendingAnswers() && !expired {
 			return Keep
 		}
 		if !expired {
-			e.state, e.lingerUntil = Lingering, now+lingerTime
+			e.state, e.lingerUntil = Lingering, now+lingerTimeout
 			return HalfClose
 		}
 	case Lingering:
--- a/internal/decide/conns/lifetime.go
+++ b/internal/decide/conns/lifetime.go
@@ -7,8 +7,8 @@
 const FirstCallTimeout = 2 * time.Second
 
 // FrameTimeout is how long a client may take to complete a frame that it has started, and to send its first valid call
-// once a frame has started: some clients need 2 s for one request. A malicious client must be disconnected within 3
-// s of connecting, and the sweep runs four times a second.
+// once a frame has started: some clients need 2 s for one request. A malicious client must be disconnected within
+// 3 s of connecting, and the sweep runs four times a second.
 const FrameTimeout = 2500 * time.Millisecond
 
 // Lifetime holds the times that decide how long a connection may stay open.
@@ -16,7 +16,7 @@
 	Kind       Kind          // most significant use so far; never Writing
 	AcceptedAt time.Duration // when it was accepted
 	LastUsed   time.Duration // when data was last received or sent
-	FrameStart time.Duration // when the incomplete frame started; 0 when there is none
+	FrameStart time.Duration // when the incomplete frame started; 0 if there is none
 	Busy       bool          // a call is open, or input is being processed
 }
 
--- a/internal/decide/conns/model_test.go
+++ b/internal/decide/conns/model_test.go
@@ -42,7 +42,7 @@
 	halfClosed    bool  // our write side is closed
 }
 
-// closer configures how the closer works. Each check that is false is left out, which gives the mutants.
+// closer configures how the closer works. Each check that is false is omitted, which gives the faulty variants.
 type closer struct {
 	name          string
 	reason        Reason
@@ -366,7 +366,7 @@
 	}
 }
 
-// TestEachCheckOfTheCloserIsNeeded leaves out one check at a time; the model must find a loss.
+// TestEachCheckOfTheCloserIsNeeded omits one check at a time; the model must find a loss.
 func TestEachCheckOfTheCloserIsNeeded(t *testing.T) {
 	for name, mutate := range map[string]func(*closer){
 		"kernel not checked":           func(c *closer) { c.checkKernel = false },
--- a/internal/decide/conns/table.go
+++ b/internal/decide/conns/table.go
@@ -36,11 +36,11 @@
 // connected, so a new connection needs protection only for as long as a busy process may leave the request unread.
 // Routers need at most half of the descriptors, so a quarter of the table can be given to connections without a
 // call.
-func DefaultLimits(most int) Limits {
-	return Limits{Max: most, Protected: 250 * time.Millisecond, MaxSilent: most / silentDivisor}
+func DefaultLimits(size int) Limits {
+	return Limits{Max: size, Protected: 250 * time.Millisecond, MaxSilent: size / silentDivisor}
 }
 
-// silentPart is the divisor that gives the part of a table that silent connections may fill.
+// silentDivisor is the divisor that gives the part of a table that silent connections may fill.
 const silentDivisor = 4
 
 // Conn is a connection's entry in the table. The owner embeds it.
@@ -73,9 +73,9 @@
 // Len returns the number of connections in the table.
 func (t *Table) Len() int { return t.n[Silent] + t.n[Checker] + t.n[Caller] + t.n[Writing] }
 
-// SetMax changes the maximum number of connections. It closes none; the caller must evict the excess that Over
-// reports.
-func (t *Table) SetMax(most int) { t.limits.Max, t.limits.MaxSilent = most, most/silentDivisor }
+// SetMax changes the maximum number of connections. It closes none; the caller must evict the excess that
+// Excess reports.
+func (t *Table) SetMax(size int) { t.limits.Max, t.limits.MaxSilent = size, size/silentDivisor }
 
 // Excess returns by how many connections the table exceeds its maximum.
 func (t *Table) Excess() int { return max(0, t.Len()-t.limits.Max) }
@@ -115,9 +115,9 @@
 }
 
 // Victims yields the connections that may be closed to make room, in eviction order; the caller closes one of them
-// or none. Connections that are in use, or were within Limits.Fresh, are skipped: the new connection is then
+// or none. Connections that are in use, or were within Limits.Protected, are skipped: the new connection is then
 // rejected, of which nothing was run. The order is: silent connections past their protection; protected silent
-// connections above Limits.Silent; idle health checkers; idle callers; the remaining silent connections; last those
+// connections above Limits.MaxSilent; idle health checkers; idle callers; the remaining silent connections; last those
 // with an incomplete frame, by their last byte. Silent connections that are still protected come late because
 // otherwise, once all others had carried a call, a new connection would be evicted before its request is read.
 // Writing is a kind of its own because a client that takes long to write a request would otherwise be evicted with
--- a/internal/decide/conns/table_test.go
+++ b/internal/decide/conns/table_test.go
@@ -97,10 +97,10 @@
 	})
 }
 
-// TestStayDue checks that a request that takes 2 s to write, in halves or in pieces, is served, and that a
+// TestLifetimeCloseReason checks that a request that takes 2 s to write, in halves or in pieces, is served, and that a
 // malicious client is disconnected within 3 s of connecting, less the 250 ms between sweeps, whatever it has
 // started and when.
-func TestStayDue(t *testing.T) {
+func TestLifetimeCloseReason(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name string
@@ -124,7 +124,7 @@
 		}
 	}
 	if FrameTimeout+250*ms >= 3*time.Second {
-		t.Errorf("WriteTime %v plus a sweep of 250 ms is not below 3 s", FrameTimeout)
+		t.Errorf("FrameTimeout %v plus a sweep of 250 ms is not below 3 s", FrameTimeout)
 	}
 }
 
@@ -135,25 +135,25 @@
 		want     bool
 	}{{0, 0, true}, {100 << 10, 500 << 10, true}, {100<<10 + 1, 500 << 10, false}, {AlwaysAllowed, 9 << 20, true}, {AlwaysAllowed + 1, 1 << 20, false}} {
 		if got := o.Allows(c.own, c.all); got != c.want {
-			t.Errorf("Takes(%d, %d) = %v", c.own, c.all, got)
+			t.Errorf("Allows(%d, %d) = %v", c.own, c.all, got)
 		}
 	}
 	if !(OutputLimits{PerConnection: 100}).Allows(100, 1<<40) {
-		t.Error("output is limited although All is 0")
+		t.Error("output is limited although Total is 0")
 	}
 }
 
-// TestEndingStates checks each reason on a connection with pending answers and on one without.
-func TestEndingStates(t *testing.T) {
+// TestClosingStates checks each reason on a connection with pending answers and on one without.
+func TestClosingStates(t *testing.T) {
 	busy, quiet := View{Open: 1}, View{}
 	for why := Evicted; why < reasons; why++ {
 		var e Closing
 		revocable := why <= Exit
 		switch got := e.Request(0, why, busy); {
 		case revocable && (got != Keep || !e.AcceptsCalls()):
-			t.Errorf("%v: connection in use: action %v, takes calls %v", why, got, e.AcceptsCalls())
+			t.Errorf("%v: connection in use: action %v, accepts calls %v", why, got, e.AcceptsCalls())
 		case why == Malformed && (got != Keep || e.AcceptsCalls()):
-			t.Errorf("%v: connection with pending answers: action %v, takes calls %v", why, got, e.AcceptsCalls())
+			t.Errorf("%v: connection with pending answers: action %v, accepts calls %v", why, got, e.AcceptsCalls())
 		case why > Malformed && got != Close:
 			t.Errorf("%v: action %v", why, got)
 		}
@@ -167,10 +167,10 @@
 		step  func(*Closing, int) Action
 	}{
 		{"answers acknowledged", []Action{Keep, HalfClose, Keep, Close}, func(e *Closing, i int) Action {
-			return e.Step([]time.Duration{0, 10, 20, 10 + lingerTime}[i], []View{busy, quiet, quiet, quiet}[i])
+			return e.Step([]time.Duration{0, 10, 20, 10 + lingerTimeout}[i], []View{busy, quiet, quiet, quiet}[i])
 		}},
 		{"answers never come", []Action{Keep, Close, Close}, func(e *Closing, i int) Action {
-			return e.Step([]time.Duration{0, answerTime, answerTime}[i], busy)
+			return e.Step([]time.Duration{0, answerTimeout, answerTimeout}[i], busy)
 		}},
 		{"peer keeps sending", []Action{Keep, Close}, func(e *Closing, i int) Action { e.Discard(i * (MaxDiscard + 1)); return e.Step(1, busy) }},
 	} {
--- a/internal/decide/handover/book_test.go
+++ b/internal/decide/handover/book_test.go
@@ -9,7 +9,7 @@
 )
 
 // The model has one key and two processes whose messages may be delayed for any time. What a process knows of the
-// key beside its Book is one value of its key table.
+// key beside its Claims is one value of its key table.
 type keyState byte
 
 const (
@@ -29,7 +29,7 @@
 }
 
 type side struct {
-	book     Claims
+	claims   Claims
 	keyState keyState
 	claim    uint64 // number of the claim of its own attempt
 	waiting  int    // attempts that wait for a grant
@@ -48,7 +48,7 @@
 
 func (s *side) copy() side {
 	c := *s
-	c.book.pending, c.book.granted, c.inbox = maps.Clone(s.book.pending), maps.Clone(s.book.granted), slices.Clone(s.inbox)
+	c.claims.pending, c.claims.granted, c.inbox = maps.Clone(s.claims.pending), maps.Clone(s.claims.granted), slices.Clone(s.inbox)
 	return c
 }
 
@@ -74,7 +74,7 @@
 	if p.keyState != none {
 		return // a repeat joins the known attempt
 	}
-	switch v, seq := p.book.Attempt(0, "k"); v {
+	switch v, seq := p.claims.Attempt(0, "k"); v {
 	case RunHere:
 		s.hold(p, 0)
 	case SendClaim:
@@ -87,7 +87,7 @@
 
 func (s *state) hold(p *side, claim uint64) {
 	p.keyState, p.claim = held, claim
-	if p.book.Role() == Owner {
+	if p.claims.Role() == Owner {
 		s.send(p, message{kind: Entry})
 	}
 }
@@ -124,23 +124,23 @@
 		}
 		if p.keyState = foreign; l.over {
 			p.keyState = gone
-			p.book.Ended("k")
+			p.claims.Ended("k")
 		}
-		p.book.KeyReceived("k")
+		p.claims.KeyReceived("k")
 		p.waiting = 0 // they join the known attempt
 	case Drop:
-		if p.keyState == foreign && (p.book.Role() != Owner || p.book.Returned("k", l.seq)) {
+		if p.keyState == foreign && (p.claims.Role() != Owner || p.claims.Returned("k", l.seq)) {
 			p.keyState = none
 		}
 	case Claim:
-		if p.book.Claimed("k", l.seq, p.keyState == none) {
+		if p.claims.Claimed("k", l.seq, p.keyState == none) {
 			p.keyState = foreign
 			s.send(p, message{kind: Grant, seq: l.seq})
 			return
 		}
 		s.send(p, message{kind: Entry, over: p.keyState == over || p.keyState == gone})
 	case Grant:
-		if !p.book.Granted("k", l.seq) {
+		if !p.claims.Granted("k", l.seq) {
 			s.send(p, message{kind: Drop, seq: l.seq})
 			return
 		}
@@ -151,8 +151,8 @@
 }
 
 func (s *state) loseLink(p *side) {
-	owner := p.book.Role() == Owner
-	p.book.LinkDown()
+	owner := p.claims.Role() == Owner
+	p.claims.LinkDown()
 	if owner && p.keyState == foreign {
 		p.keyState = gone
 	}
@@ -164,7 +164,7 @@
 	s.linked, s.new.synced = true, false
 	s.old.inbox, s.new.inbox = nil, nil
 	for _, p := range []*side{&s.new, &s.old} {
-		p.book.LinkUp()
+		p.claims.LinkUp()
 		if own := p.keyState == held || p.keyState == ran || p.keyState == over; own || p == &s.old && p.keyState != none {
 			s.send(p, message{kind: Entry, over: p.keyState == over || p.keyState == gone})
 		}
@@ -195,7 +195,7 @@
 			all["a message reaches "+name] = func(s *state) { s.receive(at(s)) }
 		}
 		if p.waiting > 0 {
-			all[name+" gives up"] = func(s *state) { at(s).waiting = 0; at(s).book.CancelClaim("k") }
+			all[name+" gives up"] = func(s *state) { at(s).waiting = 0; at(s).claims.CancelClaim("k") }
 		}
 	}
 	switch {
@@ -213,10 +213,10 @@
 	case !s.old.dead:
 		all["a new link is established"] = func(s *state) { s.linkUp() }
 		all["the old process is killed"] = func(s *state) { s.old.dead = true }
-	case len(s.new.inbox) == 0 && s.new.book.Role() != Owner: // all messages in flight were read
+	case len(s.new.inbox) == 0 && s.new.claims.Role() != Owner: // all messages in flight were read
 		all["the new process takes over"] = func(s *state) {
 			s.loseLink(&s.new)
-			s.new.book.TookOver(s.new.synced, time.Hour)
+			s.new.claims.TookOver(s.new.synced, time.Hour)
 			if s.new.keyState == foreign {
 				s.new.keyState = gone
 			}
@@ -227,11 +227,11 @@
 }
 
 // TestAtMostOneRunInEveryOrderOfEvents explores every order of events for three attempts with one key at two
-// processes: the link breaks and is re-established, claims are given up, the old process is killed at any moment,
+// processes: the link breaks and is re-established, claims are canceled, the old process is killed at any moment,
 // and the new one takes over.
 func TestAtMostOneRunInEveryOrderOfEvents(t *testing.T) {
 	start := state{}
-	start.new.book.FollowOwner()
+	start.new.claims.FollowOwner()
 	start.linkUp()
 	seen := map[string]bool{}
 	frontier, depth := []state{start}, 0
--- a/internal/decide/handover/claims.go
+++ b/internal/decide/handover/claims.go
@@ -2,8 +2,8 @@
 // does no I/O: the replica calls it, and internal/handover transports the messages.
 //
 // Exactly one process owns the claims on keys at any time: the older one until it has ended, and its guest (the
-// newer process) from then on. The owner tells its guest the state of each key before it writes RUN for it. So a
-// guest whose owner has ended knows all requests that have run, and a key that it was not told about did not run.
+// newer process) from then on. The owner sends its guest the state of each key before it writes RUN for it. So a
+// guest whose owner has ended knows all requests that have run, and a key whose state it has not received did not run.
 // The guest asks the owner about each key that it does not know before it passes the attempt to the module.
 package handover
 
@@ -44,7 +44,7 @@
 func (b *Claims) Role() Role { return b.role }
 
 // Attempt decides on a keyed attempt whose key is not known in this process. The number is that of the claim to send,
-// for Ask.
+// for SendClaim.
 func (b *Claims) Attempt(now time.Duration, key string) (Verdict, uint64) {
 	switch {
 	case b.role == Owner && now < b.doubtUntil:
@@ -59,8 +59,8 @@
 	return SendClaim, b.lastClaim
 }
 
-// Granted handles the owner's grant. It returns false if the claim is no longer waited for; the caller must then
-// give the key back.
+// Granted handles the owner's grant. It returns false if the claim is no longer pending; the caller must then
+// return the key.
 func (b *Claims) Granted(key string, seq uint64) bool {
 	if b.pending[key] != seq || seq == 0 {
 		return false
@@ -85,7 +85,7 @@
 	return true
 }
 
-// Returned handles a key that the guest gives back without a run. It returns false if the key was granted again
+// Returned handles a key that the guest returns without a run. It returns false if the key was granted again
 // under another claim since.
 func (b *Claims) Returned(key string, seq uint64) bool {
 	if b.granted[key] != seq || seq == 0 {
@@ -117,8 +117,8 @@
 // FollowOwner records that another process owns the claims when this one starts.
 func (b *Claims) FollowOwner() { b.role, b.pending = Disconnected, map[string]uint64{} }
 
-// TookOver records that the owner has ended and makes this process the owner. all is false if this process was not
-// told of all runs of the old owner; unknown keys are then in doubt until doubtUntil, when repeats of them can no
+// TookOver records that the owner has ended and makes this process the owner. all is false if this process has
+// not received all runs of the old owner; unknown keys are then in doubt until doubtUntil, when retries of them can no
 // longer arrive.
 func (b *Claims) TookOver(all bool, doubtUntil time.Duration) {
 	b.granted, b.pending, b.role = nil, nil, Owner
--- a/internal/decide/lifecycle/lifecycle.go
+++ b/internal/decide/lifecycle/lifecycle.go
@@ -3,7 +3,7 @@
 // query it and decide nothing themselves.
 //
 // During a replacement two processes share one replica. A drain by the operator applies to the replica, so both
-// processes are told of it; SIGTERM applies to one process. It starts a hand-over if a successor accepts clients,
+// processes receive it; SIGTERM applies to one process. It starts a hand-over if a successor accepts clients,
 // and a drain otherwise.
 package lifecycle
 
@@ -21,8 +21,8 @@
 	Starting    State = iota // does not accept clients yet
 	Serving                  // accepts clients and is advertised as healthy
 	Drained                  // the operator wants callers to use other replicas; those that connect are served as usual
-	HandingOver              // told to exit while a successor accepts clients
-	Draining                 // told to exit without a successor
+	HandingOver              // requested to exit while a successor accepts clients
+	Draining                 // requested to exit without a successor
 )
 
 // String returns the state's name in logs and answers.
@@ -51,11 +51,11 @@
 
 // The effects.
 const (
-	Announce          Effect = 1 << iota // tell the previous process that this one is about to accept clients
+	Announce          Effect = 1 << iota // notify the previous process that this one is about to accept clients
 	Accept                               // start accepting clients
 	StopAccept                           // stop accepting clients, but leave the listening socket to the successor
 	DisconnectCallers                    // ask all callers to send no new requests on their connections
-	DrainAll                             // drain the module, tell the catalog, and stop listening after the grace period
+	DrainAll                             // drain the module, deregister from the catalog, and stop listening after the grace period
 	ExitWhenIdle                         // exit as soon as nothing is outstanding
 )
 
@@ -82,13 +82,13 @@
 	// it would drain the whole replica.
 	HasPredecessor bool
 
-	state     State
-	engine    bool
-	inherited bool
-	announced bool
-	known     bool
-	drained   bool
-	successor bool
+	state           State
+	engineConnected bool
+	stateReceived   bool
+	announced       bool
+	acknowledged    bool
+	drained         bool
+	successor       bool
 }
 
 // Apply handles an event. An error says why an operator's call is not possible in the current state; the state is
@@ -96,13 +96,13 @@
 func (l *Machine) Apply(e Event) (Effect, error) {
 	switch e {
 	case EngineConnected:
-		l.engine = true
+		l.engineConnected = true
 		return l.open(), nil
 	case StateReceived:
-		l.inherited = true
+		l.stateReceived = true
 		return l.open(), nil
 	case Acknowledged:
-		l.known = true
+		l.acknowledged = true
 		return l.open(), nil
 	case DrainOn, DrainOff:
 		return 0, l.drain(e == DrainOn)
@@ -111,7 +111,7 @@
 	case SuccessorGone:
 		l.successor = false
 	case ExitRequested:
-		return l.term(), nil
+		return l.requestExit(), nil
 	}
 	return 0, nil
 }
@@ -119,9 +119,9 @@
 // open starts the service once its preconditions hold.
 func (l *Machine) open() Effect {
 	switch {
-	case l.state != Starting || !l.inherited || l.HasPredecessor && !l.engine:
+	case l.state != Starting || !l.stateReceived || l.HasPredecessor && !l.engineConnected:
 		return 0
-	case l.HasPredecessor && !l.known:
+	case l.HasPredecessor && !l.acknowledged:
 		if l.announced {
 			return 0
 		}
@@ -135,8 +135,8 @@
 	return Accept
 }
 
-// drain applies the operator's drain or the end of it. Repeating a call is no error. A process that is leaving
-// without a successor is in a drain that cannot be ended.
+// drain applies the operator's drain or the end of it. Repeating a call is no error. The drain of a process
+// that exits without a successor cannot be ended.
 func (l *Machine) drain(on bool) error {
 	switch {
 	case l.state == Draining && !on:
@@ -150,7 +150,7 @@
 	return nil
 }
 
-func (l *Machine) term() Effect {
+func (l *Machine) requestExit() Effect {
 	switch {
 	case l.state == HandingOver || l.state == Draining: // a repeated SIGTERM
 		return 0
@@ -165,7 +165,7 @@
 // State returns the current state.
 func (l *Machine) State() State { return l.state }
 
-// Announced reports whether the previous process was told of this one; a new link to it must repeat the
+// Announced reports whether this process was announced to the previous one; a new link to it must repeat the
 // announcement.
 func (l *Machine) Announced() bool { return l.announced }
 
@@ -191,11 +191,11 @@
 		return nil
 	case Starting:
 		switch {
-		case l.HasPredecessor && !l.inherited:
+		case l.HasPredecessor && !l.stateReceived:
 			return fmt.Errorf("%w: the previous process has not sent all of its state yet", ErrNotNow)
-		case l.HasPredecessor && !l.engine:
+		case l.HasPredecessor && !l.engineConnected:
 			return fmt.Errorf("%w: the engine has not completed its handshake", ErrNotNow)
-		case l.HasPredecessor && !l.known:
+		case l.HasPredecessor && !l.acknowledged:
 			return fmt.Errorf("%w: the previous process has not acknowledged this one", ErrNotNow)
 		}
 	}
--- a/internal/decide/lifecycle/lifecycle_test.go
+++ b/internal/decide/lifecycle/lifecycle_test.go
@@ -11,17 +11,17 @@
 
 // modelState is the process under test with the facts that its answers must follow from.
 type modelState struct {
-	life                                              Machine
+	machine                                           Machine
 	engine, inherited, known, drain, hasSuccessor     bool
-	terminated, successorAtTerm                       bool // Term was received; a successor existed at that time
+	terminated, successorAtTerm                       bool // ExitRequested was received; a successor existed at that time
 	announced, accepted, stopped, moduleDrains, exits int
 }
 
 func (w *modelState) take(e Event) error {
-	before := w.life
-	effect, err := w.life.Apply(e)
+	before := w.machine
+	effect, err := w.machine.Apply(e)
 	if err != nil {
-		if w.life != before || effect != 0 {
+		if w.machine != before || effect != 0 {
 			return errors.New("a rejected call has changed the state")
 		}
 		if !errors.Is(err, ErrNotNow) || e != DrainOff || !w.terminated || w.successorAtTerm {
@@ -55,7 +55,7 @@
 
 // check compares every answer with the recorded facts.
 func (w *modelState) check() error {
-	l := &w.life
+	l := &w.machine
 	canServe := w.inherited && (w.engine || !l.HasPredecessor)
 	mustAccept := canServe && (w.known || !l.HasPredecessor)
 	switch {
@@ -99,13 +99,13 @@
 		for e := range Events {
 			next := w
 			if err := next.take(e); err != nil {
-				t.Fatalf("waits %v, %v then %v: %v (state %v)", w.life.HasPredecessor, sequence, e, err, next.life.State())
+				t.Fatalf("waits %v, %v then %v: %v (state %v)", w.machine.HasPredecessor, sequence, e, err, next.machine.State())
 			}
 			walk(next, append(sequence[:len(sequence):len(sequence)], e))
 		}
 	}
 	for _, waits := range []bool{false, true} {
-		walk(modelState{life: Machine{HasPredecessor: waits}}, nil)
+		walk(modelState{machine: Machine{HasPredecessor: waits}}, nil)
 	}
 	if sequences != 2*262144 {
 		t.Errorf("played %d sequences, want %d", sequences, 2*262144)
--- a/internal/decide/renewal/classify.go
+++ b/internal/decide/renewal/classify.go
@@ -27,32 +27,32 @@
 
 // Classify returns the class of a failed step. Unknown problems count as transient and are retried within the budget.
 func Classify(failure Failure) Outcome {
-	answer := Outcome{Class: Transient, RetryAfter: max(failure.RetryAfter, 0)}
+	outcome := Outcome{Class: Transient, RetryAfter: max(failure.RetryAfter, 0)}
 	switch {
 	case failure.Unusable:
-		answer.Class = RejectedByAuthority
-		return answer
+		outcome.Class = RejectedByAuthority
+		return outcome
 	case failure.Local:
-		return answer
+		return outcome
 	}
 	switch failure.Kind {
 	case "rateLimited":
-		answer.Class = RateLimited
+		outcome.Class = RateLimited
 	case "caa", "rejectedIdentifier", "unsupportedIdentifier", "unauthorized", "badCSR", "badSignatureAlgorithm", "badPublicKey":
-		answer.Class = RejectedByAuthority // another authority may accept the order
+		outcome.Class = RejectedByAuthority // another authority may accept the order
 	case "externalAccountRequired", "userActionRequired", "invalidContact", "unsupportedContact":
-		answer.Class = RejectedByAuthority
+		outcome.Class = RejectedByAuthority
 		if failure.PriorFailures > 0 { // an earlier attempt, here or at another authority, failed as well
-			answer.Class = NeedsOperator
+			outcome.Class = NeedsOperator
 		}
 	case "dns", "connection", "tls", "incorrectResponse", "validation":
 		if failure.PriorFailures+1 >= validationAttempts {
-			answer.Class = NeedsOperator
+			outcome.Class = NeedsOperator
 		}
 	case "malformed", "accountDoesNotExist", "badNonce", "orderNotReady", "serverInternal", "alreadyReplaced", "conflict", "":
 		if failure.Status == 429 {
-			answer.Class = RateLimited
+			outcome.Class = RateLimited
 		}
 	}
-	return answer
+	return outcome
 }
--- a/internal/decide/renewal/classify_test.go
+++ b/internal/decide/renewal/classify_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	if TrimProblemPrefix("urn:ietf:params:acme:error:caa") != "caa" || TrimProblemPrefix("about:blank") != "about:blank" {
-		t.Error("ShortKind does not remove exactly the ACME prefix")
+		t.Error("TrimProblemPrefix does not remove exactly the ACME prefix")
 	}
 	if got := Classify(Failure{RetryAfter: -time.Hour}); got.RetryAfter != 0 {
 		t.Errorf("negative Retry-After: got %v, want 0", got.RetryAfter)
--- a/internal/decide/renewal/renewal.go
+++ b/internal/decide/renewal/renewal.go
@@ -34,7 +34,7 @@
 	classCount
 )
 
-var classNames = [classCount]string{"transient", "limited", "rejected by this authority", "needs an operator"}
+var classNames = [classCount]string{"transient", "limited", "hopeless at this authority", "needs a person"}
 
 // String returns the name of the class.
 func (c FailureClass) String() string { return classNames[c] }
@@ -112,7 +112,7 @@
 type Action struct {
 	Kind      ActionKind
 	At        time.Time // Wait: latest time of the next call of Next
-	Authority int       // Order, Ask: index of the authority
+	Authority int       // Order, AskWindow: index of the authority
 	Replaces  bool      // Order: name the current certificate in the order's replaces field
 }
 
@@ -145,7 +145,7 @@
 	orderAuthority int       // index of the authority of the order in progress
 	retryAt        time.Time // Waiting: earliest time of the next attempt
 	failures       int       // consecutive, since the last certificate
-	needsOperator  bool      // the last failure has class Person
+	needsOperator  bool      // the last failure has class NeedsOperator
 	lastClass      FailureClass
 
 	authorities []authorityState
@@ -172,7 +172,7 @@
 			s.Budget.Hour, s.Budget.Week)
 	}
 	if s.WindowOffset < 0 || s.WindowOffset >= 1 {
-		return nil, fmt.Errorf("renewal: place %v is out of range [0, 1)", s.WindowOffset)
+		return nil, fmt.Errorf("renewal: window offset %v is out of range [0, 1)", s.WindowOffset)
 	}
 	if s.Jitter == nil {
 		s.Jitter = func() float64 { return 0.5 }
@@ -190,12 +190,12 @@
 func (p *Plan) Current() (Certificate, bool) { return p.current, p.hasCertificate }
 
 // CertificateIssued reports a certificate that was installed, at the start of the process or after an order.
-func (p *Plan) CertificateIssued(now time.Time, h Certificate) {
+func (p *Plan) CertificateIssued(now time.Time, certificate Certificate) {
 	p.advanceClock(now)
 	if p.phase == Ordering {
 		p.authorities[p.orderAuthority].failuresInRow = 0
 	}
-	p.current, p.hasCertificate = h, true
+	p.current, p.hasCertificate = certificate, true
 	p.window, p.windowAskedAt, p.windowAskAgainAt = Window{}, time.Time{}, time.Time{}
 	p.phase, p.failures, p.needsOperator, p.retryAt = NotDue, 0, false, time.Time{}
 }
@@ -326,7 +326,8 @@
 }
 
 // DueAt returns the time at which the renewal starts. Without a window of the authority, this is when a third of the
-// lifetime is left (half of a short lifetime), up to a twelfth of the lifetime earlier depending on Settings.Place.
+// lifetime is left (half of a short lifetime), up to a twelfth of the lifetime earlier depending on
+// Settings.WindowOffset.
 // A window takes precedence, but the renewal starts at the latest when a sixth of the lifetime is left: a wrong
 // window must not let the certificate expire.
 func (p *Plan) DueAt() time.Time {
@@ -349,7 +350,7 @@
 	return at
 }
 
-// urgent reports whether another authority is preferred to a further attempt at the same one: less than a sixth of
+// urgent reports whether another authority is preferred to another attempt at the same one: less than a sixth of
 // the lifetime is left, or less than a third of a short one, which is the time for which two authorities may be
 // excluded one after the other.
 func (p *Plan) urgent(now time.Time) bool {
--- a/internal/decide/timeline/load.go
+++ b/internal/decide/timeline/load.go
@@ -90,7 +90,7 @@
 			c.add(f)
 		}
 	}
-	// A burst must show both in the total and in the mean per recording box: when some boxes are away, the others
+	// A burst must show both in the total and in the mean per recording box: when some boxes are down, the others
 	// receive their share of the load, and when the records of some boxes are missing, the total falls.
 	base, basePerBox := c.baseline(list, second.firstAttempts), c.baseline(list, second.firstAttemptsPerBox)
 	report(Burst, func(i int) bool {
@@ -157,21 +157,21 @@
 // missingIn returns the number of boxes with missing records in an interval.
 func (c *analysis) missingIn(from, to time.Duration) (n int) {
 	for _, b := range c.boxes {
-		hit := false
+		hasGap := false
 		for _, l := range b.Incarnations {
 			for _, g := range l.Gaps {
-				hit = hit || g.To != 0 && g.From <= to && g.To >= from
+				hasGap = hasGap || g.To != 0 && g.From <= to && g.To >= from
 			}
 		}
-		if hit {
+		if hasGap {
 			n++
 		}
 	}
 	return n
 }
 
-// speedOver is the number of seconds over which the speed of a box (answers per running request) is averaged.
-const speedOver = 3
+// speedWindow is the number of seconds over which the speed of a box (answers per running request) is averaged.
+const speedWindow = 3
 
 // slowBoxes finds boxes that answer far fewer requests per running request than their peers at the same time. Cold boxes are
 // expected to be slow and are reported as cold starts instead.
@@ -245,10 +245,10 @@
 	speed := make([]float64, n)
 	for i := range n {
 		s, r := 0.0, 0.0
-		for j := max(0, i-speedOver+1); j <= i; j++ {
+		for j := max(0, i-speedWindow+1); j <= i; j++ {
 			s, r = s+served[j], r+running[j]
 		}
-		if r >= speedOver {
+		if r >= speedWindow {
 			speed[i] = cmp.Or(s, 0.01) / r
 		}
 	}
--- a/internal/decide/timeline/timeline.go
+++ b/internal/decide/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline derives from the records of the boxes what happened to a fleet. It does no I/O: its input are the
-// lives of the boxes, its output are findings, each with interval, boxes, evidence and confidence.
+// Package timeline derives from the records of the boxes what happened to a fleet. It does no I/O: its input consists
+// of the incarnations of the boxes, its output of findings, each with interval, boxes, evidence and confidence.
 //
 // Two rules hold for all findings. Missing records are a finding of their own, and a finding that relies on an interval
 // with missing records says so and has a lower confidence. The clocks of the boxes are not trusted: an interval is
@@ -137,14 +137,14 @@
 	c := &analysis{settings: set.defaults(), boxes: boxes, from: 1<<63 - 1}
 	for _, b := range boxes {
 		for _, l := range b.Incarnations {
-			for _, e := range l.Events { // a clock may step back within a life
+			for _, e := range l.Events { // a clock may step back within an incarnation
 				c.from, c.to = min(c.from, e.At), max(c.to, e.At)
 			}
 		}
 	}
 	c.missingRecords()
 	for _, b := range boxes {
-		c.lives(b)
+		c.addIncarnations(b)
 		c.states(b)
 	}
 	c.waves(Drained, Deploy)
@@ -186,7 +186,7 @@
 		hasRecords[b.Name] = len(b.Incarnations) > 0
 		for _, l := range b.Incarnations {
 			for _, g := range l.Gaps {
-				if g.To == 0 { // a missing tail is reported with the end of the life
+				if g.To == 0 { // a missing tail is reported with the end of the incarnation
 					continue
 				}
 				text := fmt.Sprintf("%s: records are %s", l.Name, g.Reason)
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// confidenceAcross returns the factor by which the gaps of a life within an interval reduce a confidence, and the evidence for it.
+// confidenceAcross returns the factor by which the gaps of an incarnation within an interval reduce a confidence, and the evidence for it.
 func (l *Incarnation) confidenceAcross(from, to time.Duration) (factor float64, evidence []string) {
 	factor = 1
 	for _, g := range l.Gaps {
@@ -230,8 +230,8 @@
 // alive.
 const aliveFor = 3 * time.Second
 
-// lives reports how each life of a box began and ended: drained, killed during a drain, crashed, or still alive.
-func (c *analysis) lives(b Box) {
+// addIncarnations reports how each incarnation of a box began and ended: drained, killed during a drain, crashed, or still alive.
+func (c *analysis) addIncarnations(b Box) {
 	for i := range b.Incarnations {
 		l := &b.Incarnations[i]
 		if len(l.Events) == 0 {
@@ -281,7 +281,7 @@
 	}
 }
 
-// states reports the intervals in which a box had no engine or no catalog, and its reloads.
+// states reports the intervals in which a box had no connection to its engine or no catalog, and its reloads.
 func (c *analysis) states(b Box) {
 	for i := range b.Incarnations {
 		l := &b.Incarnations[i]
--- a/internal/decide/timeline/timeline_test.go
+++ b/internal/decide/timeline/timeline_test.go
@@ -240,7 +240,7 @@
 	}
 }
 
-// TestRandomRecordsGiveOrderedFindings feeds random lives: no panic, valid and ordered findings, every gap reported.
+// TestRandomRecordsGiveOrderedFindings feeds random incarnations: no panic, valid and ordered findings, every gap reported.
 func TestRandomRecordsGiveOrderedFindings(t *testing.T) {
 	testkit.RunStateMachine(t, func(rt *rapid.T) map[string]func(*rapid.T) {
 		boxes := make([]Box, rapid.IntRange(1, 5).Draw(rt, "boxes"))
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -27,7 +27,7 @@
 	dialInterval  = 20 * time.Millisecond // between attempts to connect to the owner, and to get the lock
 	// syncedHeadStart is how long a process that did not receive all state leaves the lock to one that did.
 	syncedHeadStart = 250 * time.Millisecond
-	maxPath         = 100 // bytes of a socket path that the kernel accepts
+	maxSocketPath   = 100 // bytes of a socket path that the kernel accepts
 )
 
 // Events receives the events of a link. The calls come one at a time, from one goroutine.
@@ -50,14 +50,14 @@
 	lock   *os.File
 	events Events
 
-	mu    sync.Mutex // guards the fields below
-	conn  *net.UnixConn
-	raw   syscall.RawConn
-	queue []byte
-	bound int  // limit of the queue
-	timer bool // a flush is scheduled
-	mark  byte // the mark in the lock file
-	owner bool
+	mu             sync.Mutex // guards the fields below
+	conn           *net.UnixConn
+	raw            syscall.RawConn
+	queue          []byte
+	queueLimit     int  // limit of the queue
+	flushScheduled bool // a flush is scheduled
+	mark           byte // the mark in the lock file
+	owner          bool
 }
 
 // The marks in the lock file: the guest is missing state, the guest was sent all state, the owner exited in order.
@@ -70,7 +70,7 @@
 // Previous describes the previous process, as found in the folder.
 type Previous int
 
-// The values of Past.
+// The values of Previous.
 const (
 	NonePrevious Previous = iota // there was no process, or the last one has exited in order
 	Running                      // the previous process is still running
@@ -78,18 +78,18 @@
 )
 
 // Open prepares a link in a folder that both processes share, and returns what it finds there.
-func Open(dir string) (l *Link, past Previous, err error) {
+func Open(dir string) (l *Link, previous Previous, err error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, NonePrevious, fmt.Errorf("hand-over: %w", err)
 	}
-	l = &Link{dir: dir, lock: f, bound: maxQueue}
+	l = &Link{dir: dir, lock: f, queueLimit: maxQueue}
 	got, err := l.tryLock(false)
-	for end := time.Now().Add(syncedHeadStart); err == nil && !got && time.Now().Before(end) && !l.held(); {
+	for end := time.Now().Add(syncedHeadStart); err == nil && !got && time.Now().Before(end) && !l.hasOwner(); {
 		time.Sleep(dialInterval)
 		got, err = l.tryLock(false)
 	}
-	if err == nil && !got && !l.held() {
+	if err == nil && !got && !l.hasOwner() {
 		got, err = l.tryLock(true)
 	}
 	if err != nil {
@@ -105,12 +105,12 @@
 	return l, NonePrevious, nil
 }
 
-// SetQueueLimit sets how many bytes may wait for the other process, at most maxQueue. The limit must allow for all results
+// SetQueueLimit sets how many bytes may be queued for the other process, at most maxQueue. The limit must allow for all results
 // that are kept.
-func (l *Link) SetQueueLimit(most int) {
+func (l *Link) SetQueueLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.bound = min(most, maxQueue)
+	l.queueLimit = min(limit, maxQueue)
 }
 
 // MarkCleanExit records that this process exits in order, so that no key is in doubt for the next one. If there is a guest,
@@ -123,7 +123,7 @@
 	}
 }
 
-// tryLock tries to take the lock, whose holder owns the claims. Unless force is set, it gives the lock back if the
+// tryLock tries to take the lock, whose holder owns the claims. Unless force is set, it releases the lock if the
 // mark says that another process has received all state.
 func (l *Link) tryLock(force bool) (bool, error) {
 	err := unix.Flock(int(l.lock.Fd()), unix.LOCK_EX|unix.LOCK_NB)
@@ -139,8 +139,8 @@
 	return true, nil
 }
 
-// held reports whether a process owns the claims.
-func (l *Link) held() bool {
+// hasOwner reports whether a process owns the claims.
+func (l *Link) hasOwner() bool {
 	err := unix.Flock(int(l.lock.Fd()), unix.LOCK_SH|unix.LOCK_NB)
 	if err == nil {
 		unix.Flock(int(l.lock.Fd()), unix.LOCK_UN)
@@ -168,11 +168,11 @@
 }
 
 // Run maintains the link until ctx ends, and releases the lock before it returns, so that the other process need
-// not wait for the exit of this one, which may take long. past is the result of Open.
-func (l *Link) Run(ctx context.Context, past Previous, events Events) {
+// not wait for the exit of this one, which may take long. previous is the result of Open.
+func (l *Link) Run(ctx context.Context, previous Previous, events Events) {
 	l.events = events
 	defer l.release()
-	if past == Running {
+	if previous == Running {
 		if !l.follow(ctx) {
 			return
 		}
@@ -204,7 +204,7 @@
 // function that closes the descriptor.
 func (l *Link) path() (string, func(), error) {
 	p := filepath.Join(l.dir, socketName)
-	if len(p) <= maxPath {
+	if len(p) <= maxSocketPath {
 		return p, func() {}, nil
 	}
 	d, err := os.Open(l.dir)
@@ -372,19 +372,19 @@
 	}
 }
 
-// Send implements replica.Peer. It does not block; without a link it does nothing.
+// Send implements replica.PeerLink. It does not block; without a link it does nothing.
 func (l *Link) Send(m *handover.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
 		return
 	}
-	if len(l.queue) > l.bound {
+	if len(l.queue) > l.queueLimit {
 		l.conn.Close() // the guest reconnects and receives all state again
 		return
 	}
 	l.queue = appendMessage(l.queue, m)
-	if !l.timer {
+	if !l.flushScheduled {
 		l.flush()
 	}
 }
@@ -404,8 +404,8 @@
 		}
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			l.setMark(markPartial)
-			if errors.Is(err, unix.EAGAIN) && !l.timer {
-				l.timer = true
+			if errors.Is(err, unix.EAGAIN) && !l.flushScheduled {
+				l.flushScheduled = true
 				time.AfterFunc(flushInterval, l.flushDelayed)
 			}
 			return // after any other error readMessages ends the link
@@ -418,7 +418,7 @@
 func (l *Link) flushDelayed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.timer = false
+	l.flushScheduled = false
 	if l.conn != nil {
 		l.flush()
 	}
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -22,10 +22,10 @@
 // process is one end of a link; the events that it receives are sent to a channel.
 type process struct {
 	*Link
-	events chan string
-	cancel context.CancelFunc
-	ended  chan struct{}
-	past   Previous
+	events   chan string
+	cancel   context.CancelFunc
+	ended    chan struct{}
+	previous Previous
 }
 
 func (p *process) LinkUp(guest bool) {
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &process{Link: l, events: make(chan string, 1000), cancel: cancel, ended: make(chan struct{}), past: past}
+	p := &process{Link: l, events: make(chan string, 1000), cancel: cancel, ended: make(chan struct{}), previous: past}
 	go func() {
 		p.Run(ctx, past, p) // releases the lock when it returns
 		close(p.ended)
@@ -84,11 +84,11 @@
 func TestGuestTakesOverFromOwner(t *testing.T) {
 	dir := t.TempDir()
 	old := startProcess(t, dir)
-	if old.past != NonePrevious {
+	if old.previous != NonePrevious {
 		t.Fatal("the first process finds a previous one")
 	}
 	next := startProcess(t, dir)
-	if next.past != Running {
+	if next.previous != Running {
 		t.Fatal("the second process does not find the first one")
 	}
 	next.expect(t, "joined true", entryEvent, syncedEvent)
@@ -215,8 +215,8 @@
 		t.Fatal(err)
 	}
 	again := startProcess(t, dir)
-	if again.past != Crashed {
-		t.Errorf("past is %v, want Died", again.past)
+	if again.previous != Crashed {
+		t.Errorf("previous process is %v, want Crashed", again.previous)
 	}
 	startProcess(t, dir).expect(t, "joined true", entryEvent, syncedEvent)
 }
@@ -229,8 +229,8 @@
 	}
 	old.MarkCleanExit()
 	old.end()
-	if next := startProcess(t, dir); next.past != NonePrevious {
-		t.Errorf("past is %v, want Fresh", next.past)
+	if next := startProcess(t, dir); next.previous != NonePrevious {
+		t.Errorf("previous process is %v, want NonePrevious", next.previous)
 	}
 }
 
--- a/internal/handover/replace/process.go
+++ b/internal/handover/replace/process.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"time"
 
+	"cairnlane/internal/fake/engine"
 	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/operator"
-	"cairnlane/internal/fake/engine"
 	"slices"
 )
 
@@ -23,11 +23,11 @@
 	*rig.Process
 	path        string // configuration file
 	controlAddr string
-	engine      *engine.Address // the address at which the engine stand-in serves it
+	engine      *engine.Address // the address at which the fake engine serves it
 }
 
 // startProcess starts a process beside the running ones: with the same folder and listening socket, and an
-// operators' address and an engine address of its own.
+// admin listener address and an engine address of its own.
 func (tr *trial) startProcess() (*process, error) {
 	p := new(process)
 	var err error
@@ -98,7 +98,7 @@
 	return os.WriteFile(p.path, raw, 0o600)
 }
 
-// callOperator sends a call to a process's operators' listener.
+// callOperator sends a call to a process's admin listener.
 func (tr *trial) callOperator(p *process, call string) (string, error) {
 	began := time.Now()
 	a, err := operator.Call(p.controlAddr, call, operatorTimeout)
--- a/internal/handover/replace/replace.go
+++ b/internal/handover/replace/replace.go
@@ -1,4 +1,4 @@
-// Package replace runs replacements of real processes under load, with stand-ins for all services that they use,
+// Package replace runs replacements of real processes under load, with fakes of all services that they use,
 // and counts violations: lost requests, requests answered twice, double runs, and rejected callers.
 package replace
 
@@ -14,12 +14,12 @@
 	"sync/atomic"
 	"time"
 
-	"cairnlane/internal/lab/rig"
-	"cairnlane/internal/operator"
 	"cairnlane/internal/fake/catalog"
 	"cairnlane/internal/fake/engine"
 	"cairnlane/internal/fake/index"
 	"cairnlane/internal/fake/router"
+	"cairnlane/internal/lab/rig"
+	"cairnlane/internal/operator"
 )
 
 // Config holds the settings of a trial.
@@ -107,7 +107,7 @@
 	return tr.finish(), nil
 }
 
-// newTrial starts the stand-ins, the first process and the load. The caller must close the trial.
+// newTrial starts the fakes, the first process and the load. The caller must close the trial.
 func newTrial(cfg Config) (*trial, error) {
 	tr := &trial{cfg: cfg, figures: &Results{Limit: cfg.Sockets}, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), startedAt: time.Now()}
 	work := rand.New(rand.NewPCG(cfg.Seed, 2))
@@ -169,7 +169,7 @@
 	return tr.figures
 }
 
-// close kills the remaining processes and closes the stand-ins.
+// close kills the remaining processes and closes the fakes.
 func (tr *trial) close() {
 	tr.stop.Store(true)
 	tr.mu.Lock()
@@ -212,7 +212,7 @@
 			atomic.AddInt64(&tr.figures.Checks, 1)
 			if err != nil || healthy == drained {
 				atomic.AddInt64(&tr.figures.HealthGaps, 1)
-				tr.figures.note("health check: good %v, drained %v, error %v", healthy, drained, err)
+				tr.figures.note("health check: healthy %v, drained %v, error %v", healthy, drained, err)
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/internal/handover/replace/replace_test.go
+++ b/internal/handover/replace/replace_test.go
@@ -104,7 +104,7 @@
 }
 
 // TestOperatorCallsAnswerUnderOverload checks that operators' calls are answered in time while routers flood a
-// process of one core, and silent clients and clients with incomplete lines occupy its operators' listener.
+// process of one core, and silent clients and clients with incomplete lines occupy its admin listener.
 func TestOperatorCallsAnswerUnderOverload(t *testing.T) {
 	tr, err := newTrial(Config{Seed: 3, Command: []string{os.Args[0]}, Site: site, Dir: t.TempDir(), Sockets: 256})
 	if err != nil {
--- a/internal/state/audit/audit.go
+++ b/internal/state/audit/audit.go
@@ -13,9 +13,9 @@
 // that a segment starts from is therefore stored in the segment and covered by the heads in the ledger, so the remaining
 // segments can be verified after older ones were removed.
 //
-// Guarantees: an entry that Write accepted has been passed to the operating system when Write returns, so it survives
-// the process; it is on the disk when Sync has returned, and only such entries are reported as a head. Entries that
-// could not be written are dropped and counted in a Gap entry, so the loss is visible. Only Write and Sync wait for the
+// Guarantees: an entry that Append accepted has been passed to the operating system when Append returns, so it
+// survives the process; it is on the disk when Sync has returned, and only such entries are reported as a head. Entries that
+// could not be written are dropped and counted in a Gap entry, so the loss is visible. Only Append and Sync wait for the
 // disk. Disk use is bounded: the oldest segments are removed first.
 package audit
 
@@ -40,7 +40,7 @@
 	Version                     // the version that the box runs from this entry on
 	Effect                      // an effect is about to be executed under a lease
 	EffectDone                  // the effect has ended; Ref is the N of its Effect entry
-	Drain                       // the box went out of service or came back
+	Drain                       // the box was taken out of service or put back into service
 	Operator                    // a command of an operator
 	FleetStatus                 // status of the box in its fleet
 	Gap                         // Count entries were lost
@@ -149,8 +149,11 @@
 // appendFrame appends an entry and returns the chain's sum after it.
 func appendFrame(dst []byte, before Sum, e *Entry) ([]byte, Sum, error) {
 	body, err := encoding.Marshal(e)
-	if err != nil || len(body) > maxBodyBytes {
-		return dst, before, fmt.Errorf("audit: encode entry of %d bytes (limit %d): %w", len(body), maxBodyBytes, err)
+	if err != nil {
+		return dst, before, fmt.Errorf("audit: encode entry: %w", err)
+	}
+	if len(body) > maxBodyBytes {
+		return dst, before, fmt.Errorf("audit: encoded entry has %d bytes, limit %d", len(body), maxBodyBytes)
 	}
 	after := before.next(body)
 	dst = append(dst, magicA, magicB)
--- a/internal/state/audit/audit_test.go
+++ b/internal/state/audit/audit_test.go
@@ -32,8 +32,8 @@
 
 func (noWaitFile) Sync() error { return nil }
 
-// write appends n effects and returns a mark after every tenth one.
-func write(t *testing.T, l *Log, n int) (marks []ChainHead) {
+// write appends n effects and returns the chain head after every tenth one.
+func write(t *testing.T, l *Log, n int) (heads []ChainHead) {
 	t.Helper()
 	for i := range n {
 		if _, err := l.Append(Entry{Kind: Effect, Task: "export", Token: uint64(i), Index: uint64(i)}); err != nil {
@@ -44,10 +44,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			marks = append(marks, m)
+			heads = append(heads, m)
 		}
 	}
-	return marks
+	return heads
 }
 
 func read(t *testing.T, dir string) *FolderContents {
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestTruncationAtAnyByteIsDetected truncates the last segment after every byte. The check against the marks in the
+// TestTruncationAtAnyByteIsDetected truncates the last segment after every byte. The check against the chain heads in the
 // ledger must report the loss, also after a new process has continued the log behind the cut, at a complete entry.
 func TestTruncationAtAnyByteIsDetected(t *testing.T) {
 	dir := t.TempDir()
@@ -117,7 +117,7 @@
 		after := len(b.Faults)
 		b.VerifyMarks(marks)
 		if len(b.Faults) == after {
-			t.Fatalf("truncated at %d and continued: the mark in the ledger is not reported as missing", at)
+			t.Fatalf("truncated at %d and continued: the chain head in the ledger is not reported as missing", at)
 		}
 		for _, name := range must(segments(dir)) {
 			os.Remove(filepath.Join(dir, name))
@@ -312,7 +312,7 @@
 }
 
 // TestMissingFirstSegmentIsDetected checks that a first segment that was deleted is reported, and one that the folder
-// limit removed isn't.
+// limit removed is not.
 func TestMissingFirstSegmentIsDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		limits Limits
@@ -339,7 +339,7 @@
 
 func (failingSyncFile) Sync() error { return syscall.EIO }
 
-// TestHeadIsReportedOnlyAfterSync checks that after a failed sync the mark is the previous one.
+// TestHeadIsReportedOnlyAfterSync checks that after a failed sync the chain head is the previous one.
 func TestHeadIsReportedOnlyAfterSync(t *testing.T) {
 	l, _ := open(t, t.TempDir(), DefaultLimits)
 	l.Append(Entry{Kind: FleetStatus})
--- a/internal/state/audit/index.go
+++ b/internal/state/audit/index.go
@@ -21,15 +21,15 @@
 	effects [][]indexedEffect   // effects by box
 	byN     map[uint64][]boxRef // runs by number of the fleet configuration
 	byTask  map[string][]boxRef // effects by task
-	marks   map[string][]ChainHead
+	heads   map[string][]ChainHead
 }
 
 type boxRef struct{ box, at int }
 
 type indexedEffect struct {
 	entry int // position of the Effect entry
-	done  int // position of the Done entry; -1: none
-	run   int // run in which it was executed; -1: unknown
+	done  int // position of the EffectDone entry; -1: none
+	run   int // position of the run in which it was executed; -1: unknown
 }
 
 // VersionRun is a period in which a box ran one version, in one process or several.
@@ -37,7 +37,7 @@
 	Box     string `json:"box"`
 	Version Build  `json:"version"`
 	// From and To are ledger indexes: the version began after ledger entry From and ended after ledger entry To. Until
-	// reports whether the version has ended; if not, it is the last version of the box and To is the index of its last
+	// tells whether the version has ended; if not, it is the last version of the box and To is the index of its last
 	// entry.
 	From    uint64        `json:"from_index"`
 	To      uint64        `json:"to_index"`
@@ -72,14 +72,14 @@
 	Stopped bool   `json:"gone"` // its process had shut down cleanly
 }
 
-// NewIndex builds an index of the books. marks are the marks in the ledger, by box: a mark bounds from above the ledger
-// index at which an entry was written. With nil marks little can be ordered between boxes.
-func NewIndex(books []*FolderContents, marks map[string][]ChainHead) *Index {
-	x := &Index{marks: marks, byN: map[uint64][]boxRef{}, byTask: map[string][]boxRef{}}
+// NewIndex builds an index of the folders. heads are the chain heads in the ledger, by box: a head is an upper bound of
+// the ledger index at which an entry was written. Without heads, few entries of different boxes can be ordered.
+func NewIndex(folders []*FolderContents, heads map[string][]ChainHead) *Index {
+	x := &Index{heads: heads, byN: map[uint64][]boxRef{}, byTask: map[string][]boxRef{}}
 	at := map[string]int{}
-	books = slices.Clone(books)
-	slices.SortStableFunc(books, func(a, b *FolderContents) int { return cmp.Compare(a.Box, b.Box) })
-	for _, b := range books {
+	folders = slices.Clone(folders)
+	slices.SortStableFunc(folders, func(a, b *FolderContents) int { return cmp.Compare(a.Box, b.Box) })
+	for _, b := range folders {
 		i, ok := at[b.Box]
 		if !ok {
 			i = len(x.boxes)
@@ -100,7 +100,7 @@
 
 // indexBox indexes the entries of box i.
 func (x *Index) indexBox(i int) {
-	open := map[uint64]int{} // position in acts by the number of the Effect entry, within a chain
+	open := map[uint64]int{} // position in x.effects[i] by the number of the Effect entry, within a chain
 	chain := ""
 	for k := range x.entries[i] {
 		e := &x.entries[i][k]
@@ -159,8 +159,8 @@
 	return n
 }
 
-// AtIndex returns the version that each box ran when the ledger reached index. An answer is sure if a mark shows that
-// the box had changed to the version before: what the box did next, it did after a later index that it knew.
+// AtIndex returns the version that each box ran when the ledger reached index. An answer is sure if a chain
+// head in the ledger shows that the box had already changed to the version by then.
 func (x *Index) AtIndex(index uint64) (list []VersionAt) {
 	for i, box := range x.boxes {
 		runs := x.runs[i]
@@ -169,7 +169,7 @@
 			continue
 		}
 		e := x.entries[i][runs[k].first]
-		list = append(list, VersionAt{Box: box, Version: runs[k].Version, Sure: slices.ContainsFunc(x.marks[box], func(m ChainHead) bool {
+		list = append(list, VersionAt{Box: box, Version: runs[k].Version, Sure: slices.ContainsFunc(x.heads[box], func(m ChainHead) bool {
 			return m.Chain == e.Chain && m.N >= e.N && m.Index > 0 && m.Index <= index
 		})})
 	}
@@ -206,7 +206,7 @@
 }
 
 // RunsOfConfig returns the runs on number n of the fleet configuration. notFrom is the ledger index from which on the number
-// was no longer allowed, 0 if it still is: effects by boxes that knew this index are counted as late.
+// is no longer allowed, 0 if it still is: effects by boxes that knew this index are counted as late.
 func (x *Index) RunsOfConfig(n, notFrom uint64) (list []VersionRun) {
 	for _, r := range x.byN[n] {
 		run := x.runs[r.box][r.at]
@@ -247,8 +247,8 @@
 	return outcomeFailed
 }
 
-// Effects returns the effects of a task, ordered by token and under one token by the box's own order. Effects of two
-// boxes under one token are tied: their order is unknown.
+// Effects returns the effects of a task, ordered by token and under one token by the box's own order. The order of
+// effects of two boxes under one token is unknown.
 func (x *Index) Effects(task string) (list []EffectRecord) {
 	for _, r := range x.byTask[task] {
 		a := x.effects[r.box][r.at]
@@ -285,9 +285,9 @@
 	return nil
 }
 
-// ScanRunsOfConfig computes Version by a scan over all entries. It serves as a baseline when the index is benchmarked.
-func ScanRunsOfConfig(books []*FolderContents, n uint64) (list []VersionRun) {
-	for _, b := range books {
+// ScanRunsOfConfig computes the runs on configuration n by a scan over all entries. It serves as a baseline when the index is benchmarked.
+func ScanRunsOfConfig(folders []*FolderContents, n uint64) (list []VersionRun) {
+	for _, b := range folders {
 		var now *VersionRun
 		for i := range b.Entries {
 			e := &b.Entries[i]
--- a/internal/state/audit/index_test.go
+++ b/internal/state/audit/index_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// bookFromScript builds the book of a box from a script of words: "v7@100" is version 7 at index 100, "e5/7@120" an
+// folderFromScript builds the contents of a box's log folder from a script of words: "v7@100" is version 7 at index 100, "e5/7@120" an
 // effect under token 5 and version 7. The words "m", "x" and "f" say that the last effect was made, not made or failed;
 // "end" ends the process.
-func bookFromScript(box, words string) *FolderContents {
+func folderFromScript(box, words string) *FolderContents {
 	b := &FolderContents{Box: box}
 	last, index := uint64(0), uint64(0)
 	for i, w := range strings.Fields(words) {
@@ -42,9 +42,9 @@
 
 func testIndex() *Index {
 	return NewIndex([]*FolderContents{
-		bookFromScript("b", "v1@10 e2/1@15 m v2@30 e4/2@31 f"),
-		bookFromScript("a", "v1@11 e1/1@12 m e3/1@35 m v2@50 e3/2@51 x end"),
-		bookFromScript("c", "v2@29 v2@40 e5/2@41"),
+		folderFromScript("b", "v1@10 e2/1@15 m v2@30 e4/2@31 f"),
+		folderFromScript("a", "v1@11 e1/1@12 m e3/1@35 m v2@50 e3/2@51 x end"),
+		folderFromScript("c", "v2@29 v2@40 e5/2@41"),
 	}, map[string][]ChainHead{"a": {{Chain: "a-chain", N: 1, Index: 20}, {Chain: "a-chain", N: 6, Index: 60}}, "b": {{Chain: "b-chain", N: 4, Index: 33}}})
 }
 
@@ -84,7 +84,7 @@
 	for what, want := range map[string]string{
 		"at 5":          "", // before the first entry of any box
 		"at 15":         "a1 false, b1 false",
-		"at 25":         "a1 true, b1 false", // a mark proves that a had changed by then
+		"at 25":         "a1 true, b1 false", // a chain head proves that a had changed by then
 		"at 32":         "a1 true, b2 false, c2 false",
 		"at 35":         "a1 true, b2 true, c2 false",
 		"at 55":         "a2 false, b2 true, c2 false",
@@ -103,7 +103,7 @@
 			t.Errorf("%s:\n got %s\nwant %s", what, got[what], want)
 		}
 	}
-	if list := ScanRunsOfConfig([]*FolderContents{bookFromScript("b", "v1@10 e2/1@15 m v2@30 e4/2@31 f")}, 2); len(list) != 1 || list[0].Effects != 1 {
+	if list := ScanRunsOfConfig([]*FolderContents{folderFromScript("b", "v1@10 e2/1@15 m v2@30 e4/2@31 f")}, 2); len(list) != 1 || list[0].Effects != 1 {
 		t.Errorf("%+v", list)
 	}
 }
@@ -111,7 +111,7 @@
 // TestPageIsSelfContainedAndEscaped checks that the page loads no other file and that log contents are not interpreted
 // as markup.
 func TestPageIsSelfContainedAndEscaped(t *testing.T) {
-	x := NewIndex([]*FolderContents{bookFromScript("<b>", "v1@10 e2/1@15 m v2@30")}, nil)
+	x := NewIndex([]*FolderContents{folderFromScript("<b>", "v1@10 e2/1@15 m v2@30")}, nil)
 	var out bytes.Buffer
 	if err := x.WritePage(&out, []Fault{{Box: "<script>", What: "cut"}}); err != nil {
 		t.Fatal(err)
--- a/internal/state/audit/log.go
+++ b/internal/state/audit/log.go
@@ -107,7 +107,7 @@
 }
 
 // resume continues the chain after the last complete entry of a segment. If the segment has no readable head or belongs
-// to another box, it is left unchanged and a new chain is begun; the marks in the ledger then show that the old chain
+// to another box, it is left unchanged and a new chain is begun; the chain heads in the ledger then show that the old chain
 // ended.
 func (l *Log) resume(name string) (found string, err error) {
 	path := filepath.Join(l.dir, name)
@@ -272,7 +272,7 @@
 			continue
 		}
 		if !strings.HasPrefix(name, l.chain) {
-			continue // part of an earlier chain, which has its own marks
+			continue // part of an earlier chain, which has its own heads in the ledger
 		}
 		if path == l.first.path {
 			return l.first.n
@@ -293,7 +293,7 @@
 	return 0
 }
 
-// Sync flushes all written entries to the disk and returns the mark that may be reported.
+// Sync flushes all written entries to the disk and returns the chain head that may be reported.
 func (l *Log) Sync() (ChainHead, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/state/audit/page.go
+++ b/internal/state/audit/page.go
@@ -68,7 +68,7 @@
 	if from > to {
 		from, to = 0, 1
 	}
-	place := func(index uint64) float64 {
+	xOf := func(index uint64) float64 {
 		return laneLeft + laneWidth*float64(max(index, from)-from)/float64(max(to-from, 1))
 	}
 	numbers := map[uint64]*number{}
@@ -92,17 +92,17 @@
 			}
 			n.Boxes++
 			n.Effects += r.Effects
-			l.Runs = append(l.Runs, pageShape{X: place(r.From), Y: float64(y), W: max(place(r.To)-place(r.From), 1), Fill: runColour(r.Version.Fleet),
+			l.Runs = append(l.Runs, pageShape{X: xOf(r.From), Y: float64(y), W: max(xOf(r.To)-xOf(r.From), 1), Fill: runColour(r.Version.Fleet),
 				Title: fmt.Sprintf("%s, number %d, build %d, index %d to %d, %d effects", box, r.Version.Fleet, r.Version.Number, r.From, r.To, r.Effects)})
 		}
 		step := max(1, len(x.effects[i])/maxTicks)
 		for k := 0; k < len(x.effects[i]); k += step {
 			e := x.entries[i][x.effects[i][k].entry]
-			l.Ticks = append(l.Ticks, pageShape{X: place(e.Index), Y: float64(y + 14), W: 4, Fill: "#444444"})
+			l.Ticks = append(l.Ticks, pageShape{X: xOf(e.Index), Y: float64(y + 14), W: 4, Fill: "#444444"})
 		}
 		for _, e := range x.entries[i] {
 			if e.Kind == Gap {
-				l.Gaps = append(l.Gaps, pageShape{X: place(e.Index), Y: float64(y + 12), Title: fmt.Sprintf("%d entries were lost", e.Count)})
+				l.Gaps = append(l.Gaps, pageShape{X: xOf(e.Index), Y: float64(y + 12), Title: fmt.Sprintf("%d entries were lost", e.Count)})
 			}
 		}
 		d.Lanes = append(d.Lanes, l)
--- a/internal/state/audit/verify.go
+++ b/internal/state/audit/verify.go
@@ -30,7 +30,7 @@
 	Entries []Entry // without segment heads, ordered by chain and number
 	Faults  []Fault
 	Lost    uint64 // entries that the box itself reported as lost
-	marks   map[string][]chainPoint
+	points  map[string][]chainPoint
 }
 
 type chainPoint struct {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &FolderContents{marks: map[string][]chainPoint{}}
+	b := &FolderContents{points: map[string][]chainPoint{}}
 	type end struct {
 		sum     Sum
 		n       uint64
@@ -79,7 +79,7 @@
 		}
 		n := head.N
 		if !known {
-			b.marks[g.Chain] = append(b.marks[g.Chain], chainPoint{n, Sum(g.Before)})
+			b.points[g.Chain] = append(b.points[g.Chain], chainPoint{n, Sum(g.Before)})
 		}
 		for at < len(raw) {
 			e, after, size, err := readFrame(raw[at:], &sum)
@@ -108,7 +108,7 @@
 				b.Lost += e.Count
 			}
 			b.Entries = append(b.Entries, *e)
-			b.marks[g.Chain] = append(b.marks[g.Chain], chainPoint{n, sum})
+			b.points[g.Chain] = append(b.points[g.Chain], chainPoint{n, sum})
 		}
 		ends[g.Chain] = end{sum, n, g.Segment}
 	}
@@ -129,16 +129,16 @@
 	}
 }
 
-// VerifyMarks verifies a book against the marks in the ledger. It finds what the chains alone can't show: a truncated end, a
-// chain rewritten from some entry on, a folder restored from an older copy. Marks of entries that the folder limit has
-// removed prove nothing and are counted as old.
-func (b *FolderContents) VerifyMarks(marks []ChainHead) (proven, old int) {
+// VerifyMarks verifies the contents of a folder against the chain heads in the ledger. It finds what the chains alone
+// cannot show: a truncated end, a chain rewritten from some entry on, a folder restored from an older copy. Heads of
+// entries that were removed because of the folder limit prove nothing and are counted as old.
+func (b *FolderContents) VerifyMarks(heads []ChainHead) (proven, old int) {
 	last := map[string]ChainHead{}
-	for _, m := range marks {
+	for _, m := range heads {
 		last[m.Chain] = m
 	}
-	for _, m := range marks {
-		points := b.marks[m.Chain]
+	for _, m := range heads {
+		points := b.points[m.Chain]
 		if m == last[m.Chain] && m.First > 0 && len(points) > 0 && points[0].n >= m.First { // the first point is the entry before the segment
 			b.fault(Fault{Chain: m.Chain, N: points[0].n, What: fmt.Sprintf("the begin is missing: the box was to keep entry %d and all after it", m.First)})
 		}
--- a/internal/state/configs/configs.go
+++ b/internal/state/configs/configs.go
@@ -59,7 +59,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Open loads the contents of a folder. problems describes what was found wrong, "" if nothing: a damaged body is treated
+// Open loads the contents of a folder. problems lists the damaged files, "" if there are none: a damaged body is treated
 // as absent, and a box whose body in force is damaged has no configuration in force.
 func Open(fs faultfs.FS, dir string) (s *Store, problems string, err error) {
 	if err := fs.MkdirAll(dir, 0o700); err != nil {
@@ -160,7 +160,7 @@
 	return digest, nil
 }
 
-// SetInForce puts a configuration in force. It is in force only once Enter has returned without an error.
+// SetInForce puts a configuration in force. It is in force only once SetInForce has returned without an error.
 func (s *Store) SetInForce(f InForce) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/state/keystore/keystore.go
+++ b/internal/state/keystore/keystore.go
@@ -198,7 +198,7 @@
 // PutOrder stores the pending order of name.
 func (s *Store) PutOrder(name string, o Order) error { return s.put("certs", name, 2, o) }
 
-// Order returns the pending order of name, or ErrNone.
+// Order returns the pending order of name, or ErrNotFound.
 func (s *Store) Order(name string) (o Order, err error) {
 	_, err = s.newest("certs", name, 2, &o)
 	return o, err
@@ -209,7 +209,7 @@
 	return s.put("accounts", authority, 3, a)
 }
 
-// Account returns the account at an authority, or ErrNone.
+// Account returns the account at an authority, or ErrNotFound.
 func (s *Store) Account(authority string) (a Account, err error) {
 	_, err = s.newest("accounts", authority, 3, &a)
 	return a, err
--- a/internal/state/records/reader.go
+++ b/internal/state/records/reader.go
@@ -24,7 +24,7 @@
 	Damaged []DamagedRange
 }
 
-// Read decodes the bytes of a segment. It never fails: unreadable parts are listed in Damages, and all other records are
+// Read decodes the bytes of a segment. It never fails: unreadable parts are listed in Damaged, and all other records are
 // returned.
 func Read(data []byte) (s Segment) {
 	for at := 0; at < len(data); {
@@ -65,7 +65,7 @@
 // MissingRange is a range of absent record numbers.
 type MissingRange struct {
 	From, To    uint64 // inclusive
-	Dropped     bool   // a Lost record of the box says that it dropped them
+	Dropped     bool   // a Lost record of the box states that they were dropped
 	TailUnknown bool   // the records end here without an End record; From is the first absent number, To is 0
 }
 
--- a/internal/state/records/records_test.go
+++ b/internal/state/records/records_test.go
@@ -139,18 +139,18 @@
 		s := Read(whole[:n])
 		atEdge := n == 0 || frames > 0 && ends[frames-1] == n
 		if len(s.Records) != max(frames-1, 0) || (len(s.Damaged) == 0) != atEdge || len(s.Damaged) == 1 && !s.Damaged[0].AtEnd {
-			t.Fatalf("cut after %d bytes: %d records, %d frames, damages %+v", n, len(s.Records), frames, s.Damaged)
+			t.Fatalf("truncated after %d bytes: %d records, %d frames, damages %+v", n, len(s.Records), frames, s.Damaged)
 		}
 		if frames > 0 {
 			if in := MergeSegments([]Segment{s}); len(in) != 1 || len(in[0].Missing) != 1 || !in[0].Missing[0].TailUnknown || in[0].Missing[0].From != uint64(frames) {
-				t.Fatalf("cut after %d bytes: missing %+v", n, in)
+				t.Fatalf("truncated after %d bytes: missing %+v", n, in)
 			}
 		}
 		flipped := append([]byte(nil), whole...)
 		flipped[n] ^= 0x10
 		s = Read(flipped)
 		if len(s.Records)+map[bool]int{true: 1}[s.HasHead] != len(ends)-1 || len(s.Damaged) != 1 {
-			t.Fatalf("byte %d flipped: %d records of %d, whole head %v, damages %+v", n, len(s.Records), len(ends)-1, s.HasHead, s.Damaged)
+			t.Fatalf("byte %d flipped: %d records of %d, head read %v, damages %+v", n, len(s.Records), len(ends)-1, s.HasHead, s.Damaged)
 		}
 	}
 }
