--- a/cmd/cairnctl/audit.go
+++ b/cmd/cairnctl/audit.go
@@ -144,19 +144,19 @@
 			}
 		})
 	case "at":
-		var who []audit.VersionAt
+		var versions []audit.VersionAt
 		if index, err := strconv.ParseUint(a.At.When, 10, 64); err == nil {
-			who = x.AtIndex(index)
+			versions = x.AtIndex(index)
 		} else {
 			at, err := time.Parse(time.RFC3339, a.At.When)
 			if err != nil {
 				return fmt.Errorf("%q is neither a time such as 2026-12-01T14:05:00Z nor an index of the ledger", a.At.When)
 			}
-			who = x.AtTime(time.Duration(at.UnixNano()), a.ClockError)
+			versions = x.AtTime(time.Duration(at.UnixNano()), a.ClockError)
 		}
-		return o.show(w, who, nil, func(t io.Writer) {
+		return o.show(w, versions, nil, func(t io.Writer) {
 			fmt.Fprintln(t, "BOX\tORDER\tNUMBER\tBUILD\tPROGRAM\tSETTINGS\tCONFIGURATION")
-			for _, v := range who {
+			for _, v := range versions {
 				order := "sure"
 				if !v.Sure {
 					order = "not known"
@@ -198,10 +198,10 @@
 		}
 		return nil
 	case "effects":
-		acts := x.Effects(a.Effects.Task)
-		return o.show(w, acts, nil, func(t io.Writer) {
+		effects := x.Effects(a.Effects.Task)
+		return o.show(w, effects, nil, func(t io.Writer) {
 			fmt.Fprintln(t, "TOKEN\tORDER\tBOX\tUNDER\tINDEX\tCLOCK\tOUTCOME\tTEXT")
-			for _, e := range acts {
+			for _, e := range effects {
 				order := "after"
 				if e.OrderUnknown {
 					order = "not known"
--- a/cmd/cairnctl/main.go
+++ b/cmd/cairnctl/main.go
@@ -477,7 +477,7 @@
 			return fmt.Errorf("%s: %w", t.Schedule, err)
 		}
 	}
-	play := func(cfg leases.Config) (*leases.Figures, error) {
+	run := func(cfg leases.Config) (*leases.Figures, error) {
 		dir, err := rig.TempDir()
 		if err != nil {
 			return nil, err
@@ -486,7 +486,7 @@
 		cfg.Dir = dir
 		return leases.Run(cfg)
 	}
-	f, err := play(cfg)
+	f, err := run(cfg)
 	if err != nil {
 		return err
 	}
@@ -504,7 +504,7 @@
 			shrunk := rig.Shrink(f.Schedule, func(s rig.Schedule) bool {
 				repeat := cfg
 				repeat.Schedule = s
-				f, err := play(repeat)
+				f, err := run(repeat)
 				return err != nil || len(f.Missed()) > 0
 			})
 			fmt.Fprintf(w, "what is left of it and still fails:\n%s", shrunk)
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -198,7 +198,7 @@
 		r.SetPacing(b.fleet.pacer, b.fleet.pacer.Reconnect)
 	}
 	var err error
-	if b.controlServer, err = control.Listen(b.cfg.Control, &controlHandler{box: b, replica: r, since: clock.Wall()}); err != nil {
+	if b.controlServer, err = control.Listen(b.cfg.Control, &controlHandler{box: b, replica: r, startedAt: clock.Wall()}); err != nil {
 		b.log.Error().Err(err).Msg("cannot open the control socket; cairnctl cannot reach this daemon")
 		return
 	}
@@ -229,16 +229,16 @@
 
 // controlHandler implements control.Daemon for the control socket.
 type controlHandler struct {
-	box     *Box
-	replica *daemon.Replica
-	since   time.Time
+	box       *Box
+	replica   *daemon.Replica
+	startedAt time.Time
 }
 
 // Status implements control.Daemon.
 func (s *controlHandler) Status() control.Status {
 	values := s.replica.Counters.Values()
 	values["invariants_broken"] = assert.Failures()
-	out := control.Status{Name: s.replica.Name, Listen: s.replica.Addr, StartedAt: s.since, Draining: s.replica.Leaving(), Counters: values}
+	out := control.Status{Name: s.replica.Name, Listen: s.replica.Addr, StartedAt: s.startedAt, Draining: s.replica.Leaving(), Counters: values}
 	if s.box.tlsListener != nil {
 		out.TLS = s.box.tlsListener.Addr()
 	}
--- a/internal/appliance/fleet.go
+++ b/internal/appliance/fleet.go
@@ -123,23 +123,23 @@
 func (f *Fleet) Start(ctx context.Context, _ *front.Server, set *counters.Set) (err error) {
 	c := f.cfg.Fleet
 	dir := filepath.Join(f.cfg.State, "audit")
-	var how string
-	if f.audit, how, err = audit.Open(dir, f.cfg.Site.Name, audit.DefaultLimits, func() time.Duration { return time.Duration(clock.Wall().UnixNano()) }); err != nil {
+	var found string
+	if f.audit, found, err = audit.Open(dir, f.cfg.Site.Name, audit.DefaultLimits, func() time.Duration { return time.Duration(clock.Wall().UnixNano()) }); err != nil {
 		return err
 	}
-	f.audit.Append(audit.Entry{Kind: audit.Start, Text: how})
-	store, wrong, err := configs.Open(faultfs.Disk{}, filepath.Join(f.cfg.State, "fleet-config"))
+	f.audit.Append(audit.Entry{Kind: audit.Start, Text: found})
+	store, problems, err := configs.Open(faultfs.Disk{}, filepath.Join(f.cfg.State, "fleet-config"))
 	if err != nil {
 		return err
 	}
-	if wrong != "" {
-		f.log.Error().Str("wrong", wrong).Msg("stored configurations of the fleet are corrupt; fetching them again")
+	if problems != "" {
+		f.log.Error().Str("wrong", problems).Msg("stored configurations of the fleet are corrupt; fetching them again")
 	}
-	served, refused, failed := set.Get("answers_served"), set.Get("answers_refused"), set.Get("answers_failed")
+	served, rejected, failed := set.Get("answers_served"), set.Get("answers_refused"), set.Get("answers_failed")
 	f.pacer = fleet.NewPacer(f.cfg.Site.Name, clock.SinceBoot, engine.DefaultBackoff)
 	f.Fleet, err = fleet.Open(fleet.Config{Audit: f.audit, AuditBuild: f.auditBuild(), BuildNumber: BuildNumber(), Configs: store, CheckConfig: f.checkNumbered,
 		Load: f.loadTotals, Overload: f.overloadRules, OnAdvice: f.applyAdvice, Pacer: f.pacer, MaxRetryDelay: f.cfg.Site.Policy.MaxHoldOff,
-		Served: func() (good, bad uint64) { return uint64(served.Load()), uint64(refused.Load() + failed.Load()) },
+		Served: func() (good, bad uint64) { return uint64(served.Load()), uint64(rejected.Load() + failed.Load()) },
 		Name:   f.cfg.Site.Name, Listen: c.Listen, Peers: c.Addresses(), KeyFile: c.KeyFile, Dir: filepath.Join(f.cfg.State, "fleet"),
 		Build: BuildVersion(), Timing: ledgerTiming(c), Now: clock.SinceBoot, Logf: func(format string, args ...any) { f.log.Warn().Msg("fleet: " + fmt.Sprintf(format, args...)) }}, set)
 	if err != nil {
@@ -215,21 +215,21 @@
 // it. That configuration also limits how many boxes may be shut out at a time.
 func (f *Fleet) drainWhileShutOut() {
 	f.mu.Lock()
-	r, gone := f.replica, f.drainedWhileShutOut
+	r, drained := f.replica, f.drainedWhileShutOut
 	f.mu.Unlock()
-	out := f.LeavesServiceWhenShutOut()
-	if r == nil || out == gone || out && !f.serving() {
+	shutOut := f.LeavesServiceWhenShutOut()
+	if r == nil || shutOut == drained || shutOut && !f.serving() {
 		return
 	}
-	if err := r.Operator().Drain(out); err != nil {
-		f.log.Warn().Err(err).Bool("leave", out).Msg("cannot change the drain state after the box was shut out or let in again")
+	if err := r.Operator().Drain(shutOut); err != nil {
+		f.log.Warn().Err(err).Bool("leave", shutOut).Msg("cannot change the drain state after the box was shut out or let in again")
 		return
 	}
-	f.log.Warn().Bool("leave", out).Msg("drain state changed: the box drains while it is shut out of the fleet")
-	f.RecordAudit(audit.Drain, out, "shut out of the fleet")
+	f.log.Warn().Bool("leave", shutOut).Msg("drain state changed: the box drains while it is shut out of the fleet")
+	f.RecordAudit(audit.Drain, shutOut, "shut out of the fleet")
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.drainedWhileShutOut = out
+	f.drainedWhileShutOut = shutOut
 }
 
 // loadTotals returns the load counters of the box, zero before the replica accepts clients.
@@ -304,9 +304,9 @@
 // RequestMaintenance implements control.Fleet. It requests a maintenance slot.
 func (f *Fleet) RequestMaintenance() (uint64, error) {
 	f.mu.Lock()
-	entered := f.maintenanceID
+	current := f.maintenanceID
 	f.mu.Unlock()
-	if entered != 0 {
+	if current != 0 {
 		return 0, errors.New("this box is already out of service for maintenance")
 	}
 	return f.supervisor.Begin(lease.Request{Task: MaintenanceTask, Slots: f.cfg.Fleet.Maintenance, Sticky: true})
--- a/internal/certs/year/year.go
+++ b/internal/certs/year/year.go
@@ -100,7 +100,7 @@
 	set               *certs.CertificateSet
 	store             *keystore.Store
 	challengeListener net.Listener
-	answers           atomic.Pointer[certs.ChallengeResponses]
+	responses         atomic.Pointer[certs.ChallengeResponses]
 }
 
 func (w *simulation) clock() time.Time    { return time.Unix(0, w.now.Load()).UTC() }
@@ -167,7 +167,7 @@
 
 // Run runs a simulation and returns its figures.
 func Run(cfg Config) (*Figures, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	w := &simulation{cfg: cfg, rand: rand.New(rand.NewPCG(cfg.Seed, 0x5ca1ab1e)), figures: &Figures{Outages: map[string]Script{}},
 		replica: &fakeReplica{arrived: make(chan struct{}, 64)}, files: faultfs.NewFaulty()}
 	start := time.Unix(1_764_576_000, 0)
@@ -189,12 +189,12 @@
 			w.figures.Issued += ca.IssuedCount()
 			w.figures.MostInAnHour = max(w.figures.MostInAnHour, ca.MaxCallsPerHour())
 		}
-		expired, orders, most := baseline(s.script, start, end, s.life)
+		expired, orders, maxInWeek := baseline(s.script, start, end, s.life)
 		w.figures.BaselineExpired += expired
 		w.figures.BaselineOrders += orders
-		w.figures.BaselineMostInWeek = max(w.figures.BaselineMostInWeek, most)
+		w.figures.BaselineMostInWeek = max(w.figures.BaselineMostInWeek, maxInWeek)
 	}
-	w.figures.Took = time.Since(began)
+	w.figures.Took = time.Since(startedAt)
 	return w.figures, nil
 }
 
@@ -204,7 +204,7 @@
 	if w.challengeListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return err
 	}
-	go http.Serve(w.challengeListener, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { w.answers.Load().ServeHTTP(rw, r) }))
+	go http.Serve(w.challengeListener, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { w.responses.Load().ServeHTTP(rw, r) }))
 	for _, l := range lifetimes {
 		s := &site{name: l.name, host: l.name + ".site.example", life: l.life, roots: x509.NewCertPool()}
 		s.script = drawScript(w.rand, start, end, l.maxOutage, l.life/3)
@@ -245,9 +245,9 @@
 	if w.store, err = keystore.Open(w.files, filepath.Join(w.cfg.Dir, "store")); err != nil {
 		return err
 	}
-	ans := certs.NewChallengeResponses()
-	w.answers.Store(ans)
-	var keepers []*certs.Manager
+	responses := certs.NewChallengeResponses()
+	w.responses.Store(responses)
+	var managers []*certs.Manager
 	for i, s := range w.sites {
 		cfg := certs.Config{Name: s.name, Names: []string{s.host}, Challenge: certs.HTTP01, SelfSigned: false, Roots: s.roots, CallTimeout: callTimeout,
 			PollTimeout: pollTimeout, PollInterval: 20 * time.Millisecond, Plan: renewal.Settings{WindowOffset: float64(i) / 3, Jitter: rand.New(rand.NewPCG(w.cfg.Seed, uint64(i))).Float64}}
@@ -255,13 +255,13 @@
 			cfg.Authorities = append(cfg.Authorities, certs.Authority{Name: fmt.Sprint(s.name, j), Directory: ca.URL(),
 				HTTP: slowAbortTransport{&http.Transport{TLSClientConfig: &tls.Config{RootCAs: ca.Roots()}}, s.slow[j]}})
 		}
-		k, err := certs.New(cfg, w.store, ans, w.boxClock, zerolog.Nop())
+		k, err := certs.New(cfg, w.store, responses, w.boxClock, zerolog.Nop())
 		if err != nil {
 			return err
 		}
-		keepers, s.nextStep = append(keepers, k), time.Time{}
+		managers, s.nextStep = append(managers, k), time.Time{}
 	}
-	w.set = certs.NewCertificateSet(ans, keepers...)
+	w.set = certs.NewCertificateSet(responses, managers...)
 	set := new(counters.Set)
 	if w.server, err = front.Listen("127.0.0.1:0", 64, w.replica, func() time.Duration { return time.Duration(w.now.Load()) }, set); err != nil {
 		return err
@@ -302,8 +302,8 @@
 // run simulates the period hour by hour and draws kills, drains, full disks and clock jumps.
 func (w *simulation) run(start, end time.Time) error {
 	nextKill, nextDrain := start.Add(randomDuration(w.rand, 3*day, 12*day)), start.Add(randomDuration(w.rand, 5*day, 20*day))
-	nextFull, nextJump := start.Add(randomDuration(w.rand, 2*day, 15*day)), start.Add(randomDuration(w.rand, 20*day, 60*day))
-	var fullTo, jumpTo time.Time
+	nextFullDisk, nextClockJump := start.Add(randomDuration(w.rand, 2*day, 15*day)), start.Add(randomDuration(w.rand, 20*day, 60*day))
+	var diskFullUntil, clockJumpUntil time.Time
 	for now := start; now.Before(end); now = now.Add(time.Hour) {
 		if w.cfg.Progress != nil && int(now.Sub(start)/time.Hour)%(24*30) == 0 {
 			fmt.Fprintf(w.cfg.Progress, "day %d of %d: %d handshakes, %d failed, %d swaps\n", int(now.Sub(start)/day), w.cfg.Days, w.figures.Handshakes, w.figures.HandshakesFailed, w.figures.Swaps)
@@ -320,23 +320,23 @@
 			}
 			nextDrain = now.Add(randomDuration(w.rand, 8*day, 20*day))
 		}
-		if now.After(nextFull) {
+		if now.After(nextFullDisk) {
 			w.figures.FullDisks++
 			w.files.LimitSpace(w.rand.IntN(2000))
-			fullTo, nextFull = now.Add(randomDuration(w.rand, time.Hour, 6*time.Hour)), now.Add(randomDuration(w.rand, 8*day, 20*day))
+			diskFullUntil, nextFullDisk = now.Add(randomDuration(w.rand, time.Hour, 6*time.Hour)), now.Add(randomDuration(w.rand, 8*day, 20*day))
 		}
-		if !fullTo.IsZero() && now.After(fullTo) {
+		if !diskFullUntil.IsZero() && now.After(diskFullUntil) {
 			w.files.LimitSpace(-1)
-			fullTo = time.Time{}
+			diskFullUntil = time.Time{}
 		}
-		if now.After(nextJump) {
+		if now.After(nextClockJump) {
 			w.figures.ClockJumps++
 			w.offset.Store(int64([]time.Duration{-time.Hour, 30 * day}[w.figures.ClockJumps%2]))
-			jumpTo, nextJump = now.Add(3*time.Hour), now.Add(randomDuration(w.rand, 40*day, 90*day))
+			clockJumpUntil, nextClockJump = now.Add(3*time.Hour), now.Add(randomDuration(w.rand, 40*day, 90*day))
 		}
-		if !jumpTo.IsZero() && now.After(jumpTo) {
+		if !clockJumpUntil.IsZero() && now.After(clockJumpUntil) {
 			w.offset.Store(0)
-			jumpTo = time.Time{}
+			clockJumpUntil = time.Time{}
 		}
 		if err := w.simulateHour(now, now.Sub(start) >= 2*time.Hour); err != nil {
 			return err
--- a/internal/decide/conns/model_test.go
+++ b/internal/decide/conns/model_test.go
@@ -19,7 +19,7 @@
 	stageUnread   = iota
 	stageAccepted // handed to the core: it may run
 	stageAnswered // answered; the answer is in the outbox
-	stageSent     // the answer is in our kernel
+	stageSent     // the answer is in the replica's kernel
 	stageReceived // the answer is in the router's kernel
 )
 
@@ -28,18 +28,18 @@
 type modelState struct {
 	written, polled, queued, fed, parsed uint8 // written by the router; read from the kernel; passed to the reader; taken by the task; parsed
 
-	stage   [requestCount]uint8
-	task    uint8 // 0 none, 1 queued, 2 feeding
-	garbage bool  // the last byte that the router writes is malformed
+	stage     [requestCount]uint8
+	task      uint8 // 0 none, 1 queued, 2 feeding
+	malformed bool  // the last byte that the router writes is malformed
 
-	end           Closing
-	closerStep    uint8 // the closer's next step
-	locked        bool  // the closer holds the session's lock
-	writtenAtLook uint8 // value of written at the observation that the close is based on
-	kernelSeen    uint8 // unread bytes in the kernel at that observation
-	closing       bool  // close was called
-	closed        bool  // the descriptor is closed
-	halfClosed    bool  // our write side is closed
+	machine              Closing
+	closerStep           uint8 // the closer's next step
+	locked               bool  // the closer holds the session's lock
+	writtenAtObservation uint8 // value of written at the observation that the close is based on
+	kernelSeen           uint8 // unread bytes in the kernel at that observation
+	closing              bool  // close was called
+	closed               bool  // the descriptor is closed
+	halfClosed           bool  // the replica's write side is closed
 }
 
 // closer configures how the closer works. Each check that is false is omitted, which gives the faulty variants.
@@ -84,17 +84,17 @@
 	return n
 }
 
-// closeAndFindLoss closes the descriptor and describes the request that is lost by it, or returns "".
+// closeAndFindLoss closes the descriptor and describes the request that is lost by it, if any.
 func (w *modelState) closeAndFindLoss(c closer) string {
 	w.closed = true
 	for i, s := range w.stage {
 		switch {
-		case w.garbage && i == requestCount-1: // malformed input is not a request
+		case w.malformed && i == requestCount-1: // malformed input is not a request
 		case s == stageAccepted || s == stageAnswered:
 			return fmt.Sprintf("request %d was accepted and its answer cannot be sent", i)
 		case s == stageSent && w.written > w.polled:
 			return fmt.Sprintf("request %d: the reset for unread input discards its answer", i)
-		case s == stageUnread && completeRequests(w.writtenAtLook) > i && !w.garbage:
+		case s == stageUnread && completeRequests(w.writtenAtObservation) > i && !w.malformed:
 			return fmt.Sprintf("request %d was complete before the observation and was not read", i)
 		}
 	}
@@ -142,10 +142,10 @@
 	case w.task == 1 && !w.locked:
 		n := w
 		switch {
-		case c.discardLate && !w.end.AcceptsCalls():
-			n.end.Discard(int(w.queued - w.fed)) // as the front does it
+		case c.discardLate && !w.machine.AcceptsCalls():
+			n.machine.Discard(int(w.queued - w.fed)) // as the front does it
 			n.fed, n.parsed = w.queued, w.queued
-			n.end.discarded = 0 // the model never reaches the limit
+			n.machine.discarded = 0 // the model never reaches the limit
 			n.task = 0
 			if w.closing {
 				add("the task discards input and closes", n, n.closeAndFindLoss(c))
@@ -165,9 +165,9 @@
 		n.parsed++
 		lost := ""
 		switch {
-		case w.garbage && n.parsed == byteCount: // malformed input: the connection is to be closed
+		case w.malformed && n.parsed == byteCount: // malformed input: the connection is to be closed
 			n.task, n.fed = 0, n.parsed
-			act := n.end.Request(0, Malformed, n.view(c))
+			act := n.machine.Request(0, Malformed, n.view(c))
 			n.apply(act, c)
 			if n.closing {
 				lost = n.closeAndFindLoss(c)
@@ -242,10 +242,10 @@
 		}
 		return nil
 	}
-	if w.garbage {
-		if st := w.end.State(); st == Answering {
+	if w.malformed {
+		if st := w.machine.State(); st == Answering {
 			n := w
-			act := n.end.Step(0, n.view(c))
+			act := n.machine.Step(0, n.view(c))
 			n.apply(act, c)
 			if act != Keep {
 				add("the close continues", n, "")
@@ -261,15 +261,15 @@
 			if w.openCalls() > 0 || c.checkReader && w.queued > w.fed {
 				return nil
 			}
-			n.closerStep, n.writtenAtLook = 9, w.written
+			n.closerStep, n.writtenAtObservation = 9, w.written
 			add("the closer observes the usage", n, "")
 		case c.onPoller:
 			if w.polled == w.queued { // the poller is in prepare and holds no input
-				n.closerStep, n.writtenAtLook = 3, w.written
+				n.closerStep, n.writtenAtObservation = 3, w.written
 				add("the poller needs room", n, "")
 			}
 		case !c.checkKernel || w.written == w.polled:
-			n.closerStep, n.writtenAtLook = 1, w.written
+			n.closerStep, n.writtenAtObservation = 1, w.written
 			add("the sweep makes its first observation", n, "")
 		}
 	case 1:
@@ -284,9 +284,9 @@
 		v := w.view(c)
 		v.Kernel = int(w.kernelSeen)
 		n.kernelSeen, n.locked = 0, false
-		act := n.end.Request(0, c.reason, v)
+		act := n.machine.Request(0, c.reason, v)
 		if n.closerStep = 9; act == Keep {
-			n.closerStep, n.writtenAtLook = 0, 0
+			n.closerStep, n.writtenAtObservation = 0, 0
 		}
 		add(fmt.Sprintf("the closer decides %v", act == Close), n, "")
 	case 9:
@@ -335,12 +335,12 @@
 // callers of the closer and for malformed input behind a request.
 func TestNoOrderOfEventsLosesARequest(t *testing.T) {
 	for _, c := range []closer{evict, sweep} {
-		for _, start := range []modelState{{}, {garbage: true}} {
+		for _, start := range []modelState{{}, {malformed: true}} {
 			trace, lost, states, depth := explore(t, start, c, "")
 			if lost != "" {
-				t.Errorf("%s (garbage %v): %s after\n  %s", c.name, start.garbage, lost, strings.Join(trace, "\n  "))
+				t.Errorf("%s (garbage %v): %s after\n  %s", c.name, start.malformed, lost, strings.Join(trace, "\n  "))
 			}
-			t.Logf("%s (garbage %v): %d states, all that are reachable, in at most %d steps", c.name, start.garbage, states, depth)
+			t.Logf("%s (garbage %v): %d states, all that are reachable, in at most %d steps", c.name, start.malformed, states, depth)
 			if states < 500 {
 				t.Errorf("visited only %d states, want at least 500", states)
 			}
--- a/internal/decide/conns/table_test.go
+++ b/internal/decide/conns/table_test.go
@@ -169,7 +169,7 @@
 		{"answers acknowledged", []Action{Keep, HalfClose, Keep, Close}, func(e *Closing, i int) Action {
 			return e.Step([]time.Duration{0, 10, 20, 10 + lingerTimeout}[i], []View{busy, quiet, quiet, quiet}[i])
 		}},
-		{"answers never come", []Action{Keep, Close, Close}, func(e *Closing, i int) Action {
+		{"answers stay pending", []Action{Keep, Close, Close}, func(e *Closing, i int) Action {
 			return e.Step([]time.Duration{0, answerTimeout, answerTimeout}[i], busy)
 		}},
 		{"peer keeps sending", []Action{Keep, Close}, func(e *Closing, i int) Action { e.Discard(i * (MaxDiscard + 1)); return e.Step(1, busy) }},
--- a/internal/decide/handover/book_test.go
+++ b/internal/decide/handover/book_test.go
@@ -13,12 +13,12 @@
 type keyState byte
 
 const (
-	none    keyState = iota
-	held             // its own attempt is pending: nothing has run
-	ran              // its own attempt was sent to the engine
-	over             // its own run has ended
-	foreign          // the other process has the key
-	gone             // the other process's run has ended, or its state is unknown
+	none         keyState = iota
+	pending               // its own attempt is pending: nothing has run
+	ran                   // its own attempt was sent to the engine
+	ended                 // its own run has ended
+	foreign               // the other process has the key
+	foreignEnded          // the run of the other process has ended, or its state is unknown
 )
 
 // message is a message in flight; over of an Entry is the state of the run at the sender.
@@ -57,7 +57,7 @@
 	return s
 }
 
-func (s *state) send(from *side, l message) {
+func (s *state) send(from *side, m message) {
 	if !s.linked || from.dead {
 		return
 	}
@@ -65,18 +65,18 @@
 	if from == &s.new {
 		to = &s.old
 	}
-	to.inbox = append(to.inbox, l)
+	to.inbox = append(to.inbox, m)
 }
 
 // attempt handles the arrival of an attempt at p.
 func (s *state) attempt(p *side) {
 	s.attempts++
 	if p.keyState != none {
-		return // a repeat joins the known attempt
+		return // a retry joins the known attempt
 	}
 	switch v, seq := p.claims.Attempt(0, "k"); v {
 	case RunHere:
-		s.hold(p, 0)
+		s.setPending(p, 0)
 	case SendClaim:
 		p.waiting++
 		s.send(p, message{kind: Claim, seq: seq})
@@ -85,8 +85,8 @@
 	}
 }
 
-func (s *state) hold(p *side, claim uint64) {
-	p.keyState, p.claim = held, claim
+func (s *state) setPending(p *side, claim uint64) {
+	p.keyState, p.claim = pending, claim
 	if p.claims.Role() == Owner {
 		s.send(p, message{kind: Entry})
 	}
@@ -112,41 +112,41 @@
 
 // receive delivers the first message in flight to p.
 func (s *state) receive(p *side) {
-	l := p.inbox[0]
+	m := p.inbox[0]
 	p.inbox = p.inbox[1:]
-	own := p.keyState == held || p.keyState == ran || p.keyState == over
-	switch l.kind {
+	own := p.keyState == pending || p.keyState == ran || p.keyState == ended
+	switch m.kind {
 	case Synced:
 		p.synced = true
 	case Entry:
 		if own {
 			return
 		}
-		if p.keyState = foreign; l.over {
-			p.keyState = gone
+		if p.keyState = foreign; m.over {
+			p.keyState = foreignEnded
 			p.claims.Ended("k")
 		}
 		p.claims.KeyReceived("k")
 		p.waiting = 0 // they join the known attempt
 	case Drop:
-		if p.keyState == foreign && (p.claims.Role() != Owner || p.claims.Returned("k", l.seq)) {
+		if p.keyState == foreign && (p.claims.Role() != Owner || p.claims.Returned("k", m.seq)) {
 			p.keyState = none
 		}
 	case Claim:
-		if p.claims.Claimed("k", l.seq, p.keyState == none) {
+		if p.claims.Claimed("k", m.seq, p.keyState == none) {
 			p.keyState = foreign
-			s.send(p, message{kind: Grant, seq: l.seq})
+			s.send(p, message{kind: Grant, seq: m.seq})
 			return
 		}
-		s.send(p, message{kind: Entry, over: p.keyState == over || p.keyState == gone})
+		s.send(p, message{kind: Entry, over: p.keyState == ended || p.keyState == foreignEnded})
 	case Grant:
-		if !p.claims.Granted("k", l.seq) {
-			s.send(p, message{kind: Drop, seq: l.seq})
+		if !p.claims.Granted("k", m.seq) {
+			s.send(p, message{kind: Drop, seq: m.seq})
 			return
 		}
 		p.waiting--
-		s.hold(p, l.seq)
-		p.waiting = 0 // the others join it as repeats
+		s.setPending(p, m.seq)
+		p.waiting = 0 // the others join it as retries
 	}
 }
 
@@ -154,7 +154,7 @@
 	owner := p.claims.Role() == Owner
 	p.claims.LinkDown()
 	if owner && p.keyState == foreign {
-		p.keyState = gone
+		p.keyState = foreignEnded
 	}
 	s.retryWaiting(p)
 }
@@ -165,8 +165,8 @@
 	s.old.inbox, s.new.inbox = nil, nil
 	for _, p := range []*side{&s.new, &s.old} {
 		p.claims.LinkUp()
-		if own := p.keyState == held || p.keyState == ran || p.keyState == over; own || p == &s.old && p.keyState != none {
-			s.send(p, message{kind: Entry, over: p.keyState == over || p.keyState == gone})
+		if own := p.keyState == pending || p.keyState == ran || p.keyState == ended; own || p == &s.old && p.keyState != none {
+			s.send(p, message{kind: Entry, over: p.keyState == ended || p.keyState == foreignEnded})
 		}
 	}
 	s.send(&s.old, message{kind: Synced})
@@ -185,17 +185,17 @@
 			all["an attempt at "+name] = func(s *state) { s.attempt(at(s)) }
 		}
 		switch p.keyState {
-		case held:
+		case pending:
 			all[name+" rejects"] = func(s *state) { s.reject(at(s)) }
 			all[name+" runs"] = func(s *state) { at(s).keyState = ran; s.runs++ }
 		case ran:
-			all[name+" ends its run"] = func(s *state) { at(s).keyState = over; s.send(at(s), message{kind: Entry, over: true}) }
+			all[name+" ends its run"] = func(s *state) { at(s).keyState = ended; s.send(at(s), message{kind: Entry, over: true}) }
 		}
 		if len(p.inbox) > 0 {
 			all["a message reaches "+name] = func(s *state) { s.receive(at(s)) }
 		}
 		if p.waiting > 0 {
-			all[name+" gives up"] = func(s *state) { at(s).waiting = 0; at(s).claims.CancelClaim("k") }
+			all[name+" cancels its claim"] = func(s *state) { at(s).waiting = 0; at(s).claims.CancelClaim("k") }
 		}
 	}
 	switch {
@@ -218,7 +218,7 @@
 			s.loseLink(&s.new)
 			s.new.claims.TookOver(s.new.synced, time.Hour)
 			if s.new.keyState == foreign {
-				s.new.keyState = gone
+				s.new.keyState = foreignEnded
 			}
 			s.retryWaiting(&s.new)
 		}
@@ -240,15 +240,15 @@
 		var next []state
 		for _, s := range frontier {
 			for name, do := range s.transitions() {
-				c := s.copy()
-				do(&c)
-				if c.runs > 1 || c.rejected > 0 {
-					t.Fatalf("after %q at depth %d: %d runs, %d attempts rejected after a run: %+v", name, depth, c.runs, c.rejected, c)
+				successor := s.copy()
+				do(&successor)
+				if successor.runs > 1 || successor.rejected > 0 {
+					t.Fatalf("after %q at depth %d: %d runs, %d attempts rejected after a run: %+v", name, depth, successor.runs, successor.rejected, successor)
 				}
 				// Claim numbers only grow; only their equality matters.
-				if key := fmt.Sprintf("%+v", c); !seen[key] {
+				if key := fmt.Sprintf("%+v", successor); !seen[key] {
 					seen[key] = true
-					next = append(next, c)
+					next = append(next, successor)
 				}
 			}
 		}
--- a/internal/decide/lifecycle/lifecycle_test.go
+++ b/internal/decide/lifecycle/lifecycle_test.go
@@ -11,10 +11,10 @@
 
 // modelState is the process under test with the facts that its answers must follow from.
 type modelState struct {
-	machine                                           Machine
-	engine, inherited, known, drain, hasSuccessor     bool
-	terminated, successorAtTerm                       bool // ExitRequested was received; a successor existed at that time
-	announced, accepted, stopped, moduleDrains, exits int
+	machine                                                           Machine
+	engineConnected, stateReceived, acknowledged, drain, hasSuccessor bool
+	terminated, successorAtTerm                                       bool // ExitRequested was received; a successor existed at that time
+	announced, accepted, stopped, moduleDrains, exits                 int
 }
 
 func (w *modelState) take(e Event) error {
@@ -31,11 +31,11 @@
 	}
 	switch e {
 	case EngineConnected:
-		w.engine = true
+		w.engineConnected = true
 	case StateReceived:
-		w.inherited = true
+		w.stateReceived = true
 	case Acknowledged:
-		w.known = true
+		w.acknowledged = true
 	case DrainOn, DrainOff:
 		w.drain = e == DrainOn
 	case Successor, SuccessorGone:
@@ -56,10 +56,10 @@
 // check compares every answer with the recorded facts.
 func (w *modelState) check() error {
 	l := &w.machine
-	canServe := w.inherited && (w.engine || !l.HasPredecessor)
-	mustAccept := canServe && (w.known || !l.HasPredecessor)
+	canServe := w.stateReceived && (w.engineConnected || !l.HasPredecessor)
+	mustAccept := canServe && (w.acknowledged || !l.HasPredecessor)
 	switch {
-	case w.announced > 0 && !(canServe && l.HasPredecessor), canServe && l.HasPredecessor && !w.known && !w.terminated && w.announced == 0:
+	case w.announced > 0 && !(canServe && l.HasPredecessor), canServe && l.HasPredecessor && !w.acknowledged && !w.terminated && w.announced == 0:
 		return errors.New("Announce must be sent if and only if only the acknowledgement of the previous process is missing")
 	case w.announced > 1 || w.accepted > 1 || w.stopped > 1 || w.moduleDrains > 1 || w.exits > 1:
 		return errors.New("an effect was returned twice")
--- a/internal/handover/replace/process.go
+++ b/internal/handover/replace/process.go
@@ -103,9 +103,9 @@
 	began := time.Now()
 	a, err := operator.Call(p.controlAddr, call, operatorTimeout)
 	if err == nil {
-		tr.figures.mu.Lock()
-		tr.figures.MaxOperatorTime = max(tr.figures.MaxOperatorTime, time.Since(began))
-		tr.figures.mu.Unlock()
+		tr.results.mu.Lock()
+		tr.results.MaxOperatorTime = max(tr.results.MaxOperatorTime, time.Since(began))
+		tr.results.mu.Unlock()
 	}
 	return a, err
 }
@@ -116,7 +116,7 @@
 	began := time.Now()
 	for time.Since(began) < readyTimeout {
 		if _, err := tr.callOperator(p, "check"); err == nil {
-			tr.figures.MaxReadyTime = max(tr.figures.MaxReadyTime, time.Since(began))
+			tr.results.MaxReadyTime = max(tr.results.MaxReadyTime, time.Since(began))
 			return true
 		}
 		select {
@@ -130,7 +130,7 @@
 
 // kill kills a process with SIGKILL and records the time, as requests that were open at the time may be lost.
 func (tr *trial) kill(p *process) {
-	tr.figures.Kills++
+	tr.results.Kills++
 	tr.kills.Add(1)
 	tr.killing.Store(true)
 	p.Kill()
@@ -158,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	tr.figures.Replacements++
+	tr.results.Replacements++
 	killPoint, delay := -1, time.Duration(0)
 	if tr.rand.IntN(3) == 0 {
 		killPoint, delay = tr.rand.IntN(killPoints), time.Duration(tr.rand.IntN(30_000))*time.Microsecond
@@ -167,13 +167,13 @@
 		time.Sleep(delay)
 		if killPoint == newBeforeReady {
 			tr.kill(next)
-			tr.figures.Abandoned++
+			tr.results.Abandoned++
 			return nil // the old process continues alone
 		}
 		tr.kill(old)
 	}
 	if !tr.waitReady(next) {
-		return fmt.Errorf("replacement %d: the new process does not accept clients: %v %s", tr.figures.Replacements, next.Err(), next.Output())
+		return fmt.Errorf("replacement %d: the new process does not accept clients: %v %s", tr.results.Replacements, next.Err(), next.Output())
 	}
 	switch killPoint {
 	case oldBeforeReady:
@@ -181,7 +181,7 @@
 	case newAfterReady:
 		time.Sleep(delay)
 		tr.kill(next)
-		tr.figures.Abandoned++
+		tr.results.Abandoned++
 		return nil
 	case oldAfterReady:
 		time.Sleep(delay)
@@ -199,16 +199,16 @@
 	}
 	select {
 	case <-old.Done():
-		tr.figures.MaxHandOverTime = max(tr.figures.MaxHandOverTime, time.Since(began))
+		tr.results.MaxHandOverTime = max(tr.results.MaxHandOverTime, time.Since(began))
 	case <-time.After(deadline + killMargin):
-		atomic.AddInt64(&tr.figures.Exits, 1)
-		tr.figures.note("the old process did not exit in time and was killed: %s", old.Output())
+		atomic.AddInt64(&tr.results.Exits, 1)
+		tr.results.note("the old process did not exit in time and was killed: %s", old.Output())
 		tr.kill(old)
 		return nil
 	}
 	if old.Err() != nil || !bytes.Contains([]byte(old.Output()), []byte("invariants_broken=0")) {
-		atomic.AddInt64(&tr.figures.Exits, 1)
-		tr.figures.note("the old process ended with %v: %s", old.Err(), old.Output())
+		atomic.AddInt64(&tr.results.Exits, 1)
+		tr.results.note("the old process ended with %v: %s", old.Err(), old.Output())
 	}
 	return nil
 }
--- a/internal/handover/replace/replace.go
+++ b/internal/handover/replace/replace.go
@@ -60,7 +60,7 @@
 // trial holds one trial with the services that a replica uses.
 type trial struct {
 	cfg         Config
-	figures     *Results
+	results     *Results
 	rand        *rand.Rand
 	ln          *net.TCPListener
 	engine      *engine.Engine
@@ -100,8 +100,8 @@
 		if err := tr.replace(); err != nil {
 			return nil, err
 		}
-		if cfg.Progress != nil && tr.figures.Replacements%20 == 0 {
-			fmt.Fprintf(cfg.Progress, "%d replacements, %d kills, %d requests\n", tr.figures.Replacements, tr.figures.Kills, atomic.LoadInt64(&tr.load.Requests))
+		if cfg.Progress != nil && tr.results.Replacements%20 == 0 {
+			fmt.Fprintf(cfg.Progress, "%d replacements, %d kills, %d requests\n", tr.results.Replacements, tr.results.Kills, atomic.LoadInt64(&tr.load.Requests))
 		}
 	}
 	return tr.finish(), nil
@@ -109,7 +109,7 @@
 
 // newTrial starts the fakes, the first process and the load. The caller must close the trial.
 func newTrial(cfg Config) (*trial, error) {
-	tr := &trial{cfg: cfg, figures: &Results{Limit: cfg.Sockets}, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), startedAt: time.Now()}
+	tr := &trial{cfg: cfg, results: &Results{Limit: cfg.Sockets}, rand: rand.New(rand.NewPCG(cfg.Seed, 1)), startedAt: time.Now()}
 	work := rand.New(rand.NewPCG(cfg.Seed, 2))
 	var workMu sync.Mutex
 	tr.engine = engine.New(func(string) time.Duration {
@@ -160,13 +160,13 @@
 	tr.stop.Store(true)
 	tr.background.Wait()
 	tr.load.Stop()
-	tr.figures.Tally = tr.load.Tally
+	tr.results.Tally = tr.load.Tally
 	_, _, wrong := tr.engine.CallCounts()
-	tr.figures.Wrong += int64(wrong)
-	tr.figures.Notes = append(tr.figures.Notes, tr.load.Notes()...)
+	tr.results.Wrong += int64(wrong)
+	tr.results.Notes = append(tr.results.Notes, tr.load.Notes()...)
 	tr.checkGauges()
-	tr.figures.Duration = time.Since(tr.startedAt)
-	return tr.figures
+	tr.results.Duration = time.Since(tr.startedAt)
+	return tr.results
 }
 
 // close kills the remaining processes and closes the fakes.
@@ -192,8 +192,8 @@
 	for _, p := range tr.alive {
 		v, err := operator.Call(p.controlAddr, "vars", operatorTimeout)
 		if err != nil || !strings.Contains(v, "edge_relay_in_progress 0\n") {
-			tr.figures.FiguresWrong++
-			tr.figures.note("figures at rest: %v %q", err, v)
+			tr.results.FiguresWrong++
+			tr.results.note("figures at rest: %v %q", err, v)
 		}
 	}
 }
@@ -209,10 +209,10 @@
 		kills, drained := tr.kills.Load(), tr.drained.Load()
 		healthy, err := router.CheckHealth(tr.ln.Addr().String(), time.Second)
 		if kills == tr.kills.Load() && drained == tr.drained.Load() && !tr.pauseHealth.Load() {
-			atomic.AddInt64(&tr.figures.Checks, 1)
+			atomic.AddInt64(&tr.results.Checks, 1)
 			if err != nil || healthy == drained {
-				atomic.AddInt64(&tr.figures.HealthGaps, 1)
-				tr.figures.note("health check: healthy %v, drained %v, error %v", healthy, drained, err)
+				atomic.AddInt64(&tr.results.HealthGaps, 1)
+				tr.results.note("health check: healthy %v, drained %v, error %v", healthy, drained, err)
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -230,7 +230,7 @@
 				n += len(list)
 			}
 		}
-		tr.figures.DescriptorsMax = max(tr.figures.DescriptorsMax, n)
+		tr.results.DescriptorsMax = max(tr.results.DescriptorsMax, n)
 		tr.mu.Unlock()
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/handover/replace/replace_test.go
+++ b/internal/handover/replace/replace_test.go
@@ -65,8 +65,8 @@
 		return func() bool { return strings.Contains(p.Output(), words) }
 	}
 	waitForChecks := func() { // answered by either process
-		n := atomic.LoadInt64(&tr.figures.Checks)
-		waitUntil(t, "health checks", func() bool { return atomic.LoadInt64(&tr.figures.Checks) >= n+10 })
+		n := atomic.LoadInt64(&tr.results.Checks)
+		waitUntil(t, "health checks", func() bool { return atomic.LoadInt64(&tr.results.Checks) >= n+10 })
 	}
 	tr.pauseHealth.Store(true)
 	call(next, "drain-on")
@@ -166,9 +166,9 @@
 	stop.Store(true)
 	floods.Wait()
 	tr.finish()
-	t.Logf("figures: worst_door_ms=%.1f cores_busy=%.2f", float64(tr.figures.MaxOperatorTime.Microseconds())/1e3, busy)
-	if tr.figures.MaxOperatorTime >= operatorTimeout {
-		t.Errorf("the slowest answer took %v, limit %v", tr.figures.MaxOperatorTime, operatorTimeout)
+	t.Logf("figures: worst_door_ms=%.1f cores_busy=%.2f", float64(tr.results.MaxOperatorTime.Microseconds())/1e3, busy)
+	if tr.results.MaxOperatorTime >= operatorTimeout {
+		t.Errorf("the slowest answer took %v, limit %v", tr.results.MaxOperatorTime, operatorTimeout)
 	}
 }
 
--- a/internal/state/audit/audit.go
+++ b/internal/state/audit/audit.go
@@ -101,7 +101,7 @@
 	Before  []byte `cbor:"4,keyasint"` // sum of the previous entry
 }
 
-// Sum is the chained hash of an entry.
+// Sum is the chained hash of an entry and of all entries before it.
 type Sum [sha256.Size]byte
 
 // ChainHead is the head of a chain as reported to the ledger.
@@ -123,10 +123,10 @@
 
 // Errors of readFrame.
 var (
-	errShort = errors.New("the file ends within a frame")
-	errFrame = errors.New("no frame stands here")
-	errSum   = errors.New("the entry does not fit what came before")
-	errBody  = errors.New("the entry cannot be read")
+	errShort = errors.New("frame is truncated by the end of the file")
+	errFrame = errors.New("no valid frame at this offset")
+	errSum   = errors.New("hash of the entry does not match the entries before it")
+	errBody  = errors.New("entry cannot be decoded")
 )
 
 func initialSum(chain, box string) Sum { return sha256.Sum256([]byte(chain + "\x00" + box)) }
--- a/internal/state/audit/audit_test.go
+++ b/internal/state/audit/audit_test.go
@@ -64,16 +64,16 @@
 func TestWrittenEntriesAreReadAndProven(t *testing.T) {
 	dir := t.TempDir()
 	l, found := open(t, dir, smallLimits)
-	marks := write(t, l, 100)
+	heads := write(t, l, 100)
 	l.Close()
 	again, resumed := open(t, dir, smallLimits)
-	marks = append(marks, write(t, again, 50)...)
+	heads = append(heads, write(t, again, 50)...)
 	again.Close()
 	if found != "a new chain" || resumed != "the chain goes on" || l.Chain() != again.Chain() {
 		t.Errorf("state at first open %q, at second open %q", found, resumed)
 	}
 	b := read(t, dir)
-	proven, old := b.VerifyMarks(marks)
+	proven, old := b.VerifyMarks(heads)
 	if len(b.Entries) != 150 || len(b.Faults) != 0 || proven != 15 || old != 0 {
 		t.Errorf("%d entries, %v, %d proven, %d old", len(b.Entries), b.Faults, proven, old)
 	}
@@ -89,7 +89,7 @@
 func TestTruncationAtAnyByteIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir, DefaultLimits)
-	marks := write(t, l, 10)
+	heads := write(t, l, 10)
 	l.Close()
 	names, _ := segments(dir)
 	path := filepath.Join(dir, names[0])
@@ -102,7 +102,7 @@
 			t.Fatal(err)
 		}
 		b := read(t, dir)
-		if b.VerifyMarks(marks); len(b.Faults) == 0 {
+		if b.VerifyMarks(heads); len(b.Faults) == 0 {
 			t.Fatalf("truncated at %d of %d bytes: no fault reported", at, len(whole))
 		}
 		if at%199 != 0 {
@@ -115,7 +115,7 @@
 		next.Close()
 		b = read(t, dir)
 		after := len(b.Faults)
-		b.VerifyMarks(marks)
+		b.VerifyMarks(heads)
 		if len(b.Faults) == after {
 			t.Fatalf("truncated at %d and continued: the chain head in the ledger is not reported as missing", at)
 		}
@@ -201,16 +201,16 @@
 	} {
 		dir, old := filepath.Join(t.TempDir(), "a"), filepath.Join(t.TempDir(), "old")
 		l, _ := open(t, dir, smallLimits)
-		marks := write(t, l, 60)
+		heads := write(t, l, 60)
 		os.MkdirAll(old, 0o700)
 		for _, s := range must(segments(dir)) {
 			os.WriteFile(filepath.Join(old, s), must(os.ReadFile(filepath.Join(dir, s))), 0o600)
 		}
-		marks = append(marks, write(t, l, 60)...)
+		heads = append(heads, write(t, l, 60)...)
 		l.Close()
 		c.tamper(dir, old)
 		b := read(t, dir)
-		b.VerifyMarks(marks)
+		b.VerifyMarks(heads)
 		if text := fmt.Sprint(b.Faults); !strings.Contains(text, c.want) {
 			t.Errorf("%s: %s", name, text)
 		}
@@ -220,16 +220,16 @@
 func TestFolderIsBoundedAndRemainingEntriesAreProven(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir, Limits{SegmentBytes: 2000, FolderBytes: 9000})
-	marks := write(t, l, 500)
+	heads := write(t, l, 500)
 	l.Close()
 	size := int64(0)
 	for _, s := range must(segments(dir)) {
 		size += must(os.Stat(filepath.Join(dir, s))).Size()
 	}
 	b := read(t, dir)
-	proven, old := b.VerifyMarks(marks)
-	if size > 9000+200 || len(b.Faults) > 0 || proven == 0 || old == 0 || proven+old != len(marks) {
-		t.Errorf("%d bytes, %v, %d proven and %d old of %d", size, b.Faults, proven, old, len(marks))
+	proven, old := b.VerifyMarks(heads)
+	if size > 9000+200 || len(b.Faults) > 0 || proven == 0 || old == 0 || proven+old != len(heads) {
+		t.Errorf("%d bytes, %v, %d proven and %d old of %d", size, b.Faults, proven, old, len(heads))
 	}
 }
 
@@ -321,14 +321,14 @@
 	}{"whole": {DefaultLimits, false, 0}, "cut": {Limits{SegmentBytes: 2 << 10, FolderBytes: 1 << 20}, true, 1}, "bounded": {Limits{SegmentBytes: 2 << 10, FolderBytes: 10 << 10}, false, 0}} {
 		dir := t.TempDir()
 		l, _ := open(t, dir, c.limits)
-		marks := write(t, l, 400)
+		heads := write(t, l, 400)
 		l.Close()
 		if c.cut {
 			names, _ := segments(dir)
 			os.Remove(filepath.Join(dir, names[0]))
 		}
 		b := read(t, dir)
-		b.VerifyMarks(marks)
+		b.VerifyMarks(heads)
 		if len(b.Faults) != c.faults {
 			t.Errorf("%s: %v", name, b.Faults)
 		}
--- a/internal/state/audit/page.go
+++ b/internal/state/audit/page.go
@@ -7,7 +7,7 @@
 )
 
 // page is the template of a self-contained HTML page: a lane for each box over the ledger index, a colour for each
-// configuration number, a tick for each effect, and a cross where entries were lost.
+// configuration number, a tick for each effect, and a cross at each gap.
 var page = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Audit of the fleet</title>
 <style>body{font:14px sans-serif;margin:2em}text{font:12px sans-serif}td,th{padding:2px 10px;text-align:left}</style></head><body>
--- a/internal/state/audit/verify.go
+++ b/internal/state/audit/verify.go
@@ -59,7 +59,7 @@
 		}
 		head, sum, at, err := readFrame(raw, nil)
 		if err != nil || head.Begin == nil {
-			b.fault(Fault{Chain: name[:max(0, len(name)-len(suffix)-9)], Segment: name, What: "the segment does not begin as one: " + headError(err)})
+			b.fault(Fault{Chain: name[:max(0, len(name)-len(suffix)-9)], Segment: name, What: "the segment has no valid head: " + headError(err)})
 			continue
 		}
 		g := head.Begin
@@ -73,9 +73,9 @@
 		case known && g.Segment != last.segment+1:
 			b.fault(Fault{Chain: g.Chain, Segment: name, N: last.n, What: fmt.Sprintf("%d segments are missing", int64(g.Segment)-int64(last.segment)-1)})
 		case known && Sum(g.Before) != last.sum:
-			b.fault(Fault{Chain: g.Chain, Segment: name, N: last.n, What: "the segment does not go on where the one before ends"})
+			b.fault(Fault{Chain: g.Chain, Segment: name, N: last.n, What: "the segment does not continue from the hash at the end of the segment before it"})
 		case !known && g.Segment == 1 && Sum(g.Before) != initialSum(g.Chain, g.Box):
-			b.fault(Fault{Chain: g.Chain, Segment: name, What: "the chain does not begin as one"})
+			b.fault(Fault{Chain: g.Chain, Segment: name, What: "the chain does not start from the initial hash of its ID and box"})
 		}
 		n := head.N
 		if !known {
@@ -117,7 +117,7 @@
 
 func headError(err error) string {
 	if err == nil {
-		return "it has no head"
+		return "its first entry is of another kind"
 	}
 	return err.Error()
 }
@@ -140,10 +140,10 @@
 	for _, m := range heads {
 		points := b.points[m.Chain]
 		if m == last[m.Chain] && m.First > 0 && len(points) > 0 && points[0].n >= m.First { // the first point is the entry before the segment
-			b.fault(Fault{Chain: m.Chain, N: points[0].n, What: fmt.Sprintf("the begin is missing: the box was to keep entry %d and all after it", m.First)})
+			b.fault(Fault{Chain: m.Chain, N: points[0].n, What: fmt.Sprintf("the beginning is missing: entry %d and all after it must be present", m.First)})
 		}
 		if len(points) == 0 {
-			b.fault(Fault{Chain: m.Chain, N: m.N, What: fmt.Sprintf("the chain is missing; the ledger knows %d entries of it", m.N)})
+			b.fault(Fault{Chain: m.Chain, N: m.N, What: fmt.Sprintf("the chain is missing; the ledger has a head of it at entry %d", m.N)})
 			continue
 		}
 		i, found := slices.BinarySearchFunc(points, m.N, func(p chainPoint, n uint64) int {
@@ -159,11 +159,11 @@
 		case found && points[i].sum == m.Sum:
 			proven++
 		case found:
-			b.fault(Fault{Chain: m.Chain, N: m.N, What: "it is not what the ledger knows: rewritten at this entry or before"})
+			b.fault(Fault{Chain: m.Chain, N: m.N, What: "the hash differs from the one in the ledger: rewritten at this entry or before"})
 		case i == 0:
 			old++
 		case i == len(points):
-			b.fault(Fault{Chain: m.Chain, N: points[i-1].n, What: fmt.Sprintf("the end is missing: the ledger knows %d entries", m.N)})
+			b.fault(Fault{Chain: m.Chain, N: points[i-1].n, What: fmt.Sprintf("the end is missing: the ledger has a head at entry %d", m.N)})
 		default:
 			b.fault(Fault{Chain: m.Chain, N: points[i-1].n, What: fmt.Sprintf("entry %d, which the ledger knows, is missing", m.N)})
 		}
--- a/internal/state/records/records.go
+++ b/internal/state/records/records.go
@@ -57,16 +57,16 @@
 
 // Record is one record. Of the optional fields only those that belong to Kind are set.
 type Record struct {
-	N    uint64        `cbor:"1,keyasint"` // number within the incarnation, from 1; 0 for a Head
+	N    uint64        `cbor:"1,keyasint"` // number within the incarnation, from 1; 0 for a segment head
 	At   time.Duration `cbor:"2,keyasint"` // since the Unix epoch, by the box's clock
 	Kind Kind          `cbor:"3,keyasint"`
 
 	Head  *Head   `cbor:"4,keyasint,omitempty"`
-	OK    bool    `cbor:"5,keyasint,omitempty"` // for Link: established; Reload: accepted; Catalog: available
+	OK    bool    `cbor:"5,keyasint,omitempty"` // for KindLink: established; KindReload: accepted; KindCatalog: available
 	Text  string  `cbor:"6,keyasint,omitempty"` // details for operators; must be escaped when shown
 	Gauge *Gauge  `cbor:"7,keyasint,omitempty"`
 	Tally []Tally `cbor:"8,keyasint,omitempty"`
-	Lost  uint64  `cbor:"9,keyasint,omitempty"` // for Lost: number of records dropped before this one
+	Lost  uint64  `cbor:"9,keyasint,omitempty"` // for KindLost: number of records dropped before this one
 	Cold  bool    `cbor:"10,keyasint,omitempty"`
 }
 
