--- a/internal/state/audit/audit_test.go
+++ b/internal/state/audit/audit_test.go
@@ -32,8 +32,8 @@
 
 func (noWaitFile) Sync() error { return nil }
 
-// write appends n effects and returns a mark after every tenth one.
-func write(t *testing.T, l *Log, n int) (marks []ChainHead) {
+// write appends n effects and returns the chain head after every tenth one.
+func write(t *testing.T, l *Log, n int) (heads []ChainHead) {
 	t.Helper()
 	for i := range n {
 		if _, err := l.Append(Entry{Kind: Effect, Task: "export", Token: uint64(i), Index: uint64(i)}); err != nil {
@@ -44,10 +44,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			marks = append(marks, m)
+			heads = append(heads, m)
 		}
 	}
-	return marks
+	return heads
 }
 
 func read(t *testing.T, dir string) *FolderContents {
@@ -64,16 +64,16 @@
 func TestWrittenEntriesAreReadAndProven(t *testing.T) {
 	dir := t.TempDir()
 	l, found := open(t, dir, smallLimits)
-	marks := write(t, l, 100)
+	heads := write(t, l, 100)
 	l.Close()
 	again, resumed := open(t, dir, smallLimits)
-	marks = append(marks, write(t, again, 50)...)
+	heads = append(heads, write(t, again, 50)...)
 	again.Close()
 	if found != "a new chain" || resumed != "the chain goes on" || l.Chain() != again.Chain() {
 		t.Errorf("state at first open %q, at second open %q", found, resumed)
 	}
 	b := read(t, dir)
-	proven, old := b.VerifyMarks(marks)
+	proven, old := b.VerifyMarks(heads)
 	if len(b.Entries) != 150 || len(b.Faults) != 0 || proven != 15 || old != 0 {
 		t.Errorf("%d entries, %v, %d proven, %d old", len(b.Entries), b.Faults, proven, old)
 	}
@@ -84,12 +84,12 @@
 	}
 }
 
-// TestTruncationAtAnyByteIsDetected truncates the last segment after every byte. The check against the marks in the
+// TestTruncationAtAnyByteIsDetected truncates the last segment after every byte. The check against the chain heads in the
 // ledger must report the loss, also after a new process has continued the log behind the cut, at a complete entry.
 func TestTruncationAtAnyByteIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir, DefaultLimits)
-	marks := write(t, l, 10)
+	heads := write(t, l, 10)
 	l.Close()
 	names, _ := segments(dir)
 	path := filepath.Join(dir, names[0])
@@ -102,7 +102,7 @@
 			t.Fatal(err)
 		}
 		b := read(t, dir)
-		if b.VerifyMarks(marks); len(b.Faults) == 0 {
+		if b.VerifyMarks(heads); len(b.Faults) == 0 {
 			t.Fatalf("truncated at %d of %d bytes: no fault reported", at, len(whole))
 		}
 		if at%199 != 0 {
@@ -115,9 +115,9 @@
 		next.Close()
 		b = read(t, dir)
 		after := len(b.Faults)
-		b.VerifyMarks(marks)
+		b.VerifyMarks(heads)
 		if len(b.Faults) == after {
-			t.Fatalf("truncated at %d and continued: the mark in the ledger is not reported as missing", at)
+			t.Fatalf("truncated at %d and continued: the chain head in the ledger is not reported as missing", at)
 		}
 		for _, name := range must(segments(dir)) {
 			os.Remove(filepath.Join(dir, name))
@@ -201,16 +201,16 @@
 	} {
 		dir, old := filepath.Join(t.TempDir(), "a"), filepath.Join(t.TempDir(), "old")
 		l, _ := open(t, dir, smallLimits)
-		marks := write(t, l, 60)
+		heads := write(t, l, 60)
 		os.MkdirAll(old, 0o700)
 		for _, s := range must(segments(dir)) {
 			os.WriteFile(filepath.Join(old, s), must(os.ReadFile(filepath.Join(dir, s))), 0o600)
 		}
-		marks = append(marks, write(t, l, 60)...)
+		heads = append(heads, write(t, l, 60)...)
 		l.Close()
 		c.tamper(dir, old)
 		b := read(t, dir)
-		b.VerifyMarks(marks)
+		b.VerifyMarks(heads)
 		if text := fmt.Sprint(b.Faults); !strings.Contains(text, c.want) {
 			t.Errorf("%s: %s", name, text)
 		}
@@ -220,16 +220,16 @@
 func TestFolderIsBoundedAndRemainingEntriesAreProven(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := open(t, dir, Limits{SegmentBytes: 2000, FolderBytes: 9000})
-	marks := write(t, l, 500)
+	heads := write(t, l, 500)
 	l.Close()
 	size := int64(0)
 	for _, s := range must(segments(dir)) {
 		size += must(os.Stat(filepath.Join(dir, s))).Size()
 	}
 	b := read(t, dir)
-	proven, old := b.VerifyMarks(marks)
-	if size > 9000+200 || len(b.Faults) > 0 || proven == 0 || old == 0 || proven+old != len(marks) {
-		t.Errorf("%d bytes, %v, %d proven and %d old of %d", size, b.Faults, proven, old, len(marks))
+	proven, old := b.VerifyMarks(heads)
+	if size > 9000+200 || len(b.Faults) > 0 || proven == 0 || old == 0 || proven+old != len(heads) {
+		t.Errorf("%d bytes, %v, %d proven and %d old of %d", size, b.Faults, proven, old, len(heads))
 	}
 }
 
@@ -312,7 +312,7 @@
 }
 
 // TestMissingFirstSegmentIsDetected checks that a first segment that was deleted is reported, and one that the folder
-// limit removed isn't.
+// limit removed is not.
 func TestMissingFirstSegmentIsDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		limits Limits
@@ -321,14 +321,14 @@
 	}{"whole": {DefaultLimits, false, 0}, "cut": {Limits{SegmentBytes: 2 << 10, FolderBytes: 1 << 20}, true, 1}, "bounded": {Limits{SegmentBytes: 2 << 10, FolderBytes: 10 << 10}, false, 0}} {
 		dir := t.TempDir()
 		l, _ := open(t, dir, c.limits)
-		marks := write(t, l, 400)
+		heads := write(t, l, 400)
 		l.Close()
 		if c.cut {
 			names, _ := segments(dir)
 			os.Remove(filepath.Join(dir, names[0]))
 		}
 		b := read(t, dir)
-		b.VerifyMarks(marks)
+		b.VerifyMarks(heads)
 		if len(b.Faults) != c.faults {
 			t.Errorf("%s: %v", name, b.Faults)
 		}
@@ -339,7 +339,7 @@
 
 func (failingSyncFile) Sync() error { return syscall.EIO }
 
-// TestHeadIsReportedOnlyAfterSync checks that after a failed sync the mark is the previous one.
+// TestHeadIsReportedOnlyAfterSync checks that after a failed sync the chain head is the previous one.
 func TestHeadIsReportedOnlyAfterSync(t *testing.T) {
 	l, _ := open(t, t.TempDir(), DefaultLimits)
 	l.Append(Entry{Kind: FleetStatus})
--- a/internal/state/audit/verify.go
+++ b/internal/state/audit/verify.go
@@ -30,7 +30,7 @@
 	Entries []Entry // without segment heads, ordered by chain and number
 	Faults  []Fault
 	Lost    uint64 // entries that the box itself reported as lost
-	marks   map[string][]chainPoint
+	points  map[string][]chainPoint
 }
 
 type chainPoint struct {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &FolderContents{marks: map[string][]chainPoint{}}
+	b := &FolderContents{points: map[string][]chainPoint{}}
 	type end struct {
 		sum     Sum
 		n       uint64
@@ -59,7 +59,7 @@
 		}
 		head, sum, at, err := readFrame(raw, nil)
 		if err != nil || head.Begin == nil {
-			b.fault(Fault{Chain: name[:max(0, len(name)-len(suffix)-9)], Segment: name, What: "the segment does not begin as one: " + headError(err)})
+			b.fault(Fault{Chain: name[:max(0, len(name)-len(suffix)-9)], Segment: name, What: "the segment has no valid head: " + headError(err)})
 			continue
 		}
 		g := head.Begin
@@ -73,13 +73,13 @@
 		case known && g.Segment != last.segment+1:
 			b.fault(Fault{Chain: g.Chain, Segment: name, N: last.n, What: fmt.Sprintf("%d segments are missing", int64(g.Segment)-int64(last.segment)-1)})
 		case known && Sum(g.Before) != last.sum:
-			b.fault(Fault{Chain: g.Chain, Segment: name, N: last.n, What: "the segment does not go on where the one before ends"})
+			b.fault(Fault{Chain: g.Chain, Segment: name, N: last.n, What: "the segment does not continue from the hash at the end of the segment before it"})
 		case !known && g.Segment == 1 && Sum(g.Before) != initialSum(g.Chain, g.Box):
-			b.fault(Fault{Chain: g.Chain, Segment: name, What: "the chain does not begin as one"})
+			b.fault(Fault{Chain: g.Chain, Segment: name, What: "the chain does not start from the initial hash of its ID and box"})
 		}
 		n := head.N
 		if !known {
-			b.marks[g.Chain] = append(b.marks[g.Chain], chainPoint{n, Sum(g.Before)})
+			b.points[g.Chain] = append(b.points[g.Chain], chainPoint{n, Sum(g.Before)})
 		}
 		for at < len(raw) {
 			e, after, size, err := readFrame(raw[at:], &sum)
@@ -108,7 +108,7 @@
 				b.Lost += e.Count
 			}
 			b.Entries = append(b.Entries, *e)
-			b.marks[g.Chain] = append(b.marks[g.Chain], chainPoint{n, sum})
+			b.points[g.Chain] = append(b.points[g.Chain], chainPoint{n, sum})
 		}
 		ends[g.Chain] = end{sum, n, g.Segment}
 	}
@@ -117,7 +117,7 @@
 
 func headError(err error) string {
 	if err == nil {
-		return "it has no head"
+		return "its first entry is of another kind"
 	}
 	return err.Error()
 }
@@ -129,21 +129,21 @@
 	}
 }
 
-// VerifyMarks verifies a book against the marks in the ledger. It finds what the chains alone can't show: a truncated end, a
-// chain rewritten from some entry on, a folder restored from an older copy. Marks of entries that the folder limit has
-// removed prove nothing and are counted as old.
-func (b *FolderContents) VerifyMarks(marks []ChainHead) (proven, old int) {
+// VerifyMarks verifies the contents of a folder against the chain heads in the ledger. It finds what the chains alone
+// cannot show: a truncated end, a chain rewritten from some entry on, a folder restored from an older copy. Heads of
+// entries that were removed because of the folder limit prove nothing and are counted as old.
+func (b *FolderContents) VerifyMarks(heads []ChainHead) (proven, old int) {
 	last := map[string]ChainHead{}
-	for _, m := range marks {
+	for _, m := range heads {
 		last[m.Chain] = m
 	}
-	for _, m := range marks {
-		points := b.marks[m.Chain]
+	for _, m := range heads {
+		points := b.points[m.Chain]
 		if m == last[m.Chain] && m.First > 0 && len(points) > 0 && points[0].n >= m.First { // the first point is the entry before the segment
-			b.fault(Fault{Chain: m.Chain, N: points[0].n, What: fmt.Sprintf("the begin is missing: the box was to keep entry %d and all after it", m.First)})
+			b.fault(Fault{Chain: m.Chain, N: points[0].n, What: fmt.Sprintf("the beginning is missing: entry %d and all after it must be present", m.First)})
 		}
 		if len(points) == 0 {
-			b.fault(Fault{Chain: m.Chain, N: m.N, What: fmt.Sprintf("the chain is missing; the ledger knows %d entries of it", m.N)})
+			b.fault(Fault{Chain: m.Chain, N: m.N, What: fmt.Sprintf("the chain is missing; the ledger has a head of it at entry %d", m.N)})
 			continue
 		}
 		i, found := slices.BinarySearchFunc(points, m.N, func(p chainPoint, n uint64) int {
@@ -159,11 +159,11 @@
 		case found && points[i].sum == m.Sum:
 			proven++
 		case found:
-			b.fault(Fault{Chain: m.Chain, N: m.N, What: "it is not what the ledger knows: rewritten at this entry or before"})
+			b.fault(Fault{Chain: m.Chain, N: m.N, What: "the hash differs from the one in the ledger: rewritten at this entry or before"})
 		case i == 0:
 			old++
 		case i == len(points):
-			b.fault(Fault{Chain: m.Chain, N: points[i-1].n, What: fmt.Sprintf("the end is missing: the ledger knows %d entries", m.N)})
+			b.fault(Fault{Chain: m.Chain, N: points[i-1].n, What: fmt.Sprintf("the end is missing: the ledger has a head at entry %d", m.N)})
 		default:
 			b.fault(Fault{Chain: m.Chain, N: points[i-1].n, What: fmt.Sprintf("entry %d, which the ledger knows, is missing", m.N)})
 		}
