--- a/Makefile
+++ b/Makefile
@@ -38,7 +38,7 @@
 	for site in $(SITES); do nice ../given/kit/real/bin/lbreal score $$site --quick --why "$(WHY)" || exit 1; done
 	for site in $(SITES); do nice ../given/kit/more/mass/bin/lbreal score $$site --quick --why "$(WHY)" || exit 1; done
 
-# One replica on loopback; `go run ./examples/toy` in another terminal plays what it talks to.
+# One replica on loopback; `go run ./examples/fakes` in another terminal plays what it talks to.
 run: build
 	RELAY_CONFIG=examples/config.json exec bin/cairnlane
 
--- a/cmd/cairnctl/fleet.go
+++ b/cmd/cairnctl/fleet.go
@@ -181,7 +181,7 @@
 		if err != nil {
 			return err
 		}
-		code := command.Run(c, command.Config{Env: env, Request: lease.Request{Task: r.Task, Slots: r.Slots, Priority: r.Priority}, Wait: r.Wait, Grace: r.Grace, Command: argv, Now: clock.Boot, Stderr: os.Stderr})
+		code := command.Run(c, command.Config{Env: env, Request: lease.Request{Task: r.Task, Slots: r.Slots, Priority: r.Priority}, Wait: r.Wait, Grace: r.Grace, Command: argv, Now: clock.SinceBoot, Stderr: os.Stderr})
 		if code != 0 {
 			return exitCode(code)
 		}
@@ -209,7 +209,7 @@
 		return true, err
 	}
 	hint := fmt.Sprintf("; '--force' does not wait for a slot, at the risk that more boxes are out of service than allowed: cairnctl %s --force", map[string]string{"drain": "drain on", "stop": "stop"}[what])
-	id, err := c.Maintain()
+	id, err := c.RequestMaintenance()
 	if err != nil {
 		return true, fmt.Errorf("%w%s", err, hint)
 	}
@@ -223,7 +223,7 @@
 			return true, err
 		}
 		if r.Left > 0 {
-			return true, c.Enter(id, what)
+			return true, c.EnterMaintenance(id, what)
 		}
 		if r.StateName != lease.Requested.String() && r.StateName != lease.Uncertain.String() {
 			return true, fmt.Errorf("request for the maintenance slot is %s %s%s", r.StateName, r.Why, hint)
--- a/cmd/cairnctl/main.go
+++ b/cmd/cairnctl/main.go
@@ -34,7 +34,7 @@
 	"cairnlane/internal/lab/mutants"
 	"cairnlane/internal/lab/rig"
 	"cairnlane/internal/operator"
-	"cairnlane/internal/standin/authority"
+	"cairnlane/internal/fake/authority"
 )
 
 type options struct {
@@ -196,7 +196,7 @@
 	case "status":
 		s, err := c.Status()
 		return o.show(w, s, err, func(t io.Writer) {
-			fmt.Fprintf(t, "name\t%s\nlisten\t%s\ntls\t%s\nsince\t%s\ndraining\t%v\n", s.Name, s.Listen, s.TLS, s.Since.Format(time.RFC3339), s.Draining)
+			fmt.Fprintf(t, "name\t%s\nlisten\t%s\ntls\t%s\nsince\t%s\ndraining\t%v\n", s.Name, s.Listen, s.TLS, s.StartedAt.Format(time.RFC3339), s.Draining)
 			names := make([]string, 0, len(s.Counters))
 			for n := range s.Counters {
 				names = append(names, n)
@@ -229,7 +229,7 @@
 		return o.show(w, l, err, func(t io.Writer) {
 			fmt.Fprintln(t, "NAME\tALARM\tPHASE\tNOT AFTER\tDUE\tGENERATION\tFAILURES\tLAST")
 			for _, s := range l {
-				fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", s.Name, s.Alarm, s.Phase, formatTime(s.NotAfter), formatTime(s.Due), s.Generation, s.Failures, s.Last)
+				fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", s.Name, s.Alarm, s.Phase, formatTime(s.NotAfter), formatTime(s.Due), s.Generation, s.Failures, s.LastEvent)
 			}
 		})
 	case "cert history <name>":
@@ -259,7 +259,7 @@
 			return err
 		}
 		defer os.RemoveAll(dir)
-		f, err := audits.Cost(dir, 1000, 1000)
+		f, err := audits.MeasureCosts(dir, 1000, 1000)
 		if err != nil {
 			return err
 		}
@@ -287,7 +287,7 @@
 		}
 		return nil
 	case "trial mutants":
-		all := slices.Concat(mutants.Leases, mutants.Audits, mutants.Overloads, mutants.Crossings, mutants.Admission)
+		all := slices.Concat(mutants.Leases, mutants.Audits, mutants.Overloads, mutants.Concurrency, mutants.Admission)
 		all = slices.DeleteFunc(all, func(m mutants.Mutant) bool {
 			return !strings.Contains(m.Name+" "+m.File+" "+m.Test, o.Trial.Mutants.Only)
 		})
@@ -298,7 +298,7 @@
 		return printResult(w, figuresLine{fmt.Sprintf("mutants=%d caught=%d alive=%d", len(all), caught, len(alive))}, nil, alive)
 	case "trial act":
 		a := o.Trial.Act
-		return actor.Command(a.Resource, a.Thing, a.Box, a.For)
+		return actor.RunCommand(a.Resource, a.Thing, a.Box, a.For)
 	default:
 		return completion(w, model)
 	}
@@ -310,10 +310,10 @@
 // callOperator makes a call that returns no text, at the admin listener if one is given or else at the daemon's socket.
 func (o *options) callOperator(c *control.Client, call string) error {
 	if o.Door != "" {
-		_, err := operator.Ask(o.Door, call, operatorTimeout)
+		_, err := operator.Call(o.Door, call, operatorTimeout)
 		return err
 	}
-	_, err := c.Ask(call)
+	_, err := c.OperatorCall(call)
 	return err
 }
 
@@ -340,14 +340,14 @@
 	var text string
 	var err error
 	if o.Door != "" {
-		text, err = operator.Ask(o.Door, "vars", operatorTimeout)
+		text, err = operator.Call(o.Door, "vars", operatorTimeout)
 	} else {
-		text, err = c.Ask("vars")
+		text, err = c.OperatorCall("vars")
 	}
 	if err != nil {
 		return err
 	}
-	values, err := operator.Values(text)
+	values, err := operator.ParseMetrics(text)
 	return o.show(w, values, err, func(t io.Writer) {
 		for _, name := range slices.Sorted(maps.Keys(values)) {
 			fmt.Fprintf(t, "%s\t%d\n", name, values[name])
@@ -392,7 +392,7 @@
 		return err
 	}
 	defer s.Close()
-	root := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: s.Certificates()[0].Raw})
+	root := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: s.RootCertificates()[0].Raw})
 	if err := os.WriteFile(a.Root, root, 0o644); err != nil {
 		return err
 	}
@@ -439,7 +439,7 @@
 	}
 	f.Table(w)
 	fmt.Fprintln(w, "written:", csv, svg)
-	return printResult(w, f, nil, f.Missed())
+	return printResult(w, f, nil, f.MissedBounds())
 }
 
 // replace runs the replace trial. The error lists the missed bounds.
@@ -454,7 +454,7 @@
 	if err != nil {
 		return err
 	}
-	return printResult(w, f, f.Notes, f.Missed())
+	return printResult(w, f, f.Notes, f.FailedBounds())
 }
 
 // leases runs the leases trial. If bounds are missed it prints the schedule of faults and, with --shrink, a shorter one that
@@ -465,9 +465,9 @@
 	if err != nil {
 		return err
 	}
-	cfg := leases.Config{Seed: t.Seed, Boxes: t.Boxes, Faults: t.Faults, Span: t.Span, Kinds: rig.Kinds, Clean: t.Clean, Clocks: true, Ctl: self, Example: t.Site, Progress: w,
+	cfg := leases.Config{Seed: t.Seed, Boxes: t.Boxes, Faults: t.Faults, Span: t.Span, Kinds: rig.Kinds, CleanTakeovers: t.Clean, SkewClocks: true, Cairnctl: self, SettingsFile: t.Site, Progress: w,
 		Terms: lease.Terms{Term: 2 * time.Second, Drift: 0.02}, Election: 400 * time.Millisecond,
-		Serve: serveCommand(t.Program)}
+		Command: serveCommand(t.Program)}
 	if t.Schedule != "" {
 		raw, err := os.ReadFile(t.Schedule)
 		if err != nil {
@@ -491,7 +491,7 @@
 		return err
 	}
 	for _, k := range rig.Kinds {
-		fmt.Fprintf(w, "%-10s %d\n", k, f.Played[k])
+		fmt.Fprintf(w, "%-10s %d\n", k, f.Injected[k])
 	}
 	for _, n := range f.Notes {
 		fmt.Fprintln(w, n)
@@ -500,7 +500,7 @@
 	if len(missed) > 0 {
 		fmt.Fprintf(w, "the schedule:\n%s", f.Schedule)
 		if t.Shrink {
-			cfg.Progress, cfg.Clean = nil, 0
+			cfg.Progress, cfg.CleanTakeovers = nil, 0
 			shrunk := rig.Shrink(f.Schedule, func(s rig.Schedule) bool {
 				repeat := cfg
 				repeat.Schedule = s
@@ -527,9 +527,9 @@
 	}
 	defer os.RemoveAll(dir)
 	const boxes, old = 9, 3
-	f, err := audits.Run(audits.Config{Seed: t.Seed, Boxes: boxes, Old: old, Refuses: true, Faults: t.Faults, Span: t.Span, Kinds: audits.Kinds, Scripts: audits.Scripts, Example: t.Site, Dir: dir, Progress: w,
+	f, err := audits.Run(audits.Config{Seed: t.Seed, Boxes: boxes, OldBuildBoxes: old, CanReject: true, Faults: t.Faults, Span: t.Span, Kinds: audits.Kinds, Scripts: audits.Scripts, SettingsFile: t.Site, Dir: dir, Progress: w,
 		Terms: lease.Terms{Term: 2 * time.Second, Drift: 0.02}, Election: 400 * time.Millisecond,
-		Serve: func(box int, config string) *exec.Cmd {
+		Command: func(box int, config string) *exec.Cmd {
 			if box < boxes-old {
 				return serveCommand(t.Later)(config)
 			}
@@ -553,8 +553,8 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f, err := leases.Run(leases.Config{Seed: t.Seed, Boxes: 7, Schedule: rig.Schedule{}, Clean: t.Count, Clocks: true, Example: t.Site, Dir: dir, Progress: w,
-		Terms: lease.Terms{Term: t.Term, Drift: 0.02}, Election: 400 * time.Millisecond, Serve: serveCommand(t.Program)})
+	f, err := leases.Run(leases.Config{Seed: t.Seed, Boxes: 7, Schedule: rig.Schedule{}, CleanTakeovers: t.Count, SkewClocks: true, SettingsFile: t.Site, Dir: dir, Progress: w,
+		Terms: lease.Terms{Term: t.Term, Drift: 0.02}, Election: 400 * time.Millisecond, Command: serveCommand(t.Program)})
 	if err != nil {
 		return err
 	}
@@ -573,13 +573,13 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f, err := leases.Crowd(leases.Config{Boxes: t.Boxes, Example: t.Site, Dir: dir, Progress: w, Terms: lease.Terms{Term: t.Term, Drift: 0.01}, Election: time.Second, Serve: serveCommand(t.Program)}, t.Span)
+	f, err := leases.MeasureLargeFleet(leases.Config{Boxes: t.Boxes, SettingsFile: t.Site, Dir: dir, Progress: w, Terms: lease.Terms{Term: t.Term, Drift: 0.01}, Election: time.Second, Command: serveCommand(t.Program)}, t.Span)
 	if err != nil {
 		return err
 	}
 	var missed []string
-	if f.Lost > 0 {
-		missed = append(missed, fmt.Sprintf("%d boxes lost their sessions although nothing failed", f.Lost))
+	if f.SessionsLost > 0 {
+		missed = append(missed, fmt.Sprintf("%d boxes lost their sessions although nothing failed", f.SessionsLost))
 	}
 	return printResult(w, f, nil, missed)
 }
@@ -588,16 +588,16 @@
 func (o *options) fleetsim(w io.Writer) error {
 	t := o.Trial.Fleetsim
 	if t.Members > 0 {
-		f := fleetsim.Scale(t.Members, t.Term, time.Minute)
+		f := fleetsim.MeasureScale(t.Members, t.Term, time.Minute)
 		var missed []string
-		if f.Lost > 0 || f.AllIn == 0 {
-			missed = append(missed, fmt.Sprintf("%d sessions were lost, all members had joined after %v", f.Lost, f.AllIn))
+		if f.SessionsLost > 0 || f.JoinTime == 0 {
+			missed = append(missed, fmt.Sprintf("%d sessions were lost, all members had joined after %v", f.SessionsLost, f.JoinTime))
 		}
 		return printResult(w, figuresLine{f}, nil, missed)
 	}
-	f := fleetsim.Many(t.Seed, t.Seeds, t.Workers, w)
-	if f.First != nil {
-		for _, l := range f.First.Trace {
+	f := fleetsim.RunSeeds(t.Seed, t.Seeds, t.Workers, w)
+	if f.FirstFailure != nil {
+		for _, l := range f.FirstFailure.Trace {
 			fmt.Fprintln(w, l)
 		}
 	}
--- a/cmd/cairnctl/overload.go
+++ b/cmd/cairnctl/overload.go
@@ -20,12 +20,12 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f, err := overloads.Trial{Seed: t.Seed, Seeds: t.Seeds, Boxes: t.Boxes, Loads: []float64{0.9, 1.1, 1.5}, Modes: []model.Mode{model.Fleet, model.Alone, model.Cut}, Span: t.Span, Faults: model.Faults, Outage: t.Outage,
-		Example: t.Site, Dir: dir, Serve: serveCommand(t.Program), Progress: w}.Run()
+	f, err := overloads.Trial{Seed: t.Seed, Seeds: t.Seeds, Boxes: t.Boxes, Loads: []float64{0.9, 1.1, 1.5}, Modes: []model.Mode{model.Fleet, model.Alone, model.Disconnected}, Span: t.Span, AddFaults: model.AddCombinedFaults, Outage: t.Outage,
+		ConfigFile: t.Site, Dir: dir, Serve: serveCommand(t.Program), Progress: w}.Run()
 	if err != nil {
 		return err
 	}
-	return printResult(w, f, f.Notes, f.Missed())
+	return printResult(w, f, f.Log, f.Missed())
 }
 
 // overloadCost runs the overload-cost trial. The error lists the missed bounds.
@@ -36,7 +36,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f, err := overloads.Cost(overloads.CostConfig{Rounds: t.Rounds, Requests: t.Requests, Example: t.Site, Dir: dir, Serve: serveCommand(t.Program), Progress: w})
+	f, err := overloads.MeasureCost(overloads.CostConfig{Rounds: t.Rounds, Requests: t.Requests, ConfigFile: t.Site, Dir: dir, Serve: serveCommand(t.Program), Progress: w})
 	if err != nil {
 		return err
 	}
@@ -51,24 +51,24 @@
 		return err
 	}
 	var rows []model.Row
-	cases := slices.Concat(model.Steady, model.Hard)
+	cases := slices.Concat(model.FaultFreeCases, model.FaultCases)
 	if t.Steady {
-		cases = append(slices.Clone(model.Steady), model.Hard[len(model.Hard)-1])
+		cases = append(slices.Clone(model.FaultFreeCases), model.FaultCases[len(model.FaultCases)-1])
 	}
 	for _, boxes := range t.Boxes {
-		rows = append(rows, model.Sweep{Site: site, Boxes: boxes, Seeds: t.Seeds, From: t.Seed, Span: t.Span, Cases: cases}.Run(w)...)
+		rows = append(rows, model.Sweep{Site: site, Boxes: boxes, Seeds: t.Seeds, FirstSeed: t.Seed, Span: t.Span, Cases: cases}.Run(w)...)
 	}
-	model.Table(w, rows)
+	model.WriteTable(w, rows)
 	if t.Chart != "" {
-		if err := model.Chart(t.Chart, rows); err != nil {
+		if err := model.WriteChart(t.Chart, rows); err != nil {
 			return fmt.Errorf("chart: %w", err)
 		}
 	}
 	var missed []string
 	for _, boxes := range t.Boxes {
-		f := model.Sum(slices.DeleteFunc(slices.Clone(rows), func(r model.Row) bool { return r.Boxes != boxes }))
+		f := model.Summarize(slices.DeleteFunc(slices.Clone(rows), func(r model.Row) bool { return r.Boxes != boxes }))
 		if boxes > shed.MaxFleetSize { // a fleet of this size does not shed as one: it need not gain, but must not be worse than its boxes alone
-			f.Least = nil
+			f.GainLowerBounds = nil
 		}
 		missed = append(missed, f.Missed()...)
 		fmt.Fprintf(w, "%v boxes=%d\n", f, boxes)
--- a/cmd/cairnctl/rollout.go
+++ b/cmd/cairnctl/rollout.go
@@ -55,7 +55,7 @@
 			return err
 		}
 		if f.Put.Start {
-			if err := c.StartRoll(n, f.Put.plan()); err != nil {
+			if err := c.StartRollout(n, f.Put.plan()); err != nil {
 				return fmt.Errorf("configuration stored with number %d, but its roll-out did not start: %w", n, err)
 			}
 		}
@@ -112,7 +112,7 @@
 		if err != nil {
 			return err
 		}
-		if err := c.StartRoll(n, f.Back.plan()); err != nil {
+		if err := c.StartRollout(n, f.Back.plan()); err != nil {
 			return fmt.Errorf("contents of configuration %d stored with number %d, but the roll-out did not start: %w", f.Back.N, n, err)
 		}
 		return o.show(w, map[string]uint64{"number": n}, nil, func(t io.Writer) { fmt.Fprintf(t, "number\t%d\n", n) })
@@ -159,13 +159,13 @@
 	f := &o.Fleet.Rollout
 	switch name {
 	case "start":
-		return c.StartRoll(f.Start.N, f.Start.plan())
+		return c.StartRollout(f.Start.N, f.Start.plan())
 	case "hold":
-		return c.ChangeRoll(name, f.Hold.Why)
+		return c.ChangeRollout(name, f.Hold.Why)
 	case "resume":
-		return c.ChangeRoll(name, "")
+		return c.ChangeRollout(name, "")
 	case "abort":
-		return c.ChangeRoll(name, f.Abort.Why)
+		return c.ChangeRollout(name, f.Abort.Why)
 	}
 	r, err := c.Rollouts()
 	if err != nil {
--- a/cmd/cairnsite/main.go
+++ b/cmd/cairnsite/main.go
@@ -27,7 +27,7 @@
 	var err error
 	switch ctx.Command() {
 	case "serve":
-		daemon.Catch()
+		daemon.CatchSignals()
 		err = appliance.Serve(cli.Serve.Config, os.Stderr)
 	default:
 		if _, err = config.Load(cli.Check.File); err == nil {
--- a/examples/toy/main.go
+++ b/examples/fakes/main.go
@@ -35,11 +35,11 @@
 		go func() { log.Fatal(serveIndex(index)) }()
 	}
 	go func() {
-		log.Fatal(http.ListenAndServe(site.Directory, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		log.Fatal(http.ListenAndServe(site.CatalogAddr, http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			w.WriteHeader(http.StatusNoContent)
 		})))
 	}()
-	log.Printf("engine at %s, catalog at %s", site.Engine, site.Directory)
+	log.Printf("engine at %s, catalog at %s", site.Engine, site.CatalogAddr)
 	if *count > 0 {
 		if err := sendRequests(site.Listen, makeRequests(site, *count)); err != nil {
 			log.Fatal(err)
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -37,7 +37,7 @@
 	cfg               *config.Appliance
 	log               zerolog.Logger
 	store             *keystore.Store
-	certificates      *certs.Set
+	certificates      *certs.CertificateSet
 	tlsListener       *front.TLS
 	challengeListener net.Listener
 	controlServer     *control.Server
@@ -47,8 +47,8 @@
 }
 
 // Parts returns the parts that the daemon starts, in this order.
-func (b *Box) Parts() []daemon.Part {
-	parts := []daemon.Part{b}
+func (b *Box) Parts() []daemon.Component {
+	parts := []daemon.Component{b}
 	if b.recorder != nil {
 		parts = append(parts, b.recorder)
 	}
@@ -77,8 +77,8 @@
 	if cfg.TLS == nil {
 		return b, nil
 	}
-	answers := certs.NewAnswers()
-	var keepers []*certs.Keeper
+	answers := certs.NewChallengeResponses()
+	var keepers []*certs.Manager
 	for _, c := range cfg.TLS.Certificates {
 		k, err := b.newKeeper(c, answers)
 		if err != nil {
@@ -86,15 +86,15 @@
 		}
 		keepers = append(keepers, k)
 	}
-	b.certificates = certs.NewSet(answers, keepers...)
+	b.certificates = certs.NewCertificateSet(answers, keepers...)
 	return b, nil
 }
 
 // newKeeper returns the keeper of one configured certificate.
-func (b *Box) newKeeper(c config.Certificate, answers *certs.Answers) (*certs.Keeper, error) {
+func (b *Box) newKeeper(c config.Certificate, answers *certs.ChallengeResponses) (*certs.Manager, error) {
 	t := b.cfg.TLS
 	cfg := certs.Config{Name: c.Name, Names: c.Hosts, Challenge: t.Challenge, SelfSigned: t.SelfSigned,
-		Plan: renewal.Settings{Budget: orderBudget(t), Place: Place(b.cfg.Site.Name, c.Name), Jitter: rand.Float64}}
+		Plan: renewal.Settings{Budget: orderBudget(t), WindowOffset: RenewalOffset(b.cfg.Site.Name, c.Name), Jitter: rand.Float64}}
 	for _, mail := range t.Contact {
 		cfg.Contact = append(cfg.Contact, "mailto:"+mail)
 	}
@@ -140,9 +140,9 @@
 	return d
 }
 
-// Place returns a box's offset in a renewal window, in [0, 1). It is the same after each restart and evenly
+// RenewalOffset returns a box's offset in a renewal window, in [0, 1). It is the same after each restart and evenly
 // distributed over the boxes of a fleet.
-func Place(box, certificate string) float64 {
+func RenewalOffset(box, certificate string) float64 {
 	return float64(xxhash.Sum64String(box+"\x00"+certificate)>>11) / (1 << 53)
 }
 
@@ -157,7 +157,7 @@
 		if b.challengeListener, err = net.Listen("tcp", b.cfg.TLS.HTTPListen); err != nil {
 			return fmt.Errorf("listen for http-01 challenges at %s: %w", b.cfg.TLS.HTTPListen, err)
 		}
-		hs := &http.Server{Handler: b.certificates.Answers, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, MaxHeaderBytes: 8 << 10}
+		hs := &http.Server{Handler: b.certificates.Responses, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, MaxHeaderBytes: 8 << 10}
 		go hs.Serve(b.challengeListener)
 	}
 	if b.tlsListener, err = server.ListenTLS(b.cfg.TLS.Listen, b.tlsConfig(), set); err != nil {
@@ -165,7 +165,7 @@
 	}
 	go b.tlsListener.Serve()
 	b.log.Info().Str("listen", b.tlsListener.Addr()).Msg("TLS listener started")
-	for _, k := range b.certificates.Keepers() {
+	for _, k := range b.certificates.Managers() {
 		go k.Run(ctx)
 	}
 	return nil
@@ -195,7 +195,7 @@
 		b.fleet.mu.Lock()
 		b.fleet.replica = r
 		b.fleet.mu.Unlock()
-		r.Pace(b.fleet.pacer, b.fleet.pacer.Reconnect)
+		r.SetPacing(b.fleet.pacer, b.fleet.pacer.Reconnect)
 	}
 	var err error
 	if b.controlServer, err = control.Listen(b.cfg.Control, &controlHandler{box: b, replica: r, since: clock.Wall()}); err != nil {
@@ -205,9 +205,9 @@
 	b.log.Info().Str("socket", b.cfg.Control).Msg("control socket opened")
 }
 
-// Leave implements daemon.Part. Certificates stay loaded during the drain: handshakes of routers that reconnect for
+// StopIntake implements daemon.Part. Certificates stay loaded during the drain: handshakes of routers that reconnect for
 // outstanding answers must not fail.
-func (b *Box) Leave() {
+func (b *Box) StopIntake() {
 	if b.tlsListener != nil {
 		b.tlsListener.Close()
 	}
@@ -238,7 +238,7 @@
 func (s *controlHandler) Status() control.Status {
 	values := s.replica.Counters.Values()
 	values["invariants_broken"] = assert.Failures()
-	out := control.Status{Name: s.replica.Name, Listen: s.replica.Addr, Since: s.since, Draining: s.replica.Leaving(), Counters: values}
+	out := control.Status{Name: s.replica.Name, Listen: s.replica.Addr, StartedAt: s.since, Draining: s.replica.Leaving(), Counters: values}
 	if s.box.tlsListener != nil {
 		out.TLS = s.box.tlsListener.Addr()
 	}
@@ -269,7 +269,7 @@
 	if s.box.certificates == nil {
 		return nil
 	}
-	for _, k := range s.box.certificates.Keepers() {
+	for _, k := range s.box.certificates.Managers() {
 		list = append(list, k.Status())
 	}
 	return list
@@ -277,7 +277,7 @@
 
 var errUnknown = errors.New("no certificate with this name is configured")
 
-func (s *controlHandler) find(name string) (*certs.Keeper, error) {
+func (s *controlHandler) find(name string) (*certs.Manager, error) {
 	if s.box.certificates != nil {
 		if k := s.box.certificates.Find(name); k != nil {
 			return k, nil
--- a/internal/appliance/fleet.go
+++ b/internal/appliance/fleet.go
@@ -53,8 +53,8 @@
 // MaintenanceTask is the task whose slots limit how many boxes are out of service at a time.
 const MaintenanceTask = "maintenance"
 
-// Build returns the program's version from its build information: the first 12 digits of the commit, if known.
-func Build() string {
+// BuildVersion returns the program's version from its build information: the first 12 digits of the commit, if known.
+func BuildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
@@ -78,8 +78,8 @@
 // configuration. A build can set another one with -ldflags "-X cairnlane/internal/appliance.number=3".
 var number = "2"
 
-// Number returns the build number, 1 if it cannot be parsed.
-func Number() uint64 {
+// BuildNumber returns the build number, 1 if it cannot be parsed.
+func BuildNumber() uint64 {
 	n, err := strconv.ParseUint(number, 10, 32)
 	if err != nil {
 		return 1
@@ -127,7 +127,7 @@
 	if f.audit, how, err = audit.Open(dir, f.cfg.Site.Name, audit.DefaultLimits, func() time.Duration { return time.Duration(clock.Wall().UnixNano()) }); err != nil {
 		return err
 	}
-	f.audit.Write(audit.Entry{Kind: audit.Start, Text: how})
+	f.audit.Append(audit.Entry{Kind: audit.Start, Text: how})
 	store, wrong, err := configs.Open(faultfs.Disk{}, filepath.Join(f.cfg.State, "fleet-config"))
 	if err != nil {
 		return err
@@ -136,12 +136,12 @@
 		f.log.Error().Str("wrong", wrong).Msg("stored configurations of the fleet are corrupt; fetching them again")
 	}
 	served, refused, failed := set.Get("answers_served"), set.Get("answers_refused"), set.Get("answers_failed")
-	f.pacer = fleet.NewPacer(f.cfg.Site.Name, clock.Boot, engine.DefaultBackoff)
-	f.Fleet, err = fleet.Open(fleet.Config{Audit: f.audit, AuditBuild: f.auditBuild(), BuildNumber: Number(), Configs: store, CheckConfig: f.checkNumbered,
+	f.pacer = fleet.NewPacer(f.cfg.Site.Name, clock.SinceBoot, engine.DefaultBackoff)
+	f.Fleet, err = fleet.Open(fleet.Config{Audit: f.audit, AuditBuild: f.auditBuild(), BuildNumber: BuildNumber(), Configs: store, CheckConfig: f.checkNumbered,
 		Load: f.loadTotals, Overload: f.overloadRules, OnAdvice: f.applyAdvice, Pacer: f.pacer, MaxRetryDelay: f.cfg.Site.Policy.MaxHoldOff,
 		Served: func() (good, bad uint64) { return uint64(served.Load()), uint64(refused.Load() + failed.Load()) },
 		Name:   f.cfg.Site.Name, Listen: c.Listen, Peers: c.Addresses(), KeyFile: c.KeyFile, Dir: filepath.Join(f.cfg.State, "fleet"),
-		Build: Build(), Timing: ledgerTiming(c), Now: clock.Boot, Logf: func(format string, args ...any) { f.log.Warn().Msg("fleet: " + fmt.Sprintf(format, args...)) }}, set)
+		Build: BuildVersion(), Timing: ledgerTiming(c), Now: clock.SinceBoot, Logf: func(format string, args ...any) { f.log.Warn().Msg("fleet: " + fmt.Sprintf(format, args...)) }}, set)
 	if err != nil {
 		return err
 	}
@@ -155,9 +155,9 @@
 // Running returns the fleet, nil before the part has been started.
 func (f *Fleet) Running() *fleet.Fleet { return f.Fleet }
 
-// Leave implements daemon.Part. It does nothing: the box stays in the fleet until Close, as runs in progress may
+// StopIntake implements daemon.Part. It does nothing: the box stays in the fleet until Close, as runs in progress may
 // still need its leases.
-func (f *Fleet) Leave() {}
+func (f *Fleet) StopIntake() {}
 
 // Close implements daemon.Part.
 func (f *Fleet) Close() {
@@ -180,7 +180,7 @@
 		}
 		return fmt.Sprintf("%016x", xxhash.Sum64(raw))
 	}
-	return audit.Build{Number: Number(), Program: Build(), Settings: digest(f.cfg.Replica), Config: digest(f.cfg.Path), Messages: ledger.Version}
+	return audit.Build{Number: BuildNumber(), Program: BuildVersion(), Settings: digest(f.cfg.Replica), Config: digest(f.cfg.Path), Messages: ledger.Version}
 }
 
 // serving reports whether the replica accepts clients and is neither drained nor out of service for maintenance.
@@ -235,7 +235,7 @@
 // loadTotals returns the load counters of the box, zero before the replica accepts clients.
 func (f *Fleet) loadTotals() (t view.Totals) {
 	if r := f.startedReplica(); r != nil {
-		t = view.TotalsOf(r.Operator().Figures(), r.Level())
+		t = view.TotalsOf(r.Operator().Figures(), r.ShedLevel())
 	}
 	return t
 }
@@ -250,7 +250,7 @@
 // applyAdvice passes the fleet's advice to the replica.
 func (f *Fleet) applyAdvice(a *shed.Advice) {
 	if r := f.startedReplica(); r != nil {
-		r.Advise(a)
+		r.SetAdvice(a)
 	}
 }
 
@@ -273,8 +273,8 @@
 	return dir
 }
 
-// Operated implements control.Fleet. It records an operator's command and its result in the audit log.
-func (f *Fleet) Operated(caller, what string, err error) {
+// RecordOperatorCall implements control.Fleet. It records an operator's command and its result in the audit log.
+func (f *Fleet) RecordOperatorCall(caller, what string, err error) {
 	if err != nil {
 		what += ": " + err.Error()
 	}
@@ -301,8 +301,8 @@
 // End implements control.Fleet. It releases a slot.
 func (f *Fleet) End(id uint64) error { return f.supervisor.End(id) }
 
-// Maintain implements control.Fleet. It requests a maintenance slot.
-func (f *Fleet) Maintain() (uint64, error) {
+// RequestMaintenance implements control.Fleet. It requests a maintenance slot.
+func (f *Fleet) RequestMaintenance() (uint64, error) {
 	f.mu.Lock()
 	entered := f.maintenanceID
 	f.mu.Unlock()
@@ -312,8 +312,8 @@
 	return f.supervisor.Begin(lease.Request{Task: MaintenanceTask, Slots: f.cfg.Fleet.Maintenance, Sticky: true})
 }
 
-// Enter implements control.Fleet. It takes the box out of service and keeps the maintenance slot until it serves again.
-func (f *Fleet) Enter(id uint64, what string) error {
+// EnterMaintenance implements control.Fleet. It takes the box out of service and keeps the maintenance slot until it serves again.
+func (f *Fleet) EnterMaintenance(id uint64, what string) error {
 	s, err := f.supervisor.Poll(id, 0)
 	if err != nil {
 		return err
--- a/internal/appliance/recorder.go
+++ b/internal/appliance/recorder.go
@@ -48,7 +48,7 @@
 	}
 	now := func() time.Duration { return time.Duration(clock.Wall().UnixNano()) }
 	var err error
-	if r.rec, err = records.NewRecorder(records.Disk{}, dir, records.Head{Box: r.cfg.Site.Name, Incarnation: hex.EncodeToString(id[:]), Build: Build(), Started: now()}, records.DefaultLimits, now); err != nil {
+	if r.rec, err = records.NewRecorder(records.Disk{}, dir, records.Head{Box: r.cfg.Site.Name, Incarnation: hex.EncodeToString(id[:]), Build: BuildVersion(), Started: now()}, records.DefaultLimits, now); err != nil {
 		return err
 	}
 	r.lastSums = map[string]records.Tally{}
@@ -68,7 +68,7 @@
 
 func (r *recorder) run(ctx context.Context) {
 	defer close(r.done)
-	tick := time.NewTicker(records.DefaultLimits.Flush)
+	tick := time.NewTicker(records.DefaultLimits.FlushInterval)
 	defer tick.Stop()
 	failed := false
 	for n := 1; ; n++ {
@@ -114,8 +114,8 @@
 	}
 }
 
-// Leave implements daemon.Part.
-func (r *recorder) Leave() { r.rec.Add(records.Record{Kind: records.KindDrain}) }
+// StopIntake implements daemon.Part.
+func (r *recorder) StopIntake() { r.rec.Add(records.Record{Kind: records.KindDrain}) }
 
 // Close implements daemon.Part.
 func (r *recorder) Close() {
--- a/internal/appliance/serve.go
+++ b/internal/appliance/serve.go
@@ -10,7 +10,7 @@
 
 // Serve runs the appliance with the configuration file at path until it has drained or fails. The log is written to w.
 // The functions in more return additional parts; tests use them.
-func Serve(path string, w io.Writer, more ...func(*Box) daemon.Part) error {
+func Serve(path string, w io.Writer, more ...func(*Box) daemon.Component) error {
 	cfg, err := config.Load(path)
 	if err != nil {
 		return err
@@ -19,7 +19,7 @@
 	if cfg.Log != nil {
 		l = logging.Config{Level: cfg.Log.Level, Format: cfg.Log.Format}
 	}
-	box, err := New(cfg, logging.Start(w, l))
+	box, err := New(cfg, logging.Setup(w, l))
 	if err != nil {
 		return err
 	}
--- a/internal/appliance/parts_trial.go
+++ b/internal/appliance/trial_parts.go
@@ -12,8 +12,8 @@
 )
 
 // trialParts returns the part that acts under leases in a trial, if the environment enables it.
-func (b *Box) trialParts() []daemon.Part {
-	return []daemon.Part{&actor.Part{Box: b.cfg.Site.Name, Fleet: b.fleet.Running}}
+func (b *Box) trialParts() []daemon.Component {
+	return []daemon.Component{&actor.Part{Box: b.cfg.Site.Name, Fleet: b.fleet.Running}}
 }
 
 // trialRejects makes a box of a trial reject a configuration whose TRIAL_REFUSE value names the box, or all boxes.
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -22,8 +22,8 @@
 	timeout = 500 * time.Millisecond
 )
 
-// Pace decides when to report. Its methods do not block. Without one, a report is sent each Period.
-type Pace interface {
+// Scheduler decides when to report. Its methods do not block. Without one, a report is sent each Period.
+type Scheduler interface {
 	// Due reports whether a report is to be sent now. After true, the caller sends one and passes the result to RecordResult.
 	Due() bool
 	// RecordResult receives whether the catalog accepted a report.
@@ -41,7 +41,7 @@
 	client       http.Client
 	leaving      atomic.Bool
 	cancelReport atomic.Pointer[context.CancelFunc] // cancels the report in progress
-	pace         atomic.Pointer[Pace]
+	pace         atomic.Pointer[Scheduler]
 	sent         *counters.Counter
 	failed       *counters.Counter
 }
@@ -58,9 +58,9 @@
 	return r
 }
 
-// Move sends the reports to the catalog at addr from now on, the next one at once, as reports to the old catalog may
+// SetAddr sends the reports to the catalog at addr from now on, the next one at once, as reports to the old catalog may
 // no longer have an effect.
-func (r *Reporter) Move(addr string) {
+func (r *Reporter) SetAddr(addr string) {
 	if *r.addr.Swap(&addr) == addr {
 		return
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// Pace makes p decide when reports are sent, from the next one on.
-func (r *Reporter) Pace(p Pace) { r.pace.Store(&p) }
+// SetScheduler makes p decide when reports are sent, from the next one on.
+func (r *Reporter) SetScheduler(p Scheduler) { r.pace.Store(&p) }
 
 // wait returns true when a report is due, or false when ctx is done. After Leave it ignores the pace and uses the period, as
 // the last report must be sent.
@@ -104,12 +104,12 @@
 	}
 }
 
-// Leave makes the next report the last one and critical; the entry then expires.
-func (r *Reporter) Leave() { r.leaving.Store(true) }
+// Deregister makes the next report the last one and critical; the entry then expires.
+func (r *Reporter) Deregister() { r.leaving.Store(true) }
 
-// Keep reports at once and then every Period, or at the pace's times, until ctx is done or the last report is sent. It
+// Run reports at once and then every Period, or at the pace's times, until ctx is done or the last report is sent. It
 // runs apart from the serving path: a catalog that is down or slow delays only its own reports.
-func (r *Reporter) Keep(ctx context.Context) {
+func (r *Reporter) Run(ctx context.Context) {
 	tick := time.NewTicker(Period)
 	defer tick.Stop()
 	for {
--- a/internal/certs/answers.go
+++ b/internal/certs/challenges.go
@@ -22,21 +22,21 @@
 
 const challengePath = "/.well-known/acme-challenge/"
 
-// Answers holds the responses to pending challenges. The HTTP listener serves those to http-01, the TLS listener
+// ChallengeResponses holds the responses to pending challenges. The HTTP listener serves those to http-01, the TLS listener
 // those to tls-alpn-01.
-type Answers struct {
+type ChallengeResponses struct {
 	mu    sync.Mutex
 	http  map[string]string           // key authorization by token
 	certs map[string]*tls.Certificate // by host name in lower case
 }
 
-// NewAnswers returns an empty Answers.
-func NewAnswers() *Answers {
-	return &Answers{http: map[string]string{}, certs: map[string]*tls.Certificate{}}
+// NewChallengeResponses returns an empty Answers.
+func NewChallengeResponses() *ChallengeResponses {
+	return &ChallengeResponses{http: map[string]string{}, certs: map[string]*tls.Certificate{}}
 }
 
 // add serves the response to a challenge until it is removed.
-func (a *Answers) add(answer keystore.Answer) error {
+func (a *ChallengeResponses) add(answer keystore.ChallengeResponse) error {
 	if answer.Type == HTTP01 {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -54,7 +54,7 @@
 }
 
 // remove stops serving the given challenge responses.
-func (a *Answers) remove(list []keystore.Answer) {
+func (a *ChallengeResponses) remove(list []keystore.ChallengeResponse) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, answer := range list {
@@ -66,7 +66,7 @@
 }
 
 // ServeHTTP serves the responses to http-01 challenges and 404 for everything else.
-func (a *Answers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *ChallengeResponses) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	token, ok := strings.CutPrefix(r.URL.Path, challengePath)
 	a.mu.Lock()
 	auth, known := a.http[token]
@@ -79,23 +79,23 @@
 	w.Write([]byte(auth))
 }
 
-// Set selects the certificate for each handshake of a listener.
-type Set struct {
-	Answers  *Answers
-	managers []*Keeper
+// CertificateSet selects the certificate for each handshake of a listener.
+type CertificateSet struct {
+	Responses *ChallengeResponses
+	managers  []*Manager
 }
 
-// NewSet returns a set of the keepers' certificates. Clients that send no server name or an unknown one get the first
+// NewCertificateSet returns a set of the keepers' certificates. Clients that send no server name or an unknown one get the first
 // certificate.
-func NewSet(answers *Answers, keepers ...*Keeper) *Set {
-	return &Set{Answers: answers, managers: keepers}
+func NewCertificateSet(answers *ChallengeResponses, keepers ...*Manager) *CertificateSet {
+	return &CertificateSet{Responses: answers, managers: keepers}
 }
 
-// Keepers returns the keepers of the set.
-func (s *Set) Keepers() []*Keeper { return s.managers }
+// Managers returns the keepers of the set.
+func (s *CertificateSet) Managers() []*Manager { return s.managers }
 
 // Find returns the keeper of the certificate with that name, or nil.
-func (s *Set) Find(name string) *Keeper {
+func (s *CertificateSet) Find(name string) *Manager {
 	for _, k := range s.managers {
 		if k.cfg.Name == name {
 			return k
@@ -108,12 +108,12 @@
 
 // GetCertificate implements the callback of tls.Config. It is called for each handshake and takes no lock that is
 // held during I/O.
-func (s *Set) GetCertificate(h *tls.ClientHelloInfo) (*tls.Certificate, error) {
+func (s *CertificateSet) GetCertificate(h *tls.ClientHelloInfo) (*tls.Certificate, error) {
 	name := strings.ToLower(strings.TrimSuffix(h.ServerName, "."))
 	if len(h.SupportedProtos) == 1 && h.SupportedProtos[0] == acmez.ACMETLS1Protocol {
-		s.Answers.mu.Lock()
-		defer s.Answers.mu.Unlock()
-		if cert := s.Answers.certs[name]; cert != nil {
+		s.Responses.mu.Lock()
+		defer s.Responses.mu.Unlock()
+		if cert := s.Responses.certs[name]; cert != nil {
 			return cert, nil
 		}
 		return nil, fmt.Errorf("no pending tls-alpn-01 challenge for %q", name)
--- a/internal/certs/client.go
+++ b/internal/certs/client.go
@@ -27,7 +27,7 @@
 	calls      int
 }
 
-func (k *Keeper) client(authority Authority) *client {
+func (k *Manager) client(authority Authority) *client {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.clients[authority.Name]
@@ -36,8 +36,8 @@
 		if c.transport == nil {
 			c.transport = http.DefaultTransport
 		}
-		c.acme = &acme.Client{Directory: authority.Directory, HTTPClient: &http.Client{Transport: c, Timeout: k.cfg.CallTime}, UserAgent: "cairnlane",
-			PollInterval: k.cfg.PollEvery, PollTimeout: k.cfg.PollTime}
+		c.acme = &acme.Client{Directory: authority.Directory, HTTPClient: &http.Client{Transport: c, Timeout: k.cfg.CallTimeout}, UserAgent: "cairnlane",
+			PollInterval: k.cfg.PollInterval, PollTimeout: k.cfg.PollTimeout}
 		k.clients[authority.Name] = c
 	}
 	return c
@@ -106,13 +106,13 @@
 var errInvalid = errors.New("the authority could not validate a name")
 
 // failure converts an error to the form that renewal.Classify takes.
-func (c *client) failure(err error, inARow int) renewal.Trouble {
+func (c *client) failure(err error, inARow int) renewal.Failure {
 	c.mu.Lock()
-	t := renewal.Trouble{Status: c.status, RetryAfter: c.retryAfter, InARow: inARow}
+	t := renewal.Failure{Status: c.status, RetryAfter: c.retryAfter, PriorFailures: inARow}
 	c.mu.Unlock()
 	var p acme.Problem
 	if errors.As(err, &p) {
-		t.Kind = renewal.ShortKind(p.Type)
+		t.Kind = renewal.TrimProblemPrefix(p.Type)
 		if p.Status != 0 {
 			t.Status = p.Status
 		}
@@ -120,6 +120,6 @@
 	if errors.Is(err, errInvalid) {
 		t.Kind = "validation"
 	}
-	t.Rubbish, t.Local = errors.Is(err, errUnusable), errors.Is(err, errLocal)
+	t.Unusable, t.Local = errors.Is(err, errUnusable), errors.Is(err, errLocal)
 	return t
 }
--- a/internal/certs/keeper.go
+++ b/internal/certs/manager.go
@@ -36,17 +36,17 @@
 
 // Config configures a Keeper.
 type Config struct {
-	Name        string   // name of the certificate and of its folder in the store
-	Names       []string // host names of the certificate
-	Authorities []Authority
-	Challenge   string // http-01 or tls-alpn-01
-	Contact     []string
-	SelfSigned  bool           // serve a self-signed placeholder until the first certificate is issued
-	Roots       *x509.CertPool // roots that issued chains are verified against; nil for the system's roots
-	Plan        renewal.Settings
-	CallTime    time.Duration // timeout of one call to an authority
-	PollTime    time.Duration // timeout of a validation, after which the order waits for the next attempt
-	PollEvery   time.Duration // interval of the queries for the state of a validation or an order
+	Name         string   // name of the certificate and of its folder in the store
+	Names        []string // host names of the certificate
+	Authorities  []Authority
+	Challenge    string // http-01 or tls-alpn-01
+	Contact      []string
+	SelfSigned   bool           // serve a self-signed placeholder until the first certificate is issued
+	Roots        *x509.CertPool // roots that issued chains are verified against; nil for the system's roots
+	Plan         renewal.Settings
+	CallTimeout  time.Duration // timeout of one call to an authority
+	PollTimeout  time.Duration // timeout of a validation, after which the order waits for the next attempt
+	PollInterval time.Duration // interval of the queries for the state of a validation or an order
 }
 
 const (
@@ -62,11 +62,11 @@
 	placeholderLifetime = 30 * 24 * time.Hour
 )
 
-// Keeper obtains, renews and stores one certificate.
-type Keeper struct {
+// Manager obtains, renews and stores one certificate.
+type Manager struct {
 	cfg     Config
 	store   *keystore.Store
-	answers *Answers
+	answers *ChallengeResponses
 	now     func() time.Time
 	log     zerolog.Logger
 	wake    chan struct{}
@@ -87,14 +87,14 @@
 
 // New loads the newest intact certificate of the store. Without one it makes a self-signed placeholder if SelfSigned
 // is set; otherwise handshakes fail until the first order has completed.
-func New(cfg Config, store *keystore.Store, answers *Answers, now func() time.Time, log zerolog.Logger) (*Keeper, error) {
+func New(cfg Config, store *keystore.Store, answers *ChallengeResponses, now func() time.Time, log zerolog.Logger) (*Manager, error) {
 	if len(cfg.Names) == 0 || cfg.Name == "" {
 		return nil, errors.New("certs: a certificate needs a name and at least one host name")
 	}
 	if cfg.Challenge != HTTP01 && cfg.Challenge != TLSALPN01 {
 		return nil, fmt.Errorf("certs: unknown challenge %q: supported are %s and %s", cfg.Challenge, HTTP01, TLSALPN01)
 	}
-	for d, def := range map[*time.Duration]time.Duration{&cfg.CallTime: defaultCallTimeout, &cfg.PollTime: defaultPollTimeout, &cfg.PollEvery: defaultPollInterval} {
+	for d, def := range map[*time.Duration]time.Duration{&cfg.CallTimeout: defaultCallTimeout, &cfg.PollTimeout: defaultPollTimeout, &cfg.PollInterval: defaultPollInterval} {
 		if *d <= 0 {
 			*d = def
 		}
@@ -107,16 +107,16 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Keeper{cfg: cfg, store: store, answers: answers, now: now, plan: plan, wake: make(chan struct{}, 1), clients: map[string]*client{},
+	k := &Manager{cfg: cfg, store: store, answers: answers, now: now, plan: plan, wake: make(chan struct{}, 1), clients: map[string]*client{},
 		log: log.With().Str("certificate", cfg.Name).Logger()}
 	order, err := store.Order(cfg.Name)
-	if err != nil && !errors.Is(err, keystore.ErrNone) {
+	if err != nil && !errors.Is(err, keystore.ErrNotFound) {
 		return nil, err
 	}
 	k.restoreOrder(order)
 	switch err := k.loadNewest(); {
 	case err == nil:
-	case !errors.Is(err, keystore.ErrNone):
+	case !errors.Is(err, keystore.ErrNotFound):
 		return nil, err
 	case cfg.SelfSigned:
 		if err := k.installPlaceholder(); err != nil {
@@ -130,10 +130,10 @@
 
 // restoreOrder restores the recorded orders, so that the budget and the responses to pending challenges survive a
 // restart.
-func (k *Keeper) restoreOrder(o keystore.Order) {
+func (k *Manager) restoreOrder(o keystore.Order) {
 	k.order = o
 	for _, h := range o.History {
-		k.plan.Remembers(k.authorityIndex(h.Authority), h.Begun)
+		k.plan.RestoreOrder(k.authorityIndex(h.Authority), h.Begun)
 	}
 	for _, a := range o.Answers {
 		if err := k.answers.add(a); err != nil {
@@ -143,12 +143,12 @@
 }
 
 // authorityIndex returns the index of an authority in the configuration, or -1.
-func (k *Keeper) authorityIndex(name string) int {
+func (k *Manager) authorityIndex(name string) int {
 	return slices.IndexFunc(k.cfg.Authorities, func(a Authority) bool { return a.Name == name })
 }
 
 // loadNewest installs the newest certificate of the store unless it is already in use.
-func (k *Keeper) loadNewest() error {
+func (k *Manager) loadNewest() error {
 	g, number, err := k.store.Generation(k.cfg.Name)
 	if err != nil {
 		return err
@@ -165,18 +165,18 @@
 }
 
 // install makes new handshakes use a certificate and reports it to the plan.
-func (k *Keeper) install(cert *tls.Certificate, g keystore.Generation, number int) {
+func (k *Manager) install(cert *tls.Certificate, g keystore.Generation, number int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.generation, k.key = number, g.Key
-	k.plan.Issued(k.now(), renewal.Held{Serial: cert.Leaf.SerialNumber.String(), NotBefore: cert.Leaf.NotBefore, NotAfter: cert.Leaf.NotAfter,
-		Stopgap: g.Authority == "", FromSecond: k.authorityIndex(g.Authority) != 0})
+	k.plan.CertificateIssued(k.now(), renewal.Certificate{Serial: cert.Leaf.SerialNumber.String(), NotBefore: cert.Leaf.NotBefore, NotAfter: cert.Leaf.NotAfter,
+		Placeholder: g.Authority == "", FromFallback: k.authorityIndex(g.Authority) != 0})
 	k.current.Store(cert)
 	k.log.Info().Int("generation", number).Str("authority", g.Authority).Time("not_after", cert.Leaf.NotAfter).Msg("certificate in use")
 }
 
 // installPlaceholder makes and installs a self-signed certificate. It is not stored.
-func (k *Keeper) installPlaceholder() error {
+func (k *Manager) installPlaceholder() error {
 	g, err := selfSigned(k.cfg.Names, k.now(), placeholderLifetime)
 	if err != nil {
 		return err
@@ -190,10 +190,10 @@
 }
 
 // Current returns the certificate in use, or nil. It is safe for concurrent use.
-func (k *Keeper) Current() *tls.Certificate { return k.current.Load() }
+func (k *Manager) Current() *tls.Certificate { return k.current.Load() }
 
 // Run calls Step whenever it is due until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	for {
 		at := k.Step(ctx)
 		t := time.NewTimer(max(at.Sub(k.now()), 0))
@@ -209,7 +209,7 @@
 }
 
 // Step performs the action that is due now and returns the time of the next call.
-func (k *Keeper) Step(ctx context.Context) time.Time {
+func (k *Manager) Step(ctx context.Context) time.Time {
 	k.stepMu.Lock()
 	defer k.stepMu.Unlock()
 	if !k.acquireRenewal() {
@@ -221,7 +221,7 @@
 	switch a.Kind {
 	case renewal.Wait:
 		return a.At
-	case renewal.Ask:
+	case renewal.AskWindow:
 		k.fetchWindow(ctx, k.cfg.Authorities[a.Authority])
 	case renewal.Order:
 		k.obtain(ctx, a)
@@ -232,7 +232,7 @@
 // acquireRenewal reports whether this process renews the certificate. If it does not hold the store's lock yet, it
 // loads the certificate that the lock's holder stored and tries to lock the store, which succeeds once the holder has
 // ended.
-func (k *Keeper) acquireRenewal() bool {
+func (k *Manager) acquireRenewal() bool {
 	k.mu.Lock()
 	leads := k.renewsHere
 	k.mu.Unlock()
@@ -240,7 +240,7 @@
 		return true
 	}
 	err := k.store.Lock()
-	if lerr := k.loadNewest(); lerr != nil && !errors.Is(lerr, keystore.ErrNone) {
+	if lerr := k.loadNewest(); lerr != nil && !errors.Is(lerr, keystore.ErrNotFound) {
 		k.log.Error().Err(lerr).Msg("cannot read the certificate store; keeping the certificate in use")
 	}
 	if err != nil {
@@ -261,20 +261,20 @@
 }
 
 // fetchWindow requests the suggested renewal window of the certificate from an authority, RFC 9773.
-func (k *Keeper) fetchWindow(ctx context.Context, authority Authority) {
+func (k *Manager) fetchWindow(ctx context.Context, authority Authority) {
 	cert := k.Current()
 	if cert == nil {
 		return
 	}
 	c := k.client(authority)
-	ctx, done := c.beginAttempt(ctx, k.cfg.CallTime)
+	ctx, done := c.beginAttempt(ctx, k.cfg.CallTimeout)
 	defer done()
 	info, err := c.acme.GetRenewalInfo(ctx, cert.Leaf)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err != nil {
 		k.log.Debug().Err(err).Msg("cannot get the renewal window from the authority")
-		k.plan.NotSuggested(k.now())
+		k.plan.WindowFailed(k.now())
 		return
 	}
 	askAgainAfter := time.Duration(0)
@@ -282,7 +282,7 @@
 		askAgainAfter = time.Until(*info.RetryAfter) // the ACME library computes it from the system clock
 	}
 	previousDue := k.plan.DueAt()
-	k.plan.Suggested(k.now(), renewal.Window{Start: info.SuggestedWindow.Start, End: info.SuggestedWindow.End}, askAgainAfter)
+	k.plan.SetWindow(k.now(), renewal.Window{Start: info.SuggestedWindow.Start, End: info.SuggestedWindow.End}, askAgainAfter)
 	if at := k.plan.DueAt(); at.Sub(previousDue).Abs() > 24*time.Hour {
 		k.log.Info().Time("due", at).Str("explanation", info.ExplanationURL).Msg("the authority changed the renewal window; the renewal time moved by more than a day")
 	}
@@ -300,34 +300,34 @@
 	Phase      string    `json:"phase"`
 	Alarm      string    `json:"alarm"`
 	Failures   int       `json:"failures"`
-	Leads      bool      `json:"renews_here"`
-	Last       string    `json:"last,omitempty"`
+	RenewsHere bool      `json:"renews_here"`
+	LastEvent  string    `json:"last,omitempty"`
 }
 
 // Status returns the current state of the certificate.
-func (k *Keeper) Status() Status {
+func (k *Manager) Status() Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := Status{Name: k.cfg.Name, Names: k.cfg.Names, Generation: k.generation, Phase: k.plan.Phase().String(), Alarm: k.plan.Alarm(k.now()).String(),
-		Failures: k.plan.Failures(), Leads: k.renewsHere, Due: k.plan.DueAt(), Last: k.lastEvent}
-	if h, ok := k.plan.Held(); ok {
+		Failures: k.plan.Failures(), RenewsHere: k.renewsHere, Due: k.plan.DueAt(), LastEvent: k.lastEvent}
+	if h, ok := k.plan.Current(); ok {
 		s.NotBefore, s.NotAfter = h.NotBefore, h.NotAfter
 	}
 	return s
 }
 
 // History returns the recorded events, oldest first.
-func (k *Keeper) History() []keystore.Event {
+func (k *Manager) History() []keystore.Event {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.order.Events)
 }
 
 // Renew starts a renewal now, within the order budget. It sets a suggested window in the past.
-func (k *Keeper) Renew() {
+func (k *Manager) Renew() {
 	k.mu.Lock()
 	now := k.now()
-	k.plan.Suggested(now, renewal.Window{Start: now.Add(-2 * time.Second), End: now.Add(-time.Second)}, 0)
+	k.plan.SetWindow(now, renewal.Window{Start: now.Add(-2 * time.Second), End: now.Add(-time.Second)}, 0)
 	k.mu.Unlock()
 	select {
 	case k.wake <- struct{}{}:
@@ -337,7 +337,7 @@
 
 // Revoke revokes the newest stored certificate at its authority, signing the request with the certificate's own key, and
 // starts a renewal.
-func (k *Keeper) Revoke(ctx context.Context, reason int) error {
+func (k *Manager) Revoke(ctx context.Context, reason int) error {
 	k.stepMu.Lock()
 	defer k.stepMu.Unlock()
 	g, _, err := k.store.Generation(k.cfg.Name)
@@ -353,11 +353,11 @@
 		return err
 	}
 	c := k.client(k.cfg.Authorities[at])
-	ctx, done := c.beginAttempt(ctx, k.cfg.CallTime)
+	ctx, done := c.beginAttempt(ctx, k.cfg.CallTimeout)
 	defer done()
 	err = c.acme.RevokeCertificate(ctx, acme.Account{PrivateKey: cert.PrivateKey.(crypto.Signer)}, cert.Leaf, cert.PrivateKey.(crypto.Signer), reason)
 	var p acme.Problem
-	if err != nil && !(errors.As(err, &p) && renewal.ShortKind(p.Type) == "alreadyRevoked") {
+	if err != nil && !(errors.As(err, &p) && renewal.TrimProblemPrefix(p.Type) == "alreadyRevoked") {
 		return fmt.Errorf("certs: revoke %s at %s: %w", k.cfg.Name, g.Authority, err)
 	}
 	k.addEvent("revoked", fmt.Sprintf("reason %d, serial %v", reason, cert.Leaf.SerialNumber))
@@ -366,7 +366,7 @@
 }
 
 // addEvent appends an event to the history. It is stored with the next change of the order.
-func (k *Keeper) addEvent(what, text string) {
+func (k *Manager) addEvent(what, text string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lastEvent = what + ": " + text
--- a/internal/certs/order.go
+++ b/internal/certs/order.go
@@ -21,7 +21,7 @@
 )
 
 // obtain starts an order or resumes the recorded one, and reports the result to the plan.
-func (k *Keeper) obtain(ctx context.Context, a renewal.Action) {
+func (k *Manager) obtain(ctx context.Context, a renewal.Action) {
 	authority := k.cfg.Authorities[a.Authority]
 	k.mu.Lock()
 	o := k.order
@@ -34,11 +34,11 @@
 		o, err = k.beginOrder(o, authority, a)
 	}
 	k.mu.Lock()
-	k.plan.Begun(k.now(), a.Authority, resumed)
+	k.plan.OrderStarted(k.now(), a.Authority, resumed)
 	k.mu.Unlock()
 	c := k.client(authority)
 	if err == nil {
-		ctx, done := c.beginAttempt(ctx, k.cfg.CallTime+k.cfg.PollTime)
+		ctx, done := c.beginAttempt(ctx, k.cfg.CallTimeout+k.cfg.PollTimeout)
 		err = k.completeOrder(ctx, c, authority, o)
 		done()
 	}
@@ -47,7 +47,7 @@
 	}
 	if ctx.Err() != nil { // the program is stopping; the order is resumed at the next start
 		k.mu.Lock()
-		k.plan.Failed(k.now(), renewal.Answer{Class: renewal.Transient})
+		k.plan.OrderFailed(k.now(), renewal.Outcome{Class: renewal.Transient})
 		k.mu.Unlock()
 		return
 	}
@@ -55,7 +55,7 @@
 	answer := renewal.Classify(t)
 	k.addEvent("failed", fmt.Sprintf("at %s, %v: %v", authority.Name, answer.Class, err))
 	k.mu.Lock()
-	k.plan.Failed(k.now(), answer)
+	k.plan.OrderFailed(k.now(), answer)
 	alarm, next := k.plan.Alarm(k.now()), k.plan.Next(k.now())
 	k.mu.Unlock()
 	ev := k.log.Warn()
@@ -67,14 +67,14 @@
 }
 
 // beginOrder records a new order with its key before any request is sent.
-func (k *Keeper) beginOrder(previous keystore.Order, authority Authority, a renewal.Action) (keystore.Order, error) {
+func (k *Manager) beginOrder(previous keystore.Order, authority Authority, a renewal.Action) (keystore.Order, error) {
 	key, err := newKey()
 	if err != nil {
 		return previous, fmt.Errorf("%w: %w", errLocal, err)
 	}
 	now := k.now()
 	k.answers.remove(previous.Answers)
-	order := keystore.Order{Stage: keystore.Keyed, Authority: authority.Name, Key: key, Begun: now, Names: k.cfg.Names,
+	order := keystore.Order{Stage: keystore.KeyCreated, Authority: authority.Name, Key: key, Begun: now, Names: k.cfg.Names,
 		History: slices.DeleteFunc(slices.Clone(previous.History), func(h keystore.Attempt) bool { return now.Sub(h.Begun) > 7*24*time.Hour })}
 	order.History = append(order.History, keystore.Attempt{Authority: authority.Name, Begun: now})
 	if cert := k.Current(); a.Replaces && cert != nil {
@@ -86,7 +86,7 @@
 }
 
 // recordOrder stores the state of an order together with the keeper's events.
-func (k *Keeper) recordOrder(o *keystore.Order) error {
+func (k *Manager) recordOrder(o *keystore.Order) error {
 	k.mu.Lock()
 	o.Events = slices.Clone(k.order.Events)
 	k.mu.Unlock()
@@ -100,7 +100,7 @@
 }
 
 // endOrder records that an order has completed or failed, so that the next attempt starts a new one.
-func (k *Keeper) endOrder(o *keystore.Order) error {
+func (k *Manager) endOrder(o *keystore.Order) error {
 	k.answers.remove(o.Answers)
 	o.Stage, o.Key, o.URL, o.Answers = keystore.Ended, nil, "", nil
 	return k.recordOrder(o)
@@ -108,7 +108,7 @@
 
 // completeOrder runs an order from its recorded stage until its certificate is installed. Each step is recorded
 // before it is performed, so after a kill between two steps the same order is resumed.
-func (k *Keeper) completeOrder(ctx context.Context, c *client, authority Authority, o keystore.Order) error {
+func (k *Manager) completeOrder(ctx context.Context, c *client, authority Authority, o keystore.Order) error {
 	account, err := k.account(ctx, c, authority)
 	if err != nil {
 		return fmt.Errorf("account: %w", err)
@@ -163,7 +163,7 @@
 }
 
 // getOrCreateOrder returns the order at the authority. If its URL is not recorded yet, a new order is created.
-func (k *Keeper) getOrCreateOrder(ctx context.Context, c *client, account acme.Account, o *keystore.Order) (acme.Order, error) {
+func (k *Manager) getOrCreateOrder(ctx context.Context, c *client, account acme.Account, o *keystore.Order) (acme.Order, error) {
 	if o.URL != "" {
 		order, err := c.acme.GetOrder(ctx, account, acme.Order{Location: o.URL})
 		var p acme.Problem
@@ -196,7 +196,7 @@
 }
 
 // completeChallenges completes one challenge for each name of an order that is not validated yet.
-func (k *Keeper) completeChallenges(ctx context.Context, c *client, account acme.Account, order acme.Order, o *keystore.Order) error {
+func (k *Manager) completeChallenges(ctx context.Context, c *client, account acme.Account, order acme.Order, o *keystore.Order) error {
 	for _, url := range order.Authorizations {
 		authz, err := c.acme.GetAuthorization(ctx, account, url)
 		if err != nil {
@@ -210,7 +210,7 @@
 			return fmt.Errorf("%w: challenge %s is not offered for %s", errInvalid, k.cfg.Challenge, authz.Identifier.Value)
 		}
 		challenge := authz.Challenges[i]
-		answer := keystore.Answer{Type: challenge.Type, Name: authz.Identifier.Value, Token: challenge.Token, Value: challenge.KeyAuthorization}
+		answer := keystore.ChallengeResponse{Type: challenge.Type, Name: authz.Identifier.Value, Token: challenge.Token, Value: challenge.KeyAuthorization}
 		if !slices.Contains(o.Answers, answer) { // the response is served until the order ends, also after a restart
 			o.Answers = append(o.Answers, answer)
 			if err := k.recordOrder(o); err != nil {
@@ -236,7 +236,7 @@
 }
 
 // fetchCertificate downloads the issued certificate, verifies it, stores it and installs it, in this order.
-func (k *Keeper) fetchCertificate(ctx context.Context, c *client, account acme.Account, authority Authority, order acme.Order, o *keystore.Order, key crypto.Signer) error {
+func (k *Manager) fetchCertificate(ctx context.Context, c *client, account acme.Account, authority Authority, order acme.Order, o *keystore.Order, key crypto.Signer) error {
 	chains, err := c.acme.GetCertificateChain(ctx, account, order.Certificate)
 	if err != nil {
 		if ctx.Err() == nil && c.lastCallSucceeded() {
@@ -278,9 +278,9 @@
 }
 
 // account returns the account at an authority and creates it if there is none. Its key is stored before it is used.
-func (k *Keeper) account(ctx context.Context, c *client, authority Authority) (acme.Account, error) {
+func (k *Manager) account(ctx context.Context, c *client, authority Authority) (acme.Account, error) {
 	stored, err := k.store.Account(authority.Name)
-	if errors.Is(err, keystore.ErrNone) {
+	if errors.Is(err, keystore.ErrNotFound) {
 		if stored.Key, err = newKey(); err == nil {
 			stored.Contact = k.cfg.Contact
 			err = k.store.PutAccount(authority.Name, stored)
@@ -317,7 +317,7 @@
 }
 
 // ChangeAccountKey replaces the key of the account at an authority. The new key is stored before the request is sent.
-func (k *Keeper) ChangeAccountKey(ctx context.Context, authority string) error {
+func (k *Manager) ChangeAccountKey(ctx context.Context, authority string) error {
 	k.stepMu.Lock()
 	defer k.stepMu.Unlock()
 	at := k.authorityIndex(authority)
@@ -337,7 +337,7 @@
 		}
 	}
 	c := k.client(k.cfg.Authorities[at])
-	ctx, done := c.beginAttempt(ctx, k.cfg.CallTime)
+	ctx, done := c.beginAttempt(ctx, k.cfg.CallTimeout)
 	defer done()
 	_, err = k.account(ctx, c, k.cfg.Authorities[at])
 	return err
@@ -345,7 +345,7 @@
 
 // completeKeyChange completes a recorded key change. The response to an earlier request may have been lost, so if the
 // authority rejects the change, the account is looked up by the new key.
-func (k *Keeper) completeKeyChange(ctx context.Context, c *client, authority Authority, stored keystore.Account, a acme.Account) (acme.Account, error) {
+func (k *Manager) completeKeyChange(ctx context.Context, c *client, authority Authority, stored keystore.Account, a acme.Account) (acme.Account, error) {
 	key, err := x509.ParsePKCS8PrivateKey(stored.Next)
 	if err != nil {
 		return a, fmt.Errorf("%w: %w", errLocal, err)
--- a/internal/certs/year/script.go
+++ b/internal/certs/year/script.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"cairnlane/internal/standin/authority"
+	"cairnlane/internal/fake/authority"
 )
 
 const day = 24 * time.Hour
@@ -55,10 +55,10 @@
 	make func(*rand.Rand) func(authority.Op) authority.Fault
 }{
 	{"down", func(*rand.Rand) func(authority.Op) authority.Fault {
-		return func(authority.Op) authority.Fault { return authority.Fault{Down: true} }
+		return func(authority.Op) authority.Fault { return authority.Fault{DropRequest: true} }
 	}},
 	{"slow", func(*rand.Rand) func(authority.Op) authority.Fault {
-		return faultOn(authority.OpOrder, authority.Fault{Slow: true})
+		return faultOn(authority.OpOrder, authority.Fault{Hang: true})
 	}},
 	{"errors", func(r *rand.Rand) func(authority.Op) authority.Fault {
 		f := authority.Fault{Status: 503, RetryAfter: time.Duration(r.IntN(90)) * time.Minute}
@@ -74,21 +74,21 @@
 		return faultOn(authority.OpOrder, authority.Fault{Problem: "caa"})
 	}},
 	{"slow validation", func(r *rand.Rand) func(authority.Op) authority.Fault {
-		return faultOn(authority.OpChallenge, authority.Fault{Pending: time.Duration(1+r.IntN(20)) * time.Hour})
+		return faultOn(authority.OpChallenge, authority.Fault{Delay: time.Duration(1+r.IntN(20)) * time.Hour})
 	}},
 	{"failed validation", func(*rand.Rand) func(authority.Op) authority.Fault {
-		return faultOn(authority.OpChallenge, authority.Fault{Invalid: true})
+		return faultOn(authority.OpChallenge, authority.Fault{FailValidation: true})
 	}},
 	{"rubbish", func(r *rand.Rand) func(authority.Op) authority.Fault {
-		all := []authority.Rubbish{authority.WrongName, authority.AlreadyOver, authority.OtherKey, authority.NoPEM}
-		return faultOn(authority.OpFinalize, authority.Fault{Rubbish: all[r.IntN(len(all))]})
+		all := []authority.CertDefect{authority.WrongName, authority.Expired, authority.OtherKey, authority.InvalidDER}
+		return faultOn(authority.OpFinalize, authority.Fault{Defect: all[r.IntN(len(all))]})
 	}},
 	{"answers lost", func(r *rand.Rand) func(authority.Op) authority.Fault {
-		ops := []authority.Op{authority.OpOrder, authority.OpChallenge, authority.OpFinalize, authority.OpFetch}
-		return faultOn(ops[r.IntN(len(ops))], authority.Fault{Lost: true})
+		ops := []authority.Op{authority.OpOrder, authority.OpChallenge, authority.OpFinalize, authority.OpDownload}
+		return faultOn(ops[r.IntN(len(ops))], authority.Fault{DropResponse: true})
 	}},
 	{"replaces refused", func(*rand.Rand) func(authority.Op) authority.Fault {
-		return faultOn(authority.OpOrder, authority.Fault{Replace: true})
+		return faultOn(authority.OpOrder, authority.Fault{RejectReplaces: true})
 	}},
 }
 
--- a/internal/config/numbered.go
+++ b/internal/config/numbered.go
@@ -32,8 +32,8 @@
 	Shares map[string]float64 `hcl:"shares,optional"` // parts of the capacity by tenant; the other tenants share the rest evenly
 }
 
-// OverloadNeeds is the number of the first build that supports an overload block.
-const OverloadNeeds = 2
+// OverloadMinBuild is the number of the first build that supports an overload block.
+const OverloadMinBuild = 2
 
 // Stragglers configures the handling of boxes that are behind.
 type Stragglers struct {
@@ -42,8 +42,8 @@
 	Leave bool    `hcl:"leave_service,optional"` // a box that is shut out takes itself out of service
 }
 
-// MostValues is the maximum number of values in a configuration.
-const MostValues = 256
+// MaxValues is the maximum number of values in a configuration.
+const MaxValues = 256
 
 var valueName = regexp.MustCompile(`^[A-Z][A-Z0-9_]{0,62}$`)
 
@@ -76,8 +76,8 @@
 			report("Numbered.Stragglers.Floor", "floor: must be a share of all boxes, from 0 to 1")
 		}
 	}
-	if len(n.Values) > MostValues {
-		report("Numbered.Values", fmt.Sprintf("values: there are %d, at most %d are allowed", len(n.Values), MostValues))
+	if len(n.Values) > MaxValues {
+		report("Numbered.Values", fmt.Sprintf("values: there are %d, at most %d are allowed", len(n.Values), MaxValues))
 	}
 	for name := range n.Values {
 		if !valueName.MatchString(name) {
@@ -85,8 +85,8 @@
 		}
 	}
 	if o := n.Overload; o != nil {
-		if n.Needs < OverloadNeeds {
-			report("Numbered.Overload", fmt.Sprintf("overload: builds below number %d do not support it; set needs = %d", OverloadNeeds, OverloadNeeds))
+		if n.Needs < OverloadMinBuild {
+			report("Numbered.Overload", fmt.Sprintf("overload: builds below number %d do not support it; set needs = %d", OverloadMinBuild, OverloadMinBuild))
 		}
 		if !(o.Tries >= 0 && o.Tries <= 1) {
 			report("Numbered.Overload.Tries", "tries: must be a share of the first attempts, from 0 to 1")
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -26,12 +26,12 @@
 
 // Status is the state of a daemon.
 type Status struct {
-	Name     string           `json:"name"`
-	Listen   string           `json:"listen"`
-	TLS      string           `json:"tls,omitempty"`
-	Since    time.Time        `json:"since"`
-	Draining bool             `json:"draining"`
-	Counters map[string]int64 `json:"counters"`
+	Name      string           `json:"name"`
+	Listen    string           `json:"listen"`
+	TLS       string           `json:"tls,omitempty"`
+	StartedAt time.Time        `json:"since"`
+	Draining  bool             `json:"draining"`
+	Counters  map[string]int64 `json:"counters"`
 }
 
 // Daemon is the daemon that the control socket serves.
@@ -98,7 +98,7 @@
 		call := r.PathValue("call")
 		answer := string(operator.Answer(call, d.Operator()))
 		if f := d.Fleet(); f != nil && strings.HasPrefix(call, "drain") {
-			f.Operated(callerOf(r), call+" "+strings.TrimSpace(answer), nil)
+			f.RecordOperatorCall(callerOf(r), call+" "+strings.TrimSpace(answer), nil)
 		}
 		reply(w, answer, nil)
 	})
@@ -211,8 +211,8 @@
 // Stop makes the daemon drain and exit.
 func (c *Client) Stop() error { return c.call("POST", "/stop", nil, &struct{}{}) }
 
-// Ask makes one of the calls of the admin listener.
-func (c *Client) Ask(call string) (string, error) {
+// OperatorCall makes one of the calls of the admin listener.
+func (c *Client) OperatorCall(call string) (string, error) {
 	var answer string
 	if err := c.call("POST", "/call/"+url.PathEscape(call), nil, &answer); err != nil {
 		return "", err
--- a/internal/control/fleet.go
+++ b/internal/control/fleet.go
@@ -34,7 +34,7 @@
 	StartRollout(n uint64, p rollout.Plan, caller string) error
 	ChangeRollout(kind rollout.Kind, why, caller string) error
 	SetLowest(n uint64) error
-	Operated(caller, what string, err error) // records an operator's call in the audit
+	RecordOperatorCall(caller, what string, err error) // records an operator's call in the audit
 	Free(token uint64) error
 	StopEarly(token uint64) error
 
@@ -44,9 +44,9 @@
 	Command(id uint64, pgid int) error
 	End(id uint64) error
 
-	// Maintain requests a slot to take this box out of service. Enter takes it out once the slot is granted.
-	Maintain() (uint64, error)
-	Enter(id uint64, what string) error // what is drain or stop
+	// RequestMaintenance requests a slot to take this box out of service. Enter takes it out once the slot is granted.
+	RequestMaintenance() (uint64, error)
+	EnterMaintenance(id uint64, what string) error // what is drain or stop
 }
 
 // ErrNoFleet is the error of fleet calls to a box that is in no fleet.
@@ -63,7 +63,7 @@
 			}
 			v, err := do(f, r)
 			if r.Method == http.MethodPost && !strings.HasPrefix(pattern, "POST /fleet/runs") {
-				f.Operated(callerOf(r), auditText(r), err)
+				f.RecordOperatorCall(callerOf(r), auditText(r), err)
 			}
 			reply(w, v, err)
 		})
@@ -137,8 +137,8 @@
 		return f.Command(number(r, "id"), pgid)
 	})
 	handleAction("POST /fleet/runs/{id}/end", func(f Fleet, r *http.Request) error { return f.End(number(r, "id")) })
-	handle("POST /fleet/maintenance", func(f Fleet, _ *http.Request) (any, error) { return f.Maintain() })
-	handleAction("POST /fleet/maintenance/{id}/{what}", func(f Fleet, r *http.Request) error { return f.Enter(number(r, "id"), r.PathValue("what")) })
+	handle("POST /fleet/maintenance", func(f Fleet, _ *http.Request) (any, error) { return f.RequestMaintenance() })
+	handleAction("POST /fleet/maintenance/{id}/{what}", func(f Fleet, r *http.Request) error { return f.EnterMaintenance(number(r, "id"), r.PathValue("what")) })
 }
 
 // auditText describes a call for the audit: its path and its form values, except the contents of configurations.
@@ -196,8 +196,8 @@
 	return n, c.call("POST", "/fleet/config", url.Values{"body": {string(src)}}, &n)
 }
 
-// StartRoll starts a rollout of configuration n.
-func (c FleetClient) StartRoll(n uint64, p rollout.Plan) error {
+// StartRollout starts a rollout of configuration n.
+func (c FleetClient) StartRollout(n uint64, p rollout.Plan) error {
 	raw, err := json.Marshal(p)
 	if err != nil {
 		return err
@@ -205,8 +205,8 @@
 	return c.post(fmt.Sprintf("/fleet/rollout/%d", n), url.Values{"plan": {string(raw)}})
 }
 
-// ChangeRoll holds, resumes or aborts the running rollout.
-func (c FleetClient) ChangeRoll(how, why string) error {
+// ChangeRollout holds, resumes or aborts the running rollout.
+func (c FleetClient) ChangeRollout(how, why string) error {
 	return c.post("/fleet/rollout/change/"+how, url.Values{"why": {why}})
 }
 
@@ -225,8 +225,8 @@
 	return l, c.call("GET", "/fleet/leases", nil, &l)
 }
 
-// Marks returns the audit heads of the boxes that the ledger holds.
-func (c FleetClient) Marks() (m map[string][]lease.Mark, err error) {
+// AuditHeads returns the audit heads of the boxes that the ledger holds.
+func (c FleetClient) AuditHeads() (m map[string][]lease.Mark, err error) {
 	return m, c.call("GET", "/fleet/marks", nil, &m)
 }
 
@@ -275,12 +275,12 @@
 // End releases a slot.
 func (c FleetClient) End(id uint64) error { return c.post(fmt.Sprintf("/fleet/runs/%d/end", id), nil) }
 
-// Maintain requests a slot to take the box out of service.
-func (c FleetClient) Maintain() (id uint64, err error) {
+// RequestMaintenance requests a slot to take the box out of service.
+func (c FleetClient) RequestMaintenance() (id uint64, err error) {
 	return id, c.call("POST", "/fleet/maintenance", nil, &id)
 }
 
-// Enter takes the box out of service under a slot.
-func (c FleetClient) Enter(id uint64, what string) error {
+// EnterMaintenance takes the box out of service under a slot.
+func (c FleetClient) EnterMaintenance(id uint64, what string) error {
 	return c.post(fmt.Sprintf("/fleet/maintenance/%d/%s", id, url.PathEscape(what)), nil)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,18 +47,18 @@
 	listenRetryInterval                       = 20 * time.Millisecond
 )
 
-// Part is an optional component beside the replica and its plain listener: TLS, a control socket, a fleet.
+// Component is an optional component beside the replica and its plain listener: TLS, a control socket, a fleet.
 //
 // Parts are started in the given order, after the replica's own components (operators' listener, link to the other
 // process, link to the engine) and before clients are accepted. At exit Leave and Close are called in the reverse
 // order. In a drain, Leave is called on all parts when the grace period is over, while calls in progress are still
 // answered; Close is called on all when no connection is open any more.
-type Part interface {
+type Component interface {
 	// Start starts the part; it is called once. An error ends the process before it has served.
 	Start(ctx context.Context, server *front.Server, set *counters.Set) error
-	// Leave stops the intake of new work when the grace period of a drain is over. A hand-over to another process has
+	// StopIntake stops the intake of new work when the grace period of a drain is over. A hand-over to another process has
 	// no grace period and does not call it.
-	Leave()
+	StopIntake()
 	// Close releases what is left when the process exits.
 	Close()
 }
@@ -73,29 +73,29 @@
 }
 
 // Drain makes the replica drain and exit, as SIGTERM does.
-func (r *Replica) Drain() { r.service.signals.Leave() }
+func (r *Replica) Drain() { r.service.signals.RequestExit() }
 
 // Operator returns the replica with the calls that operators may make.
 func (r *Replica) Operator() operator.Replica { return operatorReplica{r.process} }
 
-// Advise applies the fleet's advice of this box to the decisions on requests that are read from now on; nil ends
+// SetAdvice applies the fleet's advice of this box to the decisions on requests that are read from now on; nil ends
 // it. It does not block.
-func (r *Replica) Advise(a *shed.Advice) { r.process.Replica.Advise(a) }
+func (r *Replica) SetAdvice(a *shed.Advice) { r.process.Replica.Advise(a) }
 
-// Pace lets the fleet pace the requests of this box to services that all boxes share: reports to the catalog, and
+// SetPacing lets the fleet pace the requests of this box to services that all boxes share: reports to the catalog, and
 // attempts to reconnect to its engine.
-func (r *Replica) Pace(reports catalog.Pace, reconnects func(attempt int) time.Duration) {
-	r.service.reporter.Pace(reports)
+func (r *Replica) SetPacing(reports catalog.Scheduler, reconnects func(attempt int) time.Duration) {
+	r.service.reporter.SetScheduler(reports)
 	r.service.engine.SetBackoff(reconnects)
 }
 
-// Level returns the shed level that the module would use by itself.
-func (r *Replica) Level() float64 { return r.process.Replica.Level() }
+// ShedLevel returns the shed level that the module would use by itself.
+func (r *Replica) ShedLevel() float64 { return r.process.Replica.Level() }
 
 // Leaving reports whether the process drains or hands over.
 func (r *Replica) Leaving() bool {
 	s := r.process.state()
-	return s == lifecycle.Leaving || s == lifecycle.HandingOver
+	return s == lifecycle.Draining || s == lifecycle.HandingOver
 }
 
 // Drained reports whether an operator has drained the replica.
@@ -116,7 +116,7 @@
 type service struct {
 	path    string
 	cfg     *settings.Replica
-	parts   []Part
+	parts   []Component
 	started func(*Replica)
 
 	signals              *Signals
@@ -126,8 +126,8 @@
 	index                *index.Client // nil at sites whose runs make no index calls
 	process              *process      // the replica and the link to the other process
 	server               *front.Server
-	operators            *operator.Door // nil if no address is configured
-	past                 link.Past
+	operators            *operator.Listener // nil if no address is configured
+	past                 link.Previous
 	reporter             *catalog.Reporter
 	listenerErrors       chan error // error of the listener
 	stopEngine, stopPeer func()     // stop the link to the engine, and the link to the other process with the claims on keys
@@ -137,7 +137,7 @@
 
 // Run serves until SIGTERM has been handled; the process then exits with code 0. started is called once clients are
 // accepted; it may be nil.
-func Run(path string, cfg *settings.Replica, started func(*Replica), parts ...Part) error {
+func Run(path string, cfg *settings.Replica, started func(*Replica), parts ...Component) error {
 	limitRuntime(cfg.Limits)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -156,16 +156,16 @@
 }
 
 // newService creates all components and starts none.
-func newService(path string, cfg *settings.Replica, started func(*Replica), parts []Part) (*service, error) {
-	s := &service{path: path, cfg: cfg, parts: parts, started: started, signals: Catch(), set: new(counters.Set), clk: clock.NewSystem(),
-		process: &process{effects: make(chan lifecycle.Effect, 8)}, past: link.Fresh, listenerErrors: make(chan error, 1)}
+func newService(path string, cfg *settings.Replica, started func(*Replica), parts []Component) (*service, error) {
+	s := &service{path: path, cfg: cfg, parts: parts, started: started, signals: CatchSignals(), set: new(counters.Set), clk: clock.NewSystem(),
+		process: &process{effects: make(chan lifecycle.Effect, 8)}, past: link.NonePrevious, listenerErrors: make(chan error, 1)}
 	s.reloads, s.rejectedConfigs = s.set.Get("configurations_reloaded"), s.set.Get("configurations_turned_down")
 	memory := int(cfg.Limits.MemoryMB << 20)
 	s.engine = engine.NewLink(cfg.Engine, s.clk.Now, s.set)
 	s.engine.LimitOutput(memory / engineDivisor)
 	p := s.process
-	rc := replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, CoresGauge: cfg.OnCores,
-		MaxResultBytes: memory / resultDivisor, Replaceable: cfg.Inherited > 0,
+	rc := replica.Config{Policy: cfg.Policy, Tenants: cfg.Tenants, CoresGauge: cfg.CoresGauge,
+		MaxResultBytes: memory / resultDivisor, Replaceable: cfg.InheritedFD > 0,
 		CloseIdle: func(after time.Duration) { s.server.CloseIdle(after) }}
 	if cfg.Index != "" {
 		s.index = index.New(cfg.Index, indexReplies{p}, s.set) // replies arrive only after calls of the replica
@@ -185,24 +185,24 @@
 	}
 	p.split = newSplit(cfg.Limits, s.server, p.Replica)
 	p.split.useAll()
-	s.server.Waits(longestDeadline(cfg))
+	s.server.SetMaxWait(longestDeadline(cfg))
 	s.server.CloseIdle(cfg.Policy.IdleTimeout) // routers close idle connections by then; any other client would occupy a descriptor for nothing
-	if cfg.Control != "" {
+	if cfg.AdminAddr != "" {
 		err = s.listenWithRetry(func() (err error) {
-			s.operators, err = operator.Listen(cfg.Control, operatorReplica{p}, s.clk.Now, s.set)
+			s.operators, err = operator.Listen(cfg.AdminAddr, operatorReplica{p}, s.clk.Now, s.set)
 			return err
 		})
 		if err != nil {
 			return nil, err
 		}
 	}
-	if cfg.Inherited > 0 {
-		if p.peer, s.past, err = link.Open(cfg.Folder); err != nil {
+	if cfg.InheritedFD > 0 {
+		if p.peer, s.past, err = link.Open(cfg.SharedFolder); err != nil {
 			return nil, err
 		}
-		p.peer.Bound(memory / peerDivisor)
+		p.peer.SetQueueLimit(memory / peerDivisor)
 	}
-	s.reporter = catalog.NewReporter(cfg.Directory, cfg.Name, s.set)
+	s.reporter = catalog.NewReporter(cfg.CatalogAddr, cfg.Name, s.set)
 	return s, nil
 }
 
@@ -210,11 +210,11 @@
 func (s *service) start(ctx context.Context) error {
 	p := s.process
 	switch s.past {
-	case link.Follows:
-		p.life.Waits = true
+	case link.Running:
+		p.life.HasPredecessor = true
 		p.FollowPredecessor()
 		p.split.follow()
-	case link.Died: // its keyed requests may be repeated, and it is unknown which of them ran
+	case link.Crashed: // its keyed requests may be repeated, and it is unknown which of them ran
 		log.Print("the previous process has crashed; keyed requests that it may have run are failed until they can no longer be repeated")
 		p.Replica.PredecessorEnded(false)
 	}
@@ -226,10 +226,10 @@
 	s.stopEngine = startBackground(ctx, func(ctx context.Context) { s.engine.KeepOpen(ctx, p) })
 	s.stopPeer = func() {}
 	if p.peer != nil {
-		s.stopPeer = startBackground(ctx, func(ctx context.Context) { p.peer.Keep(ctx, s.past, peerEvents{p}) })
+		s.stopPeer = startBackground(ctx, func(ctx context.Context) { p.peer.Run(ctx, s.past, peerEvents{p}) })
 	}
-	if s.past != link.Follows {
-		p.take(lifecycle.Inherited)
+	if s.past != link.Running {
+		p.take(lifecycle.StateReceived)
 	}
 	go s.server.Sweep(ctx)
 	for _, part := range s.parts {
@@ -246,14 +246,14 @@
 	for {
 		select {
 		case err := <-s.listenerErrors:
-			if state := s.process.state(); state != lifecycle.Leaving && state != lifecycle.HandingOver {
+			if state := s.process.state(); state != lifecycle.Draining && state != lifecycle.HandingOver {
 				return fmt.Errorf("listener failed: %w", err)
 			}
 			s.listenerErrors = nil
 		case effect := <-s.process.effects:
 			s.carryOut(ctx, effect)
 		case <-s.signals.leave:
-			s.process.take(lifecycle.Term)
+			s.process.take(lifecycle.ExitRequested)
 		case <-s.signals.report:
 			s.logCounters()
 		case <-reload: // also during a drain, as runs still end at the engine
@@ -272,13 +272,13 @@
 	}
 	if effect&lifecycle.Accept != 0 {
 		go func(errs chan<- error) { errs <- s.server.Serve() }(s.listenerErrors)
-		go s.reporter.Keep(ctx)
+		go s.reporter.Run(ctx)
 		if s.started != nil {
 			s.started(&Replica{Name: s.cfg.Name, Addr: s.server.Addr(), Counters: s.set, process: s.process, service: s})
 		}
 		log.Printf("%s serves at %s", s.cfg.Name, s.server.Addr())
 	}
-	if effect&lifecycle.EndEmpty != 0 {
+	if effect&lifecycle.ExitWhenIdle != 0 {
 		go s.end(s.cfg, effect&lifecycle.DrainAll != 0)
 	}
 }
@@ -286,10 +286,10 @@
 // end drains or hands over, and exits the process.
 func (s *service) end(cfg *settings.Replica, drain bool) {
 	if drain {
-		s.reporter.Leave()
+		s.reporter.Deregister()
 		s.drain(cfg)
 		if s.process.peer != nil {
-			s.process.peer.End()
+			s.process.peer.MarkCleanExit()
 		}
 	} else {
 		s.handOver(cfg)
@@ -374,15 +374,15 @@
 	s.reloads.Inc()
 	s.cfg = next
 	s.engine.Move(next.Engine)
-	s.reporter.Move(next.Directory)
+	s.reporter.SetAddr(next.CatalogAddr)
 	if s.index != nil {
 		s.index.Move(next.Index)
 	}
-	log.Printf("configuration read anew: engine %s, directory %s, index %s", next.Engine, next.Directory, next.Index)
+	log.Printf("configuration read anew: engine %s, directory %s, index %s", next.Engine, next.CatalogAddr, next.Index)
 }
 
-// Platform runs the replica as the environment variables of the platform configure it. It returns only on an error.
-func Platform() error {
+// RunFromEnvironment runs the replica as the environment variables of the platform configure it. It returns only on an error.
+func RunFromEnvironment() error {
 	path := os.Getenv("RELAY_CONFIG")
 	cfg, err := settings.Load(path)
 	if err == nil {
@@ -397,8 +397,8 @@
 // listen inherits the platform's listening socket, or opens one.
 func listen(cfg *settings.Replica, core front.Core, clk *clock.System, set *counters.Set) (*front.Server, error) {
 	plan := newPlan(cfg.Limits)
-	if cfg.Inherited > 0 {
-		return front.Inherit(cfg.Inherited, plan.Alone(), core, clk.Now, set)
+	if cfg.InheritedFD > 0 {
+		return front.Inherit(cfg.InheritedFD, plan.Alone(), core, clk.Now, set)
 	}
 	return front.Listen(cfg.Listen, plan.Alone(), core, clk.Now, set)
 }
@@ -431,13 +431,13 @@
 // drain serves through the grace period, then asks routers to disconnect, and returns as soon as they have, at the
 // latest shortly before the process would be stopped.
 func (s *service) drain(cfg *settings.Replica) {
-	stopAt := s.clk.Now() + cfg.Stop
-	s.process.Replica.Drain(cfg.Stop)
-	time.Sleep(min(cfg.Policy.DrainGrace, cfg.Stop*3/4))
+	stopAt := s.clk.Now() + cfg.StopTimeout
+	s.process.Replica.Drain(cfg.StopTimeout)
+	time.Sleep(min(cfg.Policy.DrainGrace, cfg.StopTimeout*3/4))
 	for _, part := range slices.Backward(s.parts) {
-		part.Leave()
+		part.StopIntake()
 	}
-	s.server.Leave()
+	s.server.Drain()
 	s.closeConnections(stopAt)
 }
 
@@ -466,7 +466,7 @@
 		}
 		time.Sleep(drainPollInterval)
 	}
-	for !s.server.Close() && s.clk.Now() < stopAt-killMargin {
+	for !s.server.CloseQuiet() && s.clk.Now() < stopAt-killMargin {
 		time.Sleep(drainPollInterval)
 	}
 }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -21,14 +21,14 @@
 	effects chan lifecycle.Effect
 
 	mu   sync.Mutex // guards life; no calls are made while it is held
-	life lifecycle.Life
+	life lifecycle.Machine
 }
 
 // take handles an event and queues the effects. Each effect occurs once, so the channel never fills.
 func (p *process) take(e lifecycle.Event) error {
 	p.mu.Lock()
 	before := p.life.State()
-	effect, err := p.life.Take(e)
+	effect, err := p.life.Apply(e)
 	after := p.life.State()
 	p.mu.Unlock()
 	if before != after {
@@ -51,13 +51,13 @@
 	module := p.Replica.Healthy()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life.Good(module)
+	return p.life.Healthy(module)
 }
 
 // Started implements engine.Events.
 func (p *process) Started(ago time.Duration) {
 	p.Replica.Started(ago)
-	p.take(lifecycle.Engine)
+	p.take(lifecycle.EngineConnected)
 }
 
 // operatorReplica implements operator.Replica.
@@ -92,8 +92,8 @@
 // peerEvents handles the events of the link to the other process of a replacement.
 type peerEvents struct{ *process }
 
-// Joined implements handover.Events.
-func (n peerEvents) Joined(guest bool) {
+// LinkUp implements handover.Events.
+func (n peerEvents) LinkUp(guest bool) {
 	if !guest {
 		n.mu.Lock()
 		drained := n.life.Drained()
@@ -103,11 +103,11 @@
 	n.Replica.PeerConnected(n.peer)
 }
 
-// Told implements handover.Events.
-func (n peerEvents) Told(m *handover.Message) {
+// MessageReceived implements handover.Events.
+func (n peerEvents) MessageReceived(m *handover.Message) {
 	switch m.Kind {
 	case handover.Synced:
-		n.take(lifecycle.Inherited)
+		n.take(lifecycle.StateReceived)
 		n.mu.Lock()
 		announced := n.life.Announced()
 		n.mu.Unlock()
@@ -117,11 +117,11 @@
 	case handover.Ready:
 		n.split.shareWithSuccessor(n.peer.Send)
 		n.take(lifecycle.Successor)
-		n.peer.Send(&handover.Message{Kind: handover.Known})
+		n.peer.Send(&handover.Message{Kind: handover.ReadyAck})
 	case handover.Share:
 		n.split.setShare(int(m.N))
-	case handover.Known:
-		n.take(lifecycle.Known)
+	case handover.ReadyAck:
+		n.take(lifecycle.Acknowledged)
 	case handover.Drain:
 		e := lifecycle.DrainOff
 		if m.OK {
@@ -135,8 +135,8 @@
 	}
 }
 
-// Parted implements handover.Events.
-func (n peerEvents) Parted() {
+// LinkDown implements handover.Events.
+func (n peerEvents) LinkDown() {
 	n.Replica.PeerDisconnected()
 	if n.Replica.OwnsClaims() { // otherwise the other process may still be running
 		n.split.useAll()
@@ -144,11 +144,11 @@
 	n.take(lifecycle.SuccessorGone)
 }
 
-// TookOver implements handover.Events.
-func (n peerEvents) TookOver(all bool) {
+// OwnerEnded implements handover.Events.
+func (n peerEvents) OwnerEnded(all bool) {
 	log.Printf("the previous process has ended; all of its state was received: %v", all)
 	n.Replica.PredecessorEnded(all)
 	n.split.useAll()
-	n.take(lifecycle.Inherited)
-	n.take(lifecycle.Known)
+	n.take(lifecycle.StateReceived)
+	n.take(lifecycle.Acknowledged)
 }
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -13,9 +13,9 @@
 	leave, reload, report chan os.Signal
 }
 
-// Catch handles the signals of this process from its first call on. The program should call it first: until then
+// CatchSignals handles the signals of this process from its first call on. The program should call it first: until then
 // SIGHUP ends the process, and SIGTERM looks like a crash.
-var Catch = sync.OnceValue(func() *Signals {
+var CatchSignals = sync.OnceValue(func() *Signals {
 	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not end the process
 	s := &Signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(s.leave, syscall.SIGTERM, syscall.SIGINT)
@@ -24,8 +24,8 @@
 	return s
 })
 
-// Leave makes the process exit in order, as SIGTERM does.
-func (s *Signals) Leave() {
+// RequestExit makes the process exit in order, as SIGTERM does.
+func (s *Signals) RequestExit() {
 	select {
 	case s.leave <- syscall.SIGTERM:
 	default: // a request is already waiting
--- a/internal/daemon/split.go
+++ b/internal/daemon/split.go
@@ -31,7 +31,7 @@
 	replica *replica.Replica
 
 	mu   sync.Mutex
-	plan handover.Split
+	plan handover.ConnectionSplit
 	stop chan struct{} // stops keepSending; nil while this process is alone
 }
 
@@ -40,8 +40,8 @@
 }
 
 // newPlan returns the plan of a process that is alone.
-func newPlan(l settings.Limits) handover.Split {
-	return handover.Split{Sockets: l.Sockets, Spare: reservedSockets}
+func newPlan(l settings.Limits) handover.ConnectionSplit {
+	return handover.ConnectionSplit{Sockets: l.Sockets, Reserved: reservedSockets}
 }
 
 // useAll gives this process the whole limits.
@@ -53,24 +53,24 @@
 		s.stop = nil
 	}
 	s.bound(1)
-	s.server.SetMost(s.plan.Alone())
+	s.server.SetMaxConnections(s.plan.Alone())
 }
 
 // bound sets the limits other than connections.
 func (s *split) bound(share float64) {
 	debug.SetMemoryLimit(int64(memoryShare * share * float64(s.limits.MemoryMB<<20)))
-	s.server.BoundOutput(int(share * outputShare * float64(s.limits.MemoryMB<<20)))
+	s.server.LimitOutput(int(share * outputShare * float64(s.limits.MemoryMB<<20)))
 	s.replica.Share(share)
 }
 
 // follow limits a process that is to replace another one, which then tells it how many connections it may hold.
 func (s *split) follow() {
 	s.bound(half)
-	s.server.SetMost(s.plan.Waiting())
+	s.server.SetMaxConnections(s.plan.Waiting())
 }
 
 // setShare sets the number of connections that the older process gives to this one.
-func (s *split) setShare(n int) { s.server.SetMost(n) }
+func (s *split) setShare(n int) { s.server.SetMaxConnections(n) }
 
 // shareWithSuccessor limits this process to its half when a successor is about to accept clients, and keeps the
 // successor informed of its share.
@@ -78,7 +78,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.bound(half)
-	s.plan.Begin()
+	s.plan.StartSharing()
 	s.sendShare(send)
 	if s.stop != nil { // the link was re-established
 		close(s.stop)
@@ -89,7 +89,7 @@
 
 // sendShare sends the successor's number of connections if it has grown.
 func (s *split) sendShare(send func(*handover.Message)) {
-	if n, changed := s.plan.Give(s.server.SetMost(s.plan.Half())); changed {
+	if n, changed := s.plan.GrantShare(s.server.SetMaxConnections(s.plan.Half())); changed {
 		send(&handover.Message{Kind: handover.Share, N: int64(n)})
 	}
 }
--- a/internal/decide/conns/ending.go
+++ b/internal/decide/conns/closing.go
@@ -14,14 +14,14 @@
 
 // The reasons. Evicted, Idle, Overdue and Exit are withdrawn when the connection turns out to be in use.
 const (
-	None    Reason = iota
-	Evicted        // the table is full and this connection is the first to be evicted
-	Idle           // nothing was transferred for the idle time-out
-	Overdue        // its first valid call, or the rest of a frame, is late (see Stay)
-	Exit           // the process exits
-	Garbage        // its input cannot be parsed
-	Deaf           // the peer does not read its answers, and the limit on unread output is reached
-	Broken         // a write to the connection failed
+	None       Reason = iota
+	Evicted           // the table is full and this connection is the first to be evicted
+	Idle              // nothing was transferred for the idle time-out
+	Overdue           // its first valid call, or the rest of a frame, is late (see Stay)
+	Exit              // the process exits
+	Malformed         // its input cannot be parsed
+	SlowReader        // the peer does not read its answers, and the limit on unread output is reached
+	Broken            // a write to the connection failed
 	reasons
 )
 
@@ -40,8 +40,8 @@
 	// lingerTime bounds how long input is read and discarded after the write side was closed. If the socket were
 	// closed with unread input, the kernel would send a reset and the peer could lose answers in flight.
 	lingerTime = 500 * time.Millisecond
-	// DiscardMost bounds the input in bytes that is discarded before the connection is closed.
-	DiscardMost = 256 << 10
+	// MaxDiscard bounds the input in bytes that is discarded before the connection is closed.
+	MaxDiscard = 256 << 10
 )
 
 // View is an observation of a connection. Input moves from Kernel to Reader to Feeding. Input that the poller has
@@ -86,10 +86,10 @@
 	Close
 )
 
-// Ending is the state machine that closes one connection. The zero value is a connection in service. It is not safe
+// Closing is the state machine that closes one connection. The zero value is a connection in service. It is not safe
 // for concurrent use; the caller must hold, while it takes the View and calls Want or Step, the lock under which
 // calls are accepted, so that no call is accepted between the observation and the decision.
-type Ending struct {
+type Closing struct {
 	state       State
 	reason      Reason
 	startedAt   time.Duration
@@ -98,20 +98,20 @@
 }
 
 // State returns the current state.
-func (e *Ending) State() State { return e.state }
+func (e *Closing) State() State { return e.state }
 
 // Reason returns why the connection is closed, or None.
-func (e *Ending) Reason() Reason { return e.reason }
+func (e *Closing) Reason() Reason { return e.reason }
 
-// Takes reports whether calls are still accepted.
-func (e *Ending) Takes() bool { return e.state == Serving }
+// AcceptsCalls reports whether calls are still accepted.
+func (e *Closing) AcceptsCalls() bool { return e.state == Serving }
 
 // Discard adds n bytes to the input that was discarded.
-func (e *Ending) Discard(n int) { e.discarded += n }
+func (e *Closing) Discard(n int) { e.discarded += n }
 
-// Want requests a close. For a reason that can be withdrawn, it closes a quiet connection at once and leaves any
+// Request requests a close. For a reason that can be withdrawn, it closes a quiet connection at once and leaves any
 // other unchanged; the caller may request it again. Any other reason starts a close that Step continues.
-func (e *Ending) Want(now time.Duration, reason Reason, v View) Action {
+func (e *Closing) Request(now time.Duration, reason Reason, v View) Action {
 	if e.state != Serving {
 		return e.Step(now, v)
 	}
@@ -120,7 +120,7 @@
 		if !v.Quiet() {
 			return Keep
 		}
-	case Garbage:
+	case Malformed:
 		e.state, e.reason, e.startedAt = Answering, reason, now
 		if v.hasPendingAnswers() {
 			return Keep
@@ -131,10 +131,10 @@
 }
 
 // Step continues a close that has started. In state Ended it returns Close each time.
-func (e *Ending) Step(now time.Duration, v View) Action {
+func (e *Closing) Step(now time.Duration, v View) Action {
 	switch e.state {
 	case Answering:
-		expired := now >= e.startedAt+answerTime || e.discarded > DiscardMost
+		expired := now >= e.startedAt+answerTime || e.discarded > MaxDiscard
 		if v.hasPendingAnswers() && !expired {
 			return Keep
 		}
@@ -143,7 +143,7 @@
 			return HalfClose
 		}
 	case Lingering:
-		if now < e.lingerUntil && e.discarded <= DiscardMost {
+		if now < e.lingerUntil && e.discarded <= MaxDiscard {
 			return Keep
 		}
 	case Serving:
--- a/internal/decide/conns/table.go
+++ b/internal/decide/conns/table.go
@@ -27,9 +27,9 @@
 
 // Limits bound a Table.
 type Limits struct {
-	Most   int           // connections in the table
-	Fresh  time.Duration // how long a new or just used connection is protected from eviction
-	Silent int           // number of silent connections above which the oldest are evicted even while they are protected
+	Max       int           // connections in the table
+	Protected time.Duration // how long a new or just used connection is protected from eviction
+	MaxSilent int           // number of silent connections above which the oldest are evicted even while they are protected
 }
 
 // DefaultLimits returns the limits for a table of the given size. A router writes its request as soon as it is
@@ -37,7 +37,7 @@
 // Routers need at most half of the descriptors, so a quarter of the table can be given to connections without a
 // call.
 func DefaultLimits(most int) Limits {
-	return Limits{Most: most, Fresh: 250 * time.Millisecond, Silent: most / silentDivisor}
+	return Limits{Max: most, Protected: 250 * time.Millisecond, MaxSilent: most / silentDivisor}
 }
 
 // silentPart is the divisor that gives the part of a table that silent connections may fill.
@@ -73,15 +73,15 @@
 // Len returns the number of connections in the table.
 func (t *Table) Len() int { return t.n[Silent] + t.n[Checker] + t.n[Caller] + t.n[Writing] }
 
-// SetMost changes the maximum number of connections. It closes none; the caller must evict the excess that Over
+// SetMax changes the maximum number of connections. It closes none; the caller must evict the excess that Over
 // reports.
-func (t *Table) SetMost(most int) { t.limits.Most, t.limits.Silent = most, most/silentDivisor }
+func (t *Table) SetMax(most int) { t.limits.Max, t.limits.MaxSilent = most, most/silentDivisor }
 
-// Over returns by how many connections the table exceeds its maximum.
-func (t *Table) Over() int { return max(0, t.Len()-t.limits.Most) }
+// Excess returns by how many connections the table exceeds its maximum.
+func (t *Table) Excess() int { return max(0, t.Len()-t.limits.Max) }
 
 // Full reports whether a connection must be removed before another is added.
-func (t *Table) Full() bool { return t.Len() >= t.limits.Most }
+func (t *Table) Full() bool { return t.Len() >= t.limits.Max }
 
 // Count returns the number of connections in the list of kind k.
 func (t *Table) Count(k Kind) int { return t.n[k] }
@@ -124,8 +124,8 @@
 // the silent ones.
 func (t *Table) Victims(now time.Duration, use func(*Conn) Use) iter.Seq[*Conn] {
 	return func(yield func(*Conn) bool) {
-		protectedAfter := now - t.limits.Fresh
-		expiredOrExcess := func(last time.Duration) bool { return last <= protectedAfter || t.n[Silent] > t.limits.Silent }
+		protectedAfter := now - t.limits.Protected
+		expiredOrExcess := func(last time.Duration) bool { return last <= protectedAfter || t.n[Silent] > t.limits.MaxSilent }
 		expired := func(last time.Duration) bool { return last <= protectedAfter }
 		always := func(time.Duration) bool { return true }
 		t.updateKinds(Writing, use)
--- a/internal/decide/handover/book.go
+++ b/internal/decide/handover/claims.go
@@ -14,9 +14,9 @@
 
 // The roles.
 const (
-	Owner Role = iota // grants claims; also the role of a process without a peer
-	Guest             // asks the owner for claims
-	Cut               // follows another process and has no link to it, although it may be alive; attempts wait for a link
+	Owner        Role = iota // grants claims; also the role of a process without a peer
+	Guest                    // asks the owner for claims
+	Disconnected             // follows another process and has no link to it, although it may be alive; attempts wait for a link
 )
 
 // Verdict is the decision on a keyed attempt whose key is not known in this process.
@@ -24,15 +24,15 @@
 
 // The verdicts.
 const (
-	Take  Verdict = iota // nobody else has the key: the module may start the run here
-	Ask                  // send a claim with the returned number; the attempt waits
-	Wait                 // a claim is already sent and not granted yet; the attempt waits too
-	Doubt                // the key may have run in the other process: the attempt must neither run nor be rejected here
+	RunHere   Verdict = iota // nobody else has the key: the module may start the run here
+	SendClaim                // send a claim with the returned number; the attempt waits
+	Wait                     // a claim is already sent and not granted yet; the attempt waits too
+	InDoubt                  // the key may have run in the other process: the attempt must neither run nor be rejected here
 )
 
-// Book is one process's state of the claims on keys. The zero value owns all claims. It is not safe for concurrent
+// Claims is one process's state of the claims on keys. The zero value owns all claims. It is not safe for concurrent
 // use.
-type Book struct {
+type Claims struct {
 	role       Role
 	doubtUntil time.Duration     // Owner: unknown keys may have run elsewhere until then
 	lastClaim  uint64            // number of the last claim
@@ -41,27 +41,27 @@
 }
 
 // Role returns the current role.
-func (b *Book) Role() Role { return b.role }
+func (b *Claims) Role() Role { return b.role }
 
-// Try decides on a keyed attempt whose key is not known in this process. The number is that of the claim to send,
+// Attempt decides on a keyed attempt whose key is not known in this process. The number is that of the claim to send,
 // for Ask.
-func (b *Book) Try(now time.Duration, key string) (Verdict, uint64) {
+func (b *Claims) Attempt(now time.Duration, key string) (Verdict, uint64) {
 	switch {
 	case b.role == Owner && now < b.doubtUntil:
-		return Doubt, 0
+		return InDoubt, 0
 	case b.role == Owner:
-		return Take, 0
+		return RunHere, 0
 	case b.pending[key] != 0:
 		return Wait, 0
 	}
 	b.lastClaim++
 	b.pending[key] = b.lastClaim
-	return Ask, b.lastClaim
+	return SendClaim, b.lastClaim
 }
 
 // Granted handles the owner's grant. It returns false if the claim is no longer waited for; the caller must then
 // give the key back.
-func (b *Book) Granted(key string, seq uint64) bool {
+func (b *Claims) Granted(key string, seq uint64) bool {
 	if b.pending[key] != seq || seq == 0 {
 		return false
 	}
@@ -69,15 +69,15 @@
 	return true
 }
 
-// GaveUp records that no attempt waits for a claim on the key any more.
-func (b *Book) GaveUp(key string) { delete(b.pending, key) }
+// CancelClaim records that no attempt waits for a claim on the key any more.
+func (b *Claims) CancelClaim(key string) { delete(b.pending, key) }
 
-// Told records that the owner has sent the state of a key; a claim on it needs no other answer.
-func (b *Book) Told(key string) { delete(b.pending, key) }
+// KeyReceived records that the owner has sent the state of a key; a claim on it needs no other answer.
+func (b *Claims) KeyReceived(key string) { delete(b.pending, key) }
 
 // Claimed handles the guest's claim and reports whether it is granted; free means that the key is not known here. A
 // guest that claims a key again has not used the earlier grant, or it would know the key.
-func (b *Book) Claimed(key string, seq uint64, free bool) bool {
+func (b *Claims) Claimed(key string, seq uint64, free bool) bool {
 	if b.role != Owner || !free && b.granted[key] == 0 {
 		return false
 	}
@@ -87,7 +87,7 @@
 
 // Returned handles a key that the guest gives back without a run. It returns false if the key was granted again
 // under another claim since.
-func (b *Book) Returned(key string, seq uint64) bool {
+func (b *Claims) Returned(key string, seq uint64) bool {
 	if b.granted[key] != seq || seq == 0 {
 		return false
 	}
@@ -96,31 +96,31 @@
 }
 
 // Ended records that the guest's run of a key has ended.
-func (b *Book) Ended(key string) { delete(b.granted, key) }
+func (b *Claims) Ended(key string) { delete(b.granted, key) }
 
-// Joined records that a link is up: to a guest if this process is the owner, otherwise to an owner.
-func (b *Book) Joined() {
+// LinkUp records that a link is up: to a guest if this process is the owner, otherwise to an owner.
+func (b *Claims) LinkUp() {
 	b.granted, b.pending = map[string]uint64{}, map[string]uint64{}
-	if b.role == Cut {
+	if b.role == Disconnected {
 		b.role = Guest
 	}
 }
 
-// Lost records that the link is down.
-func (b *Book) Lost() {
+// LinkDown records that the link is down.
+func (b *Claims) LinkDown() {
 	b.granted, b.pending = nil, map[string]uint64{}
 	if b.role == Guest {
-		b.role = Cut
+		b.role = Disconnected
 	}
 }
 
-// Follow records that another process owns the claims when this one starts.
-func (b *Book) Follow() { b.role, b.pending = Cut, map[string]uint64{} }
+// FollowOwner records that another process owns the claims when this one starts.
+func (b *Claims) FollowOwner() { b.role, b.pending = Disconnected, map[string]uint64{} }
 
 // TookOver records that the owner has ended and makes this process the owner. all is false if this process was not
 // told of all runs of the old owner; unknown keys are then in doubt until doubtUntil, when repeats of them can no
 // longer arrive.
-func (b *Book) TookOver(all bool, doubtUntil time.Duration) {
+func (b *Claims) TookOver(all bool, doubtUntil time.Duration) {
 	b.granted, b.pending, b.role = nil, nil, Owner
 	if !all {
 		b.doubtUntil = doubtUntil
--- a/internal/decide/handover/message.go
+++ b/internal/decide/handover/message.go
@@ -7,16 +7,16 @@
 
 // The messages. The owner is the process that grants claims, the guest is its successor.
 const (
-	Hello  Kind = 1 + iota // guest: the first message; N is the protocol version
-	Entry                  // both: the state of a key whose run belongs to the sender
-	Drop                   // both: the key of an earlier Entry or Grant is free again; its attempt never ran
-	Claim                  // guest: asks to run a key
-	Grant                  // owner: grants a claim
-	Synced                 // owner: all entries were sent
-	Ready                  // guest: has read all entries and is about to accept clients
-	Known                  // owner: has received Ready, and will hand over on SIGTERM
-	Drain                  // both: the operator drains the replica (OK is true) or ends the drain
-	Share                  // owner: the guest may use N descriptors
+	Hello    Kind = 1 + iota // guest: the first message; N is the protocol version
+	Entry                    // both: the state of a key whose run belongs to the sender
+	Drop                     // both: the key of an earlier Entry or Grant is free again; its attempt never ran
+	Claim                    // guest: asks to run a key
+	Grant                    // owner: grants a claim
+	Synced                   // owner: all entries were sent
+	Ready                    // guest: has read all entries and is about to accept clients
+	ReadyAck                 // owner: has received Ready, and will hand over on SIGTERM
+	Drain                    // both: the operator drains the replica (OK is true) or ends the drain
+	Share                    // owner: the guest may use N descriptors
 	kinds
 )
 
@@ -29,18 +29,18 @@
 
 // Message is sent from one process to the other. Kind determines which fields are set.
 type Message struct {
-	Kind   Kind
-	Key    string
-	Seq    uint64 // number of a claim; in a Drop from the guest, of the claim that is given back
-	Digest Digest
-	Until  time.Duration // Unix time: attempts that arrived on the machine before it belong to the same request
-	Over   bool          // the run has ended
-	OK     bool          // the run has a result; in Drain: the drain is on
-	Stored bool          // the result is in Body
-	Body   []byte
-	Later  time.Duration // Drop: the back-off advice in the rejection of the attempt
-	GiveUp bool
-	N      int64 // Hello: the version. Claim: when the attempt arrived on the machine, in Unix nanoseconds. Share: descriptors
+	Kind       Kind
+	Key        string
+	Seq        uint64 // number of a claim; in a Drop from the guest, of the claim that is given back
+	Digest     Digest
+	Until      time.Duration // Unix time: attempts that arrived on the machine before it belong to the same request
+	Over       bool          // the run has ended
+	OK         bool          // the run has a result; in Drain: the drain is on
+	Stored     bool          // the result is in Body
+	Body       []byte
+	RetryAfter time.Duration // Drop: the back-off advice in the rejection of the attempt
+	GiveUp     bool
+	N          int64 // Hello: the version. Claim: when the attempt arrived on the machine, in Unix nanoseconds. Share: descriptors
 }
 
 // Valid reports whether k is a known message type.
--- a/internal/decide/handover/split.go
+++ b/internal/decide/handover/split.go
@@ -1,35 +1,35 @@
 package handover
 
-// Split decides how many connections each of the two processes of a replacement may hold. The platform counts the
+// ConnectionSplit decides how many connections each of the two processes of a replacement may hold. The platform counts the
 // descriptors of both processes together, so a process must free descriptors before it gives them to the other. The
 // zero value is the state of a process without a successor.
-type Split struct {
-	Sockets int // the limit on descriptors of all processes together
-	Spare   int // descriptors that each process needs for other purposes than connections
+type ConnectionSplit struct {
+	Sockets  int // the limit on descriptors of all processes together
+	Reserved int // descriptors that each process needs for other purposes than connections
 
 	given int // connections that the successor was told it may hold
 }
 
 // Alone returns how many connections a process may hold when there is no other process.
-func (s *Split) Alone() int { return max(s.Sockets-s.Spare, 1) }
+func (s *ConnectionSplit) Alone() int { return max(s.Sockets-s.Reserved, 1) }
 
 // Waiting returns how many connections a successor may hold before it was given a share.
-func (s *Split) Waiting() int { return 1 }
+func (s *ConnectionSplit) Waiting() int { return 1 }
 
 // together returns how many connections both processes may hold in total.
-func (s *Split) together() int { return max(s.Sockets-2*s.Spare, 2) }
+func (s *ConnectionSplit) together() int { return max(s.Sockets-2*s.Reserved, 2) }
 
 // Half returns the number that the older process must shrink to, which is also the most that the newer one may hold
 // before it is alone.
-func (s *Split) Half() int { return s.together() / 2 }
+func (s *ConnectionSplit) Half() int { return s.together() / 2 }
 
-// Begin records that a successor is about to accept clients. The share of an earlier successor is free again.
-func (s *Split) Begin() { s.given = s.Waiting() }
+// StartSharing records that a successor is about to accept clients. The share of an earlier successor is free again.
+func (s *ConnectionSplit) StartSharing() { s.given = s.Waiting() }
 
-// Give returns how many connections the successor may hold while this process holds left: the total less left, or
+// GrantShare returns how many connections the successor may hold while this process holds left: the total less left, or
 // less the half that this process may grow back to. The number only grows, as the successor may already use its
 // share. changed is false if it is the same as before.
-func (s *Split) Give(left int) (n int, changed bool) {
+func (s *ConnectionSplit) GrantShare(left int) (n int, changed bool) {
 	n = max(s.together()-max(left, s.Half()), s.Waiting())
 	if n <= s.given {
 		return s.given, false
--- a/internal/decide/lifecycle/lifecycle.go
+++ b/internal/decide/lifecycle/lifecycle.go
@@ -22,7 +22,7 @@
 	Serving                  // accepts clients and is advertised as healthy
 	Drained                  // the operator wants callers to use other replicas; those that connect are served as usual
 	HandingOver              // told to exit while a successor accepts clients
-	Leaving                  // told to exit without a successor
+	Draining                 // told to exit without a successor
 )
 
 // String returns the state's name in logs and answers.
@@ -35,14 +35,14 @@
 
 // The events.
 const (
-	Engine        Event = iota // the engine has completed its handshake
-	Inherited                  // the state of the previous process is known; at once where there is none
-	Known                      // the previous process knows that this one is about to accept clients, or has ended
-	DrainOn                    // an operator's call, at this process or at the other one
-	DrainOff                   // an operator ends the drain
-	Successor                  // a process that replaces this one accepts clients
-	SuccessorGone              // the successor has ended
-	Term                       // the request to exit (SIGTERM, SIGINT)
+	EngineConnected Event = iota // the engine has completed its handshake
+	StateReceived                // the state of the previous process is known; at once where there is none
+	Acknowledged                 // the previous process knows that this one is about to accept clients, or has ended
+	DrainOn                      // an operator's call, at this process or at the other one
+	DrainOff                     // an operator ends the drain
+	Successor                    // a process that replaces this one accepts clients
+	SuccessorGone                // the successor has ended
+	ExitRequested                // the request to exit (SIGTERM, SIGINT)
 	Events
 )
 
@@ -51,12 +51,12 @@
 
 // The effects.
 const (
-	Announce   Effect = 1 << iota // tell the previous process that this one is about to accept clients
-	Accept                        // start accepting clients
-	StopAccept                    // stop accepting clients, but leave the listening socket to the successor
-	Part                          // ask all callers to send no new requests on their connections
-	DrainAll                      // drain the module, tell the catalog, and stop listening after the grace period
-	EndEmpty                      // exit as soon as nothing is outstanding
+	Announce          Effect = 1 << iota // tell the previous process that this one is about to accept clients
+	Accept                               // start accepting clients
+	StopAccept                           // stop accepting clients, but leave the listening socket to the successor
+	DisconnectCallers                    // ask all callers to send no new requests on their connections
+	DrainAll                             // drain the module, tell the catalog, and stop listening after the grace period
+	ExitWhenIdle                         // exit as soon as nothing is outstanding
 )
 
 const (
@@ -73,14 +73,14 @@
 // ErrNotNow is wrapped by errors of calls that the current state does not allow.
 var ErrNotNow = errors.New("not now")
 
-// Life is the state of one process. The zero value has no previous process to wait for. It is not safe for
+// Machine is the state of one process. The zero value has no previous process to wait for. It is not safe for
 // concurrent use.
-type Life struct {
-	// Waits is true if there is a previous process. Clients are then accepted only once its state is known and the
+type Machine struct {
+	// HasPredecessor is true if there is a previous process. Clients are then accepted only once its state is known and the
 	// engine is connected, as the previous process serves them better until then. The previous process must also know
 	// of this one first: it may receive SIGTERM as soon as this one reports that it is ready, and without a successor
 	// it would drain the whole replica.
-	Waits bool
+	HasPredecessor bool
 
 	state     State
 	engine    bool
@@ -91,17 +91,17 @@
 	successor bool
 }
 
-// Take handles an event. An error says why an operator's call is not possible in the current state; the state is
+// Apply handles an event. An error says why an operator's call is not possible in the current state; the state is
 // unchanged then.
-func (l *Life) Take(e Event) (Effect, error) {
+func (l *Machine) Apply(e Event) (Effect, error) {
 	switch e {
-	case Engine:
+	case EngineConnected:
 		l.engine = true
 		return l.open(), nil
-	case Inherited:
+	case StateReceived:
 		l.inherited = true
 		return l.open(), nil
-	case Known:
+	case Acknowledged:
 		l.known = true
 		return l.open(), nil
 	case DrainOn, DrainOff:
@@ -110,18 +110,18 @@
 		l.successor = true
 	case SuccessorGone:
 		l.successor = false
-	case Term:
+	case ExitRequested:
 		return l.term(), nil
 	}
 	return 0, nil
 }
 
 // open starts the service once its preconditions hold.
-func (l *Life) open() Effect {
+func (l *Machine) open() Effect {
 	switch {
-	case l.state != Starting || !l.inherited || l.Waits && !l.engine:
+	case l.state != Starting || !l.inherited || l.HasPredecessor && !l.engine:
 		return 0
-	case l.Waits && !l.known:
+	case l.HasPredecessor && !l.known:
 		if l.announced {
 			return 0
 		}
@@ -137,9 +137,9 @@
 
 // drain applies the operator's drain or the end of it. Repeating a call is no error. A process that is leaving
 // without a successor is in a drain that cannot be ended.
-func (l *Life) drain(on bool) error {
+func (l *Machine) drain(on bool) error {
 	switch {
-	case l.state == Leaving && !on:
+	case l.state == Draining && !on:
 		return fmt.Errorf("%w: this process was told to exit and ends soon", ErrNotNow)
 	case l.state == Serving && on:
 		l.state = Drained
@@ -150,33 +150,33 @@
 	return nil
 }
 
-func (l *Life) term() Effect {
+func (l *Machine) term() Effect {
 	switch {
-	case l.state == HandingOver || l.state == Leaving: // a repeated SIGTERM
+	case l.state == HandingOver || l.state == Draining: // a repeated SIGTERM
 		return 0
 	case l.successor:
 		l.state = HandingOver
-		return StopAccept | Part | EndEmpty
+		return StopAccept | DisconnectCallers | ExitWhenIdle
 	}
-	l.state = Leaving
-	return DrainAll | EndEmpty
+	l.state = Draining
+	return DrainAll | ExitWhenIdle
 }
 
 // State returns the current state.
-func (l *Life) State() State { return l.state }
+func (l *Machine) State() State { return l.state }
 
 // Announced reports whether the previous process was told of this one; a new link to it must repeat the
 // announcement.
-func (l *Life) Announced() bool { return l.announced }
+func (l *Machine) Announced() bool { return l.announced }
 
 // Drained reports whether the operator has drained the replica, in any state.
-func (l *Life) Drained() bool { return l.drained }
+func (l *Machine) Drained() bool { return l.drained }
 
-// Good returns the answer to health checks; module is the module's own answer. During a hand-over the replica stays
+// Healthy returns the answer to health checks; module is the module's own answer. During a hand-over the replica stays
 // in service, so callers must not be sent to other replicas.
-func (l *Life) Good(module bool) bool {
+func (l *Machine) Healthy(module bool) bool {
 	switch l.state {
-	case Leaving:
+	case Draining:
 		return false
 	case HandingOver:
 		return !l.drained
@@ -185,17 +185,17 @@
 }
 
 // Ready returns nil while this process accepts clients, and the reason otherwise. It answers the operators' check.
-func (l *Life) Ready() error {
+func (l *Machine) Ready() error {
 	switch l.state {
 	case Serving, Drained:
 		return nil
 	case Starting:
 		switch {
-		case l.Waits && !l.inherited:
+		case l.HasPredecessor && !l.inherited:
 			return fmt.Errorf("%w: the previous process has not sent all of its state yet", ErrNotNow)
-		case l.Waits && !l.engine:
+		case l.HasPredecessor && !l.engine:
 			return fmt.Errorf("%w: the engine has not completed its handshake", ErrNotNow)
-		case l.Waits && !l.known:
+		case l.HasPredecessor && !l.known:
 			return fmt.Errorf("%w: the previous process has not acknowledged this one", ErrNotNow)
 		}
 	}
